--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -48,28 +48,28 @@
 		return
 	}
 	a.load = h.Load
-	a.headAfter = now - a.at
+	a.headAfter = now - a.sentAt
 	if h.Misdirected {
 		e.AvoidUntil = now + misdirectedPause
 		return
 	}
 	if h.Load.Known {
-		e.See(lookOf(now, h.Load))
+		e.NoteProbed(probedLoadOf(now, h.Load))
 	}
 	if h.Load.RateLimit > 0 || h.Status < http.StatusInternalServerError && !h.NotRun {
-		c.toldLimit(now, p, e, h.Load.RateLimit, out)
+		c.reportedLimit(now, p, e, h.Load.RateLimit, out)
 	}
-	c.claimFromAnswer(now, e, h.Draining, h.Incarnation, out)
+	c.evidenceFromAnswer(now, e, h.Draining, h.Incarnation, out)
 }
 
-// claimFromAnswer turns what an endpoint says of itself into evidence.
-func (c *Core) claimFromAnswer(now time.Duration, e *table.Endpoint, draining bool, incarnation uint64, out *Actions) {
+// evidenceFromAnswer turns what an endpoint says of itself into evidence.
+func (c *Core) evidenceFromAnswer(now time.Duration, e *table.Endpoint, draining bool, incarnation uint64, out *Actions) {
 	name, known := e.Name, e.Incarnation
 	if changes := c.fleet.members.Answered(now, name, incarnation); len(changes) > 0 {
 		c.applyChanges(now, changes, "endpoint "+name, out)
 	}
 	if draining && (incarnation == 0 || incarnation == known) && e.State == table.EndpointLive {
-		c.claim(now, out, message.Evidence{VM: name, Incarnation: known, Kind: message.EvidenceLeaving})
+		c.applyEvidence(now, out, message.Evidence{VM: name, Incarnation: known, Kind: message.EvidenceLeaving})
 	}
 }
 
@@ -84,7 +84,7 @@
 	if h.NotRun || h.Unusable {
 		return false
 	}
-	if h.Status < http.StatusInternalServerError || !r.harmless {
+	if h.Status < http.StatusInternalServerError || !r.mayRunTwice {
 		return true
 	}
 	if r.live() > 1 {
@@ -98,7 +98,7 @@
 func (c *Core) commit(r *request, h Head, out *Actions) {
 	r.committed = h.Attempt
 	outcome := OutcomeDone
-	if !r.harmless && doubtful(h.Status) {
+	if !r.mayRunTwice && doubtful(h.Status) {
 		outcome = OutcomeUnknown
 	}
 	out.request(Directive{ID: h.ID, Step: StepCommit, Attempt: h.Attempt, Outcome: outcome})
@@ -123,7 +123,7 @@
 	if r == nil {
 		return
 	}
-	a.live, a.end, a.cause, a.took = false, e.Kind, e.Cause, now-a.at
+	a.live, a.end, a.cause, a.took = false, e.Kind, e.Cause, now-a.sentAt
 	r.replayable = e.Replayable
 	if !a.forward {
 		c.settleAttempt(now, r, a, e, out)
@@ -160,7 +160,7 @@
 // afterCommitted ends a request whose answer was being passed on.
 func (c *Core) afterCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	r.status, r.outcome = a.status, OutcomeUnknown
-	if e.Kind == EndComplete && !(doubtful(a.status) && !r.harmless) {
+	if e.Kind == EndComplete && !(doubtful(a.status) && !r.mayRunTwice) {
 		c.counters.Done++
 		r.outcome = OutcomeDone
 		if a.status < http.StatusInternalServerError {
--- a/internal/core/notes.go
+++ b/internal/core/auditnotes.go
@@ -7,14 +7,14 @@
 	"github.com/tealhall/tealhall/internal/core/member"
 )
 
-// notedEach is up to how many changes of a kind that come together each have a line of their own
+// auditedEach is up to how many changes of a kind that come together each have a line of their own
 // in the audit trail. Where a fleet starts or a failure domain goes, hundreds of lines at each
 // of hundreds of entries would cost more than the changes, and the bound on the log would leave
 // out what else happens.
-const notedEach = 8
+const auditedEach = 8
 
-// noteChanges notes changed beliefs, many of one kind as one.
-func noteChanges(changes []member.Change, actor string, out *Actions) {
+// auditChanges notes changed beliefs, many of one kind as one.
+func auditChanges(changes []member.Change, actor string, out *Actions) {
 	var count [member.KindCount]int
 	for i := range changes {
 		count[changes[i].Kind]++
@@ -22,7 +22,7 @@
 	for i := range changes {
 		ch := &changes[i]
 		switch n := count[ch.Kind]; {
-		case n > 0 && n <= notedEach:
+		case n > 0 && n <= auditedEach:
 			out.note(changeNote(ch, actor))
 		case n > 0:
 			note := changeNote(ch, actor)
@@ -37,7 +37,7 @@
 func othersOf(changes []member.Change) string {
 	var names []string
 	for i := range changes[1:] {
-		if ch := &changes[1+i]; ch.Kind == changes[0].Kind && len(names) < notedEach {
+		if ch := &changes[1+i]; ch.Kind == changes[0].Kind && len(names) < auditedEach {
 			names = append(names, ch.VM.Name)
 		}
 	}
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -85,7 +85,7 @@
 	Failed bool
 }
 
-// PeerLoad is what another entry says of its own attempts at one endpoint.
+// PeerReported is what another entry says of its own attempts at one endpoint.
 type PeerLoad struct {
 	// From is the index of the peer among the deciders given to Changed.
 	From int
@@ -108,13 +108,13 @@
 	Dispatched(now time.Duration, p *table.Pool, i int)
 	// Answered follows the end of an attempt; Outstanding no longer counts it.
 	Answered(now time.Duration, p *table.Pool, i int, obs Observation)
-	// Told passes on another entry's sighting of the whole foreign load.
-	Told(now time.Duration, p *table.Pool, i int, s table.Sighting)
+	// LoadReported passes on another entry's sighting of the whole foreign load.
+	LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad)
 	// PeerHeard follows an update of another entry, the index From of a
-	// PeerLoad: counts that it did not change were still true at that time.
+	// PeerReported: counts that it did not change were still true at that time.
 	PeerHeard(from int, at time.Duration)
-	// PeerTold passes on another entry's count of its own attempts.
-	PeerTold(now time.Duration, p *table.Pool, i int, load PeerLoad)
+	// PeerReported passes on another entry's count of its own attempts.
+	PeerReported(now time.Duration, p *table.Pool, i int, load PeerLoad)
 }
 
 // Config tunes the policies. The zero value of a field means its default.
@@ -126,17 +126,17 @@
 	// QueueAtEndpoint is how many requests beyond its slots the claims policy
 	// lets an endpoint hold; negative for none.
 	QueueAtEndpoint int
-	// Patience is how long a request waits in the entry for an idle slot before
+	// IdleWait is how long a request waits in the entry for an idle slot before
 	// it may queue at an endpoint, as a share of the pool's service time;
 	// negative for not at all.
-	Patience float64
+	IdleWait float64
 }
 
 // Defaults of Config.
 const (
 	DefaultService         = 15 * time.Millisecond
 	DefaultQueueAtEndpoint = 4
-	DefaultPatience        = 0.25
+	DefaultIdleWait        = 0.25
 )
 
 func (c Config) withDefaults() Config {
@@ -147,10 +147,10 @@
 		c.QueueAtEndpoint = DefaultQueueAtEndpoint
 	}
 	c.QueueAtEndpoint = max(0, c.QueueAtEndpoint)
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.IdleWait == 0 {
+		c.IdleWait = DefaultIdleWait
 	}
-	c.Patience = max(0, c.Patience)
+	c.IdleWait = max(0, c.IdleWait)
 	return c
 }
 
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -28,7 +28,7 @@
 		e.Slots = 2
 		e.State = table.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
 		e.Outstanding = int32(rapid.IntRange(0, 4).Draw(t, "own"))
-		e.Sighting = table.Sighting{
+		e.Reported = table.ReportedLoad{
 			Seen:    rapid.Bool().Draw(t, "seen"),
 			Foreign: int32(rapid.IntRange(0, 4).Draw(t, "foreign")),
 			At:      testNow - time.Duration(rapid.IntRange(0, 100).Draw(t, "age"))*time.Millisecond,
@@ -82,9 +82,9 @@
 		for i := range p.Endpoints {
 			p.Endpoints[i].Outstanding = 0
 			for range 100 {
-				picker.Told(testNow, p, i, table.Sighting{Seen: true, Foreign: 50, At: testNow})
+				picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, Foreign: 50, At: testNow})
 			}
-			picker.PeerTold(testNow, p, i, PeerLoad{From: 0, Own: 20, At: testNow})
+			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Own: 20, At: testNow})
 		}
 		if c := picker.Pick(testNow+time.Second, p, Ask{}, time.Second); !c.OK {
 			t.Errorf("%s: still waits after a second without news", policy)
@@ -97,7 +97,7 @@
 	p := &table.Pool{Endpoints: make([]table.Endpoint, n)}
 	for i := range p.Endpoints {
 		p.Endpoints[i] = table.Endpoint{Name: "e" + string(rune('0'+i)), Slots: 2, ServiceNanos: 15e6,
-			Outstanding: int32(i % 3), Sighting: table.Sighting{Seen: true, Foreign: int32(i % 2), At: testNow}}
+			Outstanding: int32(i % 3), Reported: table.ReportedLoad{Seen: true, Foreign: int32(i % 2), At: testNow}}
 	}
 	return p
 }
@@ -112,7 +112,7 @@
 				picker.Dispatched(testNow, p, c.Index)
 				picker.Answered(testNow, p, c.Index, Observation{Latency: time.Millisecond, HasLoad: true, Slots: 2})
 			}
-			picker.PeerTold(testNow, p, 0, PeerLoad{From: 0, Own: 1, At: testNow})
+			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Own: 1, At: testNow})
 		})
 		if allocs != 0 {
 			t.Errorf("%s: %v allocations a choice", policy, allocs)
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -66,7 +66,7 @@
 func (c *claims) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
 	r, e := &c.records[i], &p.Endpoints[i]
 	served := r.attempts.remove(now - obs.Latency)
-	c.sight(now, e, obs)
+	c.noteLoad(now, e, obs)
 	switch {
 	case obs.Failed:
 		r.failed(now)
@@ -74,11 +74,11 @@
 	case obs.Refused:
 		// The refusal itself proves that no slot is idle, whatever load the
 		// endpoint reports.
-		c.peers.sighted(now, i, max(e.Sighting.Foreign, e.Slots-e.Outstanding))
+		c.peers.setReported(now, i, max(e.Reported.Foreign, e.Slots-e.Outstanding))
 		return
 	}
 	if obs.HasLoad {
-		c.peers.sighted(now, i, e.Sighting.Foreign)
+		c.peers.setReported(now, i, e.Reported.Foreign)
 	}
 	r.failures, r.avoidUntil = 0, 0
 	if served {
@@ -91,17 +91,17 @@
 	}
 }
 
-// Told implements Picker.
-func (c *claims) Told(now time.Duration, p *table.Pool, i int, s table.Sighting) {
-	c.view.Told(now, p, i, s)
+// LoadReported implements Picker.
+func (c *claims) LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
+	c.view.LoadReported(now, p, i, s)
 	if s.Seen {
-		c.peers.sighted(s.At, i, s.Foreign)
+		c.peers.setReported(s.At, i, s.Foreign)
 	}
 }
 
-// PeerTold implements Picker.
-func (c *claims) PeerTold(_ time.Duration, _ *table.Pool, i int, load PeerLoad) {
-	c.peers.told(i, load)
+// PeerReported implements Picker.
+func (c *claims) PeerReported(_ time.Duration, _ *table.Pool, i int, load PeerLoad) {
+	c.peers.setOwn(i, load)
 }
 
 // PeerHeard implements Picker.
@@ -119,7 +119,7 @@
 		c.lastIdleOnly = !ask.MustQueue
 		return Choice{Index: i, OK: true, IdleOnly: !ask.MustQueue}
 	}
-	if patience := c.patience(); waited < patience {
+	if patience := c.idleWait(); waited < patience {
 		return Choice{Wait: min(askAgain, patience-waited)}
 	}
 	if i, ok := c.queueAt(now, p, ask, s, waited); ok {
@@ -129,9 +129,9 @@
 	return Choice{Wait: askAgain}
 }
 
-// patience is how long a request waits for an idle slot only.
-func (c *claims) patience() time.Duration {
-	return time.Duration(c.cfg.Patience * c.typical())
+// idleWait is how long a request waits for an idle slot only.
+func (c *claims) idleWait() time.Duration {
+	return time.Duration(c.cfg.IdleWait * c.typical())
 }
 
 // typical is the pool's service time in nanoseconds, measured or assumed.
@@ -199,7 +199,7 @@
 // flight: then no answer will correct a view that shows every queue as full.
 func (c *claims) queueAt(now time.Duration, p *table.Pool, ask Ask, s standing, waited time.Duration) (int, bool) {
 	limit := float64(c.cfg.QueueAtEndpoint) - idleShare
-	if waited > longWait*c.patience() || p.Outstanding() == 0 {
+	if waited > longWait*c.idleWait() || p.Outstanding() == 0 {
 		limit = math.Inf(1)
 	}
 	best, bestTime := -1, 0.0
--- a/internal/core/balance/claims_test.go
+++ b/internal/core/balance/claims_test.go
@@ -18,7 +18,7 @@
 	for i := range p.Endpoints {
 		p.Endpoints[i].Name = []string{"second", "first"}[i]
 		p.Endpoints[i].Outstanding = 0
-		p.Endpoints[i].Sighting = table.Sighting{}
+		p.Endpoints[i].Reported = table.ReportedLoad{}
 	}
 	picker := newPicker(t, Claims)
 	picker.Changed(testNow, p, []string{"a", "b", "c"})
@@ -55,7 +55,7 @@
 			}
 		}},
 		{"is filled by a peer", func(picker Picker, p *table.Pool) {
-			picker.PeerTold(testNow, p, 0, PeerLoad{From: 0, Own: 2, At: testNow})
+			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Own: 2, At: testNow})
 		}},
 	}
 	for _, c := range cases {
@@ -84,7 +84,7 @@
 func TestSilentPeerHoldsNoSlots(t *testing.T) {
 	picker, p := pair(t)
 	for i := range p.Endpoints {
-		picker.PeerTold(testNow, p, i, PeerLoad{From: 0, Own: 2, At: testNow})
+		picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Own: 2, At: testNow})
 	}
 	heard := testNow + 90*time.Millisecond
 	picker.PeerHeard(0, heard)
@@ -122,8 +122,8 @@
 		picker := newPicker(t, Claims)
 		picker.Changed(testNow, p, []string{"a", "b", "c"})
 		for i := range p.Endpoints {
-			picker.Told(testNow, p, i, table.Sighting{Seen: true, At: testNow, Foreign: int32(rapid.IntRange(-2, 2).Draw(t, "told"))})
-			picker.PeerTold(testNow, p, i, PeerLoad{From: rapid.IntRange(-1, 3).Draw(t, "from"), Own: 1, At: testNow})
+			picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, At: testNow, Foreign: int32(rapid.IntRange(-2, 2).Draw(t, "told"))})
+			picker.PeerReported(testNow, p, i, PeerLoad{From: rapid.IntRange(-1, 3).Draw(t, "from"), Own: 1, At: testNow})
 		}
 		c := picker.Pick(testNow, p, Ask{}, time.Duration(rapid.IntRange(0, 100).Draw(t, "waited"))*time.Millisecond)
 		if c.OK && c.IdleOnly && p.Endpoints[c.Index].Outstanding >= p.Endpoints[c.Index].Slots {
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -36,9 +36,9 @@
 	l.own = make([]int32, endpoints*peers)
 }
 
-// told takes in a peer's count. What a report showed beyond the counts is
+// setOwn takes in a peer's count. What a report showed beyond the counts is
 // explained by the peer's change, as far as both go the same way.
-func (l *peerLoads) told(i int, load PeerLoad) {
+func (l *peerLoads) setOwn(i int, load PeerLoad) {
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
 	}
@@ -66,8 +66,8 @@
 	peer.heard = max(peer.heard, at)
 }
 
-// sighted takes in the whole foreign load as an endpoint reported it.
-func (l *peerLoads) sighted(at time.Duration, i int, foreign int32) {
+// setReported takes in the whole foreign load as an endpoint reported it.
+func (l *peerLoads) setReported(at time.Duration, i int, foreign int32) {
 	row := &l.rows[i]
 	row.extra = foreign - row.sum
 	row.extraAt = at
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -37,9 +37,9 @@
 // Changed implements Picker; indexes of old results are void.
 func (q *prequal) Changed(time.Duration, *table.Pool, []string) { q.count = 0 }
 
-// Told implements Picker.
-func (q *prequal) Told(now time.Duration, p *table.Pool, i int, s table.Sighting) {
-	q.view.Told(now, p, i, s)
+// LoadReported implements Picker.
+func (q *prequal) LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
+	q.view.LoadReported(now, p, i, s)
 	if s.Seen {
 		q.put(probeResult{i, p.Endpoints[i].Outstanding + s.Foreign, p.Endpoints[i].ServiceNanos, s.At, probeUses})
 	}
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -107,10 +107,10 @@
 // foreign is the sighted foreign load, weighing less as it ages: after one
 // service time about half of what was seen has ended.
 func (v *view) foreign(now time.Duration, e *table.Endpoint) float64 {
-	if !e.Sighting.Seen {
+	if !e.Reported.Seen {
 		return 0
 	}
 	service := v.service(e)
-	age := float64(now - e.Sighting.At)
-	return float64(e.Sighting.Foreign) * service / (service + max(0, age))
+	age := float64(now - e.Reported.At)
+	return float64(e.Reported.Foreign) * service / (service + max(0, age))
 }
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -25,21 +25,21 @@
 	rng *rand.Rand
 }
 
-func (v *view) Changed(time.Duration, *table.Pool, []string)       {}
-func (v *view) PeerHeard(int, time.Duration)                       {}
-func (v *view) Dispatched(time.Duration, *table.Pool, int)         {}
-func (v *view) PeerTold(time.Duration, *table.Pool, int, PeerLoad) {}
+func (v *view) Changed(time.Duration, *table.Pool, []string)           {}
+func (v *view) PeerHeard(int, time.Duration)                           {}
+func (v *view) Dispatched(time.Duration, *table.Pool, int)             {}
+func (v *view) PeerReported(time.Duration, *table.Pool, int, PeerLoad) {}
 
-func (v *view) Told(_ time.Duration, p *table.Pool, i int, s table.Sighting) {
+func (v *view) LoadReported(_ time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
 	e := &p.Endpoints[i]
-	if s.Seen && (!e.Sighting.Seen || s.At > e.Sighting.At) {
-		e.Sighting = s
+	if s.Seen && (!e.Reported.Seen || s.At > e.Reported.At) {
+		e.Reported = s
 	}
 }
 
 func (v *view) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
 	e := &p.Endpoints[i]
-	v.sight(now, e, obs)
+	v.noteLoad(now, e, obs)
 	// A refusal or failure is quick; counting it as service time would make an
 	// endpoint that turns everything away look fast.
 	if !obs.Refused && !obs.Failed {
@@ -47,12 +47,12 @@
 	}
 }
 
-// sight takes in the load that an answer reported.
-func (v *view) sight(now time.Duration, e *table.Endpoint, obs Observation) {
+// noteLoad takes in the load that an answer reported.
+func (v *view) noteLoad(now time.Duration, e *table.Endpoint, obs Observation) {
 	if !obs.HasLoad {
 		return
 	}
-	e.Sighting = table.Sighting{
+	e.Reported = table.ReportedLoad{
 		Foreign: max(0, int32(obs.InFlight+obs.Queued)-e.Outstanding),
 		At:      now,
 		Seen:    true,
@@ -82,7 +82,7 @@
 
 // usable reports whether ordinary work may go to e.
 func usable(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
-	return grant.Of(now, p, e) == grant.Granted && now >= e.Health.EjectedUntil
+	return grant.Check(now, p, e) == grant.Granted && now >= e.Health.EjectedUntil
 }
 
 // standing says how far eligibility must be relaxed for a choice to exist.
@@ -103,7 +103,7 @@
 	found := nowhere
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if grant.Of(now, p, e) != grant.Granted || tried.Has(i) {
+		if grant.Check(now, p, e) != grant.Granted || tried.Has(i) {
 			continue
 		}
 		if now >= e.Health.EjectedUntil {
@@ -117,7 +117,7 @@
 // eligible reports whether endpoint i may get the request under the standing.
 func eligible(now time.Duration, p *table.Pool, i int, tried Set, s standing) bool {
 	e := &p.Endpoints[i]
-	if grant.Of(now, p, e) != grant.Granted || tried.Has(i) {
+	if grant.Check(now, p, e) != grant.Granted || tried.Has(i) {
 		return false
 	}
 	return s == relaxed || now >= e.Health.EjectedUntil
@@ -130,7 +130,7 @@
 	}
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if grant.Of(now, p, e) == grant.Granted && e.Health.EjectedUntil > now && e.Health.TrialAt > 0 &&
+		if grant.Check(now, p, e) == grant.Granted && e.Health.EjectedUntil > now && e.Health.TrialAt > 0 &&
 			now >= e.Health.TrialAt && e.Outstanding == 0 && !ask.Tried.Has(i) {
 			return Choice{Index: i, OK: true, Trial: true}, true
 		}
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -9,7 +9,7 @@
 
 // process is one run of an entry: its clock starts when the process does.
 type process struct {
-	*Watch
+	*HealthProbes
 	started time.Duration
 }
 
@@ -22,7 +22,7 @@
 
 // checkWindows fails if in any window of at least cfg.Window the probes cost
 // more than the largest share in force in it.
-func checkWindows(t *rapid.T, moments []moment, cfg WatchConfig, slots float64) {
+func checkWindows(t *rapid.T, moments []moment, cfg HealthProbeConfig, slots float64) {
 	for i, first := range moments {
 		probes, share := 0, 0.0
 		for _, last := range moments[i:] {
@@ -44,14 +44,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 24
 		fleet := rapid.IntRange(1, 8).Draw(t, "fleet")
-		cfg := WatchConfig{
+		cfg := HealthProbeConfig{
 			Share:        rapid.SampledFrom([]float64{0.004, 0.01, 0.1}).Draw(t, "share"),
 			ProbeCost:    6 * time.Millisecond,
 			LargestFleet: fleet,
 			Window:       time.Duration(rapid.IntRange(1, 3).Draw(t, "window")) * time.Second,
 		}
 		now := time.Duration(0)
-		start := func() process { return process{NewWatch(cfg), now} }
+		start := func() process { return process{NewHealthProbes(cfg), now} }
 		entries := make([]process, fleet)
 		for i := range entries {
 			entries[i] = start()
@@ -96,7 +96,7 @@
 // that takes 100 ms instead of 6 is paid before the next one.
 func TestWatchBudgetIsUsed(t *testing.T) {
 	for _, excess := range []time.Duration{0, 94 * time.Millisecond} {
-		w := NewWatch(WatchConfig{Share: 0.01, LargestFleet: 15})
+		w := NewHealthProbes(HealthProbeConfig{Share: 0.01, LargestFleet: 15})
 		for now := time.Duration(0); now <= 1000*time.Second; now += 10 * time.Millisecond {
 			if w.TrySpend(now, 32) {
 				w.Charge(excess)
--- a/internal/core/budget/watch.go
+++ b/internal/core/budget/healthprobes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WatchConfig sets the watching budget of one pool.
-type WatchConfig struct {
+// HealthProbeConfig sets the watching budget of one pool.
+type HealthProbeConfig struct {
 	// Share is the share of the pool's slot time that all entries together may
 	// spend on probes, for example 0.01.
 	Share float64
@@ -19,13 +19,13 @@
 	Window time.Duration
 }
 
-// Defaults of WatchConfig.
+// Defaults of HealthProbeConfig.
 const (
 	DefaultProbeCost = 6 * time.Millisecond
 	DefaultWindow    = 10 * time.Second
 )
 
-// Watch decides when this entry may probe an endpoint of a pool.
+// HealthProbes decides when this entry may probe an endpoint of a pool.
 //
 // The bound: in every window of at least Window, all entries together spend at
 // most Share of the pool's slot time, provided that at most LargestFleet entry
@@ -36,8 +36,8 @@
 // entry's rate is its part of the budget less ProbeCost/Window, which pays for
 // that one probe. Restarts cost nothing extra, however many there are: the
 // successor of a process that ended starts with an empty bucket.
-type Watch struct {
-	config WatchConfig
+type HealthProbes struct {
+	config HealthProbeConfig
 	bucket bucket
 	spent  Spending
 }
@@ -50,8 +50,8 @@
 	Denied uint64
 }
 
-// NewWatch returns an empty budget.
-func NewWatch(cfg WatchConfig) *Watch {
+// NewHealthProbes returns an empty budget.
+func NewHealthProbes(cfg HealthProbeConfig) *HealthProbes {
 	if cfg.ProbeCost <= 0 {
 		cfg.ProbeCost = DefaultProbeCost
 	}
@@ -59,7 +59,7 @@
 		cfg.Window = DefaultWindow
 	}
 	cfg.LargestFleet = max(1, cfg.LargestFleet)
-	return &Watch{
+	return &HealthProbes{
 		config: cfg,
 		bucket: bucket{capacity: cfg.ProbeCost.Seconds()},
 	}
@@ -68,7 +68,7 @@
 // Rate returns the slot time per second that this entry may spend in the long
 // run. It is zero if the pool is too small for the window; then this entry
 // never probes, and a longer window or a larger share is the remedy.
-func (w *Watch) Rate(slots int) float64 {
+func (w *HealthProbes) Rate(slots int) float64 {
 	part := w.config.Share * float64(slots) / float64(w.config.LargestFleet)
 	return max(0, part-w.config.ProbeCost.Seconds()/w.config.Window.Seconds())
 }
@@ -76,7 +76,7 @@
 // TrySpend takes the cost of one probe if it is there. slots is the number of
 // slots of the pool's endpoints; the bound holds for the largest number that
 // any entry passes in the window.
-func (w *Watch) TrySpend(now time.Duration, slots int) bool {
+func (w *HealthProbes) TrySpend(now time.Duration, slots int) bool {
 	w.bucket.earn(now, w.Rate(slots))
 	if !w.bucket.take(w.config.ProbeCost.Seconds()) {
 		w.spent.Denied++
@@ -89,7 +89,7 @@
 
 // Charge accounts for a probe that took longer than its cost, for example at a
 // slow endpoint. The excess is paid before the next probe.
-func (w *Watch) Charge(excess time.Duration) {
+func (w *HealthProbes) Charge(excess time.Duration) {
 	if excess <= 0 {
 		return
 	}
@@ -101,14 +101,14 @@
 // that spans the change the larger of the two shares holds: what the first
 // call afterwards earns at the new rate for the time before is within the one
 // probe that the bucket holds.
-func (w *Watch) SetShare(share float64) { w.config.Share = share }
+func (w *HealthProbes) SetShare(share float64) { w.config.Share = share }
 
 // Share returns the share of the pool's slot time that all entries may spend.
-func (w *Watch) Share() float64 { return w.config.Share }
+func (w *HealthProbes) Share() float64 { return w.config.Share }
 
 // Left returns how many probes were saved up when a probe was last asked for;
 // below zero while the excess of a slow one is paid off.
-func (w *Watch) Left() float64 { return w.bucket.tokens / w.config.ProbeCost.Seconds() }
+func (w *HealthProbes) Left() float64 { return w.bucket.tokens / w.config.ProbeCost.Seconds() }
 
 // Spent returns what was spent since the process started.
-func (w *Watch) Spent() Spending { return w.spent }
+func (w *HealthProbes) Spent() Spending { return w.spent }
--- a/internal/core/budget/window.go
+++ b/internal/core/budget/window.go
@@ -164,22 +164,22 @@
 	return b.denied
 }
 
-// lookBurst is how much of the bound on looks may be saved up. Together with
-// lookReserve it keeps the looks of any ten seconds within the bound.
-const lookBurst = time.Second
+// loadProbeBurst is how much of the bound on looks may be saved up. Together with
+// loadProbeReserve it keeps the looks of any ten seconds within the bound.
+const loadProbeBurst = time.Second
 
-// lookReserve is the part of the bound on looks that is used, since entries may
+// loadProbeReserve is the part of the bound on looks that is used, since entries may
 // know of each other late.
-const lookReserve = 0.9
+const loadProbeReserve = 0.9
 
-// savedLooks bounds how many looks may be saved up from requests.
-const savedLooks = 64
+// savedLoadProbes bounds how many looks may be saved up from requests.
+const savedLoadProbes = 64
 
-// Looks keeps the looks at endpoints within two bounds. One follows the requests,
+// LoadProbes keeps the looks at endpoints within two bounds. One follows the requests,
 // so that a fleet that is partitioned, or restarted as a whole, looks no more than
 // its requests warrant. The other is the pool's bound per endpoint, of which an
 // entry takes the part that it has of the fleet's requests.
-type Looks struct {
+type LoadProbes struct {
 	// perEndpoint is how many looks a second all entries may spend on an endpoint;
 	// 0 for no bound.
 	perEndpoint float64
@@ -189,23 +189,23 @@
 	denied      uint64
 }
 
-// NewLooks returns a budget for one pool.
+// NewLoadProbes returns a budget for one pool.
 //
 // What an entry may spend is saved up from the start of its process, and not from its
 // first request on, which would otherwise be sent without a look. The bound on what may
 // be saved keeps a restart of the whole fleet within one second's worth.
-func NewLooks(perEndpoint float64) *Looks {
-	return &Looks{perEndpoint: perEndpoint, paced: bucket{started: true}}
+func NewLoadProbes(perEndpoint float64) *LoadProbes {
+	return &LoadProbes{perEndpoint: perEndpoint, paced: bucket{started: true}}
 }
 
 // Request earns the looks of one request.
-func (b *Looks) Request(looks int) { b.saved = min(savedLooks, b.saved+float64(looks)) }
+func (b *LoadProbes) Request(looks int) { b.saved = min(savedLoadProbes, b.saved+float64(looks)) }
 
 // TrySpend takes one look if it is there. endpoints is the number of endpoints of
 // the pool, part this entry's part of the fleet's requests.
-func (b *Looks) TrySpend(now time.Duration, endpoints int, part float64) bool {
-	rate := lookReserve * b.perEndpoint * float64(endpoints) * part
-	b.paced.capacity = max(1, rate*lookBurst.Seconds())
+func (b *LoadProbes) TrySpend(now time.Duration, endpoints int, part float64) bool {
+	rate := loadProbeReserve * b.perEndpoint * float64(endpoints) * part
+	b.paced.capacity = max(1, rate*loadProbeBurst.Seconds())
 	b.paced.earn(now, rate)
 	if b.saved < 1 || b.perEndpoint > 0 && !b.paced.take(1) {
 		b.denied++
@@ -217,4 +217,4 @@
 }
 
 // Spent returns how many looks were taken and denied since the process started.
-func (b *Looks) Spent() (spent, denied uint64) { return b.total, b.denied }
+func (b *LoadProbes) Spent() (spent, denied uint64) { return b.total, b.denied }
--- a/internal/core/budget/window_test.go
+++ b/internal/core/budget/window_test.go
@@ -76,9 +76,9 @@
 func TestLooksOfAFleetStayWithinTheBound(t *testing.T) {
 	const perEndpoint, endpoints, window = 60.0, 8, 10 * time.Second
 	parts := []float64{0.4, 0.3, 0.2, 0.1}
-	fleet := make([]*Looks, len(parts))
+	fleet := make([]*LoadProbes, len(parts))
 	for i := range fleet {
-		fleet[i] = NewLooks(perEndpoint)
+		fleet[i] = NewLoadProbes(perEndpoint)
 	}
 	spent := make([]int, len(parts))
 	for now := time.Duration(0); now < window; now += time.Millisecond {
@@ -92,14 +92,14 @@
 	all := 0
 	for i, n := range spent {
 		all += n
-		if want := parts[i] * perEndpoint * endpoints * window.Seconds() * lookReserve; float64(n) < 0.9*want {
+		if want := parts[i] * perEndpoint * endpoints * window.Seconds() * loadProbeReserve; float64(n) < 0.9*want {
 			t.Errorf("entry %d got %d looks, its part is %.0f", i, n, want)
 		}
 	}
 	if limit := perEndpoint * endpoints * window.Seconds(); float64(all) > limit {
 		t.Errorf("%d looks in %v, the bound is %.0f", all, window, limit)
 	}
-	idle := NewLooks(perEndpoint)
+	idle := NewLoadProbes(perEndpoint)
 	if idle.TrySpend(time.Hour, endpoints, 1) {
 		t.Error("a look without a request")
 	}
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -113,7 +113,7 @@
 		calls += c.rateOf(e)
 	}
 	slices.SortFunc(entries, func(a, b *member.Entry) int {
-		return cmp.Or(cmp.Compare(c.capacityOf(b), c.capacityOf(a)), cmp.Compare(dutyID(a.VM.Name), dutyID(b.VM.Name)))
+		return cmp.Or(cmp.Compare(c.capacityOf(b), c.capacityOf(a)), cmp.Compare(assignID(a.VM.Name), assignID(b.VM.Name)))
 	})
 	var named []string
 	for i, e := range entries {
--- a/internal/core/caps_test.go
+++ b/internal/core/caps_test.go
@@ -40,7 +40,7 @@
 	if got := len(c.PeerAddresses(nil)); got != entries-1 {
 		t.Errorf("%d other entries are known", got)
 	}
-	if got := c.Roster(); got.Count != entries {
+	if got := c.RecordSet(); got.Count != entries {
 		t.Errorf("the roster counts %d", got.Count)
 	}
 	links := c.LinkAddresses(nil)
--- a/internal/core/change_test.go
+++ b/internal/core/change_test.go
@@ -9,7 +9,7 @@
 )
 
 // republish publishes the profiles with some of their text replaced.
-func (r *rig) republish(revision uint64, oldNew ...string) {
+func (r *clusterHarness) republish(revision uint64, oldNew ...string) {
 	text := string(r.docs[published.ProfilesValue].Data)
 	changed := strings.NewReplacer(oldNew...).Replace(text)
 	if changed == text {
@@ -33,7 +33,7 @@
 	r.republish(2, "[service.waste]\nprofile = \"waste\"", "[service.waste]\nprofile = \"waste\"\npool = \"counts\"")
 	r.run(3 * sec)
 	for id := range r.nextID {
-		if got := n.told[id+1]; got.Outcome != OutcomeDone || got.twice {
+		if got := n.replies[id+1]; got.Outcome != OutcomeDone || got.twice {
 			t.Errorf("request %d: told %+v", id+1, got)
 		}
 	}
@@ -65,11 +65,11 @@
 	r.run(50 * ms)
 	other := r.ask(n, Arrival{Service: "counts", Caller: 1})
 	r.run(50 * ms)
-	if _, answered := n.told[other]; !answered {
+	if _, answered := n.replies[other]; !answered {
 		t.Error("another caller's request waits behind one that no endpoint is left for")
 	}
 	r.run(sec)
-	if got := n.told[refused]; got.Outcome != OutcomeNotRun || got.Reason != ReasonEndpointsRefuse {
+	if got := n.replies[refused]; got.Outcome != OutcomeNotRun || got.Reason != ReasonEndpointsRefuse {
 		t.Errorf("the refused request: told %+v", got)
 	}
 }
--- a/internal/core/rig_test.go
+++ b/internal/core/clusterharness_test.go
@@ -19,13 +19,13 @@
 const (
 	ms  = time.Millisecond
 	sec = time.Second
-	// hop is the time of a message on its way.
-	hop = ms
+	// lag is the time of a message on its way.
+	lag = ms
 )
 
-// rig is a few cores, the messages under way between them, and what endpoints
+// clusterHarness is a few cores, the messages under way between them, and what endpoints
 // and the platform do. A test may replace any of its functions.
-type rig struct {
+type clusterHarness struct {
 	testing.TB
 	now    time.Duration
 	wall   time.Time // at time 0
@@ -33,7 +33,7 @@
 	// tick is how often the cores run their systems.
 	tick     time.Duration
 	nodes    []*node
-	under    []letter
+	underWay []delivery
 	docs     map[string]published.Value
 	nextID   RequestID
 	keysMade uint64
@@ -66,8 +66,8 @@
 	ignores bool // the request is not run
 }
 
-// letter is something under way to an entry.
-type letter struct {
+// delivery is something under way to an entry.
+type delivery struct {
 	at   time.Duration
 	to   *node
 	read func()
@@ -86,8 +86,8 @@
 	asleep, dead bool
 	arrivals     map[RequestID]Arrival
 	open         map[tried]Directive
-	told         map[RequestID]told
-	relays       map[RequestID]func(told)
+	replies      map[RequestID]reply
+	relays       map[RequestID]func(reply)
 	docs         map[string]published.Value
 	notes        []Note
 	suspects     []string
@@ -95,7 +95,7 @@
 }
 
 // told is what a caller got.
-type told struct {
+type reply struct {
 	Outcome Outcome
 	Reason  Reason
 	body    string
@@ -104,13 +104,13 @@
 	twice   bool
 }
 
-func newRig(t testing.TB, entries int) *rig {
-	r := &rig{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
+func newClusterHarness(t testing.TB, entries int) *clusterHarness {
+	r := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
 		written: map[string]int{}, ran: map[string]int{}}
 	r.config = func(cfg *Config) { cfg.LargestFleet = 8 }
 	r.cut = func(_, _ *node) bool { return false }
 	r.lose = func(_, _ *node, _ *message.Update) bool { return false }
-	r.dial = func() time.Duration { return hop }
+	r.dial = func() time.Duration { return lag }
 	r.down = func(*node) bool { return false }
 	r.refuses = func(string) bool { return false }
 	r.mute = func(*node) bool { return false }
@@ -127,15 +127,15 @@
 }
 
 // start starts an entry's process on VM i; one that ran there is dead.
-func (r *rig) start(i int) *node {
+func (r *clusterHarness) start(i int) *node {
 	incarnation := uint64(len(r.nodes) + 1)
 	h := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
 		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: fmt.Sprintf("10.0.0.%d:81", i+1)}
 	cfg := DefaultConfig(h)
 	r.config(&cfg)
 	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: h, started: r.now,
-		arrivals: map[RequestID]Arrival{}, open: map[tried]Directive{}, told: map[RequestID]told{},
-		relays: map[RequestID]func(told){}, docs: map[string]published.Value{}}
+		arrivals: map[RequestID]Arrival{}, open: map[tried]Directive{}, replies: map[RequestID]reply{},
+		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
 	for _, old := range r.nodes {
 		old.dead = old.dead || old.hello.Name == h.Name
 	}
@@ -144,7 +144,7 @@
 }
 
 // publish puts a value into the platform's service.
-func (r *rig) publish(name string, revision uint64, text string) {
+func (r *clusterHarness) publish(name string, revision uint64, text string) {
 	r.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
@@ -159,7 +159,7 @@
 
 // list publishes the VMs: all entries, and endpoints given as "pool/name" with
 // "#incarnation" or ",leaving" behind.
-func (r *rig) list(revision uint64, endpoints ...string) {
+func (r *clusterHarness) list(revision uint64, endpoints ...string) {
 	var l published.VMList
 	for i, n := range r.nodes {
 		if n.dead {
@@ -184,22 +184,22 @@
 }
 
 // post puts something under way; an entry that sleeps gets it when it wakes.
-func (r *rig) post(after time.Duration, to *node, read func()) {
-	r.under = append(r.under, letter{r.now + after, to, read})
+func (r *clusterHarness) post(after time.Duration, to *node, read func()) {
+	r.underWay = append(r.underWay, delivery{r.now + after, to, read})
 }
 
 // do feeds an event to an entry and carries out what it asks for.
-func (r *rig) do(n *node, event func(now time.Duration, out *Actions)) Actions {
+func (r *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
 	var out Actions
 	event(r.now-n.started, &out)
 	for _, d := range out.Requests {
 		r.direct(n, d)
 	}
 	for _, u := range out.Updates {
-		r.post(hop, n, func() { r.update(n, u) })
+		r.post(lag, n, func() { r.update(n, u) })
 	}
 	for _, f := range out.Fetches {
-		r.post(hop, n, func() { r.fetch(n, f) })
+		r.post(lag, n, func() { r.fetch(n, f) })
 	}
 	n.notes = append(n.notes, out.Notes...)
 	n.suspects = append(n.suspects, out.SuspectAddresses...)
@@ -217,7 +217,7 @@
 }
 
 // run lets time pass.
-func (r *rig) run(d time.Duration) {
+func (r *clusterHarness) run(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.tick
 		r.deliver()
@@ -240,11 +240,11 @@
 }
 
 // deliver hands over what has arrived.
-func (r *rig) deliver() {
-	var later []letter
-	for len(r.under) > 0 {
-		due := r.under
-		r.under = nil
+func (r *clusterHarness) deliver() {
+	var later []delivery
+	for len(r.underWay) > 0 {
+		due := r.underWay
+		r.underWay = nil
 		for _, l := range due {
 			switch {
 			case l.at > r.now || l.to.asleep:
@@ -254,10 +254,10 @@
 			}
 		}
 	}
-	r.under = later
+	r.underWay = later
 }
 
-func (r *rig) read(n *node, name string) {
+func (r *clusterHarness) read(n *node, name string) {
 	v := r.docs[name]
 	if v.Revision == n.InForce(name).Revision {
 		n.Confirm(r.now-n.started, name)
@@ -266,7 +266,7 @@
 	r.offer(n, v, duty.Platform)
 }
 
-func (r *rig) offer(n *node, v published.Value, source uint64) {
+func (r *clusterHarness) offer(n *node, v published.Value, source uint64) {
 	o := Offered{Name: v.Name, Source: source, Mark: message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}}
 	if v.Name == published.VMsValue {
 		o.VMs, o.Problem = published.ParseVMs(v)
@@ -280,7 +280,7 @@
 }
 
 // at returns the process that answers at an address, or nil.
-func (r *rig) at(address string) *node {
+func (r *clusterHarness) at(address string) *node {
 	for _, n := range r.nodes {
 		if !n.dead && (n.hello.PeerAddress == address || n.hello.CallerAddress == address) {
 			return n
@@ -292,17 +292,17 @@
 // greeting is how an entry introduces itself on a link.
 func (n *node) greeting() message.Hello {
 	h := n.hello
-	h.Says, h.Knows = n.Says(), n.Roster()
+	h.Status, h.Records = n.OwnStatus(), n.RecordSet()
 	return h
 }
 
 // pull asks a peer for the records that an entry lacks, if it wants them.
-func (r *rig) pull(n *node) {
+func (r *clusterHarness) pull(n *node) {
 	p, due := n.PullDue(r.now - n.started)
 	if !due {
 		return
 	}
-	r.post(2*hop, n, func() {
+	r.post(2*lag, n, func() {
 		var records []message.Record
 		to := r.at(p.Address)
 		answered := r.reaches(n, to) && r.reaches(to, n) && !to.asleep
@@ -313,9 +313,9 @@
 	})
 }
 
-func (r *rig) reaches(from, to *node) bool { return to != nil && !r.cut(from, to) }
+func (r *clusterHarness) reaches(from, to *node) bool { return to != nil && !r.cut(from, to) }
 
-func (r *rig) update(from *node, u Outgoing) {
+func (r *clusterHarness) update(from *node, u Outgoing) {
 	to := r.at(u.Address)
 	acked := r.reaches(from, to) && !to.asleep && r.reaches(to, from)
 	if r.reaches(from, to) && !r.lose(from, to, &u.Update) {
@@ -331,13 +331,13 @@
 	r.post(0, from, func() {
 		receipt := message.Receipt{Acked: acked}
 		if acked {
-			receipt.Known, receipt.Roster = to.EvidenceDigest(), to.Roster().Digest
+			receipt.Known, receipt.RecordDigest = to.EvidenceDigest(), to.RecordSet().Digest
 		}
 		from.UpdateDone(r.now-from.started, u.To, u.Update.Sequence, receipt)
 	})
 }
 
-func (r *rig) fetch(n *node, f FetchFrom) {
+func (r *clusterHarness) fetch(n *node, f FetchFrom) {
 	peer := r.at(f.Address)
 	answered := f.Source == duty.Platform && !r.down(n)
 	v := r.docs[f.Name]
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -19,23 +19,23 @@
 	version uint64
 	rows    int
 	settled bool
-	// turnAt is when the next turn begins to own an endpoint that names a limit.
-	turnAt time.Duration
+	// periodEnds is when the next turn begins to own an endpoint that names a limit.
+	periodEnds time.Duration
 }
 
-// turnedCold notes that an endpoint is cold as far as others say. Its owners are worked out once
+// becameCold notes that an endpoint is cold as far as others say. Its owners are worked out once
 // it is asked for.
-func (p *pool) turnedCold(now time.Duration, index int) {
+func (p *pool) becameCold(now time.Duration, index int) {
 	e := &p.Endpoints[index]
-	grant.TurnedCold(now, &p.Pool, e)
+	grant.BecameCold(now, &p.Pool, e)
 	e.Cold.Own = false
 	p.cold.until, p.cold.at = max(p.cold.until, e.Cold.Until), 0
 }
 
-// toldCold takes in how much longer an endpoint says that it stays cold.
-func (c *Core) toldCold(now time.Duration, p *pool, e *table.Endpoint, left time.Duration) {
+// reportedCold takes in how much longer an endpoint says that it stays cold.
+func (c *Core) reportedCold(now time.Duration, p *pool, e *table.Endpoint, left time.Duration) {
 	wasCold := grant.IsCold(now, &p.Pool, e)
-	grant.Told(now, e, left)
+	grant.SetCold(now, e, left)
 	if p.cold.until = max(p.cold.until, e.Cold.Until); !wasCold && left > 0 {
 		e.Cold.Own, p.cold.at = false, 0
 	}
@@ -54,11 +54,11 @@
 	}
 	o := &p.cold
 	known := o.at > 0 && o.version == c.fleet.version && o.rows == len(p.Endpoints) && o.settled == c.fleet.settled
-	if known && (p.limited == 0 || now < o.turnAt) {
+	if known && (p.limited == 0 || now < o.periodEnds) {
 		return
 	}
 	o.at, o.version, o.rows, o.settled = now, c.fleet.version, len(p.Endpoints), c.fleet.settled
-	o.turnAt = now + time.Hour
+	o.periodEnds = now + time.Hour
 	candidates := c.coldCandidates()
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
@@ -66,9 +66,9 @@
 			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfID, e.Name, e.Domain, p.ColdShare.Owners)
 		}
 		if grant.IsLimited(e) {
-			turn, ends := grant.Turn(now, e)
+			turn, ends := grant.OwnerPeriod(now, e)
 			grant.SetOwner(now, e, o.settled && candidates.OwnsLimited(c.fleet.selfID, e, turn))
-			o.turnAt = min(o.turnAt, ends)
+			o.periodEnds = min(o.periodEnds, ends)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	f.rememberedAt = f.version
 	for i := range f.entries {
 		e := &f.entries[i]
-		id := dutyID(e.VM.Name)
+		id := assignID(e.VM.Name)
 		next := remembered{grant.Entry{ID: id, Domain: e.VM.Domain, Capacity: c.capacityOf(e)}, now}
 		if next.Capacity == 0 {
 			next.Capacity = f.remembered[id].Capacity
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -9,14 +9,14 @@
 
 // warming publishes that the endpoints of pool p are cold for three seconds after their start and
 // bear 5.8 requests a second then.
-func (y *yard) warming(revision uint64) {
-	d := yardRoutes()
+func (y *entryHarness) warming(revision uint64) {
+	d := harnessRoutes()
 	d.Services[0].Warmup, d.Services[0].WarmupRate = 3000, 5.8
 	y.publish(revision, d)
 }
 
 // mostInASecond returns the most attempts that an endpoint got in any second.
-func (y *yard) mostInASecond(name string) (most int) {
+func (y *entryHarness) mostInASecond(name string) (most int) {
 	for i, from := range y.sentAt {
 		n := 0
 		for j := i; j < len(y.sent) && y.sentAt[j] <= from+sec; j++ {
@@ -30,7 +30,7 @@
 }
 
 // press asks for reads for a while, and endpoints answer each after 40 ms.
-func (y *yard) press(every, d time.Duration) {
+func (y *entryHarness) press(every, d time.Duration) {
 	y.works = 40 * ms
 	for end := y.now + d; y.now < end; {
 		y.ask(route.Idempotent, 3*sec)
@@ -44,11 +44,11 @@
 // sent, sends no more than its part, and sends the rest elsewhere; once it is warm it is used as
 // before.
 func TestColdEndpointGetsWhatItBears(t *testing.T) {
-	y := newYard(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idle(3, "d0")...)
 	y.warming(2)
 	y.learn(8)
 	y.run(2 * sec)
-	cold := y.box("d0-1")
+	cold := y.endpoint("d0-1")
 	cold.coldUntil = y.now + 3*sec
 	y.press(20*ms, 3*sec)
 	if most := y.mostInASecond("d0-1"); most > 4 || most < 2 {
@@ -65,12 +65,12 @@
 // Nobody has room but a cold endpoint, and it has got what it bears: reads wait for it or for the
 // others, and none is sent there nevertheless.
 func TestNothingIsSentBeyondWhatAColdEndpointBears(t *testing.T) {
-	y := newYard(t, idle(2, "d0")...)
+	y := newEntryHarness(t, idle(2, "d0")...)
 	y.warming(2)
 	y.learn(8)
 	y.run(2 * sec)
-	y.box("d0-0").running = 4
-	y.box("d0-1").coldUntil = y.now + 3*sec
+	y.endpoint("d0-0").running = 4
+	y.endpoint("d0-1").coldUntil = y.now + 3*sec
 	y.press(10*ms, 2*sec)
 	if most := y.mostInASecond("d0-1"); most > 4 || most == 0 {
 		t.Errorf("it gets %d in a second", most)
@@ -83,9 +83,9 @@
 // An entry has just begun to serve and knows no other entry: all endpoints that come back would
 // seem to be its own. It leaves cold ones alone until it has served for a while.
 func TestEntryThatHasJustStartedLeavesColdEndpointsAlone(t *testing.T) {
-	y := newYard(t, idle(2, "d0")...)
+	y := newEntryHarness(t, idle(2, "d0")...)
 	y.warming(2)
-	y.box("d0-1").coldUntil = y.now + 30*sec
+	y.endpoint("d0-1").coldUntil = y.now + 30*sec
 	for y.now < y.servesSince+settling-200*ms {
 		y.press(20*ms, 20*ms)
 	}
@@ -104,21 +104,21 @@
 func TestEndpointIsTakenForColdUntilItSaysMore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		happen func(y *yard)
+		happen func(y *entryHarness)
 	}{
-		{"the list says so", func(y *yard) { y.listCold("d0-0") }},
-		{"its failure domain is taken back", func(y *yard) {
+		{"the list says so", func(y *entryHarness) { y.listCold("d0-0") }},
+		{"its failure domain is taken back", func(y *entryHarness) {
 			y.relist(8, "d0")
 			y.relist(9)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newYard(t, idle(1, "d0")...)
+			y := newEntryHarness(t, idle(1, "d0")...)
 			y.warming(2)
 			y.learn(8)
 			y.run(2 * sec)
 			c.happen(y)
-			y.box("d0-0").silent = true
+			y.endpoint("d0-0").silent = true
 			for range 12 {
 				y.ask(route.NonIdempotent, 3*sec)
 				y.run(20 * ms)
@@ -126,9 +126,9 @@
 			if n := y.mostInASecond("d0-0"); n > 2 {
 				t.Errorf("%d are sent blindly in 240 ms", n)
 			}
-			y.box("d0-0").silent = false
+			y.endpoint("d0-0").silent = false
 			y.run(4 * sec) // those that waited are told, and the silence is forgotten
-			y.box("d0-0").running = 0
+			y.endpoint("d0-0").running = 0
 			y.sent, y.sentAt = nil, nil
 			y.press(20*ms, sec)
 			if n := y.mostInASecond("d0-0"); n < 10 {
@@ -139,7 +139,7 @@
 }
 
 // listCold publishes the boxes with one of them cold.
-func (y *yard) listCold(name string) {
+func (y *entryHarness) listCold(name string) {
 	list := y.listed(8)
 	for i := range list.VMs {
 		list.VMs[i].Cold = list.VMs[i].Name == name
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,9 +68,9 @@
 	ProbeCost time.Duration
 	// Repeats bounds what all entries together send beyond the first attempts.
 	Repeats budget.RepeatBound
-	// LooksPerEndpoint bounds how often a second all entries together look at an
+	// LoadProbesPerEndpoint bounds how often a second all entries together look at an
 	// endpoint; 0 for no bound.
-	LooksPerEndpoint float64
+	LoadProbesPerEndpoint float64
 	// WarmupOver and WarmupSlack bound what all entries together send to a cold endpoint in any
 	// second: WarmupOver times the rate published for it, and WarmupSlack more.
 	WarmupOver, WarmupSlack float64
@@ -117,16 +117,16 @@
 	poolRows    []*pool
 	// splits choose among the services of routes that lead to several.
 	splits map[string]*split
-	// looking are the requests with a round of looks under way, watched those whose
+	// probing are the requests with a round of looks under way, watched those whose
 	// attempt is looked after.
-	looking []RequestID
-	watched []watchedAttempt
-	// lateLooks and dueAttempts are scratch memory of the two.
-	lateLooks, dueAttempts []RequestID
-	// later are the requests that wait for their next round of looks beside the queue,
-	// laterDue is scratch memory.
-	later    []laterLook
-	laterDue []RequestID
+	probing    []RequestID
+	supervised []supervisedAttempt
+	// lateProbes and dueAttempts are scratch memory of the two.
+	lateProbes, dueAttempts []RequestID
+	// delayedRounds are the requests that wait for their next round of looks beside the queue,
+	// delayedDue is scratch memory.
+	delayedRounds []delayedRound
+	delayedDue    []RequestID
 
 	requests map[RequestID]*request
 	free     []*request
@@ -138,9 +138,9 @@
 
 	// quarantine knows the requests under which endpoints crashed, broken are the attempts whose
 	// endpoint is asked whether it has, untold the crashes of which the fleet is not told yet.
-	quarantine *quarantine.Table
-	broken     []brokenAttempt
-	untold     []untoldCrash
+	quarantine      *quarantine.Table
+	broken          []brokenAttempt
+	unspreadCrashes []unspreadCrash
 
 	// limits are those of endpoints by their names and incarnations.
 	limits map[endpointID]knownLimit
@@ -174,7 +174,7 @@
 	// TicksLate counts ticks that came long after the one before: the process was short of
 	// processor time.
 	TicksLate                     uint64
-	Looks                         uint64
+	LoadProbes                    uint64
 	EndpointNotRun, RetriesDenied uint64
 	Ejections, Readmissions       uint64
 	// Crashes counts what was heard of endpoints that crashed under a request.
@@ -221,15 +221,15 @@
 	c.expireQueues(now, out)
 	c.expireJoined(now, out)
 	c.hedgeDue(now, out)
-	c.endLateLooks(now, out)
-	c.looksDue(now, out)
-	c.lookAfterAttempts(now, out)
-	c.askBroken(now, out)
-	c.tellCrashes(now)
+	c.expireLoadProbes(now, out)
+	c.startDelayedRounds(now, out)
+	c.superviseDue(now, out)
+	c.probeBroken(now, out)
+	c.spreadCrashes(now)
 	if now >= c.nextMember {
 		c.nextMember = now + memberPeriod
 		c.tickFleet(now, out)
-		c.expireHoldings(now)
+		c.expirePeerSlots(now)
 		c.quarantine.Forget(now)
 		c.forgetLimits(now)
 	}
--- a/internal/core/cost_test.go
+++ b/internal/core/cost_test.go
@@ -10,8 +10,8 @@
 )
 
 // grown returns an entry that knows a fleet and its endpoints.
-func grown(t testing.TB, entries, endpoints int) (*rig, published.VMList) {
-	r := newRig(t, entries)
+func grown(t testing.TB, entries, endpoints int) (*clusterHarness, published.VMList) {
+	r := newClusterHarness(t, entries)
 	list := published.VMList{Revision: 1}
 	for i := range endpoints {
 		list.VMs = append(list.VMs, published.VM{Name: fmt.Sprintf("i-%04d", i), Incarnation: 1, Role: published.EndpointRole,
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -19,17 +19,17 @@
 const (
 	// brokenMost bounds the attempts whose endpoint is still to be asked.
 	brokenMost = 256
-	// askAgain is the time between two questions to an endpoint that says nothing, askFor how long
+	// crashProbeGap is the time between two questions to an endpoint that says nothing, crashProbeFor how long
 	// it is asked. One that is cut off or has lost power says nothing for longer.
-	askAgain = 200 * time.Millisecond
-	askFor   = 2 * time.Second
-	// toldAfter is after how long the fleet is told of the first crash under a request. Most requests
+	crashProbeGap = 200 * time.Millisecond
+	crashProbeFor = 2 * time.Second
+	// spreadAfter is after how long the fleet is told of the first crash under a request. Most requests
 	// run elsewhere by then, so that many endpoints which crash for another reason are hardly news.
-	toldAfter = 500 * time.Millisecond
+	spreadAfter = 500 * time.Millisecond
 )
 
-// untoldCrash is a crash of which the fleet has not been told, and when it is to be.
-type untoldCrash struct {
+// unspreadCrash is a crash of which the fleet has not been told, and when it is to be.
+type unspreadCrash struct {
 	quarantine.Crash
 	due time.Duration
 }
@@ -56,40 +56,40 @@
 	case !end.Broke || e.State != table.EndpointLive || len(c.broken) >= brokenMost:
 	default:
 		c.broken = append(c.broken, brokenAttempt{request: request, pool: r.pool, endpoint: e.Name, incarnation: e.Incarnation,
-			address: e.Address, began: a.at, at: now})
-		c.askBroken(now, out)
+			address: e.Address, began: a.sentAt, at: now})
+		c.probeBroken(now, out)
 	}
 }
 
-// askBroken asks the endpoints of broken attempts whether they have crashed, within the bounds on
+// probeBroken asks the endpoints of broken attempts whether they have crashed, within the bounds on
 // watching.
-func (c *Core) askBroken(now time.Duration, out *Actions) {
-	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool { return now-b.at >= askFor })
+func (c *Core) probeBroken(now time.Duration, out *Actions) {
+	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool { return now-b.at >= crashProbeFor })
 	for i := range c.broken {
 		b := &c.broken[i]
-		if now < b.askAt || !c.mayAskBroken(now, b.pool) {
+		if now < b.askAt || !c.mayProbeBroken(now, b.pool) {
 			continue
 		}
 		for j := range c.broken {
 			if o := &c.broken[j]; o.endpoint == b.endpoint && o.incarnation == b.incarnation {
-				o.askAt = now + askAgain
+				o.askAt = now + crashProbeGap
 			}
 		}
 		out.Probes = append(out.Probes, Probe{Pool: b.pool.Name, Endpoint: b.endpoint, Incarnation: b.incarnation, Address: b.address,
-			Path: b.pool.probePath, Broken: true, At: now, Wait: askAgain})
+			Path: b.pool.probePath, Broken: true, At: now, Wait: crashProbeGap})
 	}
 }
 
-func (c *Core) mayAskBroken(now time.Duration, p *pool) bool {
-	if p.usesLooks() {
-		return p.looks.TrySpend(now, p.live(), c.fleet.part)
+func (c *Core) mayProbeBroken(now time.Duration, p *pool) bool {
+	if p.usesLoadProbes() {
+		return p.loadProbes.TrySpend(now, p.live(), c.fleet.part)
 	}
-	return p.watch.TrySpend(now, p.Slots())
+	return p.healthProbes.TrySpend(now, p.Slots())
 }
 
-// brokenAnswered takes in what the endpoint of broken attempts answered. One at whose address
+// brokenProbeEnd takes in what the endpoint of broken attempts answered. One at whose address
 // another endpoint, or another incarnation, answers has ended as well.
-func (c *Core) brokenAnswered(now time.Duration, end ProbeEnd, out *Actions) {
+func (c *Core) brokenProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
 	crashed := end.Refused || end.Misdirected || end.Seen != 0 && end.Seen != end.Probe.Incarnation
 	if !crashed && !end.OK && !end.Unwell {
 		return // it is asked again
@@ -106,10 +106,10 @@
 	})
 	for _, crash := range crashes {
 		c.takeRequestEvidence(now, []message.Evidence{crashEvidence(now, &crash)}, out)
-		c.untold = append(c.untold, untoldCrash{crash, crash.At + toldAfter})
+		c.unspreadCrashes = append(c.unspreadCrashes, unspreadCrash{crash, crash.At + spreadAfter})
 	}
 	if len(crashes) > 0 {
-		c.tellCrashes(now)
+		c.spreadCrashes(now)
 	}
 }
 
@@ -118,11 +118,11 @@
 		Caller: crash.Caller, AgeMillis: millis(now - crash.At), RanMillis: millis(crash.At - crash.Began)}
 }
 
-// tellCrashes has the fleet told of the crashes that are due, or whose request has crashed another
+// spreadCrashes has the fleet told of the crashes that are due, or whose request has crashed another
 // endpoint; those under requests that have run since are no news.
-func (c *Core) tellCrashes(now time.Duration) {
+func (c *Core) spreadCrashes(now time.Duration) {
 	var evidence []message.Evidence
-	c.untold = slices.DeleteFunc(c.untold, func(u untoldCrash) bool {
+	c.unspreadCrashes = slices.DeleteFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
 		standing := c.quarantine.Crashes(u.Request)
 		switch {
 		case len(standing) == 0:
@@ -149,15 +149,15 @@
 	}
 	evidence := []message.Evidence{{VM: requestSubject(request), Incarnation: request.Content, Kind: message.EvidenceCompleted,
 		Content: request.Content, Caller: request.Caller, Clears: crashNumber(&crashes[len(crashes)-1])}}
-	if slices.ContainsFunc(crashes, c.isTold) {
+	if slices.ContainsFunc(crashes, c.isSpread) {
 		c.fleet.gossip.Spread(now, evidence)
 	}
 	c.takeRequestEvidence(now, evidence, out)
 }
 
-// isTold reports whether the fleet was told of a crash, or told this entry.
-func (c *Core) isTold(crash quarantine.Crash) bool {
-	return !slices.ContainsFunc(c.untold, func(u untoldCrash) bool {
+// isSpread reports whether the fleet was told of a crash, or told this entry.
+func (c *Core) isSpread(crash quarantine.Crash) bool {
+	return !slices.ContainsFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
 		return u.Request == crash.Request && u.Endpoint == crash.Endpoint && u.Incarnation == crash.Incarnation
 	})
 }
@@ -180,17 +180,17 @@
 			continue
 		}
 		before := c.quarantine.Quarantined(now, nil)
-		if c.judgeRequest(now, e) {
+		if c.applyRequestEvidence(now, e) {
 			c.noteVerdicts(now, before, e, out)
 			news = true
 		}
 	}
-	if news && c.quarantine.Holds() {
+	if news && c.quarantine.Active() {
 		c.refuseQuarantined(now, out)
 	}
 }
 
-func (c *Core) judgeRequest(now time.Duration, e *message.Evidence) (news bool) {
+func (c *Core) applyRequestEvidence(now time.Duration, e *message.Evidence) (news bool) {
 	at := now - time.Duration(e.AgeMillis)*time.Millisecond
 	request := quarantine.Request{Content: e.Content, Caller: e.Caller}
 	if e.Kind == message.EvidenceCompleted {
@@ -246,7 +246,7 @@
 func (c *Core) refuseQuarantined(now time.Duration, out *Actions) {
 	var refused []RequestID
 	for id, r := range c.requests {
-		waits := r.phase == phaseQueued || r.phase == phaseLooking
+		waits := r.phase == phaseQueued || r.phase == phaseProbing
 		if waits && c.isQuarantined(now, r) {
 			refused = append(refused, id)
 		}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -11,18 +11,18 @@
 )
 
 // askContent feeds a read of a content and returns its number.
-func (y *yard) askContent(content uint64) RequestID {
+func (y *entryHarness) askContent(content uint64) RequestID {
 	return y.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
 }
 
 // breakOff ends the attempt of a request by the end of its connection; its endpoint has crashed, or not.
-func (y *yard) breakOff(id RequestID, n Attempt, crashed bool) {
+func (y *entryHarness) breakOff(id RequestID, n Attempt, crashed bool) {
 	d, ok := y.open[id][n]
 	if !ok {
 		y.Fatalf("request %d has no attempt %d", id, n)
 	}
 	delete(y.open[id], n)
-	b := y.box(d.Endpoint)
+	b := y.endpoint(d.Endpoint)
 	b.running, b.dead = max(0, b.running-1), crashed
 	y.do(func(out *Actions) {
 		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, Broke: true, Replayable: true, Cause: "connection ended"}, out)
@@ -30,7 +30,7 @@
 }
 
 // crashes has three endpoints crash under a content.
-func (y *yard) crashes(content uint64) {
+func (y *entryHarness) crashes(content uint64) {
 	y.Helper()
 	for range 3 {
 		id := y.askContent(content)
@@ -45,8 +45,8 @@
 }
 
 // answerNothing ends an attempt of which nothing is known.
-func (y *yard) answerNothing(id RequestID, n Attempt) {
-	y.box(y.open[id][n].Endpoint).running--
+func (y *entryHarness) answerNothing(id RequestID, n Attempt) {
+	y.endpoint(y.open[id][n].Endpoint).running--
 	delete(y.open[id], n)
 	y.do(func(out *Actions) {
 		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, TimedOut: true, Replayable: true}, out)
@@ -56,7 +56,7 @@
 // Guards against a request that goes on to the next endpoint after it has crashed three: at its next
 // arrival, from the queue, and right before it is written.
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	y.crashes(7)
 	before := len(y.sent)
@@ -75,7 +75,7 @@
 // Guards against a request that waits in a queue, or for its connection, while others of the same content
 // crash endpoints, and goes on then.
 func TestRequestsThatWaitAreQuarantined(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	dialled := y.askContent(7)
 	y.run(20 * ms)
@@ -90,7 +90,7 @@
 		t.Errorf("one that was not written: told %v (%v)", got.Outcome, got.Reason)
 	}
 
-	y = newYard(t, idle(12, "d0")...)
+	y = newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	var first [3]RequestID
 	for i := range first {
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		for _, b := range y.boxes { // the crash of the third is not known yet
+		for _, b := range y.endpoints { // the crash of the third is not known yet
 			b.running, b.waiting = 2, 4
 		}
 	}
@@ -119,7 +119,7 @@
 // Guards against endpoints that are crashed by repeats of this entry's own: after one crash under the
 // same request, a request that loses its endpoint isn't sent to another.
 func TestSuspectIsNotRepeated(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	first := y.askContent(7)
 	y.run(50 * ms)
@@ -141,13 +141,13 @@
 // Guards against quarantine for what is no crash: endpoints that reset connections, endpoints that say
 // nothing, and endpoints that had announced that they leave.
 func TestOnlyCrashesCount(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	for i := range 20 {
 		id := y.askContent(7)
 		y.run(20 * ms)
 		d := y.open[id][1]
-		b := y.box(d.Endpoint)
+		b := y.endpoint(d.Endpoint)
 		b.silent = i%2 == 0
 		y.breakOff(id, 1, false)
 		y.run(50 * ms)
@@ -165,7 +165,7 @@
 // Guards against a crash that is missed since its endpoint had answered a question from before; and one
 // whose endpoint is back at once, as another process at the same address.
 func TestEarlierAnswersSayNothingOfALaterCrash(t *testing.T) {
-	y := newYard(t, idle(1, "d0")...)
+	y := newEntryHarness(t, idle(1, "d0")...)
 	y.learn(8)
 	first, second := y.askContent(8), y.askContent(7)
 	y.run(20 * ms)
@@ -188,7 +188,7 @@
 
 // Guards against a request that stays suspect, or in quarantine, although it runs.
 func TestRunThatCompletesEndsSuspicion(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	long := y.askContent(7)
 	y.run(20 * ms)
@@ -209,8 +209,8 @@
 	}
 }
 
-// crashRig is a fleet on which one read crashes endpoints.
-func crashRig(t *testing.T, entries int) (r *rig, endpoints []string) {
+// newCrashHarness is a fleet on which one read crashes endpoints.
+func newCrashHarness(t *testing.T, entries int) (r *clusterHarness, endpoints []string) {
 	var listed []string
 	for i := range 12 {
 		endpoints = append(endpoints, fmt.Sprint("c", i+1))
@@ -235,7 +235,7 @@
 // Guards against a request that is new at each entry, and to one that has just started: it comes at
 // every entry in turn, and once more at one that was replaced after the quarantine began.
 func TestFleetKnowsWhatIsQuarantined(t *testing.T) {
-	r, endpoints := crashRig(t, 4)
+	r, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
 		n := r.nodes[i%len(r.nodes)]
 		if n.dead {
@@ -274,7 +274,7 @@
 	r.run(sec)
 	id := r.ask(r.nodes[0], Arrival{Service: "counts", Caller: 1, Content: 8})
 	r.run(100 * ms)
-	if got := r.nodes[0].told[id]; got.Outcome != OutcomeDone {
+	if got := r.nodes[0].replies[id]; got.Outcome != OutcomeDone {
 		t.Errorf("another request: told %v (%v)", got.Outcome, got.Reason)
 	}
 }
@@ -354,7 +354,7 @@
 // Guards against news of a failure domain that crashes, which would keep back that of endpoints that leave:
 // of the requests that were there hardly one is worth a word, since it runs elsewhere a moment later.
 func TestRequestsThatRunElsewhereAreNoNews(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	var ids []RequestID
 	for i := range 6 {
@@ -379,7 +379,7 @@
 // Guards against a fleet that isn't told: a request that nobody repeats is told of after a moment, one
 // whose repeat crashes the next endpoint at once.
 func TestCrashesAreTold(t *testing.T) {
-	y := newYard(t, idle(12, "d0")...)
+	y := newEntryHarness(t, idle(12, "d0")...)
 	y.learn(8)
 	id := y.askContent(7)
 	y.run(20 * ms)
@@ -397,7 +397,7 @@
 	once := y.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
 	y.run(20 * ms)
 	y.breakOff(once, 1, true)
-	y.run(toldAfter + 100*ms)
+	y.run(spreadAfter + 100*ms)
 	if y.EvidenceDigest() == both {
 		t.Error("a crash under a request that nobody repeats isn't told")
 	}
--- /dev/null
+++ b/internal/core/delayedrounds.go
@@ -0,0 +1,34 @@
+package core
+
+import "time"
+
+// delayedRound is a request that waits for its next round of looks beside the queue.
+type delayedRound struct {
+	id RequestID
+	at time.Duration
+}
+
+// delayProbeRound begins the next round of looks for r after a while. It does not wait in the
+// queue, where it would keep others back that need not wait.
+func (c *Core) delayProbeRound(now time.Duration, r *request) {
+	c.delayedRounds = append(c.delayedRounds, delayedRound{id: r.arrival.ID, at: now + probeRoundGap})
+}
+
+// startDelayedRounds begins the rounds of looks that are due.
+func (c *Core) startDelayedRounds(now time.Duration, out *Actions) {
+	kept := c.delayedRounds[:0]
+	due := c.delayedDue[:0]
+	for _, l := range c.delayedRounds {
+		if now < l.at {
+			kept = append(kept, l)
+		} else {
+			due = append(due, l.id)
+		}
+	}
+	c.delayedRounds, c.delayedDue = kept, due
+	for _, id := range due {
+		if r, ok := c.requests[id]; ok && r.phase == phaseProbing && !r.probeRound.active {
+			c.startLoadProbes(now, r, false, out)
+		}
+	}
+}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -18,8 +18,8 @@
 		return false
 	}
 	p := r.pool
-	if c.looksFor(r) {
-		return c.startLooks(now, r, hedge, out)
+	if c.usesLoadProbes(r) {
+		return c.startLoadProbes(now, r, hedge, out)
 	}
 	if !c.mayTakeSlot(now, p, r.service) {
 		return false
@@ -59,7 +59,7 @@
 // mayBeTrial says whether a request may be spent on an endpoint that was bad:
 // only a first try that is harmless to repeat.
 func (r *request) mayBeTrial() bool {
-	return r.harmless && r.replayable && r.dispatches == 0
+	return r.mayRunTwice && r.replayable && r.dispatches == 0
 }
 
 // trialEndpoint returns an ejected endpoint that is due for a trial by a real
@@ -71,7 +71,7 @@
 	p := r.pool
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if grant.Of(now, &p.Pool, e) == grant.Granted && health.TrialDue(now, e) {
+		if grant.Check(now, &p.Pool, e) == grant.Granted && health.TrialDue(now, e) {
 			return i
 		}
 	}
@@ -88,8 +88,8 @@
 		if other == sv {
 			me = i
 		}
-		p.holders[i] = queue.Holder{
-			Held:     other.held,
+		p.slotUsers[i] = queue.SlotUser{
+			InUse:    other.inUse,
 			Waiting:  p.queue.LenOf(other.index),
 			Share:    other.policy.SlotShare,
 			Priority: other.policy.Priority,
@@ -101,7 +101,7 @@
 		return true
 	}
 	capacity := p.capacity(now)
-	return p.withinShare(p.holders, me, &capacity) && queue.MayTake(p.holders, me, capacity)
+	return p.withinShare(p.slotUsers, me, &capacity) && queue.MayTake(p.slotUsers, me, capacity)
 }
 
 // capacity counts the pool's slots and those that look idle: not taken by this
@@ -115,15 +115,15 @@
 			continue
 		}
 		if grant.IsLimited(e) {
-			if grant.Of(now, &p.Pool, e) == grant.Granted {
+			if grant.Check(now, &p.Pool, e) == grant.Granted {
 				c.Slots, c.Free = c.Slots+1, c.Free+1
 			}
 			continue
 		}
 		c.Slots += int(e.Slots)
 		foreign := int32(0)
-		if now-e.Sighting.At < time.Duration(p.serviceNanos) {
-			foreign = e.Sighting.Foreign
+		if now-e.Reported.At < time.Duration(p.serviceNanos) {
+			foreign = e.Reported.Foreign
 		}
 		c.Free += max(0, int(e.Slots-e.Outstanding-foreign))
 	}
@@ -140,7 +140,7 @@
 	p := r.pool
 	index := choice.Index
 	e := &p.Endpoints[index]
-	view, told := c.see(now, r), e.Look.Seen && now-e.Look.At < placement.Remembered
+	view, told := c.placementView(now, r), e.Probed.Seen && now-e.Probed.At < placement.Remembered
 	r.phase = phaseActive
 	r.dispatches++
 	r.attempts[r.dispatches] = attempt{
@@ -148,12 +148,12 @@
 		hedge:       hedge,
 		idleOnly:    choice.IdleOnly,
 		alone:       told && placement.HasEasyRoom(e),
-		fills:       told && placement.Fills(e) && e.HasRoom() && placement.Pace(&e.Look) <= 1,
+		fills:       told && placement.Fills(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
 		index:       index,
 		incarnation: e.Incarnation,
-		at:          now,
+		sentAt:      now,
 		endpoint:    e.Name,
-		look:        e.Look,
+		probedLoad:  e.Probed,
 		limit:       e.Limit.Rate,
 		due:         view.Takes(e),
 	}
@@ -163,8 +163,8 @@
 	r.tried = r.tried.With(index)
 	grant.Spend(now, &p.Pool, e)
 	e.Outstanding++
-	e.Look.Since++
-	r.service.held++
+	e.Probed.Since++
+	r.service.inUse++
 	p.picker.Dispatched(now, &p.Pool, index)
 	c.counters.Dispatched++
 	if r.dispatches == 1 {
@@ -221,11 +221,11 @@
 // drainPool dispatches waiting requests until the policy says to wait.
 func (c *Core) drainPool(now time.Duration, p *pool, out *Actions) {
 	for p.queue.Len() > 0 {
-		if c.waitsForLook(now, p) {
+		if c.waitsForLoadProbe(now, p) {
 			return
 		}
 		item, ok := p.queue.Next(now, func(service int32) bool {
-			return p.usesLooks() || c.mayTakeSlot(now, p, c.serviceRows[service])
+			return p.usesLoadProbes() || c.mayTakeSlot(now, p, c.serviceRows[service])
 		})
 		if !ok {
 			return
@@ -251,10 +251,10 @@
 		c.fail(now, r, ReasonNoEndpoint, out)
 		return true
 	}
-	if c.looksFor(r) {
+	if c.usesLoadProbes(r) {
 		r.pool.queue.Take(now, uint64(r.arrival.ID))
-		r.pool.lookingFor = r.arrival.ID
-		return c.startLooks(now, r, false, out)
+		r.pool.probingFor = r.arrival.ID
+		return c.startLoadProbes(now, r, false, out)
 	}
 	if !c.tryDispatch(now, r, false, out) {
 		return false
@@ -270,11 +270,11 @@
 }
 
 func (c *Core) noteHedge(now time.Duration, r *request) {
-	if c.looksFor(r) {
-		c.watchAttempt(now, r)
+	if c.usesLoadProbes(r) {
+		c.superviseLater(now, r)
 		return
 	}
-	if r.policy.HedgeAfter <= 0 || !r.harmless || !r.replayable || r.nested() {
+	if r.policy.HedgeAfter <= 0 || !r.mayRunTwice || !r.replayable || r.nested() {
 		return
 	}
 	sv := r.service
--- a/internal/core/duty/fetch.go
+++ b/internal/core/duty/fetch.go
@@ -14,27 +14,27 @@
 	After uint64
 }
 
-// Holder is a peer that said that it holds a revision.
-type Holder struct {
+// Source is a peer that said that it holds a revision.
+type Source struct {
 	Peer uint64
 	// Near says that it is to be asked before others: bytes between failure domains are
 	// dear, and the peers of one domain mostly learn of a revision at the same time.
 	Near bool
-	// Patience is how long to wait for a better source before it is asked.
-	Patience time.Duration
+	// Delay is how long to wait for a better source before it is asked.
+	Delay time.Duration
 }
 
-// maxHolders bounds how many peers that hold a later revision are remembered.
-const maxHolders = 4
+// maxSources bounds how many peers that hold a later revision are remembered.
+const maxSources = 4
 
-// platformTurn: while peers hold a later revision, every third fetch in a row that
+// platformEvery: while peers hold a later revision, every third fetch in a row that
 // brings nothing asks the platform instead, in case they cannot be reached.
-const platformTurn = 3
+const platformEvery = 3
 
 // fetchPlan is when and whom to ask next.
 type fetchPlan struct {
 	wanted   uint64
-	holders  []Holder // peers that said they hold a later revision
+	sources  []Source // peers that said they hold a later revision
 	retryAt  time.Duration
 	failures int
 	attempt  int
@@ -52,23 +52,23 @@
 	p.retryAt = now
 }
 
-// hold notes a peer that can give a later revision. A further peer is worth a
+// addSource notes a peer that can give a later revision. A further peer is worth a
 // fetch after its patience, however the ones before it failed. Where there are many, a far
 // one makes room for a near one.
-func (p *fetchPlan) hold(now time.Duration, revision uint64, h Holder) {
+func (p *fetchPlan) addSource(now time.Duration, revision uint64, h Source) {
 	if revision > p.wanted {
 		p.wanted = revision
-		p.retryAt = now + h.Patience
+		p.retryAt = now + h.Delay
 	}
-	if slices.ContainsFunc(p.holders, func(known Holder) bool { return known.Peer == h.Peer }) {
+	if slices.ContainsFunc(p.sources, func(known Source) bool { return known.Peer == h.Peer }) {
 		return
 	}
-	if len(p.holders) == maxHolders {
-		out := max(0, slices.IndexFunc(p.holders, func(known Holder) bool { return !known.Near }))
-		p.holders = slices.Delete(p.holders, out, out+1)
+	if len(p.sources) == maxSources {
+		out := max(0, slices.IndexFunc(p.sources, func(known Source) bool { return !known.Near }))
+		p.sources = slices.Delete(p.sources, out, out+1)
 	}
-	p.holders = append(p.holders, h)
-	p.retryAt = min(p.retryAt, now+h.Patience)
+	p.sources = append(p.sources, h)
+	p.retryAt = min(p.retryAt, now+h.Delay)
 }
 
 // Next returns whom to ask now, if anybody. The caller ends each fetch with
@@ -88,11 +88,11 @@
 
 // source picks whom to ask in this attempt.
 func (p *fetchPlan) source(fresh bool, peers []uint64) uint64 {
-	if n := len(p.holders); n > 0 {
-		if p.failures%platformTurn == platformTurn-1 {
+	if n := len(p.sources); n > 0 {
+		if p.failures%platformEvery == platformEvery-1 {
 			return Platform
 		}
-		return p.holders[p.best(n)].Peer
+		return p.sources[p.best(n)].Peer
 	}
 	if fresh && len(peers) > 0 && p.attempt%2 == 1 {
 		return peers[(p.attempt/2)%len(peers)]
@@ -104,7 +104,7 @@
 // each in turn.
 func (p *fetchPlan) best(n int) int {
 	if p.failures == 0 {
-		if near := slices.IndexFunc(p.holders, func(h Holder) bool { return h.Near }); near >= 0 {
+		if near := slices.IndexFunc(p.sources, func(h Source) bool { return h.Near }); near >= 0 {
 			return near
 		}
 	}
@@ -119,7 +119,7 @@
 	fresh := t.inForce.Revision == 0
 	switch {
 	case !fresh && t.Wanted() == 0:
-		p.holders = p.holders[:0]
+		p.sources = p.sources[:0]
 		p.failures = 0
 	case answered:
 		p.denied(now, f, t)
@@ -135,10 +135,10 @@
 // claims to, the revision was a false hint.
 func (p *fetchPlan) denied(now time.Duration, f Fetch, t *Tracker) {
 	if f.From != Platform {
-		p.holders = slices.DeleteFunc(p.holders, func(h Holder) bool { return h.Peer == f.From })
+		p.sources = slices.DeleteFunc(p.sources, func(h Source) bool { return h.Peer == f.From })
 		return
 	}
-	if len(p.holders) == 0 {
+	if len(p.sources) == 0 {
 		p.wanted = t.settled()
 		p.quietUntil = now + t.cfg.HintQuiet
 	}
@@ -158,7 +158,7 @@
 // against a late wake-up that takes its old revision for the latest.
 func (t *Tracker) Pause(now, gap time.Duration) {
 	t.plan.asking = false
-	t.plan.failures = max(t.plan.failures, platformTurn-1)
+	t.plan.failures = max(t.plan.failures, platformEvery-1)
 	t.plan.retryAt = now
 	t.confirmed = false
 	t.started += gap
--- a/internal/core/duty/tracker.go
+++ b/internal/core/duty/tracker.go
@@ -12,13 +12,13 @@
 // source is the incarnation of a peer.
 const Platform uint64 = 0
 
-// Verdict is what to do with an offered revision.
-type Verdict uint8
+// OfferResult is what to do with an offered revision.
+type OfferResult uint8
 
 // The verdicts on an offered revision.
 const (
 	// Adopt: later than the one in force; validate its text, then call Settle.
-	Adopt Verdict = iota + 1
+	Adopt OfferResult = iota + 1
 	// Same: it is in force already.
 	Same
 	// Stale: an older one than is in force, from a replica that lags. Not
@@ -32,7 +32,7 @@
 )
 
 // String returns the verdict as the audit trail shows it.
-func (v Verdict) String() string {
+func (v OfferResult) String() string {
 	switch v {
 	case Adopt:
 		return "adopt"
@@ -140,7 +140,7 @@
 // Offer judges a revision whose text came from source: Platform or a peer. It
 // changes nothing that is in force; after Adopt the caller validates the text
 // and calls Settle.
-func (t *Tracker) Offer(now time.Duration, m message.Mark, source uint64) Verdict {
+func (t *Tracker) Offer(now time.Duration, m message.Mark, source uint64) OfferResult {
 	v := t.judge(m)
 	if source == Platform && (v == Same || v == Adopt || v == Refused) {
 		t.confirm(now)
@@ -151,7 +151,7 @@
 // judge compares a mark with what is in force. Guards against an older
 // replica of the platform and a peer that slept: both would show as profiles
 // that change back. Only a higher revision can pass, so neither can.
-func (t *Tracker) judge(m message.Mark) Verdict {
+func (t *Tracker) judge(m message.Mark) OfferResult {
 	switch {
 	case m.Revision < t.inForce.Revision || m.Revision == 0:
 		return Stale
@@ -190,10 +190,10 @@
 
 // Seen notes the revision that a peer holds. A later one than was judged here
 // makes a fetch from that peer due after its patience.
-func (t *Tracker) Seen(now time.Duration, revision uint64, h Holder) {
+func (t *Tracker) Seen(now time.Duration, revision uint64, h Source) {
 	t.hear(h.Peer)
 	if revision > t.settled() {
-		t.plan.hold(now, revision, h)
+		t.plan.addSource(now, revision, h)
 	}
 }
 
--- a/internal/core/duty/tracker_test.go
+++ b/internal/core/duty/tracker_test.go
@@ -34,7 +34,7 @@
 		}
 		return fmt.Sprintf("%v, in force %d", verdict, tr.InForce().Revision)
 	case "seen":
-		tr.Seen(now, args["rev"], Holder{Peer: args["from"], Near: flag("near"), Patience: time.Duration(args["patience"]) * time.Millisecond})
+		tr.Seen(now, args["rev"], Source{Peer: args["from"], Near: flag("near"), Delay: time.Duration(args["patience"]) * time.Millisecond})
 	case "caller":
 		tr.SeenByCaller(now, args["rev"])
 	case "next":
@@ -85,7 +85,7 @@
 		if ready, _ := tr.Ready(0, 2); ready {
 			t.Errorf("always current %v: ready on a peer's word while another has told nothing", current)
 		}
-		tr.Seen(0, 5, Holder{Peer: 32})
+		tr.Seen(0, 5, Source{Peer: 32})
 		tr.Offer(0, m, Platform)
 		if ready, _ := tr.Ready(0, 3); ready {
 			t.Errorf("always current %v: ready though a peer knows of a later revision", current)
@@ -116,7 +116,7 @@
 				tr.Offer(now, m, from)
 				tr.Settle(m, rapid.Bool().Draw(rt, "valid"))
 			case 2:
-				tr.Seen(now, m.Revision, Holder{Peer: from})
+				tr.Seen(now, m.Revision, Source{Peer: from})
 			case 3:
 				if f, due := tr.Next(now, []uint64{1, 2}); due {
 					tr.Done(now, f, rapid.Bool().Draw(rt, "answered"), rng)
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -16,7 +16,7 @@
 
 // bad lets some endpoints react in a way of their own and all others answer
 // within 10 to 20 ms.
-func (r *rig) bad(re reaction, names ...string) {
+func (r *clusterHarness) bad(re reaction, names ...string) {
 	calls := time.Duration(0)
 	r.endpoint = func(name string, _ Arrival) reaction {
 		calls++
@@ -128,7 +128,7 @@
 		// budget is tested with one that doesn't; there also in a partition.
 		for _, policy := range []string{balance.Default, balance.LeastOutstanding} {
 			split := policy != balance.Default && name == "answers 503"
-			r := newRig(t, 0)
+			r := newClusterHarness(t, 0)
 			r.config = func(cfg *Config) { cfg.Policy, cfg.LargestFleet = policy, 8 }
 			for vm := range 3 {
 				r.start(vm)
@@ -136,7 +136,7 @@
 			r.list(1, sixCounts...)
 			r.run(3 * sec)
 			r.tick = 2 * ms
-			r.cut = func(from, to *node) bool { return split && halves(from, to) }
+			r.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
 			r.bad(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
 			r.traffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
 			clear(r.written)
@@ -185,7 +185,7 @@
 	}
 	booking := r.ask(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true})
 	all := r.traffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
-	if got := n.told[booking]; got.Outcome != OutcomeUnknown || r.total("w") != 1 {
+	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || r.total("w") != 1 {
 		t.Errorf("booking: told %+v, sent %d times", got, r.total("w"))
 	}
 	if done := count(all, OutcomeDone); done != len(all) {
--- a/internal/core/yard_test.go
+++ b/internal/core/entryharness_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-const yardProfiles = `
+const harnessProfiles = `
 format = 1
 [profile.reads]
 kind = "read"
@@ -45,7 +45,7 @@
 `
 
 // box is an endpoint of a yard as it tells its load.
-type box struct {
+type simEndpoint struct {
 	name, domain           string
 	running, waiting, pace int
 	silent, misdirected    bool
@@ -60,7 +60,7 @@
 }
 
 // work takes the slot that is free first for a time, and returns when it is done.
-func (b *box) work(now, takes time.Duration) time.Duration {
+func (b *simEndpoint) work(now, takes time.Duration) time.Duration {
 	slot := 0
 	if b.busyUntil[1] < b.busyUntil[0] {
 		slot = 1
@@ -69,18 +69,18 @@
 	return b.busyUntil[slot] - now
 }
 
-// yard is one core in failure domain d0 before endpoints with two slots each, whose
+// entryHarness is one core in failure domain d0 before endpoints with two slots each, whose
 // loads a test sets. Looks are answered after a millisecond.
-type yard struct {
+type entryHarness struct {
 	testing.TB
 	*Core
-	now   time.Duration
-	boxes []*box
-	under []yardLetter
+	now       time.Duration
+	endpoints []*simEndpoint
+	underWay  []entryDelivery
 	// sent lists the endpoints of attempts in order, told what callers got.
 	sent   []string
 	sentAt []time.Duration
-	looked []string
+	probed []string
 	told   map[RequestID]Directive
 	open   map[RequestID]map[Attempt]Directive
 	nextID RequestID
@@ -92,19 +92,19 @@
 	updates []Outgoing
 	// probes are all that were asked for.
 	probes []Probe
-	// stories are the lines of requests that ended; name is that of the next request.
-	stories []Story
-	name    string
-	notes   []Note
+	// traces are the lines of requests that ended; name is that of the next request.
+	traces []RequestTrace
+	name   string
+	notes  []Note
 }
 
-type yardLetter struct {
+type entryDelivery struct {
 	at   time.Duration
 	read func()
 }
 
-// yardRoutes are a route of each kind, all to pool "p".
-func yardRoutes(parts ...route.Part) route.Document {
+// harnessRoutes are a route of each kind, all to pool "p".
+func harnessRoutes(parts ...route.Part) route.Document {
 	if len(parts) == 0 {
 		parts = []route.Part{{Service: "p", Weight: 1}}
 	}
@@ -116,16 +116,16 @@
 	return d
 }
 
-func newYard(t testing.TB, boxes ...*box) *yard {
-	y := &yard{TB: t, now: sec, boxes: boxes, told: map[RequestID]Directive{}, open: map[RequestID]map[Attempt]Directive{}}
+func newEntryHarness(t testing.TB, boxes ...*simEndpoint) *entryHarness {
+	y := &entryHarness{TB: t, now: sec, endpoints: boxes, told: map[RequestID]Directive{}, open: map[RequestID]map[Attempt]Directive{}}
 	cfg := DefaultConfig(message.Hello{Name: "self", Incarnation: 1, Region: "r", Domain: "d0", CallerAddress: "10.0.0.1:80", PeerAddress: "10.0.0.1:81"})
-	cfg.LooksPerEndpoint = 1000
+	cfg.LoadProbesPerEndpoint = 1000
 	cfg.ListIsFinal = true
 	cfg.Repeats = budget.RepeatBound{Share: 1, Window: 10 * sec, Slack: 1000}
 	cfg.LargestFleet = 1
 	cfg.WarmupOver, cfg.WarmupSlack = 1.5, 8
 	y.Core = New(cfg, rand.New(rand.NewPCG(1, 2)))
-	y.publish(1, yardRoutes())
+	y.publish(1, harnessRoutes())
 	y.offerList(y.listed(1))
 	y.Confirm(y.now, published.VMsValue)
 	y.run(200 * ms)
@@ -133,23 +133,23 @@
 }
 
 // listed is the list of VMs with the boxes as they are.
-func (y *yard) listed(revision uint64) published.VMList {
+func (y *entryHarness) listed(revision uint64) published.VMList {
 	list := published.VMList{Revision: revision}
-	for _, b := range y.boxes {
+	for _, b := range y.endpoints {
 		list.VMs = append(list.VMs, published.VM{Name: b.name, Incarnation: 1, Role: published.EndpointRole, State: published.Live,
 			Region: "r", Domain: b.domain, Address: b.name, Pool: "p", Slots: 2})
 	}
 	return list
 }
 
-func (y *yard) offerList(list published.VMList) {
+func (y *entryHarness) offerList(list published.VMList) {
 	y.do(func(out *Actions) {
 		y.Offer(y.now, Offered{Name: published.VMsValue, Mark: message.Mark{Revision: list.Revision, Digest: list.Revision}, VMs: list}, out)
 	})
 }
 
-func (y *yard) publish(revision uint64, d route.Document) {
-	base, err := profile.Parse([]byte(yardProfiles), 1)
+func (y *entryHarness) publish(revision uint64, d route.Document) {
+	base, err := profile.Parse([]byte(harnessProfiles), 1)
 	if err != nil {
 		y.Fatal(err)
 	}
@@ -167,8 +167,8 @@
 	y.Confirm(y.now, published.ProfilesValue)
 }
 
-func (y *yard) box(name string) *box {
-	for _, b := range y.boxes {
+func (y *entryHarness) endpoint(name string) *simEndpoint {
+	for _, b := range y.endpoints {
 		if b.name == name {
 			return b
 		}
@@ -176,10 +176,10 @@
 	return nil
 }
 
-func (y *yard) do(event func(out *Actions)) {
+func (y *entryHarness) do(event func(out *Actions)) {
 	var out Actions
 	event(&out)
-	y.stories = append(y.stories, out.Stories...)
+	y.traces = append(y.traces, out.Traces...)
 	y.notes = append(y.notes, out.Notes...)
 	y.updates = append(y.updates, out.Updates...)
 	for _, d := range out.Requests {
@@ -190,7 +190,7 @@
 				y.open[d.ID] = map[Attempt]Directive{}
 			}
 			y.open[d.ID][d.Attempt] = d
-			if b := y.box(d.Endpoint); b.dead {
+			if b := y.endpoint(d.Endpoint); b.dead {
 				y.post(map[bool]time.Duration{false: ms, true: sec}[b.silent], func() { y.refuseDial(d) })
 			} else {
 				b.running++
@@ -210,45 +210,45 @@
 		}
 	}
 	for _, p := range out.Probes {
-		y.looked, y.probes = append(y.looked, p.Endpoint), append(y.probes, p)
+		y.probed, y.probes = append(y.probed, p.Endpoint), append(y.probes, p)
 		after := ms
-		if b := y.box(p.Endpoint); b.dead && b.silent {
+		if b := y.endpoint(p.Endpoint); b.dead && b.silent {
 			after = p.Wait
 		}
-		y.post(after, func() { y.answerLook(p) })
+		y.post(after, func() { y.answerLoadProbe(p) })
 	}
 }
 
 // refuseDial ends an attempt for which no connection could be opened.
-func (y *yard) refuseDial(d Directive) {
+func (y *entryHarness) refuseDial(d Directive) {
 	delete(y.open[d.ID], d.Attempt)
 	y.do(func(out *Actions) {
 		y.End(y.now, End{ID: d.ID, Attempt: d.Attempt, Kind: EndNotWritten, DialFailed: true, Replayable: true}, out)
 	})
 }
 
-func (y *yard) answerLook(p Probe) {
-	b := y.box(p.Endpoint)
+func (y *entryHarness) answerLoadProbe(p Probe) {
+	b := y.endpoint(p.Endpoint)
 	end := ProbeEnd{Probe: p, OK: !b.silent && !b.dead, Refused: b.dead && !b.silent, Misdirected: b.misdirected, Latency: ms,
 		Load: Load{Known: !b.silent, InFlight: b.running, Queued: b.waiting, Slots: 2, Pace: max(b.pace, 100), Cold: max(0, b.coldUntil-y.now)}}
 	y.do(func(out *Actions) { y.ProbeEnd(y.now, end, out) })
 }
 
-func (y *yard) post(after time.Duration, read func()) {
-	y.under = append(y.under, yardLetter{y.now + after, read})
+func (y *entryHarness) post(after time.Duration, read func()) {
+	y.underWay = append(y.underWay, entryDelivery{y.now + after, read})
 }
 
 // run lets time pass in steps of a millisecond, with a tick every five.
-func (y *yard) run(d time.Duration) {
+func (y *entryHarness) run(d time.Duration) {
 	for end := y.now + d; y.now < end; {
 		y.now += ms
-		due := y.under
-		y.under = nil
+		due := y.underWay
+		y.underWay = nil
 		for _, l := range due {
 			if l.at <= y.now {
 				l.read()
 			} else {
-				y.under = append(y.under, l)
+				y.underWay = append(y.underWay, l)
 			}
 		}
 		if y.now%(5*ms) == 0 {
@@ -258,12 +258,12 @@
 }
 
 // ask feeds a request of a kind and returns its number.
-func (y *yard) ask(kind route.Kind, left time.Duration) RequestID {
+func (y *entryHarness) ask(kind route.Kind, left time.Duration) RequestID {
 	return y.arrive(kind, Arrival{Replayable: true, Timeout: left})
 }
 
 // arrive feeds a request of a kind, of which the rest is given, and returns its number.
-func (y *yard) arrive(kind route.Kind, a Arrival) RequestID {
+func (y *entryHarness) arrive(kind route.Kind, a Arrival) RequestID {
 	y.nextID++
 	admission := y.AdmitRoute("a", "/"+string(kind)+"/x")
 	if admission.Reason != ReasonNone {
@@ -275,13 +275,13 @@
 }
 
 // answer ends a request's attempt with a status.
-func (y *yard) answer(id RequestID, n Attempt, status int) {
+func (y *entryHarness) answer(id RequestID, n Attempt, status int) {
 	d, ok := y.open[id][n]
 	if !ok {
 		y.Fatalf("request %d has no attempt %d", id, n)
 	}
 	delete(y.open[id], n)
-	b := y.box(d.Endpoint)
+	b := y.endpoint(d.Endpoint)
 	b.running--
 	y.do(func(out *Actions) {
 		y.Head(y.now, Head{ID: id, Attempt: n, Status: status, Load: Load{Known: true, InFlight: b.running, Queued: b.waiting, Slots: 2, Pace: max(b.pace, 100), RateLimit: b.limit}}, out)
@@ -290,18 +290,18 @@
 }
 
 // learn makes the core know that reads take 100 ms, and leaves the boxes idle.
-func (y *yard) learn(requests int) {
+func (y *entryHarness) learn(requests int) {
 	for range requests {
 		id := y.ask(route.Idempotent, 3*sec)
 		y.run(100 * ms)
 		y.answer(id, 1, 200)
 	}
-	y.sent, y.sentAt, y.looked = nil, nil, nil
+	y.sent, y.sentAt, y.probed = nil, nil, nil
 }
 
-func idle(n int, domain string) (boxes []*box) {
+func idle(n int, domain string) (boxes []*simEndpoint) {
 	for i := range n {
-		boxes = append(boxes, &box{name: fmt.Sprint(domain, "-", i), domain: domain})
+		boxes = append(boxes, &simEndpoint{name: fmt.Sprint(domain, "-", i), domain: domain})
 	}
 	return boxes
 }
--- a/internal/core/evacuation_test.go
+++ b/internal/core/evacuation_test.go
@@ -10,16 +10,16 @@
 )
 
 // relist publishes the boxes as they are, with the failure domains that are evacuated.
-func (y *yard) relist(revision uint64, evacuated ...string) {
+func (y *entryHarness) relist(revision uint64, evacuated ...string) {
 	list := y.listed(revision)
 	list.Evacuated = evacuated
 	y.offerList(list)
 }
 
 // sentTo counts the attempts sent to endpoints of a failure domain.
-func (y *yard) sentTo(domain string) (n int) {
+func (y *entryHarness) sentTo(domain string) (n int) {
 	for _, name := range y.sent {
-		if y.box(name).domain == domain {
+		if y.endpoint(name).domain == domain {
 			n++
 		}
 	}
@@ -31,11 +31,11 @@
 // an entry learns of it nothing may go there: no new request, none that waits or for which looks
 // are under way, no second attempt, and nothing to an endpoint that joins there.
 func TestEvacuatedDomainGetsNothing(t *testing.T) {
-	y := newYard(t, append(idle(2, "d0"), idle(2, "d1")...)...)
+	y := newEntryHarness(t, append(idle(2, "d0"), idle(2, "d1")...)...)
 	y.learn(8)
 	looking := y.ask(route.Idempotent, 3*sec)
-	if len(y.looked) == 0 || y.box(y.looked[0]).domain != "d0" {
-		t.Fatalf("looks at %v: the own domain comes first", y.looked)
+	if len(y.probed) == 0 || y.endpoint(y.probed[0]).domain != "d0" {
+		t.Fatalf("looks at %v: the own domain comes first", y.probed)
 	}
 	y.relist(2, "d0")
 	y.run(20 * ms)
@@ -43,7 +43,7 @@
 		t.Fatal("a request that looked since before went there")
 	}
 	y.answer(looking, 1, 200)
-	y.boxes = append(y.boxes, &box{name: "d0-new", domain: "d0"})
+	y.endpoints = append(y.endpoints, &simEndpoint{name: "d0-new", domain: "d0"})
 	y.relist(3, "d0")
 	var open []RequestID
 	for i := range 12 { // four slots: most of them wait
@@ -76,7 +76,7 @@
 // An attempt was decided on a moment before an entry learned that the endpoint's failure domain is
 // evacuated, and its connection opened only then. The driver asks before the first byte.
 func TestAttemptIsNotWrittenToAnEvacuatedDomain(t *testing.T) {
-	y := newYard(t, append(idle(1, "d0"), idle(1, "d1")...)...)
+	y := newEntryHarness(t, append(idle(1, "d0"), idle(1, "d1")...)...)
 	y.learn(8)
 	id := y.ask(route.NonIdempotent, 3*sec)
 	y.run(20 * ms)
@@ -97,7 +97,7 @@
 // All failure domains are evacuated at once. Nobody may answer, so callers are told at once that
 // their request was not run and when to come back; as soon as a domain is taken back they are served.
 func TestAllDomainsAreEvacuated(t *testing.T) {
-	y := newYard(t, append(idle(1, "d0"), idle(1, "d1")...)...)
+	y := newEntryHarness(t, append(idle(1, "d0"), idle(1, "d1")...)...)
 	y.learn(8)
 	waiting := y.ask(route.Idempotent, 3*sec)
 	y.relist(2, "d0", "d1")
@@ -120,7 +120,7 @@
 // An entry that lagged brings an older list, without the evacuation; what is in force stays. An
 // operator finds who asked and what came of it in the trail, one line a domain.
 func TestEvacuationNeverGoesBackAndIsNoted(t *testing.T) {
-	y := newYard(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idle(3, "d0")...)
 	y.relist(5, "d0")
 	y.relist(4)
 	y.run(sec)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -302,8 +302,8 @@
 	Updates  []Outgoing
 	Fetches  []FetchFrom
 	Notes    []Note
-	// Stories are requests that ended and are worth a line in the log.
-	Stories []Story
+	// Traces are requests that ended and are worth a line in the log.
+	Traces []RequestTrace
 	// DropAddresses: connections to these addresses are no longer wanted.
 	DropAddresses []string
 	// SuspectAddresses: idle connections to these addresses may be dead.
@@ -318,8 +318,8 @@
 	a.Updates = a.Updates[:0]
 	a.Fetches = a.Fetches[:0]
 	a.Notes = a.Notes[:0]
-	clear(a.Stories)
-	a.Stories = a.Stories[:0]
+	clear(a.Traces)
+	a.Traces = a.Traces[:0]
 	a.DropAddresses = a.DropAddresses[:0]
 	a.SuspectAddresses = a.SuspectAddresses[:0]
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -20,14 +20,14 @@
 	// version is the version of the member table's entries that the lists below were made at.
 	version uint64
 	entries []member.Entry
-	// byIncarnation and byDuty are the indexes in entries by incarnation and by dutyID.
-	byIncarnation, byDuty map[uint64]int
+	// byIncarnation and byAssignID are the indexes in entries by incarnation and by assignID.
+	byIncarnation, byAssignID map[uint64]int
 	// divided is the version at which work was last divided among the entries, dividedAt when.
 	divided   uint64
 	dividedAt time.Duration
-	// dutyMembers are the entries that duties are divided among. They are
-	// known there by dutyID, so that a restart moves no duty.
-	dutyMembers []duty.Member
+	// assignMembers are the entries that duties are divided among. They are
+	// known there by assignID, so that a restart moves no duty.
+	assignMembers []duty.Member
 	// readMembers are those among whom the duty to read the platform is: entries that start
 	// read as well, so that a fleet that starts does not read as many single entries.
 	readMembers []duty.Member
@@ -38,7 +38,7 @@
 	nextCheck   time.Duration
 	// evacuated are the failure domains whose endpoints get nothing, with since when.
 	evacuated []Evacuation
-	// remembered are the entries that count for who owns cold endpoints, by dutyID, as of a version
+	// remembered are the entries that count for who owns cold endpoints, by assignID, as of a version
 	// of the entries; settled says that this entry knows what others do.
 	remembered   map[uint64]remembered
 	rememberedAt uint64
@@ -56,9 +56,9 @@
 	// gossipPeers is scratch memory.
 	gossipPeers []gossip.Peer
 	// due, fresh and sightings are scratch memory of composeUpdates.
-	due       []uint64
-	fresh     []message.Evidence
-	sightings []message.Sighting
+	due         []uint64
+	fresh       []message.Evidence
+	loadReports []message.LoadReport
 	// heardAt is when any other entry was last heard.
 	heardAt time.Duration
 	// rate is this entry's calls per second, last sampled at rateAt.
@@ -109,7 +109,7 @@
 	}
 	tracked := duty.TrackerConfig{AlwaysCurrent: c.cfg.AlwaysCurrent}
 	c.fleet = fleet{
-		selfID: dutyID(c.cfg.Self.Name),
+		selfID: assignID(c.cfg.Self.Name),
 		members: member.New(member.Config{
 			Self:         c.cfg.Self.Incarnation,
 			Region:       c.cfg.Self.Region,
@@ -173,23 +173,23 @@
 	f := &c.fleet
 	f.version = f.members.EntriesVersion()
 	f.entries = f.members.Entries(f.entries[:0])
-	f.dutyMembers, f.readMembers = f.dutyMembers[:0], f.readMembers[:0]
+	f.assignMembers, f.readMembers = f.assignMembers[:0], f.readMembers[:0]
 	if f.byIncarnation == nil {
-		f.byIncarnation, f.byDuty = make(map[uint64]int), make(map[uint64]int)
+		f.byIncarnation, f.byAssignID = make(map[uint64]int), make(map[uint64]int)
 	}
 	clear(f.byIncarnation)
-	clear(f.byDuty)
+	clear(f.byAssignID)
 	for i := len(f.entries) - 1; i >= 0; i-- {
 		f.byIncarnation[f.entries[i].VM.Incarnation] = i
 	}
 	for i := range f.entries {
 		e := &f.entries[i]
-		id := dutyID(e.VM.Name)
-		f.byDuty[id] = i
+		id := assignID(e.VM.Name)
+		f.byAssignID[id] = i
 		m := duty.Member{Incarnation: id, Region: e.VM.Region, Domain: e.VM.Domain}
 		self := e.VM.Incarnation == c.cfg.Self.Incarnation
 		if self || e.Usable() {
-			f.dutyMembers = append(f.dutyMembers, m)
+			f.assignMembers = append(f.assignMembers, m)
 		}
 		if self || c.mayRead(e) {
 			f.readMembers = append(f.readMembers, m)
@@ -203,15 +203,15 @@
 	f.readers.stale = true
 }
 
-// dutyID is an entry's number in the division of duties. It is made from the
+// assignID is an entry's number in the division of duties. It is made from the
 // name and not from the incarnation.
-func dutyID(name string) uint64 { return xxhash.Sum64String(name) }
+func assignID(name string) uint64 { return xxhash.Sum64String(name) }
 
 // incarnationsOf turns numbers of duties into incarnations.
 func (c *Core) incarnationsOf(ids []uint64) []uint64 {
 	var out []uint64
 	for _, id := range ids {
-		if i, known := c.fleet.byDuty[id]; known {
+		if i, known := c.fleet.byAssignID[id]; known {
 			out = append(out, c.fleet.entries[i].VM.Incarnation)
 		}
 	}
@@ -226,28 +226,28 @@
 		return
 	}
 	c.fleet.gossip.Greeted(now, recordOf(h))
-	c.fleet.members.Version(h.Incarnation, h.Says.Version)
+	c.fleet.members.Version(h.Incarnation, h.Status.Version)
 	_, heard := c.fleet.peers[h.Incarnation]
-	if heard || h.Says.From != h.Incarnation {
+	if heard || h.Status.From != h.Incarnation {
 		return
 	}
 	p := &peer{}
 	c.fleet.peers[h.Incarnation] = p
-	c.takeUpdate(now, p, &h.Says, out)
+	c.takeUpdate(now, p, &h.Status, out)
 }
 
 // Met feeds the answer to this entry's own first message on a link.
 func (c *Core) Met(now time.Duration, h message.Hello, out *Actions) {
 	c.Introduce(now, h, out)
-	c.fleet.gossip.Meets(h.Incarnation, h.Knows)
+	c.fleet.gossip.Meets(h.Incarnation, h.Records)
 }
 
-// claim feeds evidence about VMs; what it says of requests and limits is left out.
-func (c *Core) claim(now time.Duration, out *Actions, evidence ...message.Evidence) {
+// applyEvidence feeds evidence about VMs; what it says of requests and limits is left out.
+func (c *Core) applyEvidence(now time.Duration, out *Actions, evidence ...message.Evidence) {
 	var changes []member.Change
 	for _, ev := range evidence {
 		if !ev.Kind.OfRequest() && ev.Kind != message.EvidenceLimit {
-			changes = append(changes, c.fleet.members.Claim(now, ev)...)
+			changes = append(changes, c.fleet.members.ApplyEvidence(now, ev)...)
 		}
 	}
 	c.applyChanges(now, changes, "evidence", out)
@@ -269,7 +269,7 @@
 	for i := range changes {
 		c.applyChange(now, &changes[i], out)
 	}
-	noteChanges(changes, actor, out)
+	auditChanges(changes, actor, out)
 	if entriesChanged {
 		c.refreshEntries()
 		c.fleet.gossip.SetPeers(now, c.gossipPeers())
@@ -285,7 +285,7 @@
 		index := p.add(now, ch.VM)
 		p.Endpoints[index].Evacuated = slices.Contains(c.fleet.members.Evacuated(), ch.VM.Domain)
 		if ch.VM.Cold {
-			p.turnedCold(now, index)
+			p.becameCold(now, index)
 		}
 		p.newRows = true
 		c.applyLimit(now, p, index, "a peer", out)
@@ -306,7 +306,7 @@
 		}
 	case member.EndpointCold:
 		if ref, ok := c.fleet.rows[ch.VM.Name]; ok && ref.pool.endpointAt(ref.index, ch.VM.Incarnation) != nil {
-			ref.pool.turnedCold(now, ref.index)
+			ref.pool.becameCold(now, ref.index)
 		}
 	case member.DomainEvacuated:
 		c.fleet.evacuated = append(c.fleet.evacuated, Evacuation{Domain: ch.VM.Domain, Since: now})
@@ -332,7 +332,7 @@
 			}
 			e.Evacuated = evacuated
 			if !evacuated {
-				p.turnedCold(now, i)
+				p.becameCold(now, i)
 			}
 		}
 	}
@@ -351,7 +351,7 @@
 func (c *Core) tickFleet(now time.Duration, out *Actions) {
 	c.noteReached(now, out)
 	c.applyChanges(now, c.fleet.members.Tick(now), "silence", out)
-	c.tellSilent(now)
+	c.spreadSilent(now)
 	c.remember(now)
 	c.checkReaders(now)
 	c.fetchDue(now, out)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -15,7 +15,7 @@
 
 // until runs the rig until all running entries fulfil ok, and returns how long
 // that took, at most limit.
-func (r *rig) until(limit time.Duration, ok func(n *node) bool) time.Duration {
+func (r *clusterHarness) until(limit time.Duration, ok func(n *node) bool) time.Duration {
 	r.Helper()
 	began := r.now
 	for r.now-began < limit {
@@ -27,8 +27,8 @@
 	return r.now - began
 }
 
-// halves cuts the fleet into entries of even and odd VMs.
-func halves(from, to *node) bool {
+// separatesHalves cuts the fleet into entries of even and odd VMs.
+func separatesHalves(from, to *node) bool {
 	half := func(n *node) byte { return n.hello.Name[len(n.hello.Name)-1] % 2 }
 	return half(from) != half(to)
 }
@@ -37,8 +37,8 @@
 	return func(n *node) bool { return n.InForce(published.ProfilesValue).Revision == revision }
 }
 
-// givenTo returns the entries that an entry names to callers, by name.
-func (n *node) givenTo(service string) string {
+// entriesNamed returns the entries that an entry names to callers, by name.
+func (n *node) entriesNamed(service string) string {
 	var names []string
 	choices, _, _ := n.EntriesFor(n.lastTick, directory.Request{Service: service, Domain: "d0"})
 	for _, c := range choices {
@@ -63,7 +63,7 @@
 	}{
 		{name: "alone"},
 		{name: "one direction of one link is dead", cut: one, heal: time.Hour},
-		{name: "a partition", cut: halves, heal: 20 * sec},
+		{name: "a partition", cut: separatesHalves, heal: 20 * sec},
 		{name: "links take messages and lose them", lost: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 				if n.state("c2") != table.EndpointLeaving {
 					t.Errorf("%s holds the endpoint as %v", n.hello.Name, n.state("c2"))
 				}
-				for id, got := range n.told {
+				for id, got := range n.replies {
 					if got.Outcome != OutcomeDone {
 						t.Fatalf("%s: request %d was told %+v", n.hello.Name, id, got)
 					}
@@ -138,9 +138,9 @@
 		}
 		r.list(2, "waste/"+drains+",leaving", "waste/"+stays)
 		r.run(sec)
-		r.dial = func() time.Duration { return hop }
+		r.dial = func() time.Duration { return lag }
 		r.run(4 * sec)
-		if got := n.told[id]; got.Outcome != OutcomeDone || r.written[drains] != 0 {
+		if got := n.replies[id]; got.Outcome != OutcomeDone || r.written[drains] != 0 {
 			t.Errorf("told %+v, sent to %v", got, r.written)
 		}
 	}
@@ -230,8 +230,8 @@
 // all of them to callers.
 func TestPartitionHealsByItself(t *testing.T) {
 	r := settled(t, 6, "counts/c1", "counts/c2")
-	r.cut = halves
-	r.down = func(n *node) bool { return halves(n, r.nodes[0]) }
+	r.cut = separatesHalves
+	r.down = func(n *node) bool { return separatesHalves(n, r.nodes[0]) }
 	r.run(10 * sec)
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 	r.run(10 * sec)
@@ -244,16 +244,16 @@
 		if n.dead {
 			continue
 		}
-		even := !halves(n, r.nodes[0])
+		even := !separatesHalves(n, r.nodes[0])
 		if got := n.InForce(published.ProfilesValue).Revision; (got == 2) != even {
 			t.Errorf("%s has revision %d during the partition", n.hello.Name, got)
 		}
-		if got := n.givenTo("counts"); even && got != "0 2 4" || !even && got != "1 3 5" {
+		if got := n.entriesNamed("counts"); even && got != "0 2 4" || !even && got != "1 3 5" {
 			t.Errorf("%s names %q during the partition", n.hello.Name, got)
 		}
 		id := r.ask(n, Arrival{Service: "counts"})
 		r.run(100 * ms)
-		if got := n.told[id]; got.Outcome != OutcomeDone {
+		if got := n.replies[id]; got.Outcome != OutcomeDone {
 			t.Errorf("%s told %+v during the partition", n.hello.Name, got)
 		}
 	}
@@ -284,15 +284,15 @@
 	deaf := r.nodes[0]
 	r.cut = func(from, _ *node) bool { return from == deaf }
 	named := func(want bool) func(n *node) bool {
-		return func(n *node) bool { return n == deaf || strings.Contains(n.givenTo("counts"), "0") == want }
+		return func(n *node) bool { return n == deaf || strings.Contains(n.entriesNamed("counts"), "0") == want }
 	}
 	if took := r.until(20*sec, named(false)); took > 4*sec {
 		t.Errorf("named to callers for %v", took)
 	}
 	id := r.ask(deaf, Arrival{Service: "counts"})
 	r.run(30 * sec)
-	if got := deaf.told[id]; got.Outcome != OutcomeDone || deaf.givenTo("counts") == "0" {
-		t.Errorf("told %+v, names %q", got, deaf.givenTo("counts"))
+	if got := deaf.replies[id]; got.Outcome != OutcomeDone || deaf.entriesNamed("counts") == "0" {
+		t.Errorf("told %+v, names %q", got, deaf.entriesNamed("counts"))
 	}
 	r.cut = func(_, _ *node) bool { return false }
 	if took := r.until(20*sec, named(true)); took > 2*sec {
@@ -313,7 +313,7 @@
 		r.do(n, func(now time.Duration, out *Actions) { n.PeerUpdate(now, &u, out) })
 		r.list(uint64(2+sequence), "counts/c1", "counts/c2")
 		r.run(200 * ms)
-		if got, want := n.givenTo("counts"), []string{"0 1", "0 1 2"}[sequence]; got != want {
+		if got, want := n.entriesNamed("counts"), []string{"0 1", "0 1 2"}[sequence]; got != want {
 			t.Errorf("state %v: named %q, want %q", state, got, want)
 		}
 	}
--- a/internal/core/gossip/bench_test.go
+++ b/internal/core/gossip/bench_test.go
@@ -16,7 +16,7 @@
 			f := newFleet(n, 1)
 			f.run(5 * time.Second)
 			node, now := f.nodes[f.ids[0]], f.now
-			sightings := make([]message.Sighting, 19)
+			sightings := make([]message.LoadReport, 19)
 			for i := range sightings {
 				sightings[i].Endpoint = fmt.Sprint("endpoint-", i)
 			}
@@ -62,17 +62,17 @@
 		peers = append(peers, Peer{Incarnation: uint64(i + 2), Shares: i < sharers})
 	}
 	s.SetPeers(0, peers)
-	sightings := make([]message.Sighting, 6)
+	sightings := make([]message.LoadReport, 6)
 	for now := time.Duration(0); now < 70*time.Second; now += step {
 		for i := range sightings {
-			sightings[i] = message.Sighting{Endpoint: fmt.Sprint("endpoint-", i), InFlight: uint16(now / step / 5)}
+			sightings[i] = message.LoadReport{Endpoint: fmt.Sprint("endpoint-", i), InFlight: uint16(now / step / 5)}
 		}
 		for _, to := range s.Due(now, nil) {
 			u, ok := s.Compose(now, to, sightings)
 			s.Done(now, to, u.Sequence, message.Receipt{Acked: ok, Known: u.Known})
 			if ok && now >= time.Minute {
 				sent += Size(&u)
-				told += min(len(u.Sightings), 1)
+				told += min(len(u.LoadReports), 1)
 			}
 		}
 	}
--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -13,7 +13,7 @@
 //
 // When the bounds are tight, sightings are dropped first, then heartbeats are
 // late, and with them the rate; news comes last.
-func (s *Scheduler) Compose(now time.Duration, to uint64, sightings []message.Sighting) (message.Update, bool) {
+func (s *Scheduler) Compose(now time.Duration, to uint64, sightings []message.LoadReport) (message.Update, bool) {
 	s.settle()
 	s.allow.refill(now)
 	p := s.peers[to]
@@ -29,11 +29,11 @@
 	u.Evidence = s.owedEvidence(now, p, room)
 	u.Records = s.records.dueTo(p, room-(Size(&u)-heartbeatBytes))
 	if p.shares && p.kind == linkMesh {
-		room = s.room(sightingFloor) - Size(&u) + heartbeatBytes
-		u.Sightings = p.changed(now, sightings, room)
-		p.sightingAt = now + s.cfg.SightingEvery
+		room = s.room(loadReportFloor) - Size(&u) + heartbeatBytes
+		u.LoadReports = p.changed(now, sightings, room)
+		p.loadReportAt = now + s.cfg.LoadReportEvery
 	}
-	if why == dueSightings && len(u.Sightings) == 0 {
+	if why == dueLoadReports && len(u.LoadReports) == 0 {
 		return message.Update{}, false
 	}
 	s.send(now, p, &u, why)
@@ -45,53 +45,53 @@
 	return int(s.allow.room(floor)) - heartbeatBytes
 }
 
-// Says returns what this entry tells of itself, for the Hello of a link. It has no
+// OwnStatus returns what this entry tells of itself, for the Hello of a link. It has no
 // place in the sequence, so that no update that is under way counts as older.
-func (s *Scheduler) Says() message.Update {
+func (s *Scheduler) OwnStatus() message.Update {
 	return message.Update{
-		From:     s.cfg.Self,
-		State:    s.state.State,
-		Epoch:    s.state.Epoch,
-		Profiles: s.state.Profiles,
-		VMs:      s.state.VMs,
-		Reader:   s.state.Reader,
-		Rate:     s.state.Rate,
-		Known:    s.log.digest,
-		Version:  s.state.Version,
-		Roster:   s.records.digest,
+		From:         s.cfg.Self,
+		State:        s.state.State,
+		Epoch:        s.state.Epoch,
+		Profiles:     s.state.Profiles,
+		VMs:          s.state.VMs,
+		Reader:       s.state.Reader,
+		Rate:         s.state.Rate,
+		Known:        s.log.digest,
+		Version:      s.state.Version,
+		RecordDigest: s.records.digest,
 	}
 }
 
 // base returns the next update with what this entry tells of itself.
 func (s *Scheduler) base() message.Update {
 	s.sequence++
-	u := s.Says()
+	u := s.OwnStatus()
 	u.Sequence = s.sequence
 	return u
 }
 
 // changed returns the sightings that differ from what the peer was last told,
 // as many as fit into room bytes, and remembers them as told.
-func (p *peer) changed(now time.Duration, sightings []message.Sighting, room int) []message.Sighting {
-	var out []message.Sighting
-	if len(p.sightings) > maxTracked {
-		clear(p.sightings)
+func (p *peer) changed(now time.Duration, sightings []message.LoadReport, room int) []message.LoadReport {
+	var out []message.LoadReport
+	if len(p.loadReports) > maxTracked {
+		clear(p.loadReports)
 	}
 	for _, g := range sightings {
-		last, known := p.sightings[g.Endpoint]
-		next := toldSighting{incarnation: g.Incarnation, inFlight: g.InFlight, own: g.Own, at: last.at}
-		if known && next == last && now-last.at < sightingRefresh {
+		last, known := p.loadReports[g.Endpoint]
+		next := sentLoadReport{incarnation: g.Incarnation, inFlight: g.InFlight, own: g.Own, at: last.at}
+		if known && next == last && now-last.at < loadReportRefresh {
 			continue
 		}
-		if time.Duration(g.AgeMillis)*time.Millisecond > sightingRefresh {
+		if time.Duration(g.AgeMillis)*time.Millisecond > loadReportRefresh {
 			continue
 		}
-		room -= sightingBytes + p.naming(&g)
-		if room < 0 || len(out) == maxSightings {
+		room -= loadReportBytes + p.naming(&g)
+		if room < 0 || len(out) == maxLoadReports {
 			break
 		}
 		next.at = now
-		p.sightings[g.Endpoint] = next
+		p.loadReports[g.Endpoint] = next
 		out = append(out, g)
 	}
 	return out
@@ -102,9 +102,9 @@
 	s.allow.take(Size(u) + p.firstTime(u))
 	p.name(u)
 	p.inFlight, p.sentAt, p.sequence = true, now, u.Sequence
-	p.offered = told{profiles: u.Profiles.Revision, vms: u.VMs.Revision}
+	p.offered = revisionPair{profiles: u.Profiles.Revision, vms: u.VMs.Revision}
 	p.heartbeatAt = s.nextHeartbeat(now, p)
-	if why >= dueNews {
+	if why >= dueRevisions {
 		p.urgentAt = now + s.cfg.UrgentGap
 	}
 	if len(u.Records) > 0 {
@@ -124,11 +124,11 @@
 	if r.Acked {
 		s.acked(p)
 		s.compare(now, p, r.Known)
-		s.pulls.compare(now, p, r.Roster, &s.records)
+		s.pulls.compare(now, p, r.RecordDigest, &s.records)
 		return
 	}
 	p.underWay, p.carried = p.underWay[:0], p.carried[:0]
-	clear(p.sightings)
+	clear(p.loadReports)
 	clear(p.named) // a link that opens anew names its endpoints anew
 	p.failures++
 	pause := min(retryMin<<min(p.failures-1, 8), retryMax)
@@ -143,9 +143,9 @@
 	recovered := p.failures >= failuresToSkip
 	p.failures = 0
 	p.retryAt = 0
-	p.told = told{
-		profiles: max(p.told.profiles, p.offered.profiles),
-		vms:      max(p.told.vms, p.offered.vms),
+	p.ackedRevisions = revisionPair{
+		profiles: max(p.ackedRevisions.profiles, p.offered.profiles),
+		vms:      max(p.ackedRevisions.vms, p.offered.vms),
 	}
 	for _, c := range p.underWay {
 		if s.log.index[keyOf(c.evidence)] == c {
@@ -189,26 +189,26 @@
 // takes in its evidence to pass on. Evidence that both have is not sent back.
 func (s *Scheduler) Received(now time.Duration, u *message.Update) {
 	s.settle()
-	p := s.tellerOf(u.From)
+	p := s.senderOf(u.From)
 	reach := everywhere
 	if p != nil && p.delegates() > 0 {
 		reach = p.delegates()
 	}
 	for i := range u.Records {
-		s.holdRecord(now, &u.Records[i], reach, p)
+		s.storeRecord(now, &u.Records[i], reach, p)
 	}
 	for _, e := range u.Evidence {
 		s.stats.count(s.log.index[keyOf(e)] != nil, e.AgeMillis)
-		if c := s.hold(now, e, reach); c != nil && p != nil {
+		if c := s.storeEvidence(now, e, reach); c != nil && p != nil {
 			s.markKnown(c, p)
 		}
 	}
 	if p == nil {
 		return
 	}
-	s.pulls.compare(now, p, u.Roster, &s.records)
-	p.told.profiles = max(p.told.profiles, u.Profiles.Revision)
-	p.told.vms = max(p.told.vms, u.VMs.Revision)
+	s.pulls.compare(now, p, u.RecordDigest, &s.records)
+	p.ackedRevisions.profiles = max(p.ackedRevisions.profiles, u.Profiles.Revision)
+	p.ackedRevisions.vms = max(p.ackedRevisions.vms, u.VMs.Revision)
 	if u.Known == s.log.digest {
 		s.allKnown(p)
 		return
@@ -216,23 +216,23 @@
 	s.noteDifference(now, p)
 }
 
-// tellerOf returns the peer that told this entry something. One with which no link is held gets
+// senderOf returns the peer that told this entry something. One with which no link is held gets
 // one: what it told of may have to be asked of it.
-func (s *Scheduler) tellerOf(from uint64) *peer {
-	_, known := s.tellers[from]
+func (s *Scheduler) senderOf(from uint64) *peer {
+	_, known := s.senders[from]
 	p := s.peers[from]
-	if known || p == nil && len(s.tellers) < tellersMost {
-		s.tellers[from] = s.allow.at
+	if known || p == nil && len(s.senders) < maxSenders {
+		s.senders[from] = s.allow.at
 		s.moved = s.moved || !known
 	}
 	return p
 }
 
-// forgetTellers drops the links with entries that have told this one nothing for a while.
-func (s *Scheduler) forgetTellers(now time.Duration) {
-	for id, at := range s.tellers {
-		if now-at > tellerKept {
-			delete(s.tellers, id)
+// forgetSenders drops the links with entries that have told this one nothing for a while.
+func (s *Scheduler) forgetSenders(now time.Duration) {
+	for id, at := range s.senders {
+		if now-at > senderKept {
+			delete(s.senders, id)
 			s.moved = true
 		}
 	}
@@ -258,9 +258,9 @@
 	}
 	p.differs = false
 	p.repairs++
-	for _, c := range s.log.claims {
+	for _, c := range s.log.stored {
 		c.known.remove(p.slot)
 	}
-	p.owed, p.owedSince, p.lacks = len(s.log.claims), now, len(s.log.claims) > 0
+	p.owed, p.owedSince, p.lacks = len(s.log.stored), now, len(s.log.stored) > 0
 	s.recountAll()
 }
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -25,9 +25,9 @@
 	// that come back included. Peers send it as much on average.
 	BytesPerSecond    float64
 	MessagesPerSecond float64
-	// SightingEvery is the time between sightings to a peer that shares a
+	// LoadReportEvery is the time between sightings to a peer that shares a
 	// service, while the bound allows.
-	SightingEvery time.Duration
+	LoadReportEvery time.Duration
 	// HeartbeatMin is the shortest time between heartbeats to a peer.
 	HeartbeatMin time.Duration
 	// SummaryEvery is the time between messages on a link between regions.
@@ -44,7 +44,7 @@
 const (
 	defaultBytesPerSecond    = 9000
 	defaultMessagesPerSecond = 60
-	defaultSightingEvery     = 10 * time.Millisecond
+	defaultLoadReportEvery   = 10 * time.Millisecond
 	defaultHeartbeatMin      = 500 * time.Millisecond
 	defaultSummaryEvery      = time.Second
 	defaultUrgentGap         = 200 * time.Millisecond
@@ -53,11 +53,11 @@
 
 // Bounds of one message and of what is kept.
 const (
-	maxEvidence  = 128
-	maxSightings = 64
-	// maxClaims bounds the evidence held; the oldest goes first. It is enough for 2,000
+	maxEvidence    = 128
+	maxLoadReports = 64
+	// maxStoredEvidence bounds the evidence held; the oldest goes first. It is enough for 2,000
 	// endpoints that are replaced twice.
-	maxClaims = 8192
+	maxStoredEvidence = 8192
 	// maxTracked bounds the sightings remembered per peer as told.
 	maxTracked = 1024
 	// MaxPeers bounds the entries with which links are held. Neighbours on the ring come
@@ -87,12 +87,12 @@
 const (
 	// heartbeatShare is what heartbeats to all peers may take together.
 	heartbeatShare = 0.35
-	// sightingFloor is the share of a full bucket that sightings leave for what
+	// loadReportFloor is the share of a full bucket that sightings leave for what
 	// is worth more; copyFloor is what copies of news leave for its first telling, and
 	// heartbeatFloor what heartbeats do.
-	sightingFloor  = 0.5
-	copyFloor      = 0.3
-	heartbeatFloor = 0.1
+	loadReportFloor = 0.5
+	copyFloor       = 0.3
+	heartbeatFloor  = 0.1
 )
 
 // burst is how many seconds' worth of the bound may be saved up. With half of
@@ -116,14 +116,14 @@
 	repairDoublings = 7
 )
 
-// sightingRefresh: an unchanged sighting is told again after this time, and one
+// loadReportRefresh: an unchanged sighting is told again after this time, and one
 // older than this is not told.
-const sightingRefresh = time.Second
+const loadReportRefresh = time.Second
 
 func (c Config) withDefaults() Config {
 	c.BytesPerSecond = orDefault(c.BytesPerSecond, defaultBytesPerSecond)
 	c.MessagesPerSecond = orDefault(c.MessagesPerSecond, defaultMessagesPerSecond)
-	c.SightingEvery = orDefault(c.SightingEvery, defaultSightingEvery)
+	c.LoadReportEvery = orDefault(c.LoadReportEvery, defaultLoadReportEvery)
 	c.HeartbeatMin = orDefault(c.HeartbeatMin, defaultHeartbeatMin)
 	c.SummaryEvery = orDefault(c.SummaryEvery, defaultSummaryEvery)
 	c.UrgentGap = orDefault(c.UrgentGap, defaultUrgentGap)
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -18,9 +18,9 @@
 func (s *peerSet) add(slot int)      { s[slot/64] |= 1 << (slot % 64) }
 func (s *peerSet) remove(slot int)   { s[slot/64] &^= 1 << (slot % 64) }
 
-// claimKey names a piece of evidence. Replaced and stopped are one: both say
+// evidenceKey names a piece of evidence. Replaced and stopped are one: both say
 // that the incarnation is gone.
-type claimKey struct {
+type evidenceKey struct {
 	vm          string
 	incarnation uint64
 	gone        bool
@@ -32,27 +32,27 @@
 	limit bool
 }
 
-func keyOf(e message.Evidence) claimKey {
+func keyOf(e message.Evidence) evidenceKey {
 	if e.Kind.OfRequest() {
-		return claimKey{vm: e.VM, incarnation: e.Incarnation, content: e.Content, caller: e.Caller,
+		return evidenceKey{vm: e.VM, incarnation: e.Incarnation, content: e.Content, caller: e.Caller,
 			completed: e.Kind == message.EvidenceCompleted, clears: e.Clears}
 	}
 	if e.Kind == message.EvidenceLimit {
-		return claimKey{vm: e.VM, incarnation: e.Incarnation, limit: true}
+		return evidenceKey{vm: e.VM, incarnation: e.Incarnation, limit: true}
 	}
-	return claimKey{vm: e.VM, incarnation: e.Incarnation, gone: e.Kind != message.EvidenceLeaving}
+	return evidenceKey{vm: e.VM, incarnation: e.Incarnation, gone: e.Kind != message.EvidenceLeaving}
 }
 
 // hashOf is the same at every entry.
 func hashOf(e message.Evidence) uint64 {
 	hash := keyOf(e).hash()
 	if e.Kind == message.EvidenceLimit {
-		hash = duty.Score(duty.Score(hash, math.Float64bits(e.Rate)), uint64(e.Version)<<32|uint64(e.Turn))
+		hash = duty.Score(duty.Score(hash, math.Float64bits(e.Rate)), uint64(e.Version)<<32|uint64(e.Period))
 	}
 	return hash
 }
 
-func (k claimKey) hash() uint64 {
+func (k evidenceKey) hash() uint64 {
 	seed := k.incarnation << 1
 	if k.gone {
 		seed |= 1
@@ -67,8 +67,8 @@
 	return duty.Score(duty.Score(score, k.content), k.caller)
 }
 
-// claim is evidence that is passed on.
-type claim struct {
+// storedEvidence is evidence that is passed on.
+type storedEvidence struct {
 	evidence message.Evidence
 	hash     uint64
 	since    time.Duration
@@ -81,15 +81,15 @@
 
 // evidenceLog holds the evidence to pass on, oldest learned first.
 type evidenceLog struct {
-	claims []*claim
-	index  map[claimKey]*claim
+	stored []*storedEvidence
+	index  map[evidenceKey]*storedEvidence
 	// digest is the XOR of the hashes of all claims held.
 	digest uint64
 	// changedAt is when the latest of them was learned.
 	changedAt time.Duration
 }
 
-func newEvidenceLog() evidenceLog { return evidenceLog{index: make(map[claimKey]*claim)} }
+func newEvidenceLog() evidenceLog { return evidenceLog{index: make(map[evidenceKey]*storedEvidence)} }
 
 // everywhere is the reach of what no other entry passes on.
 const everywhere = math.MaxInt
@@ -98,7 +98,7 @@
 func (s *Scheduler) Spread(now time.Duration, evidence []message.Evidence) {
 	s.settle()
 	for _, e := range evidence {
-		s.hold(now, e, everywhere)
+		s.storeEvidence(now, e, everywhere)
 	}
 }
 
@@ -107,12 +107,12 @@
 func (s *Scheduler) Learned(now time.Duration, evidence []message.Evidence) {
 	s.settle()
 	for _, e := range evidence {
-		s.hold(now, e, 0)
+		s.storeEvidence(now, e, 0)
 	}
 }
 
-// hold adds evidence to the log unless it is there or too old, and returns it.
-func (s *Scheduler) hold(now time.Duration, e message.Evidence, reach int) *claim {
+// storeEvidence adds evidence to the log unless it is there or too old, and returns it.
+func (s *Scheduler) storeEvidence(now time.Duration, e message.Evidence, reach int) *storedEvidence {
 	key := keyOf(e)
 	if c := s.log.index[key]; c != nil {
 		switch {
@@ -122,17 +122,17 @@
 		case !e.Newer(c.evidence.Limit):
 			return nil
 		}
-		s.discard(slices.Index(s.log.claims, c))
+		s.discard(slices.Index(s.log.stored, c))
 	}
 	since := now - time.Duration(e.AgeMillis)*time.Millisecond
 	if e.VM == "" || e.Incarnation == 0 || now-since >= s.cfg.KeepEvidence {
 		return nil
 	}
-	if len(s.log.claims) >= maxClaims {
+	if len(s.log.stored) >= maxStoredEvidence {
 		s.discard(0)
 	}
-	c := &claim{evidence: e, hash: hashOf(e), since: since, reach: reach, learnedAt: now}
-	s.log.claims = append(s.log.claims, c)
+	c := &storedEvidence{evidence: e, hash: hashOf(e), since: since, reach: reach, learnedAt: now}
+	s.log.stored = append(s.log.stored, c)
 	s.log.index[key] = c
 	s.log.digest ^= c.hash
 	s.log.changedAt = now
@@ -153,13 +153,13 @@
 }
 
 // eagerFor reports whether a peer that lacks the claim is told it without being asked.
-func (c *claim) eagerFor(p *peer) bool {
+func (c *storedEvidence) eagerFor(p *peer) bool {
 	return p.kind == linkRegion || p.finger && p.distance < c.reach
 }
 
 // extend has this entry pass on a claim that it had from a list, since a peer relies on it
 // for that. One that was told before is on its way already.
-func (s *Scheduler) extend(c *claim, reach int) {
+func (s *Scheduler) extend(c *storedEvidence, reach int) {
 	if c.reach > 0 || reach == everywhere {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // recount adds a claim to, or takes it from, what peers are to be told at once.
-func (s *Scheduler) recount(c *claim, by int) {
+func (s *Scheduler) recount(c *storedEvidence, by int) {
 	for _, id := range s.order {
 		if p := s.peers[id]; !c.known.has(p.slot) && c.eagerFor(p) {
 			p.eager += by
@@ -185,7 +185,7 @@
 		if !p.finger || p.owed == 0 {
 			continue
 		}
-		for _, c := range s.log.claims {
+		for _, c := range s.log.stored {
 			if !c.known.has(p.slot) && c.eagerFor(p) {
 				p.eager++
 			}
@@ -195,8 +195,8 @@
 
 // discard drops the claim at an index of the log.
 func (s *Scheduler) discard(at int) {
-	c := s.log.claims[at]
-	s.log.claims = append(s.log.claims[:at], s.log.claims[at+1:]...)
+	c := s.log.stored[at]
+	s.log.stored = append(s.log.stored[:at], s.log.stored[at+1:]...)
 	delete(s.log.index, keyOf(c.evidence))
 	s.log.digest ^= c.hash
 	for _, id := range s.order {
@@ -208,8 +208,8 @@
 
 // expire drops evidence that has been passed on for long enough.
 func (s *Scheduler) expire(now time.Duration) {
-	for i := len(s.log.claims) - 1; i >= 0; i-- {
-		if now-s.log.claims[i].since >= s.cfg.KeepEvidence {
+	for i := len(s.log.stored) - 1; i >= 0; i-- {
+		if now-s.log.stored[i].since >= s.cfg.KeepEvidence {
 			s.discard(i)
 		}
 	}
@@ -219,7 +219,7 @@
 func (s *Scheduler) Digest() uint64 { return s.log.digest }
 
 // markKnown notes that a peer has a claim.
-func (s *Scheduler) markKnown(c *claim, p *peer) {
+func (s *Scheduler) markKnown(c *storedEvidence, p *peer) {
 	if !c.known.has(p.slot) {
 		c.known.add(p.slot)
 		s.paid(c, p)
@@ -227,7 +227,7 @@
 }
 
 // paid counts one claim less that a peer lacks.
-func (s *Scheduler) paid(c *claim, p *peer) {
+func (s *Scheduler) paid(c *storedEvidence, p *peer) {
 	p.owed--
 	if c.eagerFor(p) {
 		p.eager--
@@ -243,7 +243,7 @@
 	if p.owed == 0 {
 		return
 	}
-	for _, c := range s.log.claims {
+	for _, c := range s.log.stored {
 		s.markKnown(c, p)
 	}
 }
@@ -256,8 +256,8 @@
 		return nil
 	}
 	var out []message.Evidence
-	for i := len(s.log.claims) - 1; i >= 0 && len(out) < maxEvidence; i-- {
-		c := s.log.claims[i]
+	for i := len(s.log.stored) - 1; i >= 0 && len(out) < maxEvidence; i-- {
+		c := s.log.stored[i]
 		if c.known.has(p.slot) || !s.tells(now, p, c) {
 			continue
 		}
@@ -277,7 +277,7 @@
 // hears it first from this entry, or is known to lack some. A near finger is also told what it may
 // have from others where that takes no more than the question whether it has; or what it has
 // been owed for long, while so much comes in that no digest can tell.
-func (s *Scheduler) tells(now time.Duration, p *peer, c *claim) bool {
+func (s *Scheduler) tells(now time.Duration, p *peer, c *storedEvidence) bool {
 	switch {
 	case p.lacks || c.eagerFor(p):
 		return true
--- a/internal/core/gossip/flood_test.go
+++ b/internal/core/gossip/flood_test.go
@@ -83,7 +83,7 @@
 			for _, id := range f.ids {
 				latest := holds[id]
 				for _, p := range f.nodes[id].peers {
-					latest = max(latest, p.told.vms)
+					latest = max(latest, p.ackedRevisions.vms)
 				}
 				if !dead(id) && latest > holds[id] {
 					adopt(id, latest)
--- a/internal/core/gossip/gossip_test.go
+++ b/internal/core/gossip/gossip_test.go
@@ -90,7 +90,7 @@
 		if !d.lost {
 			f.nodes[d.to].Received(f.now, &d.update)
 		}
-		receipt := message.Receipt{Acked: !d.lost, Known: f.nodes[d.to].Digest(), Roster: f.nodes[d.to].Roster().Digest}
+		receipt := message.Receipt{Acked: !d.lost, Known: f.nodes[d.to].Digest(), RecordDigest: f.nodes[d.to].RecordSet().Digest}
 		f.nodes[d.from].Done(f.now, d.to, d.update.Sequence, receipt)
 	}
 	f.pending = append(later, f.pending...)
@@ -98,7 +98,7 @@
 
 func (f *fleet) send(id uint64) {
 	node := f.nodes[id]
-	sightings := []message.Sighting{{Endpoint: "endpoint-1", Incarnation: 7, InFlight: uint16(f.now / step)}}
+	sightings := []message.LoadReport{{Endpoint: "endpoint-1", Incarnation: 7, InFlight: uint16(f.now / step)}}
 	if f.sightless {
 		sightings = nil
 	}
@@ -126,7 +126,7 @@
 func (f *fleet) reached(count int, limit time.Duration, want func(id uint64) bool) time.Duration {
 	start := f.now
 	for f.now-start < limit {
-		missing := slices.ContainsFunc(f.ids, func(id uint64) bool { return want(id) && len(f.nodes[id].log.claims) < count })
+		missing := slices.ContainsFunc(f.ids, func(id uint64) bool { return want(id) && len(f.nodes[id].log.stored) < count })
 		if !missing {
 			return f.now - start
 		}
@@ -336,9 +336,9 @@
 			case 2:
 				s.SetState(State{Profiles: message.Mark{Revision: uint64(now)}})
 			}
-			sightings := make([]message.Sighting, rapid.IntRange(0, 100).Draw(rt, "sightings"))
+			sightings := make([]message.LoadReport, rapid.IntRange(0, 100).Draw(rt, "sightings"))
 			for i := range sightings {
-				sightings[i] = message.Sighting{Endpoint: fmt.Sprint("endpoint", i), InFlight: uint16(now / time.Millisecond)}
+				sightings[i] = message.LoadReport{Endpoint: fmt.Sprint("endpoint", i), InFlight: uint16(now / time.Millisecond)}
 			}
 			for _, to := range s.Due(now, nil) {
 				if u, ok := s.Compose(now, to, sightings); ok {
@@ -369,8 +369,8 @@
 		From: math.MaxUint64, Sequence: math.MaxUint64, State: 3, Epoch: math.MaxUint32,
 		Profiles: mark, VMs: mark, Reader: true, Rate: math.MaxUint32, Known: math.MaxUint64,
 	}
-	for i := range maxSightings {
-		full.Sightings = append(full.Sightings, message.Sighting{
+	for i := range maxLoadReports {
+		full.LoadReports = append(full.LoadReports, message.LoadReport{
 			Endpoint: fmt.Sprint("endpoint", i), Incarnation: math.MaxUint64,
 			InFlight: math.MaxUint16, Own: math.MaxUint16, AgeMillis: math.MaxUint16,
 		})
@@ -380,7 +380,7 @@
 			message.Evidence{VM: "endpoint", Incarnation: math.MaxUint64, Kind: message.EvidenceCrashed, AgeMillis: math.MaxUint32,
 				Content: math.MaxUint64, Caller: math.MaxUint64, RanMillis: math.MaxUint32},
 			message.Evidence{VM: "limit of endpoint", Incarnation: math.MaxUint64, Kind: message.EvidenceLimit, AgeMillis: math.MaxUint32,
-				Limit: message.Limit{Rate: 0.1, Version: math.MaxUint32, Turn: math.MaxUint32}})
+				Limit: message.Limit{Rate: 0.1, Version: math.MaxUint32, Period: math.MaxUint32}})
 	}
 	bare := message.Update{From: math.MaxUint64, Sequence: math.MaxUint64, Known: 1, Profiles: mark, VMs: mark}
 	for _, u := range []message.Update{full, bare} {
--- a/internal/core/gossip/limit_test.go
+++ b/internal/core/gossip/limit_test.go
@@ -26,7 +26,7 @@
 	f.nodes[f.ids[9]].Spread(f.now, limit(9, 2))
 	f.run(3 * time.Second)
 	for _, id := range f.ids {
-		claims := f.nodes[id].log.claims
+		claims := f.nodes[id].log.stored
 		if len(claims) != 1 || claims[0].evidence.Limit != (message.Limit{Rate: 3, Version: 4}) {
 			t.Fatalf("entry %d holds %+v", id, claims)
 		}
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -26,8 +26,8 @@
 	recordsPerMessage = freshMost
 )
 
-// held is a record that this entry holds.
-type held struct {
+// storedRecord is a record that this entry holds.
+type storedRecord struct {
 	record message.Record
 	hash   uint64
 	// For a fresh one: known holds the peers that have it, reach is as in claim.
@@ -38,8 +38,8 @@
 
 // records are what the entries of the fleet tell of themselves, this one's own included.
 type records struct {
-	byName map[string]*held
-	fresh  []*held // oldest first
+	byName map[string]*storedRecord
+	fresh  []*storedRecord // oldest first
 	// ended are the latest records of entries that are gone, so that no peer that still holds
 	// one brings it back.
 	ended map[string]message.Record
@@ -50,7 +50,7 @@
 }
 
 func newRecords() records {
-	return records{byName: make(map[string]*held), ended: make(map[string]message.Record)}
+	return records{byName: make(map[string]*storedRecord), ended: make(map[string]message.Record)}
 }
 
 // recordHash is the same at every entry.
@@ -65,7 +65,7 @@
 // Announce takes in a new version of this entry's own record.
 func (s *Scheduler) Announce(now time.Duration, r message.Record) {
 	s.settle()
-	s.holdRecord(now, &r, everywhere, nil)
+	s.storeRecord(now, &r, everywhere, nil)
 }
 
 // Accuse tells the fleet that an entry which this one watches is silent, as of a version of its
@@ -78,7 +78,7 @@
 	}
 	r := h.record
 	r.Silent = true
-	s.holdRecord(now, &r, everywhere, nil)
+	s.storeRecord(now, &r, everywhere, nil)
 }
 
 // Greeted takes in the record of an entry that introduced itself on a link. It tells its own
@@ -93,7 +93,7 @@
 		r = last
 		r.Silent = true
 	}
-	s.holdRecord(now, &r, 0, nil)
+	s.storeRecord(now, &r, 0, nil)
 }
 
 // Pulled takes in what a peer gave that was asked for the records that this entry lacks, if it
@@ -102,16 +102,16 @@
 	s.settle()
 	before := s.records.digest
 	for i := range list {
-		s.holdRecord(now, &list[i], 0, nil)
+		s.storeRecord(now, &list[i], 0, nil)
 	}
 	s.pulls.asked, s.pulls.notBefore = false, now+pullGap
 	if p := s.peers[from]; p != nil && answered && before == s.records.digest {
-		p.pulledInVain = [2]uint64{p.roster, before}
+		p.pulledInVain = [2]uint64{p.recordDigest, before}
 	}
 }
 
-// holdRecord takes in a record, from a peer if one told it, unless a newer one is held.
-func (s *Scheduler) holdRecord(now time.Duration, r *message.Record, reach int, from *peer) {
+// storeRecord takes in a record, from a peer if one told it, unless a newer one is held.
+func (s *Scheduler) storeRecord(now time.Duration, r *message.Record, reach int, from *peer) {
 	x := &s.records
 	known := x.byName[r.Name]
 	if known == nil || r.Newer(&known.record) {
@@ -130,13 +130,13 @@
 	if last, ended := s.records.ended[r.Name]; ended && !r.Newer(&last) {
 		return true
 	}
-	return s.log.index[claimKey{vm: r.Name, incarnation: r.Incarnation, gone: true}] != nil
+	return s.log.index[evidenceKey{vm: r.Name, incarnation: r.Incarnation, gone: true}] != nil
 }
 
 // replace puts a record in the place of the one before.
-func (x *records) replace(now time.Duration, r *message.Record, reach int) *held {
+func (x *records) replace(now time.Duration, r *message.Record, reach int) *storedRecord {
 	x.drop(r.Name)
-	h := &held{record: *r, hash: recordHash(r), reach: reach, learnedAt: now}
+	h := &storedRecord{record: *r, hash: recordHash(r), reach: reach, learnedAt: now}
 	x.byName[r.Name] = h
 	x.digest ^= h.hash
 	x.changedAt = now
@@ -198,13 +198,13 @@
 
 // lacks reports whether a finger hears of a fresh record first from this entry, and has not. An
 // entry knows what it tells of itself, but not that it is taken for silent.
-func (h *held) lacks(p *peer) bool {
+func (h *storedRecord) lacks(p *peer) bool {
 	return !h.known.has(p.slot) && (h.record.Silent || p.incarnation != h.record.Incarnation) && (p.kind == linkRegion || p.distance < h.reach)
 }
 
 // due reports whether a finger is to be told records.
 func (x *records) due(p *peer) bool {
-	return slices.ContainsFunc(x.fresh, func(h *held) bool { return h.lacks(p) })
+	return slices.ContainsFunc(x.fresh, func(h *storedRecord) bool { return h.lacks(p) })
 }
 
 // dueTo returns the records that a finger is to be told, as many as fit into budget bytes, and
@@ -233,7 +233,7 @@
 // as this entry.
 func (s *Scheduler) Agrees() bool {
 	for _, p := range s.peers {
-		if p.roster != 0 && p.roster != s.records.digest {
+		if p.recordDigest != 0 && p.recordDigest != s.records.digest {
 			return false
 		}
 	}
@@ -248,9 +248,9 @@
 	return nil
 }
 
-// Roster says which records are held, this entry's own included.
-func (s *Scheduler) Roster() message.Roster {
-	return message.Roster{Count: uint16(len(s.records.byName)), Digest: s.records.digest}
+// RecordSet says which records are held, this entry's own included.
+func (s *Scheduler) RecordSet() message.RecordSet {
+	return message.RecordSet{Count: uint16(len(s.records.byName)), Digest: s.records.digest}
 }
 
 // Marks appends a mark of each record held to out: what a peer is told that is asked for the
@@ -295,15 +295,15 @@
 
 // compare takes in the digest of the records that a peer holds.
 func (l *pulls) compare(now time.Duration, p *peer, roster uint64, x *records) {
-	p.roster = roster
+	p.recordDigest = roster
 	if roster == x.digest {
-		p.rosterSince = 0
+		p.recordDigestSince = 0
 		return
 	}
-	if p.rosterSince == 0 {
-		p.rosterSince = now
+	if p.recordDigestSince == 0 {
+		p.recordDigestSince = now
 	}
-	if now-p.rosterSince < pullAfter || l.asked || p.pulledInVain == [2]uint64{roster, x.digest} {
+	if now-p.recordDigestSince < pullAfter || l.asked || p.pulledInVain == [2]uint64{roster, x.digest} {
 		return
 	}
 	if l.wanted == 0 || p.near {
@@ -313,7 +313,7 @@
 
 // Meets takes in which records an entry holds that answered a greeting: one that holds more is
 // asked for them at once.
-func (s *Scheduler) Meets(id uint64, r message.Roster) {
+func (s *Scheduler) Meets(id uint64, r message.RecordSet) {
 	if r.Digest != s.records.digest && int(r.Count) >= len(s.records.byName) && !s.pulls.asked {
 		s.pulls.wanted, s.pulls.notBefore = id, 0
 	}
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -22,17 +22,17 @@
 }
 
 // told is what a peer is known to have been told.
-type told struct {
+type revisionPair struct {
 	profiles, vms uint64
 }
 
 // behind reports whether a peer that has t lacks revisions of s.
-func (t told) behind(s State) bool {
+func (t revisionPair) behind(s State) bool {
 	return t.profiles < s.Profiles.Revision || t.vms < s.VMs.Revision
 }
 
-// toldSighting is the last sighting of an endpoint that a peer was told.
-type toldSighting struct {
+// sentLoadReport is the last sighting of an endpoint that a peer was told.
+type sentLoadReport struct {
 	incarnation   uint64
 	inFlight, own uint16
 	at            time.Duration
@@ -51,13 +51,13 @@
 	distance    int // on the ring from this entry to the peer; 0 if not on it
 	behind      int // on the ring from the peer to this entry
 
-	scheduled   bool // heartbeatAt is set
-	heartbeatAt time.Duration
-	sightingAt  time.Duration
-	urgentAt    time.Duration
-	recordsAt   time.Duration
+	scheduled    bool // heartbeatAt is set
+	heartbeatAt  time.Duration
+	loadReportAt time.Duration
+	urgentAt     time.Duration
+	recordsAt    time.Duration
 
-	told told
+	ackedRevisions revisionPair
 	// owed counts the claims that it is not known to have, eager those of them that it is
 	// to be told at once. owedSince is when owed was 0 last.
 	owed, eager int
@@ -68,20 +68,20 @@
 	// lagging says that it has not been told of the revisions in force, behindSince since when.
 	lagging     bool
 	behindSince time.Duration
-	sightings   map[string]toldSighting
+	loadReports map[string]sentLoadReport
 	// named are the endpoints that the link has named, with their incarnations.
 	named map[string]uint64
 
 	inFlight bool
 	sentAt   time.Duration
 	sequence uint64
-	offered  told     // becomes told when the message in flight is acked
-	underWay []*claim // becomes known when the message in flight is acked
-	carried  []*held  // the same of records
-	// roster is the digest of the records that it last said to hold, rosterSince since when that
+	offered  revisionPair      // becomes told when the message in flight is acked
+	underWay []*storedEvidence // becomes known when the message in flight is acked
+	carried  []*storedRecord   // the same of records
+	// recordDigest is the digest of the records that it last said to hold, recordDigestSince since when that
 	// has differed from this entry's; 0 if it does not.
-	roster      uint64
-	rosterSince time.Duration
+	recordDigest      uint64
+	recordDigestSince time.Duration
 	// pulledInVain are the digests of its records and of this entry's at the last pull that
 	// brought nothing.
 	pulledInVain [2]uint64
@@ -120,8 +120,8 @@
 	stats    Stats
 	// failed counts the failures in a row of entries of other regions.
 	failed map[uint64]int
-	// tellers are the entries that told this one something, and when they did last.
-	tellers map[uint64]time.Duration
+	// senders are the entries that told this one something, and when they did last.
+	senders map[uint64]time.Duration
 	relays  bool
 	version uint64
 	// moved says that peers changed since the topology was worked out at settledAt.
@@ -141,7 +141,7 @@
 
 		records: newRecords(),
 		failed:  make(map[uint64]int),
-		tellers: make(map[uint64]time.Duration),
+		senders: make(map[uint64]time.Duration),
 	}
 }
 
@@ -160,7 +160,7 @@
 	reach := 0
 	for _, id := range s.order {
 		p := s.peers[id]
-		if p.told.vms >= state.VMs.Revision && p.told.profiles >= state.Profiles.Revision {
+		if p.ackedRevisions.vms >= state.VMs.Revision && p.ackedRevisions.profiles >= state.Profiles.Revision {
 			reach = max(reach, p.delegates())
 		}
 	}
@@ -217,8 +217,8 @@
 	added := &peer{
 		incarnation: p.Incarnation, slot: slot, region: p.Region,
 		shares: p.Shares, suspected: p.Suspected,
-		owed: len(s.log.claims), owedSince: s.allow.at,
-		sightings: make(map[string]toldSighting), named: make(map[string]uint64),
+		owed: len(s.log.stored), owedSince: s.allow.at,
+		loadReports: make(map[string]sentLoadReport), named: make(map[string]uint64),
 	}
 	s.peers[p.Incarnation] = added
 	at, _ := slices.BinarySearch(s.order, p.Incarnation)
@@ -229,7 +229,7 @@
 func (s *Scheduler) removePeer(id uint64) {
 	p := s.peers[id]
 	s.slots[p.slot] = false
-	for _, c := range s.log.claims {
+	for _, c := range s.log.stored {
 		c.known.remove(p.slot)
 	}
 	s.records.forgetSlot(p.slot)
@@ -259,15 +259,15 @@
 
 const (
 	notDue urgency = iota
-	dueSightings
+	dueLoadReports
 	// dueCopy: it should have heard from others what this entry has not told it.
 	dueCopy
 	// dueRecords: records, which it hears from nobody else first. Where hundreds of entries
 	// start, one by one they would take the whole bound in headers; whoever misses one pulls it.
 	dueRecords
 	dueHeartbeat
-	// dueNews: revisions, which it hears from nobody else first.
-	dueNews
+	// dueRevisions: revisions, which it hears from nobody else first.
+	dueRevisions
 	// dueEvidence: the same with evidence.
 	dueEvidence
 	// dueOverdue: a heartbeat that is late by half a period goes before
@@ -278,8 +278,8 @@
 // floor is the share of the bound that a message leaves for others.
 func (u urgency) floor() float64 {
 	switch u {
-	case dueSightings:
-		return sightingFloor
+	case dueLoadReports:
+		return loadReportFloor
 	case dueCopy, dueRecords:
 		return copyFloor
 	case dueHeartbeat:
@@ -299,22 +299,22 @@
 	case now >= p.urgentAt && (p.lacks || p.eager > 0):
 		return dueEvidence
 	case now >= p.urgentAt && p.finger && s.revisionsDue(p):
-		return dueNews
+		return dueRevisions
 	case now >= p.heartbeatAt:
 		return dueHeartbeat
 	case now >= p.recordsAt && p.finger && s.records.due(p):
 		return dueRecords
 	case p.finger && s.copyDue(now, p):
 		return dueCopy
-	case p.shares && p.kind == linkMesh && now >= p.sightingAt:
-		return dueSightings
+	case p.shares && p.kind == linkMesh && now >= p.loadReportAt:
+		return dueLoadReports
 	}
 	return notDue
 }
 
 // revisionsDue reports whether a finger hears first from this entry what came into force.
 func (s *Scheduler) revisionsDue(p *peer) bool {
-	if !p.told.behind(s.state) {
+	if !p.ackedRevisions.behind(s.state) {
 		return false
 	}
 	return p.kind == linkRegion || p.distance < s.reach
@@ -323,7 +323,7 @@
 // isBehind reports whether the peer lacks news of s, and notes since when.
 func (p *peer) isBehind(now time.Duration, s State) bool {
 	was := p.lagging
-	p.lagging = p.told.behind(s)
+	p.lagging = p.ackedRevisions.behind(s)
 	if p.lagging && !was {
 		p.behindSince = now
 	}
@@ -337,7 +337,7 @@
 // between domains. Profiles are worth it, since they change rarely and have to be in force soon.
 func (s *Scheduler) copyDue(now time.Duration, p *peer) bool {
 	if p.isBehind(now, s.state) {
-		asks := p.near || p.told.profiles < s.state.Profiles.Revision
+		asks := p.near || p.ackedRevisions.profiles < s.state.Profiles.Revision
 		if asks && now-max(s.changedAt, p.sentAt) >= passedWithin || now-max(p.behindSince, p.sentAt) >= behindAtMost {
 			return true
 		}
@@ -379,7 +379,7 @@
 	s.records.cool(now)
 	if now >= s.expireAt {
 		s.expire(now)
-		s.forgetTellers(now)
+		s.forgetSenders(now)
 		s.expireAt = now + time.Second
 	}
 	var scratch [MaxPeers]duePeer
@@ -415,11 +415,11 @@
 // waiting is since when a peer has waited for a message of this urgency.
 func (p *peer) waiting(u urgency) time.Duration {
 	switch u {
-	case dueSightings:
-		return p.sightingAt
+	case dueLoadReports:
+		return p.loadReportAt
 	case dueRecords:
 		return p.recordsAt
-	case dueNews, dueEvidence:
+	case dueRevisions, dueEvidence:
 		return p.urgentAt
 	case dueCopy:
 		return p.sentAt
--- a/internal/core/gossip/size.go
+++ b/internal/core/gossip/size.go
@@ -21,9 +21,9 @@
 	evidenceBytes = 24
 	// contentBytes is what evidence of a request, or of a limit, has besides.
 	contentBytes = 27
-	// sightingBytes is an endpoint's load; nameBytes and the name are added the
+	// loadReportBytes is an endpoint's load; nameBytes and the name are added the
 	// first time that a link names the endpoint.
-	sightingBytes = 12
+	loadReportBytes = 12
 	// recordBytes is an entry's record beside its texts.
 	recordBytes = 48
 	nameBytes   = 16
@@ -34,7 +34,7 @@
 // Size returns an upper bound of what sending u costs in bytes on a link that
 // has named its endpoints and told its marks.
 func Size(u *message.Update) int {
-	size := heartbeatBytes + sightingBytes*len(u.Sightings)
+	size := heartbeatBytes + loadReportBytes*len(u.LoadReports)
 	for i := range u.Evidence {
 		size += evidenceSize(&u.Evidence[i])
 	}
@@ -60,17 +60,17 @@
 // has not been told yet. It must be asked before they are noted as told.
 func (p *peer) firstTime(u *message.Update) int {
 	extra := 0
-	if p.told.profiles != u.Profiles.Revision || p.told.vms != u.VMs.Revision {
+	if p.ackedRevisions.profiles != u.Profiles.Revision || p.ackedRevisions.vms != u.VMs.Revision {
 		extra = marksBytes
 	}
-	for i := range u.Sightings {
-		extra += p.naming(&u.Sightings[i])
+	for i := range u.LoadReports {
+		extra += p.naming(&u.LoadReports[i])
 	}
 	return extra
 }
 
 // naming returns what it costs to name the endpoint of a sighting.
-func (p *peer) naming(g *message.Sighting) int {
+func (p *peer) naming(g *message.LoadReport) int {
 	last, known := p.named[g.Endpoint]
 	if known && last == g.Incarnation {
 		return 0
@@ -83,8 +83,8 @@
 	if len(p.named) > maxTracked {
 		clear(p.named)
 	}
-	for i := range u.Sightings {
-		p.named[u.Sightings[i].Endpoint] = u.Sightings[i].Incarnation
+	for i := range u.LoadReports {
+		p.named[u.LoadReports[i].Endpoint] = u.LoadReports[i].Incarnation
 	}
 }
 
--- a/internal/core/gossip/stats.go
+++ b/internal/core/gossip/stats.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// lateNews is the age from which on a piece of evidence counts as learned late: below it lies
+// lateEvidence is the age from which on a piece of evidence counts as learned late: below it lies
 // what a sound fleet of hundreds of entries takes.
-const lateNews = time.Second
+const lateEvidence = time.Second
 
 // Stats tell how news gets through.
 type Stats struct {
@@ -22,7 +22,7 @@
 // Stats returns what was counted so far.
 func (s *Scheduler) Stats() Stats {
 	stats := s.stats
-	stats.Held = len(s.log.claims)
+	stats.Held = len(s.log.stored)
 	stats.Room = max(0, s.allow.room(0)) / (burst * s.allow.bytesRate)
 	for _, id := range s.order {
 		if p := s.peers[id]; p.finger {
@@ -38,7 +38,7 @@
 	case known:
 		s.Copies++
 		return
-	case time.Duration(ageMillis)*time.Millisecond >= lateNews:
+	case time.Duration(ageMillis)*time.Millisecond >= lateEvidence:
 		s.Late++
 	}
 	s.Pieces++
--- a/internal/core/gossip/topology.go
+++ b/internal/core/gossip/topology.go
@@ -144,7 +144,7 @@
 			kinds[id] = linkRegion
 		}
 	}
-	s.addTellers(kinds)
+	s.addSenders(kinds)
 	s.setLinks(kinds)
 	s.place(ring)
 	s.recountAll()
@@ -182,20 +182,20 @@
 	return kinds
 }
 
-// tellerKept is for how long a link is held with an entry that told this one something although
-// it need not, and tellersMost with how many of them: what it told of is asked of it. In a fleet
+// senderKept is for how long a link is held with an entry that told this one something although
+// it need not, and maxSenders with how many of them: what it told of is asked of it. In a fleet
 // that starts, views differ so much that there would be one with nearly everybody.
 const (
-	tellerKept  = 5 * time.Second
-	tellersMost = 8
+	senderKept = 5 * time.Second
+	maxSenders = 8
 )
 
-// addTellers adds the entries that tell this one something although they need not: their view
+// addSenders adds the entries that tell this one something although they need not: their view
 // of the fleet differs.
-func (s *Scheduler) addTellers(kinds map[uint64]linkKind) {
-	for id := range s.tellers {
+func (s *Scheduler) addSenders(kinds map[uint64]linkKind) {
+	for id := range s.senders {
 		if _, linked := kinds[id]; linked {
-			delete(s.tellers, id)
+			delete(s.senders, id)
 		} else {
 			kinds[id] = linkBack
 		}
--- a/internal/core/grant/grant.go
+++ b/internal/core/grant/grant.go
@@ -18,12 +18,12 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Verdict is whether an endpoint may get a request, and if not why.
-type Verdict uint8
+// Status is whether an endpoint may get a request, and if not why.
+type Status uint8
 
 // The verdicts.
 const (
-	Granted Verdict = iota
+	Granted Status = iota
 	// Leaving and Gone: its own end, which is final.
 	Leaving
 	Gone
@@ -39,13 +39,13 @@
 	LimitSpent
 )
 
-var verdictNames = [...]string{"granted", "leaving", "gone", "evacuated", "cold-elsewhere", "cold-spent", "limit-elsewhere", "limit-spent"}
+var statusNames = [...]string{"granted", "leaving", "gone", "evacuated", "cold-elsewhere", "cold-spent", "limit-elsewhere", "limit-spent"}
 
 // String returns the verdict as the log shows it.
-func (v Verdict) String() string { return verdictNames[v] }
+func (v Status) String() string { return statusNames[v] }
 
-// Of returns whether endpoint e of pool p may get a request now.
-func Of(now time.Duration, p *table.Pool, e *table.Endpoint) Verdict {
+// Check returns whether endpoint e of pool p may get a request now.
+func Check(now time.Duration, p *table.Pool, e *table.Endpoint) Status {
 	switch {
 	case e.State == table.EndpointLeaving:
 		return Leaving
@@ -91,16 +91,16 @@
 	return min(burst, p.Tokens+(now-p.At).Seconds()*rate)
 }
 
-// Told takes in how much longer the endpoint says that it stays cold; 0 says that it is warm.
-func Told(now time.Duration, e *table.Endpoint, left time.Duration) {
+// SetCold takes in how much longer the endpoint says that it stays cold; 0 says that it is warm.
+func SetCold(now time.Duration, e *table.Endpoint, left time.Duration) {
 	e.Cold.Until = 0
 	if left > 0 {
 		e.Cold.Until = now + left
 	}
 }
 
-// TurnedCold notes that the endpoint is cold as far as others say, for as long as that commonly
+// BecameCold notes that the endpoint is cold as far as others say, for as long as that commonly
 // takes in its pool, or until it tells more.
-func TurnedCold(now time.Duration, p *table.Pool, e *table.Endpoint) {
+func BecameCold(now time.Duration, p *table.Pool, e *table.Endpoint) {
 	e.Cold.Until = max(e.Cold.Until, now+p.ColdShare.Warmup)
 }
--- a/internal/core/grant/grant_test.go
+++ b/internal/core/grant/grant_test.go
@@ -22,7 +22,7 @@
 		name  string
 		share table.ColdShare
 		e     table.Endpoint
-		want  Verdict
+		want  Status
 	}{
 		{"warm", share, table.Endpoint{}, Granted},
 		{"leaving", share, table.Endpoint{State: table.EndpointLeaving}, Leaving},
@@ -40,7 +40,7 @@
 			c.e.Cold.At, c.e.Cold.Tokens = now, 0
 		}
 		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: c.share}
-		if got := Of(now, p, &p.Endpoints[0]); got != c.want {
+		if got := Check(now, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -123,7 +123,7 @@
 					continue
 				}
 				e := &s.pool.Endpoints[0]
-				for now >= quietUntil[i] && Of(now, &s.pool, e) == Granted {
+				for now >= quietUntil[i] && Check(now, &s.pool, e) == Granted {
 					Spend(now, &s.pool, e)
 					sent = append(sent, now)
 				}
--- a/internal/core/grant/limit.go
+++ b/internal/core/grant/limit.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// turnFor is how long the owners of a limited endpoint keep it without telling the fleet that
+	// ownerPeriodLength is how long the owners of a limited endpoint keep it without telling the fleet that
 	// the limit holds still; then others take their turn. Guards against an endpoint that gets
 	// nothing for good, and whose limit never ends, because its owners are down or have no callers.
-	turnFor = 10 * time.Second
+	ownerPeriodLength = 10 * time.Second
 	// renewAfter is after how long an owner tells the fleet that the limit holds still.
-	renewAfter = turnFor / 2
+	renewAfter = ownerPeriodLength / 2
 	// limitSettles is how long after news of a limit an answer that takes it back is not believed:
 	// it may have been given before.
 	limitSettles = 200 * time.Millisecond
 )
 
 // Turn returns which turn it is to own an endpoint that names a limit, and when it ends.
-func Turn(now time.Duration, e *table.Endpoint) (turn uint32, ends time.Duration) {
-	passed := max(0, now-e.Limit.ToldAt) / turnFor
-	return e.Limit.Turn + uint32(passed), e.Limit.ToldAt + (passed+1)*turnFor
+func OwnerPeriod(now time.Duration, e *table.Endpoint) (turn uint32, ends time.Duration) {
+	passed := max(0, now-e.Limit.SpreadAt) / ownerPeriodLength
+	return e.Limit.Period + uint32(passed), e.Limit.SpreadAt + (passed+1)*ownerPeriodLength
 }
 
 // limitKey names an endpoint in the division among entries.
@@ -85,5 +85,5 @@
 
 // RenewalDue reports whether an owner is to tell the fleet that the limit holds still.
 func RenewalDue(now time.Duration, e *table.Endpoint) bool {
-	return e.Limit.Own && now-e.Limit.ToldAt >= renewAfter
+	return e.Limit.Own && now-e.Limit.SpreadAt >= renewAfter
 }
--- a/internal/core/grant/limit_test.go
+++ b/internal/core/grant/limit_test.go
@@ -14,7 +14,7 @@
 	e := table.Endpoint{Name: "e", Domain: "0"}
 	SetLimit(now, &e, rate)
 	SetOwner(now, &e, own)
-	e.Limit.ToldAt = now
+	e.Limit.SpreadAt = now
 	return e
 }
 
@@ -26,7 +26,7 @@
 		name string
 		at   time.Duration
 		e    table.Endpoint
-		want Verdict
+		want Status
 	}{
 		{"of others", now + time.Hour, limitedAt(now, 10, false), LimitElsewhere},
 		{"its own, just named", now, limitedAt(now, 10, true), LimitSpent},
@@ -37,7 +37,7 @@
 		{"cold besides", now, cold, ColdElsewhere},
 	} {
 		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: Share(Warmup{PerSecond: 5})}
-		if got := Of(c.at, p, &p.Endpoints[0]); got != c.want {
+		if got := Check(c.at, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -85,10 +85,10 @@
 				e := &s.pool.Endpoints[0]
 				if now%(500*ms) == 0 {
 					view := &views[s.view]
-					turn, _ := Turn(now+view.offset, e)
+					turn, _ := OwnerPeriod(now+view.offset, e)
 					SetOwner(now, e, view.candidates.OwnsLimited(s.id, e, turn))
 				}
-				for Of(now, &s.pool, e) == Granted {
+				for Check(now, &s.pool, e) == Granted {
 					Spend(now, &s.pool, e)
 					sent = append(sent, now)
 				}
@@ -129,9 +129,9 @@
 	e.Domain = "1"
 	owners := map[uint64]bool{}
 	for k := range 30 {
-		now := time.Duration(k) * turnFor
-		turn, ends := Turn(now, &e)
-		if turn != uint32(k) || ends != now+turnFor {
+		now := time.Duration(k) * ownerPeriodLength
+		turn, ends := OwnerPeriod(now, &e)
+		if turn != uint32(k) || ends != now+ownerPeriodLength {
 			t.Fatalf("at %v turn %d until %v", now, turn, ends)
 		}
 		had := 0
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -118,9 +118,9 @@
 	return out
 }
 
-// mayHold reports whether an entry may hold keys that were handed over to it. One
+// mayAdopt reports whether an entry may hold keys that were handed over to it. One
 // that leaves answers for them until it has handed them on.
-func mayHold(e member.Entry) bool {
+func mayAdopt(e member.Entry) bool {
 	return !e.Suspected && (e.State == message.EntryServing || e.State == message.EntryLeaving)
 }
 
@@ -134,7 +134,7 @@
 	for i := range c.fleet.entries {
 		e := &c.fleet.entries[i]
 		if e.VM.Incarnation != home && fits(*e) {
-			best = append(best, scored{e.VM.Incarnation, duty.Score(key, dutyID(e.VM.Name))})
+			best = append(best, scored{e.VM.Incarnation, duty.Score(key, assignID(e.VM.Name))})
 		}
 	}
 	slices.SortFunc(best, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
--- a/internal/core/health/eject.go
+++ b/internal/core/health/eject.go
@@ -65,9 +65,9 @@
 	trialFailures = 0.25
 	// trialGap is the time between two trial requests.
 	trialGap = 250 * time.Millisecond
-	// trialPatience is how long the next trial is waited for. Where no request
+	// trialTimeout is how long the next trial is waited for. Where no request
 	// is idempotent, an endpoint comes back without a trial.
-	trialPatience = 5 * time.Second
+	trialTimeout = 5 * time.Second
 	// jitter is the part of an ejection's time that is left to chance, so that
 	// entries that ejected an endpoint together don't return to it together.
 	jitter = 0.5
@@ -75,7 +75,7 @@
 	mostDoublings = 20
 )
 
-var clears = fmt.Sprintf("%d good trial requests, or %s without one that is suited", trials, trialPatience)
+var clears = fmt.Sprintf("%d good trial requests, or %s without one that is suited", trials, trialTimeout)
 
 // Ejected reports whether the endpoint gets no ordinary work.
 func Ejected(now time.Duration, e *table.Endpoint) bool {
@@ -105,7 +105,7 @@
 		// Time asleep is neither time without failures nor time for trials.
 		h.CalmSince += gap
 		if h.EjectedUntil != 0 {
-			h.EjectedUntil = max(h.EjectedUntil, now+trialPatience)
+			h.EjectedUntil = max(h.EjectedUntil, now+trialTimeout)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		s.ejected++
 	}
 	h.TrialAt = s.now + s.duration(h.Ejections)
-	h.EjectedUntil = h.TrialAt + trialPatience
+	h.EjectedUntil = h.TrialAt + trialTimeout
 	if !cold(s.now, e) {
 		h.Ejections = min(h.Ejections+1, mostDoublings)
 	}
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -252,7 +252,7 @@
 				}
 			},
 		})
-		f.run(f.limits.Max + 3*trialPatience)
+		f.run(f.limits.Max + 3*trialTimeout)
 		if _, ejected := f.count(); ejected > 0 {
 			t.Fatalf("%d still ejected: %s", ejected, f.story)
 		}
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -195,7 +195,7 @@
 			return
 		}
 		if h.Samples > 0 {
-			h.EjectedUntil = max(h.EjectedUntil, h.SampledAt+trialPatience)
+			h.EjectedUntil = max(h.EjectedUntil, h.SampledAt+trialTimeout)
 		}
 		switch {
 		case h.FailureRate > trialFailures:
--- a/internal/core/watch.go
+++ b/internal/core/healthprobes.go
@@ -24,7 +24,7 @@
 func (c *Core) probeDue(now time.Duration, out *Actions) {
 	started := 0
 	for _, p := range c.poolRows {
-		if p.usesLooks() {
+		if p.usesLoadProbes() {
 			continue
 		}
 		c.assignProbes(p)
@@ -33,7 +33,7 @@
 			if e == nil {
 				break
 			}
-			if !p.watch.TrySpend(now, p.Slots()) {
+			if !p.healthProbes.TrySpend(now, p.Slots()) {
 				c.counters.ProbesDenied++
 				break
 			}
@@ -68,7 +68,7 @@
 	p.probedVersion = c.fleet.version
 	p.probed = p.probed[:0]
 	for i := range p.Endpoints {
-		owner := duty.ProbeOwner(c.fleet.dutyMembers, p.Endpoints[i].Name)
+		owner := duty.ProbeOwner(c.fleet.assignMembers, p.Endpoints[i].Name)
 		p.probed = append(p.probed, owner == c.fleet.selfID)
 	}
 }
@@ -82,7 +82,7 @@
 
 // lastSeen is when something was last learned of the endpoint's load, or asked.
 func lastSeen(e *table.Endpoint) time.Duration {
-	return max(e.Sighting.At, e.ProbedAt, e.AdmittedAt-probeAfter)
+	return max(e.Reported.At, e.ProbedAt, e.AdmittedAt-probeAfter)
 }
 
 // ProbeEnd feeds the result of a probe.
@@ -92,7 +92,7 @@
 		return
 	}
 	if end.Probe.Broken {
-		c.brokenAnswered(now, end, out)
+		c.brokenProbeEnd(now, end, out)
 		return
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
@@ -101,12 +101,12 @@
 	}
 	e := &p.Endpoints[i]
 	if end.Probe.Path != "" || end.Probe.Request != 0 {
-		c.lookEnd(now, p, e, end, out)
+		c.loadProbeEnd(now, p, e, end, out)
 		c.drainPool(now, p, out)
 		return
 	}
 	if over := end.Latency - c.cfg.ProbeCost; over > 0 {
-		p.watch.Charge(over)
+		p.healthProbes.Charge(over)
 	}
 	if !end.OK {
 		health.Observe(now, e, health.Observation{Outcome: health.ConnectFailed})
@@ -114,9 +114,9 @@
 	}
 	if end.Load.Known {
 		foreign := max(0, end.Load.InFlight+end.Load.Queued-int(e.Outstanding))
-		e.Sighting = table.Sighting{Foreign: int32(foreign), At: now, Seen: true}
+		e.Reported = table.ReportedLoad{Foreign: int32(foreign), At: now, Seen: true}
 	}
-	c.claimFromAnswer(now, e, end.Draining, end.Seen, out)
+	c.evidenceFromAnswer(now, e, end.Draining, end.Seen, out)
 	c.drainPool(now, p, out)
 }
 
--- a/internal/core/watch_test.go
+++ b/internal/core/healthprobes_test.go
@@ -15,10 +15,10 @@
 func TestProbesStayWithinTheBudget(t *testing.T) {
 	const entries, share, slots = 8, 0.04, 12
 	for _, slow := range []time.Duration{0, 50 * ms} {
-		r := newRig(t, entries)
+		r := newClusterHarness(t, entries)
 		r.probeTime = r.probeTime + slow
 		r.list(1, sixCounts...)
-		r.cut = func(from, to *node) bool { return r.now < 10*sec || r.now > 30*sec && halves(from, to) }
+		r.cut = func(from, to *node) bool { return r.now < 10*sec || r.now > 30*sec && separatesHalves(from, to) }
 		for range 6 {
 			r.run(5 * sec)
 		}
@@ -49,7 +49,7 @@
 // again, and nothing would be known of the last ones in the morning. The one
 // seen longest ago goes first, so each has its turn.
 func TestEveryEndpointIsProbedInTurn(t *testing.T) {
-	r := newRig(t, 1)
+	r := newClusterHarness(t, 1)
 	var names []string
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("waste/w%d", i+1))
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -22,10 +22,10 @@
 		return true
 	}
 	v := c.keys.Begin(now, r.arrival.Key, r.arrival.Caller, r.arrival.Digest)
-	return c.applyVerdict(now, r, v, out)
+	return c.applyDecision(now, r, v, out)
 }
 
-func (c *Core) applyVerdict(now time.Duration, r *request, v idem.Verdict, out *Actions) bool {
+func (c *Core) applyDecision(now time.Duration, r *request, v idem.Decision, out *Actions) bool {
 	switch v.Kind {
 	case idem.Run:
 		r.keyed = true
@@ -39,13 +39,13 @@
 	case idem.NotHome:
 		c.forwardHome(now, r, v.Home, out)
 	default:
-		c.replyVerdict(now, r, v.Kind, out)
+		c.replyDecision(now, r, v.Kind, out)
 	}
 	return false
 }
 
-// verdictReplies says what a caller is told for verdicts that end the request.
-var verdictReplies = map[idem.VerdictKind]struct {
+// decisionReplies says what a caller is told for verdicts that end the request.
+var decisionReplies = map[idem.DecisionKind]struct {
 	outcome Outcome
 	reason  Reason
 }{
@@ -61,8 +61,8 @@
 	idem.HomeUnknown:    {OutcomeUnknown, ReasonHomeLost},
 }
 
-func (c *Core) replyVerdict(now time.Duration, r *request, kind idem.VerdictKind, out *Actions) {
-	told := verdictReplies[kind]
+func (c *Core) replyDecision(now time.Duration, r *request, kind idem.DecisionKind, out *Actions) {
+	told := decisionReplies[kind]
 	c.counters.Refused[told.reason]++
 	c.countOutcome(told.outcome)
 	after := c.retryAfter(now, r, told.reason)
@@ -109,14 +109,14 @@
 	if int(r.dispatches) >= MaxAttempts || !r.replayable || now >= r.deadline {
 		return false
 	}
-	address, ok := c.nextHolder(r, home)
+	address, ok := c.nextKeyOwner(r, home)
 	if !ok {
 		return false
 	}
 	c.counters.Forwarded++
 	r.phase = phaseForwarded
 	r.dispatches++
-	r.attempts[r.dispatches] = attempt{live: true, forward: true, index: -1, at: now}
+	r.attempts[r.dispatches] = attempt{live: true, forward: true, index: -1, sentAt: now}
 	out.request(Directive{
 		ID:       r.arrival.ID,
 		Step:     StepForward,
@@ -128,10 +128,10 @@
 	return true
 }
 
-// nextHolder returns the address of the first entry that may know a key of home
+// nextKeyOwner returns the address of the first entry that may know a key of home
 // and was not asked yet for r.
-func (c *Core) nextHolder(r *request, home uint64) (string, bool) {
-	holders := append([]uint64{home}, c.successorsOf(home, successorCount+joinedMeanwhile, mayHold)...)
+func (c *Core) nextKeyOwner(r *request, home uint64) (string, bool) {
+	holders := append([]uint64{home}, c.successorsOf(home, successorCount+joinedMeanwhile, mayAdopt)...)
 	for _, incarnation := range holders {
 		address, known := c.fleet.callerAddressOf(incarnation)
 		if !known || incarnation == c.cfg.Self.Incarnation || slices.Contains(r.asked, incarnation) {
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -13,7 +13,7 @@
 
 // model drives three entries through faults that rapid draws.
 type model struct {
-	*rig
+	*clusterHarness
 	t    *rapid.T
 	cuts map[[2]string]bool
 	// asked are the requests of callers, by entry and number.
@@ -116,8 +116,8 @@
 			m.do(last.n, func(now time.Duration, out *Actions) { last.n.CallerGone(now, last.id, out) })
 		}
 	case 7:
-		if len(m.under) > 0 { // an older message is overtaken
-			l := &m.under[m.pick("message", len(m.under))]
+		if len(m.underWay) > 0 { // an older message is overtaken
+			l := &m.underWay[m.pick("message", len(m.underWay))]
 			l.at = max(l.at, m.now) + time.Duration(m.pick("late", 30))*100*ms
 		}
 	}
@@ -162,7 +162,7 @@
 	seen := map[string]bool{}
 	for _, q := range m.asked {
 		text := body(q.a)
-		got, answered := q.n.told[q.id]
+		got, answered := q.n.replies[q.id]
 		switch {
 		case got.twice:
 			m.t.Fatalf("%s was answered twice", text)
@@ -190,7 +190,7 @@
 // otherwise, and nobody gets another request's answer.
 func TestStatementsHoldThroughFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &model{rig: newRig(t, 0), t: rt, cuts: map[[2]string]bool{}}
+		m := &model{clusterHarness: newClusterHarness(t, 0), t: rt, cuts: map[[2]string]bool{}}
 		m.tick = 25 * ms
 		m.config = func(cfg *Config) {
 			cfg.MaxInFlight = 6
@@ -199,7 +199,7 @@
 		}
 		m.cut = func(from, to *node) bool { return m.cuts[[2]string{from.hello.Name, to.hello.Name}] }
 		m.endpoint = m.react
-		m.dial = func() time.Duration { return []time.Duration{hop, hop, hop, 400 * ms, 3 * sec}[m.pick("dial", 5)] }
+		m.dial = func() time.Duration { return []time.Duration{lag, lag, lag, 400 * ms, 3 * sec}[m.pick("dial", 5)] }
 		m.republish(1, "[profile.waste]", "[profile.waste]\nretry_budget = 1", "[profile.photos]", "[profile.photos]\nretry_budget = 1")
 		for i := range 3 {
 			m.start(i)
@@ -222,7 +222,7 @@
 		m.run(12 * sec)
 		m.check()
 		for _, q := range m.asked {
-			if _, answered := q.n.told[q.id]; !answered && !q.n.dead {
+			if _, answered := q.n.replies[q.id]; !answered && !q.n.dead {
 				if _, there := q.n.requests[q.id]; there {
 					rt.Fatalf("%s still waits", body(q.a))
 				}
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -38,7 +38,7 @@
 		changes = append(changes, member.Change{Kind: kind, VM: published.VM{Name: fmt.Sprint("vm-", i), Role: published.EndpointRole}, Why: "listed"})
 	}
 	var out Actions
-	noteChanges(changes, "list", &out)
+	auditChanges(changes, "list", &out)
 	var lines []string
 	for _, n := range out.Notes {
 		lines = append(lines, n.Action+" "+n.Subject)
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -79,7 +79,7 @@
 }
 
 const (
-	largeHop    = 2 * time.Millisecond
+	largeLag    = 2 * time.Millisecond
 	largeTick   = 50 * time.Millisecond
 	callTimeout = time.Second
 	redial      = 300 * time.Millisecond
@@ -226,19 +226,19 @@
 			f.post(redial, func() { delete(e.linked, address) })
 			return
 		}
-		f.post(largeHop, func() { f.greet(e, to) })
+		f.post(largeLag, func() { f.greet(e, to) })
 	})
 }
 
 // greet exchanges the first messages of a link.
 func (f *largeFleet) greet(e, to *largeEntry) {
 	h := e.hello
-	h.Says, h.Knows = e.Says(), e.Roster()
+	h.Status, h.Records = e.OwnStatus(), e.RecordSet()
 	f.work(to, dialTakes, func() {
 		f.do(to, func(now time.Duration, out *Actions) { to.Introduce(now, h, out) })
 		answer := to.hello
-		answer.Says, answer.Knows = to.Says(), to.Roster()
-		f.post(largeHop, func() {
+		answer.Status, answer.Records = to.OwnStatus(), to.RecordSet()
+		f.post(largeLag, func() {
 			f.work(e, messageTakes, func() {
 				e.linked[answer.PeerAddress] = true
 				f.do(e, func(now time.Duration, out *Actions) { e.Met(now, answer, out) })
@@ -267,11 +267,11 @@
 		return
 	}
 	sent := f.now
-	f.post(largeHop, func() {
+	f.post(largeLag, func() {
 		f.work(to, messageTakes+time.Duration(len(u.Update.Records))*recordTakes, func() {
 			known := false
 			f.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
-			receipt := message.Receipt{Acked: known, Known: to.EvidenceDigest(), Roster: to.Roster().Digest}
+			receipt := message.Receipt{Acked: known, Known: to.EvidenceDigest(), RecordDigest: to.RecordSet().Digest}
 			if !known {
 				delete(e.linked, u.Address)
 			}
@@ -279,7 +279,7 @@
 				lost()
 				return
 			}
-			f.post(largeHop, func() {
+			f.post(largeLag, func() {
 				f.work(e, messageTakes/2, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, receipt) })
 			})
 		})
@@ -298,11 +298,11 @@
 		f.post(callTimeout, func() { done(nil, false) })
 		return
 	}
-	f.post(largeHop, func() {
+	f.post(largeLag, func() {
 		f.work(to, messageTakes, func() {
 			records := to.RecordsBeyond(p.Marks)
 			slices.SortFunc(records, func(a, b message.Record) int { return cmp.Compare(a.Name, b.Name) })
-			f.post(largeHop, func() { done(records, true) })
+			f.post(largeLag, func() { done(records, true) })
 		})
 	})
 }
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -27,7 +27,7 @@
 	}
 	r.run(200 * ms)
 	for id := range r.nextID {
-		if got := n.told[id+1]; got.Outcome != OutcomeDone {
+		if got := n.replies[id+1]; got.Outcome != OutcomeDone {
 			t.Errorf("request %d: told %v (%v)", id+1, got.Outcome, got.Reason)
 		}
 	}
--- a/internal/core/lifetime_test.go
+++ b/internal/core/lifetime_test.go
@@ -21,9 +21,9 @@
 	p := n.pools["counts"]
 	before := &p.Endpoints[p.find("c1", 5)]
 	placement.NoteOutcome(r.now, before, true)
-	before.See(table.Look{Running: 2, Slots: 2, Pace: 500, At: r.now, Seen: true})
+	before.NoteProbed(table.ProbedLoad{Running: 2, Slots: 2, Pace: 500, At: r.now, Seen: true})
 	leaving := message.Evidence{VM: "c1", Incarnation: 5, Kind: message.EvidenceLeaving}
-	r.do(n, func(_ time.Duration, out *Actions) { n.claim(r.now, out, leaving) })
+	r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, leaving) })
 	r.run(sec) // the other entry is told
 	clear(r.written)
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
@@ -37,11 +37,11 @@
 		t.Fatalf("not known: %+v", p.Endpoints)
 	}
 	e := &p.Endpoints[i]
-	if e.State != table.EndpointLive || e.Doubt != 0 || e.Look.Running != 0 || e.Slots >= e.Listed {
+	if e.State != table.EndpointLive || e.Doubt != 0 || e.Probed.Running != 0 || e.Slots >= e.Listed {
 		t.Errorf("the new one is taken for the old one: %+v", e)
 	}
 	for _, late := range []message.Evidence{leaving, {VM: "c1", Incarnation: 5, Kind: message.EvidenceStopped, AgeMillis: 3000}} {
-		r.do(n, func(_ time.Duration, out *Actions) { n.claim(r.now, out, late) })
+		r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, late) })
 	}
 	clear(r.written)
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
@@ -67,7 +67,7 @@
 		t.Errorf("the new one holds what the old one was sent: %+v", p.Endpoints)
 	}
 	r.run(5 * sec)
-	if got := n.told[id]; got.Outcome == OutcomeNotRun {
+	if got := n.replies[id]; got.Outcome == OutcomeNotRun {
 		t.Errorf("told %+v", got)
 	}
 }
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -34,8 +34,8 @@
 	limitDiffers = 0.25
 )
 
-// toldLimit takes in the limit that an endpoint names in an answer, 0 if it names none.
-func (c *Core) toldLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
+// reportedLimit takes in the limit that an endpoint names in an answer, 0 if it names none.
+func (c *Core) reportedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	limit := &e.Limit
 	from, owners, renew := limit.Rate, limit.Owners, grant.RenewalDue(now, e)
 	rises := from > 0 && (rate == 0 || rate > from)
@@ -46,32 +46,32 @@
 	if rate != from && limit.Owners == owners && differsLittle(from, rate) && !renew {
 		return
 	}
-	c.tellLimit(now, e)
+	c.spreadLimit(now, e)
 	p.noteLimits()
 	if rate != from {
 		c.noteLimit(e, from, "its answer says so", out)
 	}
 }
 
-// tellLimit has the fleet told what an endpoint takes.
-func (c *Core) tellLimit(now time.Duration, e *table.Endpoint) {
+// spreadLimit has the fleet told what an endpoint takes.
+func (c *Core) spreadLimit(now time.Duration, e *table.Endpoint) {
 	limit := &e.Limit
-	limit.Turn, _ = grant.Turn(now, e)
-	limit.ToldAt = now
+	limit.Period, _ = grant.OwnerPeriod(now, e)
+	limit.SpreadAt = now
 	limit.Version++
-	told := message.Limit{Rate: limit.Rate, Version: limit.Version, Turn: limit.Turn}
+	told := message.Limit{Rate: limit.Rate, Version: limit.Version, Period: limit.Period}
 	c.limits[endpointID{e.Name, e.Incarnation}] = knownLimit{told, now}
 	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: told}})
 }
 
-// lookedLimit is toldLimit for the answer to a look. That it names none says something only of an
+// probedLimit is reportedLimit for the answer to a look. That it names none says something only of an
 // endpoint that names its limit in such answers as well.
-func (c *Core) lookedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
+func (c *Core) probedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	if rate > 0 {
-		e.Limit.InLooks = true
+		e.Limit.InProbes = true
 	}
-	if e.Limit.InLooks {
-		c.toldLimit(now, p, e, rate, out)
+	if e.Limit.InProbes {
+		c.reportedLimit(now, p, e, rate, out)
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	from := e.Limit.Rate
 	grant.SetLimit(now, e, known.Rate)
-	e.Limit.Version, e.Limit.Turn, e.Limit.ToldAt = known.Version, known.Turn, known.at
+	e.Limit.Version, e.Limit.Period, e.Limit.SpreadAt = known.Version, known.Period, known.at
 	p.noteLimits()
 	if from != known.Rate {
 		c.noteLimit(e, from, actor+" says so", out)
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -9,7 +9,7 @@
 )
 
 // sentSince counts the attempts sent to an endpoint since a time.
-func (y *yard) sentSince(name string, since time.Duration) (n int) {
+func (y *entryHarness) sentSince(name string, since time.Duration) (n int) {
 	for i, to := range y.sent {
 		if to == name && y.sentAt[i] >= since {
 			n++
@@ -24,19 +24,19 @@
 	for _, c := range []struct {
 		name     string
 		endpoint int
-		others   func(b *box)
+		others   func(b *simEndpoint)
 	}{
-		{"others are idle", 4, func(*box) {}},
-		{"others are full", 2, func(b *box) { b.running, b.waiting = 2, 4 }},
-		{"it is alone", 1, func(*box) {}},
+		{"others are idle", 4, func(*simEndpoint) {}},
+		{"others are full", 2, func(b *simEndpoint) { b.running, b.waiting = 2, 4 }},
+		{"it is alone", 1, func(*simEndpoint) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newYard(t, idle(c.endpoint, "d0")...)
+			y := newEntryHarness(t, idle(c.endpoint, "d0")...)
 			y.learn(8)
 			y.run(2 * sec)
-			limited := y.box("d0-0")
+			limited := y.endpoint("d0-0")
 			limited.limit = 2
-			for _, b := range y.boxes[1:] {
+			for _, b := range y.endpoints[1:] {
 				c.others(b)
 			}
 			y.press(20*ms, sec)
@@ -59,7 +59,7 @@
 // Guards against a limit that is forgotten for an answer that says nothing of it: a refusal, a failure, an
 // answer from before, or to a look.
 func TestLimitHoldsUntilAnAnswerSaysOtherwise(t *testing.T) {
-	y := newYard(t, idle(2, "d0")...)
+	y := newEntryHarness(t, idle(2, "d0")...)
 	y.learn(8)
 	y.run(2 * sec)
 	e := &y.pools["p"].Endpoints[0]
@@ -171,7 +171,7 @@
 
 // Guards against limits of endpoints that have gone, or never were, which fill the memory.
 func TestLimitsAreForgotten(t *testing.T) {
-	y := newYard(t, idle(1, "d0")...)
+	y := newEntryHarness(t, idle(1, "d0")...)
 	var evidence []message.Evidence
 	for i := range limitsMost + 100 {
 		evidence = append(evidence, message.Evidence{VM: limitSubject + fmt.Sprint("x", i), Incarnation: 1, Kind: message.EvidenceLimit,
--- a/internal/core/looks_test.go
+++ b/internal/core/loadprobes_test.go
@@ -18,21 +18,21 @@
 func TestChoiceByLook(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		boxes []*box
+		boxes []*simEndpoint
 		kind  route.Kind
 		want  string
 	}{
-		{"the idle one", []*box{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", running: 1}}, route.Idempotent, "b"},
-		{"the one of usual pace", []*box{{name: "a", domain: "d0", pace: 500}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", pace: 500}}, route.Idempotent, "b"},
-		{"one slot taken beats both", []*box{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
-		{"one that says nothing is left", []*box{{name: "a", domain: "d0", silent: true}, {name: "b", domain: "d0"}}, route.NonIdempotent, "b"},
-		{"another endpoint at the address", []*box{{name: "a", domain: "d0", misdirected: true}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
-		{"another domain when the own is full", []*box{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 2},
+		{"the idle one", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", running: 1}}, route.Idempotent, "b"},
+		{"the one of usual pace", []*simEndpoint{{name: "a", domain: "d0", pace: 500}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", pace: 500}}, route.Idempotent, "b"},
+		{"one slot taken beats both", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
+		{"one that says nothing is left", []*simEndpoint{{name: "a", domain: "d0", silent: true}, {name: "b", domain: "d0"}}, route.NonIdempotent, "b"},
+		{"another endpoint at the address", []*simEndpoint{{name: "a", domain: "d0", misdirected: true}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
+		{"another domain when the own is full", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 2},
 			{name: "c", domain: "d0", running: 2}, {name: "d", domain: "d1"}}, route.Idempotent, "d"},
-		{"nobody answers: somebody is tried", []*box{{name: "a", domain: "d0", silent: true}}, route.Idempotent, "a"},
+		{"nobody answers: somebody is tried", []*simEndpoint{{name: "a", domain: "d0", silent: true}}, route.Idempotent, "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newYard(t, c.boxes...)
+			y := newEntryHarness(t, c.boxes...)
 			y.ask(c.kind, 3*sec)
 			y.run(60 * ms)
 			if !slices.Equal(y.sent, []string{c.want}) {
@@ -46,7 +46,7 @@
 // another one at its address, is chosen last, and again soon after it is well.
 func TestOutcomesCountMoreThanStatements(t *testing.T) {
 	boxes := idle(2, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(8)
 	e := &y.pools["p"].Endpoints[y.pools["p"].find("d0-0", 1)]
 	for range 4 {
@@ -76,12 +76,12 @@
 // The endpoints of a service tell no load. Looks are worth nothing there and are given
 // up; requests are sent by what the entry itself has under way.
 func TestEndpointsThatTellNoLoad(t *testing.T) {
-	y := newYard(t, idle(3, "d0")...)
-	y.pools["p"].loadless = loadlessLooks
+	y := newEntryHarness(t, idle(3, "d0")...)
+	y.pools["p"].loadless = maxLoadlessProbes
 	id := y.ask(route.Idempotent, 3*sec)
 	y.run(10 * ms)
-	if len(y.open[id]) != 1 || len(y.looked) != 0 {
-		t.Errorf("attempts %v, looks %v", y.open[id], y.looked)
+	if len(y.open[id]) != 1 || len(y.probed) != 0 {
+		t.Errorf("attempts %v, looks %v", y.open[id], y.probed)
 	}
 }
 
@@ -89,9 +89,9 @@
 // their shares, whatever the weights, and also when the split is published again.
 func TestSplitKeepsItsShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		y := newYard(t, idle(1, "d0")...)
+		y := newEntryHarness(t, idle(1, "d0")...)
 		a, b := rapid.IntRange(1, 99).Draw(rt, "a"), rapid.IntRange(1, 99).Draw(rt, "b")
-		d := yardRoutes(route.Part{Service: "p", Weight: float64(a)}, route.Part{Service: "q", Weight: float64(b)})
+		d := harnessRoutes(route.Part{Service: "p", Weight: float64(a)}, route.Part{Service: "q", Weight: float64(b)})
 		y.publish(2, d)
 		var got []string
 		for i := range 600 {
@@ -120,9 +120,9 @@
 // service. The request stays with what was in force when its head arrived; a new one
 // follows the new routes, and one whose route is gone is told so.
 func TestRequestKeepsItsRoute(t *testing.T) {
-	y := newYard(t, idle(2, "d0")...)
+	y := newEntryHarness(t, idle(2, "d0")...)
 	before := y.AdmitRoute("a", "/non_idempotent/x")
-	d := yardRoutes(route.Part{Service: "q", Weight: 1})
+	d := harnessRoutes(route.Part{Service: "q", Weight: 1})
 	d.Routes = d.Routes[:2]
 	y.publish(2, d)
 	y.nextID++
@@ -148,7 +148,7 @@
 // Entries that look before each choice have no use for what others saw. Told nevertheless,
 // it costs bytes and processor time for nothing.
 func TestNoSightingsWhereEndpointsAreLookedAt(t *testing.T) {
-	y := newYard(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idle(3, "d0")...)
 	peer := message.Hello{Name: "other", Incarnation: 2, Region: "r", Domain: "d1", CallerAddress: "10.0.0.2:80", PeerAddress: "10.0.0.2:81"}
 	y.do(func(out *Actions) { y.Introduce(y.now, peer, out) })
 	y.learn(20)
@@ -156,8 +156,8 @@
 		t.Fatal("the peer was told nothing")
 	}
 	for _, u := range y.updates {
-		if len(u.Update.Sightings) > 0 {
-			t.Fatalf("told of %+v", u.Update.Sightings)
+		if len(u.Update.LoadReports) > 0 {
+			t.Fatalf("told of %+v", u.Update.LoadReports)
 		}
 	}
 }
@@ -166,24 +166,24 @@
 // endpoint; counted with those that are gone, twice as many were made at those that are left
 // (3,000 a second at 21 endpoints where 60 each were allowed).
 func TestLooksAreBoundedByEndpointsThatLive(t *testing.T) {
-	y := newYard(t, idle(8, "d0")...)
+	y := newEntryHarness(t, idle(8, "d0")...)
 	p := y.poolRows[0]
 	for i := range p.Endpoints[2:] {
 		p.Endpoints[2+i].State = table.EndpointGone
 	}
-	y.cfg.LooksPerEndpoint = 10
-	p.looks = budget.NewLooks(10)
+	y.cfg.LoadProbesPerEndpoint = 10
+	p.loadProbes = budget.NewLoadProbes(10)
 	p.Endpoints[0].State, p.Endpoints[1].State = table.EndpointLive, table.EndpointLive
-	for _, b := range y.boxes {
+	for _, b := range y.endpoints {
 		b.running, b.waiting = 2, 1
 	}
-	y.looked = nil
+	y.probed = nil
 	const span = 4
 	for range span * 100 {
 		y.ask(route.Idempotent, 3*sec)
 		y.run(10 * ms)
 	}
-	if most := span * 10 * 2; len(y.looked) > most+2*10 {
-		t.Errorf("%d looks at two endpoints in %d s, %d allowed", len(y.looked), span, most)
+	if most := span * 10 * 2; len(y.probed) > most+2*10 {
+		t.Errorf("%d looks at two endpoints in %d s, %d allowed", len(y.probed), span, most)
 	}
 }
--- a/internal/core/lostdomain_test.go
+++ b/internal/core/lostdomain_test.go
@@ -14,16 +14,16 @@
 func TestLostFailureDomainIsLeftAlone(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		lose func(b *box)
+		lose func(b *simEndpoint)
 		most int
 	}{
-		{"connections are refused", func(b *box) { b.dead = true }, 0},
-		{"nothing answers", func(b *box) { b.dead, b.silent = true, true }, 2},
+		{"connections are refused", func(b *simEndpoint) { b.dead = true }, 0},
+		{"nothing answers", func(b *simEndpoint) { b.dead, b.silent = true, true }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newYard(t, append(idle(30, "d0"), idle(12, "d1")...)...)
+			y := newEntryHarness(t, append(idle(30, "d0"), idle(12, "d1")...)...)
 			y.learn(8)
-			for _, b := range y.boxes {
+			for _, b := range y.endpoints {
 				if b.domain == "d0" {
 					c.lose(b)
 				}
@@ -34,7 +34,7 @@
 				y.run(20 * ms)
 				for _, id := range ids {
 					for n := range y.open[id] {
-						if d := y.open[id][n]; !y.box(d.Endpoint).dead {
+						if d := y.open[id][n]; !y.endpoint(d.Endpoint).dead {
 							y.answer(id, n, 200)
 						}
 					}
@@ -51,15 +51,15 @@
 				t.Errorf("%d of %d were refused although another failure domain has room", refused, len(ids))
 			}
 			near := 0
-			for _, name := range y.looked {
-				if y.box(name).domain == "d0" {
+			for _, name := range y.probed {
+				if y.endpoint(name).domain == "d0" {
 					near++
 				}
 			}
 			if near > len(ids) {
 				t.Errorf("%d looks at the lost domain for %d requests", near, len(ids))
 			}
-			for _, b := range y.boxes {
+			for _, b := range y.endpoints {
 				b.dead, b.silent = false, false
 			}
 			y.run(3 * sec)
--- a/internal/core/member/claim.go
+++ b/internal/core/member/claim.go
@@ -8,9 +8,9 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Claim takes in evidence from a peer, or from an endpoint's own answer. It is
+// ApplyEvidence takes in evidence from a peer, or from an endpoint's own answer. It is
 // final for its incarnation, also when the VM is not known yet.
-func (t *Table) Claim(now time.Duration, e message.Evidence) []Change {
+func (t *Table) ApplyEvidence(now time.Duration, e message.Evidence) []Change {
 	if e.VM == "" || e.Incarnation == 0 || !t.judge(now, e) {
 		return nil
 	}
@@ -44,21 +44,21 @@
 		r.seenAt, r.answered, r.rival = now, true, 0
 		return nil
 	}
-	if t.verdicts.isGone(name, incarnation) {
+	if t.departures.isGone(name, incarnation) {
 		return nil // a late answer of the process that was there before
 	}
 	if r.rival != incarnation {
 		r.rival = incarnation
 		return nil
 	}
-	return t.Claim(now, message.Evidence{VM: name, Incarnation: r.vm.Incarnation, Kind: message.EvidenceReplaced})
+	return t.ApplyEvidence(now, message.Evidence{VM: name, Incarnation: r.vm.Incarnation, Kind: message.EvidenceReplaced})
 }
 
 // Introduce takes in an entry that opened a link and said who it is. It may be
 // newer than the platform's list, which numbers VMs and not processes: whatever
 // the list says of its VM stays with it.
 func (t *Table) Introduce(now time.Duration, vm published.VM) []Change {
-	if unusable(vm) != "" || !isEntry(vm) || t.verdicts.isGone(vm.Name, vm.Incarnation) {
+	if unusable(vm) != "" || !isEntry(vm) || t.departures.isGone(vm.Name, vm.Incarnation) {
 		return nil
 	}
 	r := t.rows[vm.Name]
@@ -113,7 +113,7 @@
 
 func (t *Table) hear(now time.Duration, r *row, state message.EntryState) []Change {
 	r.seenAt, r.unreachable, r.accused, r.contested = now, false, false, false
-	return append(t.returned(r, "it was heard again"), t.says(now, r, state)...)
+	return append(t.returned(r, "it was heard again"), t.takeState(now, r, state)...)
 }
 
 // returned ends the suspicion of an entry.
@@ -126,8 +126,8 @@
 	return []Change{{Kind: EntryReturned, VM: r.vm, Why: why}}
 }
 
-// says takes in the state of an entry as it tells it, itself or by others.
-func (t *Table) says(now time.Duration, r *row, state message.EntryState) []Change {
+// takeState takes in the state of an entry as it tells it, itself or by others.
+func (t *Table) takeState(now time.Duration, r *row, state message.EntryState) []Change {
 	var changes []Change
 	if !r.leaving && (state > r.state || !r.spoke) && state != r.state {
 		r.state = state
@@ -153,10 +153,10 @@
 	return t.hear(now, r, r.state)
 }
 
-// Told takes in what an entry tells of itself by way of others. It says nothing about the way
+// PeerReported takes in what an entry tells of itself by way of others. It says nothing about the way
 // between it and this entry.
-func (t *Table) Told(now time.Duration, vm published.VM, state message.EntryState, version uint32) []Change {
-	if unusable(vm) != "" || !isEntry(vm) || vm.Incarnation == t.cfg.Self || t.verdicts.isGone(vm.Name, vm.Incarnation) {
+func (t *Table) PeerReported(now time.Duration, vm published.VM, state message.EntryState, version uint32) []Change {
+	if unusable(vm) != "" || !isEntry(vm) || vm.Incarnation == t.cfg.Self || t.departures.isGone(vm.Name, vm.Incarnation) {
 		return nil
 	}
 	r := t.rows[vm.Name]
@@ -169,12 +169,12 @@
 		}
 		r.version, r.accused = version, false
 		r.contested = r.contested || r.suspected && r.watched
-		return append(t.returned(r, "others heard it"), t.says(now, r, state)...)
+		return append(t.returned(r, "others heard it"), t.takeState(now, r, state)...)
 	}
 	changes := t.introduce(now, r, vm, "a peer told of it")
 	next := t.rows[vm.Name]
 	next.version = version
-	return append(changes, t.says(now, next, state)...)
+	return append(changes, t.takeState(now, next, state)...)
 }
 
 // Version notes the version of the record that an entry itself told.
--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -42,20 +42,20 @@
 	// RememberFor is how long the end of an incarnation is remembered after it
 	// was last mentioned.
 	RememberFor time.Duration
-	// MaxVerdicts bounds how many of them are remembered.
-	MaxVerdicts int
+	// MaxDepartures bounds how many of them are remembered.
+	MaxDepartures int
 }
 
 // The defaults of Config.
 const (
-	defaultHoldShare    = 0.25
-	defaultHoldFor      = time.Minute
-	defaultMissingAfter = 30 * time.Second
-	defaultKeepLast     = 24 * time.Hour
-	defaultHeartbeat    = time.Second
-	defaultGoneAfter    = time.Minute
-	defaultRememberFor  = 2 * time.Hour
-	defaultMaxVerdicts  = 4096
+	defaultHoldShare     = 0.25
+	defaultHoldFor       = time.Minute
+	defaultMissingAfter  = 30 * time.Second
+	defaultKeepLast      = 24 * time.Hour
+	defaultHeartbeat     = time.Second
+	defaultGoneAfter     = time.Minute
+	defaultRememberFor   = 2 * time.Hour
+	defaultMaxDepartures = 4096
 )
 
 // holdMin is the fewest lost VMs for which a list is held: in a fleet of a few
@@ -84,8 +84,8 @@
 	c.KeepLast = orDefault(c.KeepLast, defaultKeepLast)
 	c.GoneAfter = orDefault(c.GoneAfter, defaultGoneAfter)
 	c.RememberFor = orDefault(c.RememberFor, defaultRememberFor)
-	if c.MaxVerdicts <= 0 {
-		c.MaxVerdicts = defaultMaxVerdicts
+	if c.MaxDepartures <= 0 {
+		c.MaxDepartures = defaultMaxDepartures
 	}
 	if c.Heartbeat == nil {
 		c.Heartbeat = func() time.Duration { return defaultHeartbeat }
--- a/internal/core/member/verdict.go
+++ b/internal/core/member/departure.go
@@ -12,9 +12,9 @@
 	incarnation uint64
 }
 
-// verdict is final evidence about one incarnation. It outlives the row, since
+// departure is final evidence about one incarnation. It outlives the row, since
 // a list that lags may show the incarnation as live for long after.
-type verdict struct {
+type departure struct {
 	leaving bool
 	gone    bool
 	// since is when the first evidence was given anywhere, as far as known.
@@ -23,20 +23,20 @@
 	mentionedAt time.Duration
 }
 
-// verdicts remembers how incarnations ended.
-type verdicts struct {
-	known map[vmKey]*verdict
+// departures remembers how incarnations ended.
+type departures struct {
+	known map[vmKey]*departure
 	order []vmKey // by first evidence learned here, oldest first
 }
 
-func newVerdicts() verdicts { return verdicts{known: make(map[vmKey]*verdict)} }
+func newDepartures() departures { return departures{known: make(map[vmKey]*departure)} }
 
 // note remembers evidence; it reports whether it says something new.
-func (v *verdicts) note(now, since time.Duration, e message.Evidence) bool {
+func (v *departures) note(now, since time.Duration, e message.Evidence) bool {
 	key := vmKey{e.VM, e.Incarnation}
 	known := v.known[key]
 	if known == nil {
-		known = &verdict{since: since}
+		known = &departure{since: since}
 		v.known[key] = known
 		v.order = append(v.order, key)
 	}
@@ -47,18 +47,18 @@
 	return !wasLeaving || known.gone != wasGone
 }
 
-func (v *verdicts) isLeaving(name string, incarnation uint64) bool {
+func (v *departures) isLeaving(name string, incarnation uint64) bool {
 	known := v.known[vmKey{name, incarnation}]
 	return known != nil && known.leaving
 }
 
-func (v *verdicts) isGone(name string, incarnation uint64) bool {
+func (v *departures) isGone(name string, incarnation uint64) bool {
 	known := v.known[vmKey{name, incarnation}]
 	return known != nil && known.gone
 }
 
 // mention notes that a list still names an incarnation.
-func (v *verdicts) mention(now time.Duration, name string, incarnation uint64) {
+func (v *departures) mention(now time.Duration, name string, incarnation uint64) {
 	if known := v.known[vmKey{name, incarnation}]; known != nil {
 		known.mentionedAt = now
 	}
@@ -66,7 +66,7 @@
 
 // forget drops verdicts that nobody has mentioned for long, and the oldest
 // ones above the bound.
-func (v *verdicts) forget(now, rememberFor time.Duration, most int) {
+func (v *departures) forget(now, rememberFor time.Duration, most int) {
 	kept := v.order[:0]
 	excess := len(v.order) - most
 	for i, key := range v.order {
--- a/internal/core/member/list.go
+++ b/internal/core/member/list.go
@@ -110,8 +110,8 @@
 
 // listed takes in one row of a list.
 func (t *Table) listed(now time.Duration, vm published.VM) []Change {
-	t.verdicts.mention(now, vm.Name, vm.Incarnation)
-	if t.verdicts.isGone(vm.Name, vm.Incarnation) {
+	t.departures.mention(now, vm.Name, vm.Incarnation)
+	if t.departures.isGone(vm.Name, vm.Incarnation) {
 		return nil
 	}
 	if isEntry(vm) {
@@ -174,8 +174,8 @@
 // against a list that lags: a process that introduced itself after the list had
 // said so runs on the VM that took the place of the leaving one.
 func (t *Table) listedLeaving(now time.Duration, r *row, vm published.VM) []Change {
-	t.verdicts.note(now, now, message.Evidence{VM: vm.Name, Incarnation: vm.Incarnation, Kind: message.EvidenceLeaving})
-	said := t.verdicts.known[vmKey{vm.Name, vm.Incarnation}]
+	t.departures.note(now, now, message.Evidence{VM: vm.Name, Incarnation: vm.Incarnation, Kind: message.EvidenceLeaving})
+	said := t.departures.known[vmKey{vm.Name, vm.Incarnation}]
 	if r.introduced && r.introducedAt > said.since {
 		return nil
 	}
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -79,7 +79,7 @@
 	case "list":
 		return show(table.ApplyList(now, published.VMList{Revision: numbers["rev"], VMs: vms}))
 	case "leaving", "replaced", "stopped":
-		return show(table.Claim(now, message.Evidence{VM: who.Name, Incarnation: who.Incarnation, Kind: kinds[fields[0]]}))
+		return show(table.ApplyEvidence(now, message.Evidence{VM: who.Name, Incarnation: who.Incarnation, Kind: kinds[fields[0]]}))
 	case "heard":
 		return show(table.Heard(now, who.Incarnation, message.EntryState(numbers["state"])))
 	case "introduce":
@@ -154,7 +154,7 @@
 			case 2:
 				vm := drawVM()
 				kind := message.EvidenceKind(rapid.IntRange(1, 3).Draw(rt, "kind"))
-				changes = table.Claim(now, message.Evidence{VM: vm.Name, Incarnation: vm.Incarnation, Kind: kind})
+				changes = table.ApplyEvidence(now, message.Evidence{VM: vm.Name, Incarnation: vm.Incarnation, Kind: kind})
 				final[fmt.Sprint(vm.Name, vm.Incarnation)] = true
 			case 3:
 				changes = table.Heard(now, drawVM().Incarnation, message.EntryState(rapid.IntRange(0, 3).Draw(rt, "state")))
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -122,12 +122,12 @@
 
 // Table is what this entry believes of every VM.
 type Table struct {
-	cfg      Config
-	rows     map[string]*row
-	order    []*row // the rows by name
-	verdicts verdicts
-	fresh    []message.Evidence
-	list     listState
+	cfg        Config
+	rows       map[string]*row
+	order      []*row // the rows by name
+	departures departures
+	fresh      []message.Evidence
+	list       listState
 	// entriesVersion grows with each change of what Entries returns.
 	entriesVersion uint64
 	index          index
@@ -168,10 +168,10 @@
 // New returns a table without any VM.
 func New(cfg Config) *Table {
 	return &Table{
-		cfg:      cfg.withDefaults(),
-		rows:     make(map[string]*row),
-		verdicts: newVerdicts(),
-		index:    index{entries: make(map[uint64][]*row), addresses: make(map[place][]*row)},
+		cfg:        cfg.withDefaults(),
+		rows:       make(map[string]*row),
+		departures: newDepartures(),
+		index:      index{entries: make(map[uint64][]*row), addresses: make(map[place][]*row)},
 	}
 }
 
@@ -211,7 +211,7 @@
 	t.index.add(r)
 	t.changed(vm)
 	changes := []Change{{Kind: kindFor(vm, EndpointAdded, EntryAdded), VM: r.vm, Why: why}}
-	if t.verdicts.isLeaving(vm.Name, vm.Incarnation) {
+	if t.departures.isLeaving(vm.Name, vm.Incarnation) {
 		changes = append(changes, t.leave(now, r, "it was known to leave before it was listed")...)
 	}
 	return changes
@@ -247,7 +247,7 @@
 func (t *Table) end(now time.Duration, r *row, kind message.EvidenceKind, why string) []Change {
 	if isEntry(r.vm) && kind == message.EvidenceReplaced {
 		// The record of what took its place tells all others.
-		t.verdicts.note(now, now, message.Evidence{VM: r.vm.Name, Incarnation: r.vm.Incarnation, Kind: kind})
+		t.departures.note(now, now, message.Evidence{VM: r.vm.Name, Incarnation: r.vm.Incarnation, Kind: kind})
 		return t.drop(r, why)
 	}
 	t.judge(now, message.Evidence{VM: r.vm.Name, Incarnation: r.vm.Incarnation, Kind: kind})
@@ -257,7 +257,7 @@
 // judge remembers evidence and queues it for spreading if it is news.
 func (t *Table) judge(now time.Duration, e message.Evidence) bool {
 	since := now - time.Duration(e.AgeMillis)*time.Millisecond
-	if !t.verdicts.note(now, since, e) {
+	if !t.departures.note(now, since, e) {
 		return false
 	}
 	t.fresh = append(t.fresh, e)
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -40,7 +40,7 @@
 			changes = append(changes, t.ageEndpoint(now, r, bare)...)
 		}
 	}
-	t.verdicts.forget(now, t.cfg.RememberFor, t.cfg.MaxVerdicts)
+	t.departures.forget(now, t.cfg.RememberFor, t.cfg.MaxDepartures)
 	return changes
 }
 
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -83,16 +83,16 @@
 // Evidence appends at most most pieces of all evidence held to out, newest
 // first, with their age.
 func (t *Table) Evidence(now time.Duration, most int, out []message.Evidence) []message.Evidence {
-	order := t.verdicts.order
+	order := t.departures.order
 	for i := len(order) - 1; i >= 0 && most > 0; i-- {
-		v := t.verdicts.known[order[i]]
+		v := t.departures.known[order[i]]
 		out = append(out, v.evidence(now, order[i]))
 		most--
 	}
 	return out
 }
 
-func (v *verdict) evidence(now time.Duration, key vmKey) message.Evidence {
+func (v *departure) evidence(now time.Duration, key vmKey) message.Evidence {
 	kind := message.EvidenceLeaving
 	if v.gone {
 		kind = message.EvidenceStopped
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -13,13 +13,13 @@
 // settleAttempt returns the slot and tells the health system.
 func (c *Core) settleAttempt(now time.Duration, r *request, a *attempt, end End, out *Actions) {
 	p := r.pool
-	r.service.held--
+	r.service.inUse--
 	e := p.endpointAt(a.index, a.incarnation)
 	if e == nil {
 		return
 	}
 	e.Outstanding--
-	p.lookAgain = now // a slot may be free
+	p.probeAgainAt = now // a slot may be free
 	if o, ok := healthOutcome(a, end); ok {
 		c.noteEnd(now, r, e, o, end)
 	}
@@ -34,7 +34,7 @@
 	if o, ok := healthOutcome(a, end); ok && !refusedBusy(a, end) {
 		health.Observe(now, e, health.Observation{
 			Outcome:  o,
-			Sent:     a.at,
+			Sent:     a.sentAt,
 			Latency:  a.latency(now),
 			Expected: r.service.typical.Latency(),
 			Queued:   a.load.Queued,
@@ -48,7 +48,7 @@
 		if a.fills {
 			p.learned.NoteSharing(a.latency(now), r.service.work.Typical())
 		}
-		p.noteServiceTime(now - a.at)
+		p.noteServiceTime(now - a.sentAt)
 	}
 }
 
@@ -121,7 +121,7 @@
 	if a.headAfter > 0 {
 		return a.headAfter
 	}
-	return now - a.at
+	return now - a.sentAt
 }
 
 func (p *pool) noteServiceTime(took time.Duration) {
