--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -26,7 +26,7 @@
 // scripted lets the attempts of one request meet these reactions in turn, and
 // every later one be answered. It returns what the caller was told and how
 // often the request was sent.
-func scripted(t *testing.T, a Arrival, script string) (told, int) {
+func scripted(t *testing.T, a Arrival, script string) (reply, int) {
 	r := settled(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
 	n := r.nodes[0]
@@ -54,7 +54,7 @@
 		n.arrivals[id] = Arrival{Service: a.Service}
 	}
 	r.run(12 * sec)
-	got, answered := n.told[id]
+	got, answered := n.replies[id]
 	if !answered || got.twice || n.InFlight() != 0 {
 		t.Errorf("answered %v, twice %v, %d requests held", answered, got.twice, n.InFlight())
 	}
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -10,14 +10,14 @@
 // overload asks for half as much again as the boxes can do, for a time, and returns the share
 // of the requests that were answered within their objective. How long work takes varies.
 func overload(t *testing.T) float64 {
-	y := newYard(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idle(3, "d0")...)
 	works := []time.Duration{70 * ms, 130 * ms, 100 * ms, 85 * ms, 115 * ms}
 	y.works, y.queues = works[2], true
 	for range 20 {
 		y.ask(route.Idempotent, 3*sec)
 		y.run(100 * ms)
 	}
-	y.stories = nil
+	y.traces = nil
 	const asked, every = 300, 11 * ms
 	for i := range asked {
 		y.works = works[i%len(works)]
@@ -25,7 +25,7 @@
 		y.run(every)
 	}
 	y.run(sec)
-	return 1 - float64(len(y.stories))/asked
+	return 1 - float64(len(y.traces))/asked
 }
 
 // For some seconds callers ask for half as much again as endpoints can do. The entry serves
--- a/internal/core/owndomain_test.go
+++ b/internal/core/owndomain_test.go
@@ -13,8 +13,8 @@
 // quarter of the bytes between domains. They wait for the endpoint nearby as long as a
 // kilobyte is worth and they are in time, beside others that need not wait; then they go.
 func TestUploadsWaitForTheirOwnDomain(t *testing.T) {
-	near, far := &box{name: "near", domain: "d0"}, idle(3, "d1")
-	y := newYard(t, append([]*box{near}, far...)...)
+	near, far := &simEndpoint{name: "near", domain: "d0"}, idle(3, "d1")
+	y := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
 	y.learn(12)
 	for range 8 {
 		id := y.ask(route.Upload, 3*sec)
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -12,7 +12,7 @@
 
 // sleep stops an entry's process and lets it run again after d, with its timers
 // or its sockets first.
-func (r *rig) sleep(n *node, d time.Duration, timersFirst bool) {
+func (r *clusterHarness) sleep(n *node, d time.Duration, timersFirst bool) {
 	n.asleep = true
 	r.run(d)
 	n.asleep = false
@@ -53,7 +53,7 @@
 				r.down = func(n *node) bool { return r.now > 15*sec }
 			}
 			r.sleep(n, 30*sec, timersFirst)
-			r.dial = func() time.Duration { return hop }
+			r.dial = func() time.Duration { return lag }
 			woke := r.now - n.started
 			if slices.ContainsFunc(n.fleet.entries, func(e member.Entry) bool { return e.Suspected }) {
 				t.Error("peers are suspected before they could be heard")
@@ -68,14 +68,14 @@
 				t.Errorf("written after waking: %v", r.written)
 			}
 			for _, id := range append(bookings, reads...) {
-				if got := n.told[id]; got.Outcome != OutcomeNotRun {
+				if got := n.replies[id]; got.Outcome != OutcomeNotRun {
 					t.Errorf("request %d was told %+v", id, got)
 				}
 			}
-			if got := n.told[batch]; got.Outcome != OutcomeDone {
+			if got := n.replies[batch]; got.Outcome != OutcomeDone {
 				t.Errorf("a batch with time left was told %+v", got)
 			}
-			if e := &n.pools["waste"].Endpoints[0]; e.Sighting.Seen && e.Sighting.At < woke || !n.noted("pause") {
+			if e := &n.pools["waste"].Endpoints[0]; e.Reported.Seen && e.Reported.At < woke || !n.noted("pause") {
 				t.Error("what was seen before the pause is still believed")
 			}
 			r.run(2 * sec)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -24,7 +24,7 @@
 		deciders := c.decidersOf(p)
 		p.serving = deciders[c.cfg.Self.Incarnation]
 		c.setDeciders(now, p, deciders)
-		if !p.serving || p.usesLooks() {
+		if !p.serving || p.usesLoadProbes() {
 			continue // nobody tells loads there: endpoints are looked at before each choice
 		}
 		for incarnation := range deciders {
@@ -59,7 +59,7 @@
 
 // serviceEntries returns the entries to which callers of a service are sent.
 func (c *Core) serviceEntries(sv *service) []uint64 {
-	return c.incarnationsOf(duty.ServiceEntries(sv.name, c.fleet.dutyMembers, sv.policy.EntriesPerDomain))
+	return c.incarnationsOf(duty.ServiceEntries(sv.name, c.fleet.assignMembers, sv.policy.EntriesPerDomain))
 }
 
 // setDeciders lists the deciders in the order of the entries' names.
@@ -105,7 +105,7 @@
 	if len(f.due) == 0 {
 		return
 	}
-	c.collectSightings(now)
+	c.collectLoadReports(now)
 	for _, to := range f.due {
 		c.composeFor(now, to, out)
 	}
@@ -134,15 +134,15 @@
 // EvidenceDigest digests all evidence that is held to be passed on.
 func (c *Core) EvidenceDigest() uint64 { return c.fleet.gossip.Digest() }
 
-// Says returns what this entry tells of itself to a peer that it meets.
-func (c *Core) Says() message.Update {
+// OwnStatus returns what this entry tells of itself to a peer that it meets.
+func (c *Core) OwnStatus() message.Update {
 	c.fleet.gossip.SetState(c.ownState())
-	return c.fleet.gossip.Says()
+	return c.fleet.gossip.OwnStatus()
 }
 
 func (c *Core) composeFor(now time.Duration, to uint64, out *Actions) {
 	f := &c.fleet
-	u, ok := f.gossip.Compose(now, to, f.sightings)
+	u, ok := f.gossip.Compose(now, to, f.loadReports)
 	if !ok {
 		return
 	}
@@ -195,34 +195,34 @@
 	return min(own/(own+all), partMost/float64(max(1, f.mostEntries)))
 }
 
-// collectSightings lists what this entry knows of the endpoints of the pools
+// collectLoadReports lists what this entry knows of the endpoints of the pools
 // that it serves. Where endpoints are looked at right before each choice, what a peer
 // saw is older than any look, and nobody would use it.
-func (c *Core) collectSightings(now time.Duration) {
+func (c *Core) collectLoadReports(now time.Duration) {
 	f := &c.fleet
-	f.sightings = f.sightings[:0]
+	f.loadReports = f.loadReports[:0]
 	for _, p := range c.poolRows {
-		if !p.serving || p.usesLooks() {
+		if !p.serving || p.usesLoadProbes() {
 			continue
 		}
 		for i := range p.Endpoints {
 			e := &p.Endpoints[i]
 			if e.TakesWork() {
-				f.sightings = append(f.sightings, sightingOf(now, e))
+				f.loadReports = append(f.loadReports, loadReportOf(now, e))
 			}
 		}
 	}
 }
 
-func sightingOf(now time.Duration, e *table.Endpoint) message.Sighting {
-	s := message.Sighting{
+func loadReportOf(now time.Duration, e *table.Endpoint) message.LoadReport {
+	s := message.LoadReport{
 		Endpoint:    e.Name,
 		Incarnation: e.Incarnation,
 		InFlight:    uint16(e.Outstanding),
 		Own:         uint16(e.Outstanding),
 	}
-	if e.Sighting.Seen {
-		s.InFlight += uint16(max(e.Sighting.Foreign, 0))
+	if e.Reported.Seen {
+		s.InFlight += uint16(max(e.Reported.Foreign, 0))
 	}
 	return s
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-// peerSighting takes in what a peer says of one endpoint.
-func (c *Core) peerSighting(now time.Duration, from uint64, s *message.Sighting) {
+// peerLoadReport takes in what a peer says of one endpoint.
+func (c *Core) peerLoadReport(now time.Duration, from uint64, s *message.LoadReport) {
 	ref, ok := c.fleet.rows[s.Endpoint]
 	if !ok {
 		return
@@ -247,10 +247,10 @@
 	if e == nil {
 		return
 	}
-	ref.pool.holdings.told(from, ref.index, int32(s.Own))
+	ref.pool.peerSlots.set(from, ref.index, int32(s.Own))
 	at := now - time.Duration(s.AgeMillis)*time.Millisecond
 	decider := c.deciderIndex(ref.pool, from)
-	ref.pool.picker.PeerTold(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(s.Own), At: at})
+	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(s.Own), At: at})
 }
 
 // deciderIndex returns the place of an entry among the pool's deciders, or -1.
@@ -286,18 +286,18 @@
 func (c *Core) takeUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
 	f := &c.fleet
 	p.update, p.heard = *u, now
-	f.profiles.Seen(now, u.Profiles.Revision, c.holder(u.From, f.profiles))
-	f.vms.Seen(now, u.VMs.Revision, c.holder(u.From, f.vms))
+	f.profiles.Seen(now, u.Profiles.Revision, c.sourceOf(u.From, f.profiles))
+	f.vms.Seen(now, u.VMs.Revision, c.sourceOf(u.From, f.vms))
 	f.gossip.Received(now, u)
 	f.members.Version(u.From, u.Version)
 	c.applyChanges(now, f.members.Heard(now, u.From, u.State), "peer", out)
 	c.takeRecords(now, u.Records, out)
-	c.claim(now, out, u.Evidence...)
+	c.applyEvidence(now, out, u.Evidence...)
 	c.takeRequestEvidence(now, u.Evidence, out)
 	c.takeLimits(now, u.Evidence, out)
 	c.peerHeard(now, u.From)
-	for i := range u.Sightings {
-		c.peerSighting(now, u.From, &u.Sightings[i])
+	for i := range u.LoadReports {
+		c.peerLoadReport(now, u.From, &u.LoadReports[i])
 	}
 	c.fetchDue(now, out)
 }
@@ -307,19 +307,19 @@
 // an entry that reads the platform gets it from there, once news that come together are
 // over. Both are far below the seconds within which a revision has to be in force.
 const (
-	farPatience    = 150 * time.Millisecond
-	readerPatience = 450 * time.Millisecond
+	farSourceDelay    = 150 * time.Millisecond
+	readerSourceDelay = 450 * time.Millisecond
 )
 
-// holder says how a peer is to be asked for a revision that it holds.
-func (c *Core) holder(peer uint64, t *duty.Tracker) duty.Holder {
-	h := duty.Holder{Peer: peer, Near: c.isNear(peer)}
+// sourceOf says how a peer is to be asked for a revision that it holds.
+func (c *Core) sourceOf(peer uint64, t *duty.Tracker) duty.Source {
+	h := duty.Source{Peer: peer, Near: c.isNear(peer)}
 	switch {
 	case t.InForce().Revision == 0: // it starts, and waits for nobody
 	case c.reachesPlatform():
-		h.Patience = readerPatience
+		h.Delay = readerSourceDelay
 	case !h.Near:
-		h.Patience = farPatience
+		h.Delay = farSourceDelay
 	}
 	return h
 }
--- a/internal/core/holdings.go
+++ b/internal/core/peerslots.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// holdingsSilence is how long a peer's counts are believed without news.
-	holdingsSilence = 2 * time.Second
+	// peerSlotsSilence is how long a peer's counts are believed without news.
+	peerSlotsSilence = 2 * time.Second
 	// timeMemory is how long the measured time of an endpoint that gets no
 	// request is believed.
 	timeMemory = time.Minute
 )
 
-// holdings are what other entries say of their own attempts at the endpoints of
+// peerSlots are what other entries say of their own attempts at the endpoints of
 // a pool.
-type holdings struct {
+type peerSlots struct {
 	// own are each peer's counts, by the index of the endpoint.
 	own map[uint64][]int32
 	// sum adds them up.
 	sum []int32
 }
 
-// told takes in a peer's count at one endpoint.
-func (h *holdings) told(peer uint64, index int, own int32) {
+// set takes in a peer's count at one endpoint.
+func (h *peerSlots) set(peer uint64, index int, own int32) {
 	if h.own == nil {
 		h.own = make(map[uint64][]int32)
 	}
@@ -41,7 +41,7 @@
 }
 
 // forget drops a peer's counts.
-func (h *holdings) forget(peer uint64) {
+func (h *peerSlots) forget(peer uint64) {
 	for index, own := range h.own[peer] {
 		h.sum[index] -= own
 	}
@@ -49,7 +49,7 @@
 }
 
 // forgetRow drops all counts at an index, which another endpoint takes.
-func (h *holdings) forgetRow(index int) {
+func (h *peerSlots) forgetRow(index int) {
 	if index >= len(h.sum) {
 		return
 	}
@@ -62,33 +62,33 @@
 }
 
 // at returns what the peers hold at an endpoint.
-func (h *holdings) at(index int) int32 {
+func (h *peerSlots) at(index int) int32 {
 	if index >= len(h.sum) {
 		return 0
 	}
 	return h.sum[index]
 }
 
-// expireHoldings drops the counts of peers that are silent or gone. Guards
+// expirePeerSlots drops the counts of peers that are silent or gone. Guards
 // against slots that nobody holds any more and that would stay closed to work
 // of low priority.
-func (c *Core) expireHoldings(now time.Duration) {
+func (c *Core) expirePeerSlots(now time.Duration) {
 	for _, p := range c.poolRows {
-		for incarnation := range p.holdings.own {
+		for incarnation := range p.peerSlots.own {
 			known, ok := c.fleet.peers[incarnation]
-			if !ok || now-known.heard > holdingsSilence {
-				p.holdings.forget(incarnation)
+			if !ok || now-known.heard > peerSlotsSilence {
+				p.peerSlots.forget(incarnation)
 			}
 		}
 	}
 }
 
-// taken counts the pool's slots that this entry or its peers hold.
-func (p *pool) taken() int {
+// slotsInUse counts the pool's slots that this entry or its peers hold.
+func (p *pool) slotsInUse() int {
 	taken := 0
 	for i := range p.Endpoints {
 		if e := &p.Endpoints[i]; e.TakesWork() {
-			taken += int(min(e.Slots, e.Outstanding+p.holdings.at(i)))
+			taken += int(min(e.Slots, e.Outstanding+p.peerSlots.at(i)))
 		}
 	}
 	return taken
@@ -102,19 +102,19 @@
 //
 // It guards against entries that each keep within a share of their own and fill
 // the pool together: urgent requests would wait for whole bulk requests.
-func (p *pool) withinShare(holders []queue.Holder, me int, capacity *queue.Capacity) bool {
+func (p *pool) withinShare(holders []queue.SlotUser, me int, capacity *queue.Capacity) bool {
 	if !yields(holders, me) {
 		return true
 	}
-	taken := p.taken()
+	taken := p.slotsInUse()
 	capacity.Free = min(capacity.Free, capacity.Slots-taken)
 	share := int(holders[me].Share * float64(capacity.Slots))
 	part := max(1, share/max(1, p.services[me].entries))
-	return holders[me].Held < part || taken < share
+	return holders[me].InUse < part || taken < share
 }
 
 // yields says whether another holder goes before.
-func yields(holders []queue.Holder, me int) bool {
+func yields(holders []queue.SlotUser, me int) bool {
 	for i := range holders {
 		if holders[i].Priority > holders[me].Priority {
 			return true
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -48,5 +48,5 @@
 			near++
 		}
 	}
-	return near > v.Request.Looks
+	return near > v.Request.MaxProbes
 }
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -18,7 +18,7 @@
 		endpoints = append(endpoints, e)
 	}
 	v := see(endpoints...)
-	v.Request.Looks = 9
+	v.Request.MaxProbes = 9
 	return v
 }
 
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -37,7 +37,7 @@
 	best := Choice{Index: -1}
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		if !v.eligible(i) || !e.Look.Seen || e.Look.At < v.Request.Began-Fresh || !e.MayQueue() {
+		if !v.eligible(i) || !e.Probed.Seen || e.Probed.At < v.Request.Began-Fresh || !e.MayQueue() {
 			continue
 		}
 		choice := Choice{Index: i, After: v.Expected(e)}
@@ -95,7 +95,7 @@
 	case r.Objective == 0:
 		return true
 	case r.Late:
-		return !v.Learned.isShort(v.Now) && e.HasRoom() && (!Fills(e) || v.Learned.sharing < littleSharing) && Pace(&e.Look) < SlowPace
+		return !v.Learned.isShort(v.Now) && e.HasRoom() && (!Fills(e) || v.Learned.sharing < littleSharing) && Pace(&e.Probed) < SlowPace
 	}
 	return v.Now+expected <= r.FirstTry+r.Objective
 }
@@ -113,7 +113,7 @@
 	best, bestRank := -1, 0.0
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		full := e.Look.Seen && v.Now-e.Look.At < fullLasts && !e.HasRoom()
+		full := e.Probed.Seen && v.Now-e.Probed.At < fullLasts && !e.HasRoom()
 		if !v.granted(e) || v.Request.Tried.Has(i) || e.Outstanding >= max(1, e.Slots) || full || v.seemsSlow(e) {
 			continue
 		}
@@ -126,5 +126,5 @@
 
 // seemsSlow reports whether an endpoint's VM was slow a moment ago.
 func (v *View) seemsSlow(e *table.Endpoint) bool {
-	return e.Look.Seen && v.Now-e.Look.At < Remembered && Pace(&e.Look) >= SlowPace
+	return e.Probed.Seen && v.Now-e.Probed.At < Remembered && Pace(&e.Probed) >= SlowPace
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -59,8 +59,8 @@
 	Began time.Duration
 	// OwnOnly says that only endpoints of the own failure domain are of use.
 	OwnOnly bool
-	// Looks is how many endpoints are asked for it in a round at most.
-	Looks int
+	// MaxProbes is how many endpoints are asked for it in a round at most.
+	MaxProbes int
 }
 
 // LatestInTime is the latest start at which the request would commonly be answered within
@@ -75,21 +75,21 @@
 	*table.Pool
 	// Learned is what is learned of the pool.
 	Learned *Pool
-	// Turn is what the requests that a full endpoint holds commonly take there.
-	Turn time.Duration
+	// SlotTime is what the requests that a full endpoint holds commonly take there.
+	SlotTime time.Duration
 	// Rand decides between endpoints that are alike.
 	Rand    *rand.Rand
 	Request Request
 }
 
 // granted reports whether an endpoint may get a request now.
-func (v *View) granted(e *table.Endpoint) bool { return grant.Of(v.Now, v.Pool, e) == grant.Granted }
+func (v *View) granted(e *table.Endpoint) bool { return grant.Check(v.Now, v.Pool, e) == grant.Granted }
 
 // isNear reports whether an endpoint lies in the entry's own failure domain.
 func (v *View) isNear(e *table.Endpoint) bool { return e.Domain == v.Domain }
 
 // Pace is how many times as long as usual work takes by a look.
-func Pace(l *table.Look) float64 { return max(1, float64(l.Pace)/100) }
+func Pace(l *table.ProbedLoad) float64 { return max(1, float64(l.Pace)/100) }
 
 // doubtStep and trustStep move the doubt about an endpoint: each attempt without an answer
 // of use raises it by doubtStep of what is missing to 1, each good answer lowers it.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -16,7 +16,7 @@
 func see(endpoints ...table.Endpoint) *View {
 	now := 10 * time.Second
 	pool := NewPool()
-	return &View{Now: now, Domain: "a", Pool: &table.Pool{Endpoints: endpoints}, Learned: &pool, Turn: 150 * ms, Rand: rand.New(rand.NewPCG(1, 2)),
+	return &View{Now: now, Domain: "a", Pool: &table.Pool{Endpoints: endpoints}, Learned: &pool, SlotTime: 150 * ms, Rand: rand.New(rand.NewPCG(1, 2)),
 		Request: Request{Arrived: now, FirstTry: now, Deadline: now + 1500*ms, Objective: 400 * ms, Work: 130 * ms, Kilobytes: 0.8, Began: now}}
 }
 
@@ -24,7 +24,7 @@
 func endpoint(domain string, running, slots, pace int32, ago time.Duration) table.Endpoint {
 	e := table.Endpoint{Name: domain, Incarnation: 1, Domain: domain, Slots: slots, Listed: slots}
 	if ago >= 0 {
-		e.Look = table.Look{Running: running, Slots: slots, Pace: pace, At: 10*time.Second - ago, Seen: true}
+		e.Probed = table.ProbedLoad{Running: running, Slots: slots, Pace: pace, At: 10*time.Second - ago, Seen: true}
 	}
 	return e
 }
@@ -97,9 +97,9 @@
 	learn := func(found int) int {
 		for i := range 200 {
 			if i%10 < found {
-				p.NoteLook(&free)
+				p.NoteProbe(&free)
 			} else {
-				p.NoteLook(&full)
+				p.NoteProbe(&full)
 			}
 		}
 		return p.Batch()
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -50,9 +50,9 @@
 	return !v.Learned.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
 
-// busyTurns is for how many times the time in which an endpoint commonly frees a slot it
+// busySlotTimes is for how many times the time in which an endpoint commonly frees a slot it
 // is taken to stay full.
-const busyTurns = 2
+const busySlotTimes = 2
 
 // NextToAsk returns the index of the endpoint to look at next, or -1: those of the own
 // failure domain first, and of these the ones that had most room when last heard of.
@@ -68,7 +68,7 @@
 		if leaves && !v.isNear(e) {
 			rank -= rankRemote
 		}
-		if keeps && e.Look.Seen && v.Now-e.Look.At < connectedFor {
+		if keeps && e.Probed.Seen && v.Now-e.Probed.At < connectedFor {
 			rank -= rankConnected
 		}
 		if best < 0 || rank < bestRank {
@@ -94,9 +94,9 @@
 	if e.Missing {
 		rank += rankMissing
 	}
-	if age := v.Now - e.Look.At; e.Look.Seen && age < Remembered {
+	if age := v.Now - e.Probed.At; e.Probed.Seen && age < Remembered {
 		part := 1 - float64(age)/float64(Remembered)
-		rank += part * (rankFull*float64(e.Look.Running+e.Look.Waiting)/slots + rankPace*(Pace(&e.Look)-1))
+		rank += part * (rankFull*float64(e.Probed.Running+e.Probed.Waiting)/slots + rankPace*(Pace(&e.Probed)-1))
 	}
 	if v.Learned.isLost(v.Now, e.Domain) {
 		rank += rankLost
@@ -104,19 +104,19 @@
 	switch {
 	case !v.isNear(e):
 		rank += rankRemote
-	case v.toldBusy(e):
+	case v.reportedBusy(e):
 		rank += rankBusy
 	}
 	return rank
 }
 
-// toldBusy reports whether an endpoint told a moment ago that it would not answer in time:
+// reportedBusy reports whether an endpoint told a moment ago that it would not answer in time:
 // its VM is slow, or its slots are all taken and none of them commonly frees up so soon.
-func (v *View) toldBusy(e *table.Endpoint) bool {
-	age := v.Now - e.Look.At
-	if !e.Look.Seen || age >= Remembered {
+func (v *View) reportedBusy(e *table.Endpoint) bool {
+	age := v.Now - e.Probed.At
+	if !e.Probed.Seen || age >= Remembered {
 		return false
 	}
-	freed := time.Duration(busyTurns * float64(v.Turn) / float64(max(1, e.Slots)))
-	return Pace(&e.Look) >= SlowPace || !e.HasRoom() && age < freed
+	freed := time.Duration(busySlotTimes * float64(v.SlotTime) / float64(max(1, e.Slots)))
+	return Pace(&e.Probed) >= SlowPace || !e.HasRoom() && age < freed
 }
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -63,8 +63,8 @@
 	easyWeight = 0.05
 )
 
-// NoteLook learns from a look at an endpoint.
-func (p *Pool) NoteLook(e *table.Endpoint) {
+// NoteProbe learns from a look at an endpoint.
+func (p *Pool) NoteProbe(e *table.Endpoint) {
 	found := 0.0
 	if HasEasyRoom(e) {
 		found = 1
@@ -99,7 +99,7 @@
 }
 
 // Fills reports whether one more request makes the endpoint nearly full by what it told.
-func Fills(e *table.Endpoint) bool { return fills(e.Look.Load(), max(1, e.Look.Slots)) }
+func Fills(e *table.Endpoint) bool { return fills(e.Probed.Load(), max(1, e.Probed.Slots)) }
 
 // wellUsed is how many requests an endpoint holds at most without being nearly full.
 func wellUsed(slots int32) int32 { return max(1, int32(math.Ceil(nearlyFull*float64(slots)))-1) }
@@ -113,7 +113,7 @@
 	if !Fills(e) || p.sharings < enoughSharings && now >= p.trialAt {
 		return false
 	}
-	slots := max(1, e.Look.Slots)
+	slots := max(1, e.Probed.Slots)
 	return float64(slots)/p.sharing <= float64(wellUsed(slots))
 }
 
@@ -125,7 +125,7 @@
 // hardly ever idle and mostly has easy room: asked for an idle one, a request used up all
 // its looks, six on a quiet day.
 func HasEasyRoom(e *table.Endpoint) bool {
-	return e.HasRoom() && Pace(&e.Look) <= 1 && !Fills(e)
+	return e.HasRoom() && Pace(&e.Probed) <= 1 && !Fills(e)
 }
 
 // full reports whether an endpoint told that it has no room that is worth taking.
@@ -142,7 +142,7 @@
 			continue
 		}
 		live++
-		if !e.Look.Seen || now-e.Look.At > fullLasts || grant.IsLimited(e) {
+		if !e.Probed.Seen || now-e.Probed.At > fullLasts || grant.IsLimited(e) {
 			continue // idle as it may seem, one that names a limit is no room for others
 		}
 		told++
--- a/internal/core/placement/work.go
+++ b/internal/core/placement/work.go
@@ -11,11 +11,11 @@
 	// endpoint: usual in three of four cases, five times as slow in the others, of
 	// which it would be late whatever is chosen.
 	queuedPace = 1.3
-	// turnPart is what a request that waits for the first of an endpoint's slots to
+	// slotTimePart is what a request that waits for the first of an endpoint's slots to
 	// free up has still to wait, as a part of what requests take there, times slots:
 	// those at work have done a part already, and the longer ones are met more often.
 	// Measured: 0.4 and 0.46 of the time of a request at two slots.
-	turnPart = 0.9
+	slotTimePart = 0.9
 	// avoidedCost is how many times its work a request may take elsewhere before an
 	// avoided endpoint is tried.
 	avoidedCost = 10
@@ -42,14 +42,14 @@
 // five times the usual pace half took 4.9 times as long as usual or longer, and of those
 // that began at the usual one 99 in 100 less than 2.9 times as long.
 func (v *View) Takes(e *table.Endpoint) time.Duration {
-	pace := Pace(&e.Look)
-	load, slots := e.Look.Load(), max(1, e.Look.Slots)
+	pace := Pace(&e.Probed)
+	load, slots := e.Probed.Load(), max(1, e.Probed.Slots)
 	own, wait := float64(v.Request.Work), 0.0
 	if fills(load, slots) {
 		own *= v.Learned.sharing
 	}
 	if ahead := load - slots + 1; ahead > 0 {
-		wait = float64(v.Turn) * pace * (float64(ahead-1) + turnPart) / float64(slots)
+		wait = float64(v.SlotTime) * pace * (float64(ahead-1) + slotTimePart) / float64(slots)
 		pace = queuedPace
 	}
 	return time.Duration(wait + own*pace)
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -52,7 +52,7 @@
 	}
 	switch t.Offer(now, o.Mark, o.Source) {
 	case duty.Adopt:
-		c.adopt(now, t, o, note, out)
+		c.putInForce(now, t, o, note, out)
 	case duty.Stale:
 		c.counters.StaleProfiles++
 		c.explained.staleAt[o.Name] = now
@@ -85,7 +85,7 @@
 	out.note(n)
 }
 
-func (c *Core) adopt(now time.Duration, t *duty.Tracker, o Offered, note Note, out *Actions) {
+func (c *Core) putInForce(now time.Duration, t *duty.Tracker, o Offered, note Note, out *Actions) {
 	if o.Problem != nil {
 		t.Settle(o.Mark, false)
 		c.counters.RefusedDocuments++
@@ -187,7 +187,7 @@
 		limits.Shortest = c.cfg.CheckEvery
 		limits.Longest = max(limits.Longest, limits.Shortest)
 	}
-	period := duty.CheckPeriod(len(c.fleet.dutyMembers), limits)
+	period := duty.CheckPeriod(len(c.fleet.assignMembers), limits)
 	first := c.fleet.nextCheck == 0
 	c.fleet.nextCheck = duty.NextCheck(now, period, c.rng)
 	if first || c.Reader() {
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -90,8 +90,8 @@
 	records map[Request]*record
 	// explained are the endpoints that crashed under a request with crashesMost crashes or more, and
 	// held is how many such requests there are.
-	explained map[endpoint]bool
-	held      int
+	explained   map[endpoint]bool
+	quarantined int
 }
 
 // NewTable returns an empty table.
@@ -153,8 +153,8 @@
 	return cleared
 }
 
-// Holds reports whether crashes have put any request into quarantine.
-func (t *Table) Holds() bool { return t.held > 0 }
+// Active reports whether crashes have put any request into quarantine.
+func (t *Table) Active() bool { return t.quarantined > 0 }
 
 // Of returns the verdict on a request.
 func (t *Table) Of(now time.Duration, r Request) Verdict {
@@ -197,7 +197,7 @@
 
 // Quarantined appends the requests in quarantine to out, in order.
 func (t *Table) Quarantined(now time.Duration, out []Request) []Request {
-	if !t.Holds() {
+	if !t.Active() {
 		return out
 	}
 	for request, r := range t.records {
@@ -312,12 +312,12 @@
 	slices.SortFunc(suspects, func(a, b *record) int {
 		return cmp.Or(cmp.Compare(len(b.standing()), len(a.standing())), a.request.compare(b.request))
 	})
-	t.explained, t.held = make(map[endpoint]bool), 0
+	t.explained, t.quarantined = make(map[endpoint]bool), 0
 	for _, r := range suspects {
 		if r.weigh(t.explained); r.count < crashesMost {
 			continue
 		}
-		t.held++
+		t.quarantined++
 		for _, c := range r.standing() {
 			t.explained[c.endpoint()] = true
 		}
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -14,8 +14,8 @@
 // keptClasses is how many classes are kept although nothing waits in them.
 const keptClasses = 16
 
-// turn is one dispatch in the virtual time of a class.
-const turn int64 = 1 << 20
+// quantum is one dispatch in the virtual time of a class.
+const quantum int64 = 1 << 20
 
 // class holds the waiting requests of one service at one priority. A service
 // has two classes only for a while after its priority was changed.
@@ -174,8 +174,8 @@
 func (q *Queue) charge(c *class, ref int32) {
 	q.leave(c, ref)
 	f := &q.flows[ref]
-	f.start = max(f.start, c.virtual) + turn
-	c.virtual += max(1, turn/int64(len(c.flows)))
+	f.start = max(f.start, c.virtual) + quantum
+	c.virtual += max(1, quantum/int64(len(c.flows)))
 	q.enter(c, ref)
 	q.release(c)
 }
--- a/internal/core/queue/shares.go
+++ b/internal/core/queue/shares.go
@@ -9,11 +9,11 @@
 // gets by waiting long although others have first claim.
 const overdueShare = 1.0 / 16
 
-// Holder is a service that competes for the slots of a pool. The counts are
+// SlotUser is a service that competes for the slots of a pool. The counts are
 // over the whole pool as far as known.
-type Holder struct {
-	// Held is how many slots it uses.
-	Held int
+type SlotUser struct {
+	// InUse is how many slots it uses.
+	InUse int
 	// Waiting is how many of its requests wait.
 	Waiting int
 	// Share is the largest share of the slots that it may hold; at least one
@@ -44,12 +44,12 @@
 // they use on average. A service that is overdue may pass these claims, but
 // only for a small part of the slots, so that it never starves and its long
 // requests never add up to the whole pool.
-func MayTake(holders []Holder, me int, c Capacity) bool {
+func MayTake(holders []SlotUser, me int, c Capacity) bool {
 	h := &holders[me]
-	if c.Free <= 0 || h.Held >= h.limit(c.Slots) {
+	if c.Free <= 0 || h.InUse >= h.limit(c.Slots) {
 		return false
 	}
-	if h.Overdue && h.Held < overdueSlots(c.Slots) {
+	if h.Overdue && h.InUse < overdueSlots(c.Slots) {
 		return true
 	}
 	claimed := 0
@@ -61,20 +61,20 @@
 	return c.Free > claimed
 }
 
-func (h *Holder) limit(slots int) int {
+func (h *SlotUser) limit(slots int) int {
 	return max(1, int(h.Share*float64(slots)))
 }
 
 // claim is how many free slots the service has first claim to. To the average
 // need comes its square root: the spread of the number in use when requests
 // arrive independently of each other.
-func (h *Holder) claim(slots int) int {
+func (h *SlotUser) claim(slots int) int {
 	need := 0
 	if h.Need > 0 {
 		need = int(math.Ceil(h.Need + math.Sqrt(h.Need)))
 	}
-	claim := max(h.Waiting, need-h.Held)
-	return max(0, min(claim, h.limit(slots)-h.Held))
+	claim := max(h.Waiting, need-h.InUse)
+	return max(0, min(claim, h.limit(slots)-h.InUse))
 }
 
 func overdueSlots(slots int) int {
--- a/internal/core/queue/shares_test.go
+++ b/internal/core/queue/shares_test.go
@@ -9,23 +9,23 @@
 func TestMayTake(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
-		bulk, urgent Holder
+		bulk, urgent SlotUser
 		free         int
 		want         bool
 	}{
-		{"alone in an idle pool", Holder{}, Holder{}, 12, true},
-		{"no free slot", Holder{}, Holder{}, 0, false},
-		{"at its share", Holder{Held: 6}, Holder{}, 6, false},
-		{"urgent ones wait for the free slots", Holder{}, Holder{Waiting: 3, Share: 1, Priority: 9}, 3, false},
-		{"more free than urgent ones wait for", Holder{}, Holder{Waiting: 3, Share: 1, Priority: 9}, 4, true},
-		{"urgent ones at their share claim nothing", Holder{}, Holder{Held: 3, Waiting: 9, Share: 0.25, Priority: 9}, 1, true},
-		{"slots are kept for the average need", Holder{}, Holder{Held: 1, Share: 1, Priority: 9, Need: 4}, 5, false},
-		{"need that is in use claims nothing", Holder{}, Holder{Held: 6, Share: 1, Priority: 9, Need: 4}, 1, true},
-		{"overdue passes the claims", Holder{Overdue: true}, Holder{Waiting: 9, Share: 1, Priority: 9}, 1, true},
-		{"overdue with its one slot does not", Holder{Overdue: true, Held: 1}, Holder{Waiting: 9, Share: 1, Priority: 9}, 1, false},
+		{"alone in an idle pool", SlotUser{}, SlotUser{}, 12, true},
+		{"no free slot", SlotUser{}, SlotUser{}, 0, false},
+		{"at its share", SlotUser{InUse: 6}, SlotUser{}, 6, false},
+		{"urgent ones wait for the free slots", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 3, false},
+		{"more free than urgent ones wait for", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 4, true},
+		{"urgent ones at their share claim nothing", SlotUser{}, SlotUser{InUse: 3, Waiting: 9, Share: 0.25, Priority: 9}, 1, true},
+		{"slots are kept for the average need", SlotUser{}, SlotUser{InUse: 1, Share: 1, Priority: 9, Need: 4}, 5, false},
+		{"need that is in use claims nothing", SlotUser{}, SlotUser{InUse: 6, Share: 1, Priority: 9, Need: 4}, 1, true},
+		{"overdue passes the claims", SlotUser{Overdue: true}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, true},
+		{"overdue with its one slot does not", SlotUser{Overdue: true, InUse: 1}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, false},
 	} {
 		tt.bulk.Share, tt.bulk.Priority = 0.5, 1
-		if got := MayTake([]Holder{tt.urgent, tt.bulk}, 1, Capacity{Slots: 12, Free: tt.free}); got != tt.want {
+		if got := MayTake([]SlotUser{tt.urgent, tt.bulk}, 1, Capacity{Slots: 12, Free: tt.free}); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -55,9 +55,9 @@
 			ends[s] = slices.DeleteFunc(ends[s], func(end time.Duration) bool { return end <= now })
 		}
 		eligible := func(service int32) bool {
-			holders := []Holder{
-				{Held: len(ends[urgent]), Waiting: q.LenOf(urgent), Share: 1, Priority: 9, Need: demand.Slots(now)},
-				{Held: len(ends[bulk]), Waiting: q.LenOf(bulk), Share: 1, Priority: 8, Overdue: q.Overdue(bulk)},
+			holders := []SlotUser{
+				{InUse: len(ends[urgent]), Waiting: q.LenOf(urgent), Share: 1, Priority: 9, Need: demand.Slots(now)},
+				{InUse: len(ends[bulk]), Waiting: q.LenOf(bulk), Share: 1, Priority: 8, Overdue: q.Overdue(bulk)},
 			}
 			free := slots - len(ends[urgent]) - len(ends[bulk])
 			return MayTake(holders, int(service), Capacity{Slots: slots, Free: free})
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -7,7 +7,7 @@
 
 // slots gives every endpoint two slots and a queue of its own; work returns how
 // long a request takes.
-func (r *rig) slots(work func(a Arrival) time.Duration) {
+func (r *clusterHarness) slots(work func(a Arrival) time.Duration) {
 	free := map[string]*[2]time.Duration{}
 	r.endpoint = func(name string, a Arrival) reaction {
 		f := free[name]
@@ -47,7 +47,7 @@
 		refused := map[Reason]int{}
 		for range 200 {
 			id := r.ask(n, Arrival{Service: "counts", Caller: 7})
-			got, at := n.told[id]
+			got, at := n.replies[id]
 			if !at {
 				continue
 			}
@@ -64,12 +64,12 @@
 			others = append(others, r.ask(n, Arrival{Service: "counts", Caller: 100 + caller}))
 		}
 		hasty := r.ask(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
-		if got := n.told[hasty]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
+		if got := n.replies[hasty]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
 			t.Errorf("a request that can't be answered in time was told %+v", got)
 		}
 		r.run(sec)
 		for _, id := range others {
-			if got := n.told[id]; got.Outcome != OutcomeDone {
+			if got := n.replies[id]; got.Outcome != OutcomeDone {
 				t.Errorf("another auditor was told %+v", got)
 			}
 		}
@@ -113,7 +113,7 @@
 			if i > 200 && i < 1400 {
 				checks++
 				r.post(300*ms, n, func() {
-					if got := n.told[id]; got.Outcome != OutcomeDone || got.at-began > 200*ms {
+					if got := n.replies[id]; got.Outcome != OutcomeDone || got.at-began > 200*ms {
 						late++
 					}
 				})
@@ -122,7 +122,7 @@
 		r.run(60 * sec)
 		done := 0
 		for i, id := range batches {
-			if r.nodes[i%3].told[id].Outcome == OutcomeDone {
+			if r.nodes[i%3].replies[id].Outcome == OutcomeDone {
 				done++
 			}
 		}
--- a/internal/core/hold.go
+++ b/internal/core/queuewait.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// looksEarned is how many times its looks a request earns: those for the first
+// loadProbesEarned is how many times its looks a request earns: those for the first
 // choice, and as many for a second look when there was no room, or after it.
-const looksEarned = 2
+const loadProbesEarned = 2
 
 // The load that this answers: more requests than endpoints can answer within the
 // latency objective, for seconds. Whoever can still be answered in time goes first;
@@ -20,18 +20,18 @@
 	lateMost = 0.2
 	// inTimeRank is what lifts those who can be in time above all others.
 	inTimeRank = 100
-	// plainHold is the share of its time for which a request without an objective
+	// plainWait is the share of its time for which a request without an objective
 	// waits.
-	plainHold = 0.3
+	plainWait = 0.3
 )
 
-// hold returns until when a request waits in the entry for an endpoint with room,
+// queueUntil returns until when a request waits in the entry for an endpoint with room,
 // and with which rank. A wait that ended as late as the request's deadline would keep
 // its caller from trying elsewhere.
-func (c *Core) hold(now time.Duration, r *request) (until time.Duration, rank int) {
+func (c *Core) queueUntil(now time.Duration, r *request) (until time.Duration, rank int) {
 	r.queuedOnce = true
 	if r.policy.Objective == 0 {
-		return max(r.arrived+time.Duration(plainHold*float64(r.deadline-r.arrived)), now+time.Millisecond), r.policy.Priority
+		return max(r.arrived+time.Duration(plainWait*float64(r.deadline-r.arrived)), now+time.Millisecond), r.policy.Priority
 	}
 	if until = r.latestInTime(); now < until {
 		return until, inTimeRank + r.policy.Priority
@@ -47,7 +47,7 @@
 // latestInTime is the latest start at which r would commonly be answered within its
 // latency objective, counted from its caller's first try.
 func (r *request) latestInTime() time.Duration {
-	placed := r.toPlace()
+	placed := r.placementRequest()
 	return placed.LatestInTime()
 }
 
@@ -64,9 +64,9 @@
 	return time.Duration(r.pool.serviceNanos)
 }
 
-// turn is what the requests that a full endpoint of the pool holds commonly take there,
+// slotTime is what the requests that a full endpoint of the pool holds commonly take there,
 // those of all its services, in which long ones are met as often as they are long.
-func (p *pool) turn(now time.Duration) time.Duration {
+func (p *pool) slotTime(now time.Duration) time.Duration {
 	sum, slots := 0.0, 0.0
 	for _, sv := range p.services {
 		busy := sv.demand.Slots(now)
@@ -86,8 +86,8 @@
 	if left <= 0 {
 		return 0
 	}
-	sv.patience.Observe(left)
-	return max(0, sv.patience.Typical()-left)
+	sv.callerTimeout.Observe(left)
+	return max(0, sv.callerTimeout.Typical()-left)
 }
 
 // Retry-After of a refusal: a random time within bounds, so that those who were refused
@@ -95,24 +95,24 @@
 // ebb; where endpoints turned the request away although they have room, there is no queue
 // to wait for, and it is only time for others to come between.
 const (
-	returnLeast = 150 * time.Millisecond
-	returnMost  = 500 * time.Millisecond
-	soonLeast   = 5 * time.Millisecond
-	soonMost    = 40 * time.Millisecond
+	retryLeast = 150 * time.Millisecond
+	retryMost  = 500 * time.Millisecond
+	soonLeast  = 5 * time.Millisecond
+	soonMost   = 40 * time.Millisecond
 )
 
-// comeBack is when a caller that found no room should try again.
-func (c *Core) comeBack() time.Duration { return c.within(returnLeast, returnMost) }
+// retryDelay is when a caller that found no room should try again.
+func (c *Core) retryDelay() time.Duration { return c.randomBetween(retryLeast, retryMost) }
 
-// comeBackAfter is when the caller of a refused request should try again.
-func (c *Core) comeBackAfter(now time.Duration, r *request, reason Reason) time.Duration {
-	if view := c.see(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
-		return c.within(soonLeast, soonMost)
+// retryDelayAfter is when the caller of a refused request should try again.
+func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
+	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
+		return c.randomBetween(soonLeast, soonMost)
 	}
-	return c.comeBack()
+	return c.retryDelay()
 }
 
-func (c *Core) within(least, most time.Duration) time.Duration {
+func (c *Core) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(c.rng.Int64N(int64(most-least)))
 }
 
--- a/internal/core/hold_test.go
+++ b/internal/core/queuewait_test.go
@@ -14,7 +14,7 @@
 // once.
 func TestFullEndpointsGetNoQueue(t *testing.T) {
 	boxes := idle(3, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(8)
 	setLoad(boxes, 2, 1)
 	var ids []RequestID
@@ -40,7 +40,7 @@
 // when to come back, and callers who were refused together come back apart.
 func TestWhatFindsNoRoomIsToldEarly(t *testing.T) {
 	boxes := idle(3, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(8)
 	setLoad(boxes, 2, 4)
 	began := y.now
@@ -69,7 +69,7 @@
 // others still can, its request takes no slot from them, though it is the oldest.
 func TestThoseInTimeGoFirst(t *testing.T) {
 	boxes := idle(2, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(12)
 	setLoad(boxes, 2, 1)
 	late := y.ask(route.Idempotent, 3*sec-900*ms)
@@ -95,9 +95,9 @@
 		name    string
 		running int
 		most    time.Duration
-	}{{"they have room", 0, soonMost}, {"they are full", 2, returnMost}} {
+	}{{"they have room", 0, soonMost}, {"they are full", 2, retryMost}} {
 		boxes := idle(4, "d0")
-		y := newYard(t, boxes...)
+		y := newEntryHarness(t, boxes...)
 		y.learn(12)
 		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // used up
 		again := map[time.Duration]bool{}
@@ -109,11 +109,11 @@
 			}
 			p := y.poolRows[0]
 			for i := range p.Endpoints {
-				p.Endpoints[i].See(lookOf(y.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
+				p.Endpoints[i].NoteProbed(probedLoadOf(y.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
 			}
 			y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
 			d := y.told[id]
-			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < returnLeast {
+			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
 			again[d.RetryAfter] = true
@@ -127,7 +127,7 @@
 }
 
 // setLoad lets all endpoints tell the same load.
-func setLoad(boxes []*box, running, waiting int) {
+func setLoad(boxes []*simEndpoint, running, waiting int) {
 	for _, b := range boxes {
 		b.running, b.waiting = running, waiting
 	}
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -16,13 +16,13 @@
 // peers one by one.
 const (
 	readerSilence = 400 * time.Millisecond
-	// turnGap is the time between the turns in which entries go back to a platform that is
+	// standbyGap is the time between the turns in which entries go back to a platform that is
 	// answering again: several times what it takes to tell all others.
-	turnGap       = 100 * time.Millisecond
-	startPatience = 1500 * time.Millisecond
-	// firstPatience is the same where the whole fleet starts for the first time: enough for
+	standbyGap   = 100 * time.Millisecond
+	startSilence = 1500 * time.Millisecond
+	// firstStartSilence is the same where the whole fleet starts for the first time: enough for
 	// hundreds of entries to meet, and less than the seconds until callers come.
-	firstPatience = 4 * time.Second
+	firstStartSilence = 4 * time.Second
 )
 
 // readers is who reads the platform for all, and whether that works.
@@ -39,11 +39,11 @@
 	assigned []uint64
 	// stale says that entries changed since the duty was divided.
 	stale bool
-	// turn is after how many spans of silence this entry tries.
-	turn int
+	// standbyGroup is after how many spans of silence this entry tries.
+	standbyGroup int
 	// reaches says that the platform answered this entry's latest call, and silent
 	// that it did not answer the latest glance in time.
-	reaches, silent bool
+	reaches, platformSilent bool
 	// reachedAt is when a reader last was known to reach the platform.
 	reachedAt time.Duration
 	volunteer bool
@@ -58,28 +58,28 @@
 	}
 	r.stale = false
 	f.reader = duty.IsReader(f.selfID, f.readMembers, c.cfg.ReadersPerDomain)
-	r.assigned, r.turn = r.assigned[:0], 0
+	r.assigned, r.standbyGroup = r.assigned[:0], 0
 	if rank := duty.ReaderRank(f.selfID, f.readMembers); rank >= 0 {
-		r.turn = turnOf(rank, c.cfg.ReadersPerDomain)
+		r.standbyGroup = standbyGroupOf(rank, c.cfg.ReadersPerDomain)
 	}
 	for _, domain := range duty.Domains(f.readMembers) {
 		for _, id := range duty.Readers(f.readMembers, domain, c.cfg.ReadersPerDomain) {
-			if e := &f.entries[f.byDuty[id]]; e.VM.Region == c.cfg.Self.Region {
+			if e := &f.entries[f.byAssignID[id]]; e.VM.Region == c.cfg.Self.Region {
 				r.assigned = append(r.assigned, e.VM.Incarnation)
 			}
 		}
 	}
 }
 
-// lastTurn is the turn of those who try last: all entries but a few of each failure domain.
-const lastTurn = 3
+// lastStandbyGroup is the turn of those who try last: all entries but a few of each failure domain.
+const lastStandbyGroup = 3
 
-// turnOf is after how many spans of silence the entry of a rank in its failure domain tries to
+// standbyGroupOf is after how many spans of silence the entry of a rank in its failure domain tries to
 // read: twice as many as are assigned try first, then three times as many, then all.
-func turnOf(rank, assigned int) int {
+func standbyGroupOf(rank, assigned int) int {
 	const widening = 3
 	turn := 0
-	for most := assigned; rank >= most && turn < lastTurn; most *= widening {
+	for most := assigned; rank >= most && turn < lastStandbyGroup; most *= widening {
 		turn++
 	}
 	return turn
@@ -97,35 +97,35 @@
 	return c.fleet.reader
 }
 
-// lastGlances bounds how often those glance who try last, all together: a fleet that waits for a
+// standbyLiveness bounds how often those glance who try last, all together: a fleet that waits for a
 // platform which is down asked it a hundred times a second otherwise. Whoever is answered
 // first tells all others, so it is found at once however many ask.
-var lastGlances = duty.CheckLimits{Longest: 10 * time.Second, FleetRate: 20, Values: 1}
+var standbyLiveness = duty.CheckLimits{Longest: 10 * time.Second, FleetRate: 20, Values: 1}
 
-// GlancePause returns the time between two glances of this entry, for which it also waits before
+// LivenessPause returns the time between two glances of this entry, for which it also waits before
 // its first one if it is spread: one of those who try last, unless it is cut off from the others,
 // who can tell it nothing. usual is the pause of all others.
-func (c *Core) GlancePause(now, usual time.Duration) (pause time.Duration, spread bool) {
+func (c *Core) LivenessPause(now, usual time.Duration) (pause time.Duration, spread bool) {
 	c.assignReaders()
-	if c.fleet.reader || c.fleet.readers.turn < lastTurn || c.isCutOff(now) {
+	if c.fleet.reader || c.fleet.readers.standbyGroup < lastStandbyGroup || c.isCutOff(now) {
 		return usual, false
 	}
-	limits := lastGlances
+	limits := standbyLiveness
 	limits.Shortest = usual
-	return duty.CheckPeriod(len(c.fleet.dutyMembers), limits), true
+	return duty.CheckPeriod(len(c.fleet.assignMembers), limits), true
 }
 
 // PlatformAnswered notes whether the platform answered this entry's latest call.
 func (c *Core) PlatformAnswered(ok bool) { c.fleet.readers.reaches = ok }
 
-// PlatformGlanced notes whether the platform answered this entry's latest glance in
+// PlatformAlive notes whether the platform answered this entry's latest glance in
 // time.
-func (c *Core) PlatformGlanced(ok bool) { c.fleet.readers.silent = !ok }
+func (c *Core) PlatformAlive(ok bool) { c.fleet.readers.platformSilent = !ok }
 
 // reachesPlatform reports whether this entry reads the platform and is answered.
 func (c *Core) reachesPlatform() bool {
 	r := &c.fleet.readers
-	return c.Reader() && r.reaches && !r.silent
+	return c.Reader() && r.reaches && !r.platformSilent
 }
 
 // checkReaders decides whether this entry has to read although others should.
@@ -145,11 +145,11 @@
 	if r.volunteer {
 		return
 	}
-	turn := max(r.turn, 1)
+	turn := max(r.standbyGroup, 1)
 	if c.isCutOff(now) {
 		turn = 0 // nobody else tries in its place
 	}
-	r.volunteer = now >= max(r.reachedAt+time.Duration(turn)*readerSilence, c.startPatience())
+	r.volunteer = now >= max(r.reachedAt+time.Duration(turn)*readerSilence, c.startReadDelay())
 }
 
 // mayRead reports whether another entry can be counted on to read the platform: it was heard,
@@ -181,24 +181,24 @@
 	return false
 }
 
-// ReadPatience is how long this entry leaves the platform to those assigned to read it once it
+// ReadDelay is how long this entry leaves the platform to those assigned to read it once it
 // is back: they tell all others that they reach it.
-func (c *Core) ReadPatience() time.Duration {
+func (c *Core) ReadDelay() time.Duration {
 	c.assignReaders()
 	if c.fleet.reader {
 		return 0
 	}
-	return time.Duration(c.fleet.readers.turn) * turnGap
+	return time.Duration(c.fleet.readers.standbyGroup) * standbyGap
 }
 
 // startPatience is how long an entry that starts leaves the platform to those that read it
 // for all. While its peers hold other records than it does, it may just not have heard of
 // those: 472 entries that lost power together would each read 1.5 s later.
-func (c *Core) startPatience() time.Duration {
+func (c *Core) startReadDelay() time.Duration {
 	if c.cfg.FirstStart || !c.Agrees() {
-		return firstPatience
+		return firstStartSilence
 	}
-	return startPatience
+	return startSilence
 }
 
 // leavesToReaders reports whether an entry that knows no revision of a value yet waits for
@@ -211,7 +211,7 @@
 		return false
 	}
 	if c.cfg.FirstStart {
-		return now < firstPatience || c.readerReaches(now)
+		return now < firstStartSilence || c.readerReaches(now)
 	}
 	return now < c.cfg.StartLeave
 }
@@ -223,7 +223,7 @@
 	cutOff := c.isCutOff(now)
 	for _, incarnation := range f.readers.assigned {
 		if incarnation == c.cfg.Self.Incarnation {
-			if f.readers.reaches && !f.readers.silent {
+			if f.readers.reaches && !f.readers.platformSilent {
 				return true
 			}
 			continue
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -24,14 +24,14 @@
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 	r.run(700 * ms)
 	for n := range silent {
-		n.PlatformGlanced(false)
+		n.PlatformAlive(false)
 	}
 	if took := r.until(20*sec, atRevision(2)); took > 1300*ms {
 		t.Errorf("in force %v after the readers noticed", took)
 	}
 	r.mute = func(*node) bool { return false }
 	for n := range silent {
-		n.PlatformGlanced(true)
+		n.PlatformAlive(true)
 	}
 	r.run(2 * sec)
 	for _, n := range r.nodes {
@@ -139,7 +139,7 @@
 		rate, spread := 0.0, 0
 		for _, n := range r.nodes {
 			n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
-			pause, last := n.GlancePause(r.now-n.started, usual)
+			pause, last := n.LivenessPause(r.now-n.started, usual)
 			if !last {
 				if pause != usual {
 					t.Errorf("%d entries: one that tries first glances every %v, want %v", entries, pause, usual)
@@ -164,14 +164,14 @@
 	var alone *node
 	for _, n := range r.nodes {
 		n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
-		if _, last := n.GlancePause(r.now-n.started, 400*ms); last {
+		if _, last := n.LivenessPause(r.now-n.started, 400*ms); last {
 			alone = n
 		}
 	}
 	r.cut = func(from, to *node) bool { return from == alone || to == alone }
 	r.run(4 * sec)
 	const usual = 400 * ms
-	if pause, spread := alone.GlancePause(r.now-alone.started, usual); spread || pause != usual {
+	if pause, spread := alone.LivenessPause(r.now-alone.started, usual); spread || pause != usual {
 		t.Errorf("an entry that hears nobody glances every %v, want %v", pause, usual)
 	}
 	if !alone.Reader() {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -23,9 +23,9 @@
 // recordOf is the record that an entry's greeting stands for.
 func recordOf(h message.Hello) message.Record {
 	return message.Record{
-		Name: h.Name, Incarnation: h.Incarnation, Version: h.Says.Version,
+		Name: h.Name, Incarnation: h.Incarnation, Version: h.Status.Version,
 		Region: h.Region, Domain: h.Domain, CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress,
-		State: h.Says.State, Epoch: h.Says.Epoch, Reader: h.Says.Reader, Rate: h.Says.Rate, Capacity: h.Capacity,
+		State: h.Status.State, Epoch: h.Status.Epoch, Reader: h.Status.Reader, Rate: h.Status.Rate, Capacity: h.Capacity,
 	}
 }
 
@@ -42,7 +42,7 @@
 func (c *Core) announce(now time.Duration) {
 	f := &c.fleet
 	h := c.cfg.Self
-	h.Says = message.Update{State: c.state, Epoch: c.keys.Epoch(), Reader: c.reachesPlatform(), Rate: f.rate}
+	h.Status = message.Update{State: c.state, Epoch: c.keys.Epoch(), Reader: c.reachesPlatform(), Rate: f.rate}
 	next := recordOf(h)
 	version := f.own.Version
 	switch {
@@ -88,7 +88,7 @@
 			f.accusedOf = max(f.accusedOf, r.Version)
 			continue
 		}
-		changes = append(changes, f.members.Told(now, vmOfRecord(r), r.State, r.Version)...)
+		changes = append(changes, f.members.PeerReported(now, vmOfRecord(r), r.State, r.Version)...)
 		if r.Silent {
 			f.members.Accuse(now, r.Name, r.Incarnation, r.Version)
 		}
@@ -133,8 +133,8 @@
 	}
 }
 
-// tellSilent tells the fleet whose silence showed here.
-func (c *Core) tellSilent(now time.Duration) {
+// spreadSilent tells the fleet whose silence showed here.
+func (c *Core) spreadSilent(now time.Duration) {
 	for _, s := range c.fleet.members.TakeSilent(nil) {
 		c.fleet.gossip.Accuse(now, s.Name, s.Incarnation, s.Version)
 	}
@@ -174,5 +174,5 @@
 // Agrees reports whether the peers from which this entry has heard hold the same records.
 func (c *Core) Agrees() bool { return c.fleet.gossip.Agrees() }
 
-// Roster says which records this entry holds.
-func (c *Core) Roster() message.Roster { return c.fleet.gossip.Roster() }
+// RecordSet says which records this entry holds.
+func (c *Core) RecordSet() message.RecordSet { return c.fleet.gossip.RecordSet() }
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -26,7 +26,7 @@
 	c.counters.Refused[reason]++
 	after := refusedAtDoorRetry
 	if reason == ReasonStarting || reason == ReasonBehind {
-		after = c.comeBack() // it takes a fraction of a second to get what is missing
+		after = c.retryDelay() // it takes a fraction of a second to get what is missing
 	}
 	if reason == ReasonQuarantined {
 		after = c.quarantineLeft(now, a.identity())
@@ -76,8 +76,8 @@
 	if reason == ReasonQuarantined {
 		return c.quarantineLeft(now, r.identity())
 	}
-	if c.looksFor(r) {
-		return c.comeBackAfter(now, r, reason)
+	if c.usesLoadProbes(r) {
+		return c.retryDelayAfter(now, r, reason)
 	}
 	item := queue.Item{Service: r.service.index, Priority: r.policy.Priority, Enqueued: now, Deadline: r.deadline}
 	wait := r.pool.expectedWait(now, item)
@@ -98,9 +98,9 @@
 	if r.phase == phaseQueued {
 		r.pool.queue.Remove(uint64(r.arrival.ID))
 	}
-	c.endLook(r)
+	c.endProbeRound(r)
 	r.phase = phaseFinished
-	c.tell(r, out)
+	c.traceRequest(r, out)
 	c.cancelOthers(r, 0, out)
 	c.forgetIfEnded(r)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -39,8 +39,8 @@
 	phaseQueued phase = iota + 1
 	// phaseActive: at least one attempt is out, or about to be.
 	phaseActive
-	// phaseLooking: endpoints are asked for their load before one is chosen.
-	phaseLooking
+	// phaseProbing: endpoints are asked for their load before one is chosen.
+	phaseProbing
 	// phaseJoined: another request with the same key is running.
 	phaseJoined
 	// phaseForwarded: another entry, the home of the key, has it.
@@ -60,7 +60,7 @@
 	alone, fills bool
 	index        int
 	incarnation  uint64
-	at           time.Duration
+	sentAt       time.Duration
 	// due is how long the attempt was expected to take when it was sent.
 	due time.Duration
 	// status, load and headAfter are what the head of the answer said.
@@ -69,12 +69,12 @@
 	headAfter time.Duration
 	// endpoint is its name, look and limit what it had told; end, cause and took are how the attempt
 	// ended, for the log.
-	endpoint string
-	look     table.Look
-	limit    float64
-	end      EndKind
-	cause    string
-	took     time.Duration
+	endpoint   string
+	probedLoad table.ProbedLoad
+	limit      float64
+	end        EndKind
+	cause      string
+	took       time.Duration
 	// paid is set when the retry after this attempt was already paid for.
 	paid bool
 }
@@ -91,8 +91,8 @@
 	phase    phase
 	arrived  time.Duration
 	deadline time.Duration
-	// harmless says that running it twice does no harm.
-	harmless bool
+	// mayRunTwice says that running it twice does no harm.
+	mayRunTwice bool
 	// keyed says that the idempotency table holds it as running here.
 	keyed      bool
 	replayable bool
@@ -112,20 +112,20 @@
 	// lastReason is why the latest attempt failed.
 	lastReason Reason
 	// look is the round of looks that is under way, or was last.
-	look lookRound
+	probeRound loadProbeRound
 	// age is how long before its arrival the caller first tried, as far as known.
 	age time.Duration
 	// late says that it can't be answered in time any more; it waits until lateUntil.
 	late      bool
 	lateUntil time.Duration
-	// looks counts the endpoints asked, held how often there was no room; the rest is
+	// loadProbes counts the endpoints asked, held how often there was no room; the rest is
 	// how the request ended, for the log.
-	looks, held int
-	outcome     Outcome
-	reason      Reason
-	retryAfter  time.Duration
-	status      int
-	gone        bool
+	loadProbes, noRoom int
+	outcome            Outcome
+	reason             Reason
+	retryAfter         time.Duration
+	status             int
+	callerGone         bool
 	// queuedOnce says that the request has waited in the pool's queue.
 	queuedOnce bool
 }
@@ -156,7 +156,7 @@
 	r := c.newRequest(now, a, sv)
 	r.pool.repeats.Request(now)
 	r.pool.learned.NoteArrival(now)
-	r.pool.looks.Request(looksEarned * r.policy.Looks)
+	r.pool.loadProbes.Request(loadProbesEarned * r.policy.LoadProbes)
 	if !c.admitKey(now, r, out) {
 		return
 	}
@@ -197,27 +197,27 @@
 		limit = a.Timeout
 	}
 	*r = request{
-		arrival:    a,
-		service:    sv,
-		pool:       pool,
-		policy:     policy,
-		phase:      phaseActive,
-		arrived:    now,
-		deadline:   now + limit,
-		harmless:   runsHarmlesslyTwice(policy.Kind, a.Safe && !c.Routed()),
-		replayable: a.Replayable,
-		weakest:    OutcomeNotRun,
+		arrival:     a,
+		service:     sv,
+		pool:        pool,
+		policy:      policy,
+		phase:       phaseActive,
+		arrived:     now,
+		deadline:    now + limit,
+		mayRunTwice: safeToRunTwice(policy.Kind, a.Safe && !c.Routed()),
+		replayable:  a.Replayable,
+		weakest:     OutcomeNotRun,
 	}
 	r.age = sv.ageOf(a.Timeout)
 	c.requests[a.ID] = r
 	return r
 }
 
-// runsHarmlesslyTwice says whether a request may be sent to a second endpoint
+// safeToRunTwice says whether a request may be sent to a second endpoint
 // although the first may have run it. Reads and urgent checks are declared
 // harmless by the kind in the profile; a bulk upload only if its method is
 // idempotent by definition; a once-only request never.
-func runsHarmlesslyTwice(kind profile.Kind, safe bool) bool {
+func safeToRunTwice(kind profile.Kind, safe bool) bool {
 	switch kind {
 	case profile.Read, profile.Urgent:
 		return true
@@ -286,8 +286,8 @@
 		DeadlineOrder: r.policy.QueueOrder == profile.ByDeadline,
 	}
 	wait := p.expectedWait(now, item)
-	if c.looksFor(r) {
-		item.Deadline, item.Priority = c.hold(now, r)
+	if c.usesLoadProbes(r) {
+		item.Deadline, item.Priority = c.queueUntil(now, r)
 		item.Work, wait = 0, 0
 		limits.NewestFirst = r.policy.Objective > 0
 	}
@@ -332,7 +332,7 @@
 	switch {
 	case now >= r.deadline:
 		c.fail(now, r, ReasonDeadline, out)
-	case c.looksFor(r) && r.policy.Objective > 0 && !r.late:
+	case c.usesLoadProbes(r) && r.policy.Objective > 0 && !r.late:
 		c.enqueue(now, r, out)
 	default:
 		c.fail(now, r, ReasonTooLate, out)
@@ -356,7 +356,7 @@
 	if r.phase == phaseJoined {
 		c.leaveWaiters(r)
 	}
-	c.now, r.gone, r.outcome = now, true, r.weakest
+	c.now, r.callerGone, r.outcome = now, true, r.weakest
 	if r.live() > 0 {
 		r.outcome = OutcomeUnknown
 	}
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -21,7 +21,7 @@
 		c.fail(now, r, ReasonQuarantined, out)
 		return
 	}
-	if e.BodyFailed || !provablyNotRun && !r.harmless || e.Broke && c.isSuspect(now, r) {
+	if e.BodyFailed || !provablyNotRun && !r.mayRunTwice || e.Broke && c.isSuspect(now, r) {
 		c.fail(now, r, r.lastReason, out)
 		return
 	}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -37,8 +37,8 @@
 	idle *budget.Retry
 	// silent pays for another attempt after one whose connection went silent.
 	silent *budget.Retry
-	// held counts this entry's attempts in flight for the service.
-	held int
+	// inUse counts this entry's attempts in flight for the service.
+	inUse int
 	// entries is how many entries callers of the service are sent to.
 	entries int
 	// demand is how many slots the service's traffic keeps busy.
@@ -51,8 +51,8 @@
 	work placement.Median
 	// kilobytes is a smoothed size of a request with its answer.
 	kilobytes float64
-	// patience is for how long callers commonly say that they wait.
-	patience placement.Median
+	// callerTimeout is for how long callers commonly say that they wait.
+	callerTimeout placement.Median
 	// arrived counts requests since the last rate sample.
 	arrived uint64
 }
@@ -60,12 +60,12 @@
 // pool is a group of endpoints with the queue that waits for them.
 type pool struct {
 	table.Pool
-	picker   balance.Picker
-	queue    *queue.Queue
-	watch    *budget.Watch
-	services []*service
-	holders  []queue.Holder
-	holdings holdings
+	picker       balance.Picker
+	queue        *queue.Queue
+	healthProbes *budget.HealthProbes
+	services     []*service
+	slotUsers    []queue.SlotUser
+	peerSlots    peerSlots
 	// deciders are the entries to which callers of the services are sent, in
 	// the order in which the picker knows them; serving says that this is one.
 	deciders     []uint64
@@ -81,11 +81,11 @@
 	serviceNanos float64
 	// repeats bounds attempts beyond the first of each request, nil for no bound.
 	repeats *budget.Repeats
-	// looks pays for looks at endpoints; lookingFor is the request at the head of
-	// the queue for which a round is under way, lookAgain when the next may be.
-	looks      *budget.Looks
-	lookingFor RequestID
-	lookAgain  time.Duration
+	// loadProbes pays for looks at endpoints; probingFor is the request at the head of
+	// the queue for which a round is under way, probeAgainAt when the next may be.
+	loadProbes   *budget.LoadProbes
+	probingFor   RequestID
+	probeAgainAt time.Duration
 	// loadless counts looks in a row that were answered without a load.
 	loadless int
 	// probePath is where the endpoints tell their load, "" for the contract's.
@@ -108,9 +108,9 @@
 // forgetBeliefs drops what a process that slept for gap believed of endpoints.
 func (p *pool) forgetBeliefs(now, gap time.Duration) {
 	for i := range p.Endpoints {
-		p.Endpoints[i].Sighting = table.Sighting{}
+		p.Endpoints[i].Reported = table.ReportedLoad{}
 	}
-	p.holdings = holdings{}
+	p.peerSlots = peerSlots{}
 	health.Pause(now, gap, &p.Pool)
 }
 
@@ -171,7 +171,7 @@
 		e := &p.Endpoints[i]
 		if e.State == table.EndpointGone && e.Outstanding == 0 {
 			*e = row
-			p.holdings.forgetRow(i)
+			p.peerSlots.forgetRow(i)
 			p.noteLimits()
 			return i
 		}
@@ -194,13 +194,13 @@
 		Pool:   table.Pool{Name: name},
 		picker: picker,
 		queue:  queue.New(),
-		watch: budget.NewWatch(budget.WatchConfig{
+		healthProbes: budget.NewHealthProbes(budget.HealthProbeConfig{
 			ProbeCost:    c.cfg.ProbeCost,
 			LargestFleet: c.cfg.LargestFleet,
 		}),
 		serviceNanos: float64(firstService),
 		repeats:      budget.NewRepeats(c.cfg.Repeats, c.cfg.LargestFleet, 0),
-		looks:        budget.NewLooks(c.cfg.LooksPerEndpoint),
+		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
 		learned:      placement.NewPool(),
 	}
 	p.repeats.SetFleet(c.fleet.mostEntries)
@@ -287,9 +287,9 @@
 		sv.pool.services = append(sv.pool.services, sv)
 	}
 	for _, p := range c.poolRows {
-		p.holders = make([]queue.Holder, len(p.services))
+		p.slotUsers = make([]queue.SlotUser, len(p.services))
 		limits, _ := c.snapshot.PoolLimits(p.Name, c.closing)
-		p.watch.SetShare(limits.WatchBudget)
+		p.healthProbes.SetShare(limits.WatchBudget)
 	}
 }
 
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -15,7 +15,7 @@
 
 // session is a rig that a golden file drives.
 type session struct {
-	*rig
+	*clusterHarness
 	keys map[string]idem.Key
 	// asked is the latest request.
 	asked RequestID
@@ -32,7 +32,7 @@
 			if d.Cmd == "fleet" {
 				var entries int
 				d.ScanArgs(t, "entries", &entries)
-				s = &session{rig: newRig(t, entries), keys: map[string]idem.Key{}, shown: map[*node]int{}}
+				s = &session{clusterHarness: newClusterHarness(t, entries), keys: map[string]idem.Key{}, shown: map[*node]int{}}
 				s.list(1, strings.Fields(d.Input)...)
 				s.run(2 * sec)
 				return s.serving()
@@ -80,7 +80,7 @@
 		s.down = func(*node) bool { return down }
 	case "network":
 		split := d.HasArg("split")
-		s.cut = func(from, to *node) bool { return split && halves(from, to) }
+		s.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
 	case "endpoint":
 		s.behave(t, d)
 	case "ask":
@@ -127,8 +127,8 @@
 	case "refuse":
 		re = reactions["refuses"]
 	}
-	before := s.rig.endpoint
-	s.rig.endpoint = func(at string, a Arrival) reaction {
+	before := s.clusterHarness.endpoint
+	s.clusterHarness.endpoint = func(at string, a Arrival) reaction {
 		if at == name {
 			return re
 		}
@@ -150,7 +150,7 @@
 
 // answers returns what the latest caller of an entry was told.
 func (s *session) answers(n *node) string {
-	got := n.told[s.asked]
+	got := n.replies[s.asked]
 	switch got.body {
 	case "":
 		return fmt.Sprintf("told %v (%v): %s\n", got.Outcome, got.Reason, got.Reason.Remedy())
@@ -191,7 +191,7 @@
 			state += " a close"
 		}
 		fmt.Fprintf(&b, "%s %s, profiles %d, list %d, names %q\n", n.hello.Name, state,
-			n.InForce(published.ProfilesValue).Revision, n.InForce(published.VMsValue).Revision, n.givenTo("counts"))
+			n.InForce(published.ProfilesValue).Revision, n.InForce(published.VMsValue).Revision, n.entriesNamed("counts"))
 	}
 	return b.String()
 }
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -14,7 +14,7 @@
 // that serves. The platform is always current, so its two answers make an entry ready
 // within the tick that follows them, not with the next round over the members.
 func TestReadyAtOnceAfterPowerLoss(t *testing.T) {
-	r := newRig(t, 0)
+	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
 	r.list(1, "counts/c1")
 	for vm := range 3 {
@@ -71,7 +71,7 @@
 // were divided among those that serve: each entry took itself for the only one, read the whole
 // list when it came, and told all others that it reads. Those that start can read as well.
 func TestEntriesThatStartDivideTheDutyToRead(t *testing.T) {
-	r := newRig(t, 0)
+	r := newClusterHarness(t, 0)
 	r.docs = map[string]published.Value{}
 	r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 	for i := range 60 {
@@ -101,7 +101,7 @@
 // second later, all callers would crowd there. The greeting says that both serve. What
 // the greeting says is not newer than an update that was sent before it and comes after.
 func TestGreetingSaysWhoServes(t *testing.T) {
-	r := newRig(t, 2)
+	r := newClusterHarness(t, 2)
 	r.list(1, "counts/c1")
 	a, b := r.nodes[0], r.nodes[1]
 	for _, n := range r.nodes {
@@ -117,7 +117,7 @@
 	if got := a.EntriesNear("d0", 9); len(got) != 2 {
 		t.Errorf("names %v after the greeting", got)
 	}
-	late := b.Says()
+	late := b.OwnStatus()
 	late.Sequence, late.State = 1, message.EntryLeaving
 	r.do(a, func(now time.Duration, out *Actions) { a.PeerUpdate(now, &late, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
@@ -132,7 +132,7 @@
 // An entry that has just begun to serve may know no other yet. Callers that took its word
 // for seconds would all crowd there; they ask again soon, and later on as seldom as usual.
 func TestFirstAnswersAreShortLived(t *testing.T) {
-	r := newRig(t, 0)
+	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AnswersTTL = 3 * sec }
 	r.list(1, "counts/c1")
 	n := r.start(0)
@@ -160,7 +160,7 @@
 		name string
 		mute bool
 	}{{"readers are answered", false}, {"no reader is answered", true}} {
-		r := newRig(t, 0)
+		r := newClusterHarness(t, 0)
 		later := r.docs
 		r.docs = map[string]published.Value{}
 		r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
--- a/internal/core/secondtry.go
+++ b/internal/core/supervision.go
@@ -19,27 +19,27 @@
 	// decisionTime is how long before the latest moment a second attempt is decided on:
 	// a look and a tick.
 	decisionTime = 10 * time.Millisecond
-	// watchChecks bounds the looks after one request.
-	watchChecks = 5
+	// maxChecks bounds the looks after one request.
+	maxChecks = 5
 	// leastLeft is what an attempt that is due has left at least, and longOverdue after
 	// how many times what it was expected to take it is taken to need as long again.
 	leastLeft   = 0.3
 	longOverdue = 2.0
 )
 
-// watchedAttempt is a request whose attempt is looked after at a time.
-type watchedAttempt struct {
+// supervisedAttempt is a request whose attempt is looked after at a time.
+type supervisedAttempt struct {
 	id     RequestID
 	at     time.Duration
 	checks int
 }
 
-// watchAttempt notes a request that may get a second attempt.
-func (c *Core) watchAttempt(now time.Duration, r *request) {
-	if !r.harmless || !r.replayable || r.nested() || r.policy.MaxAttempts < 2 || r.policy.RetryBudget == 0 {
+// superviseLater notes a request that may get a second attempt.
+func (c *Core) superviseLater(now time.Duration, r *request) {
+	if !r.mayRunTwice || !r.replayable || r.nested() || r.policy.MaxAttempts < 2 || r.policy.RetryBudget == 0 {
 		return
 	}
-	c.watched = append(c.watched, watchedAttempt{id: r.arrival.ID, at: r.nextCheck(now, overdueAfter)})
+	c.supervised = append(c.supervised, supervisedAttempt{id: r.arrival.ID, at: r.nextCheck(now, overdueAfter)})
 }
 
 // nextCheck returns when to look after the attempt: after so many times the typical
@@ -52,11 +52,11 @@
 	return next
 }
 
-// lookAfterAttempts looks after the attempts that are due.
-func (c *Core) lookAfterAttempts(now time.Duration, out *Actions) {
-	kept := c.watched[:0]
+// superviseDue looks after the attempts that are due.
+func (c *Core) superviseDue(now time.Duration, out *Actions) {
+	kept := c.supervised[:0]
 	due := c.dueAttempts[:0]
-	for _, w := range c.watched {
+	for _, w := range c.supervised {
 		r, ok := c.requests[w.id]
 		switch {
 		case !ok || r.phase != phaseActive || r.committed != 0 || r.dispatches != 1:
@@ -66,56 +66,56 @@
 			continue
 		}
 		due = append(due, w.id)
-		if w.checks++; w.checks < watchChecks {
+		if w.checks++; w.checks < maxChecks {
 			w.at = r.nextCheck(now, overdueStep)
 			kept = append(kept, w)
 		}
 	}
-	c.watched, c.dueAttempts = kept, due
+	c.supervised, c.dueAttempts = kept, due
 	for _, id := range due {
 		if r, ok := c.requests[id]; ok {
-			c.lookAfter(now, r, out)
+			c.supervise(now, r, out)
 		}
 	}
 }
 
-// lookAfter asks the endpoint at work, and others that could take over.
-func (c *Core) lookAfter(now time.Duration, r *request, out *Actions) {
-	if r.look.active || r.live() != 1 || !c.mayPayRepeat(now, r) || c.isSuspect(now, r) {
+// supervise asks the endpoint at work, and others that could take over.
+func (c *Core) supervise(now time.Duration, r *request, out *Actions) {
+	if r.probeRound.active || r.live() != 1 || !c.mayPayRepeat(now, r) || c.isSuspect(now, r) {
 		return
 	}
 	a := &r.attempts[1]
 	if r.pool.endpointAt(a.index, a.incarnation) == nil {
 		return
 	}
-	c.startLooks(now, r, true, out)
+	c.startLoadProbes(now, r, true, out)
 }
 
-// askAtWork asks the endpoint at work on r, together with the first others.
-func (c *Core) askAtWork(now time.Duration, r *request, out *Actions) {
+// probeRunning asks the endpoint at work on r, together with the first others.
+func (c *Core) probeRunning(now time.Duration, r *request, out *Actions) {
 	a := &r.attempts[1]
-	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.looks.TrySpend(now, r.pool.live(), c.fleet.part) {
-		c.ask(r, a.index, out)
+	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.live(), c.fleet.part) {
+		c.probeLoad(r, a.index, out)
 	}
 }
 
-// secondLooked goes on after a look for a second attempt. It is not decided on before the
+// secondProbeEnd goes on after a look for a second attempt. It is not decided on before the
 // endpoint at work has answered, whatever others tell: most attempts that take longer
 // than usual end by themselves, and an idle endpoint is no reason to send them twice.
-func (c *Core) secondLooked(now time.Duration, r *request, out *Actions) {
+func (c *Core) secondProbeEnd(now time.Duration, r *request, out *Actions) {
 	switch {
-	case r.look.pending > 0:
+	case r.probeRound.pending > 0:
 	case c.secondSettled(now, r):
 		c.decide(now, r, out)
 	default:
-		c.lookOn(now, r, out)
+		c.probeNextBatch(now, r, out)
 	}
 }
 
 // secondSettled reports whether the looks so far decide on a second attempt: none is
 // needed, or an idle endpoint was found.
 func (c *Core) secondSettled(now time.Duration, r *request) bool {
-	best := c.best(now, r)
+	best := c.bestChoice(now, r)
 	if best.Index < 0 {
 		return !c.overdue(now, r, r.typicalWork())
 	}
@@ -127,11 +127,11 @@
 // second attempts would take the slots of first ones.
 func (c *Core) decideSecond(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
-		c.endLook(r)
+		c.endProbeRound(r)
 		return
 	}
-	if !placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.After) || !c.dispatchLooked(now, r, best.Index, out) {
-		c.endLook(r)
+	if !placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.After) || !c.dispatchProbed(now, r, best.Index, out) {
+		c.endProbeRound(r)
 	}
 }
 
@@ -142,15 +142,15 @@
 	if e == nil {
 		return true
 	}
-	elapsed := now - a.at
-	told := e.Look.Seen && e.Look.At >= r.look.began
+	elapsed := now - a.sentAt
+	told := e.Probed.Seen && e.Probed.At >= r.probeRound.began
 	switch {
 	case now >= r.latestInTime()-decisionTime && now <= r.latestInTime()+decisionTime:
 		return true // the last moment at which a second attempt can be in time
 	case !told:
 		// Silence counts only where it was asked: the bound on looks may have denied that.
-		return slices.Contains(r.look.asked, a.index)
-	case e.Look.Load() == 0:
+		return slices.Contains(r.probeRound.asked, a.index)
+	case e.Probed.Load() == 0:
 		return true // it holds no request: this one was lost
 	}
 	// What the endpoint tells of its pace now says nothing of a request that began at
--- a/internal/core/secondtry_test.go
+++ b/internal/core/supervision_test.go
@@ -15,14 +15,14 @@
 	for _, c := range []struct {
 		name   string
 		kind   route.Kind
-		happen func(first *box, others []*box)
+		happen func(first *simEndpoint, others []*simEndpoint)
 		want   int
 	}{
-		{"the VM turned slow", route.Idempotent, func(first *box, _ []*box) { first.pace = 500 }, 2},
-		{"the request was lost", route.Idempotent, func(first *box, _ []*box) { first.running = 0 }, 2},
-		{"the endpoint went silent", route.Idempotent, func(first *box, _ []*box) { first.silent = true }, 2},
-		{"a booking runs once", route.NonIdempotent, func(first *box, _ []*box) { first.pace = 500 }, 1},
-		{"nobody is idle", route.Idempotent, func(first *box, others []*box) {
+		{"the VM turned slow", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 2},
+		{"the request was lost", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.running = 0 }, 2},
+		{"the endpoint went silent", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.silent = true }, 2},
+		{"a booking runs once", route.NonIdempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 1},
+		{"nobody is idle", route.Idempotent, func(first *simEndpoint, others []*simEndpoint) {
 			first.pace = 500
 			for _, b := range others {
 				b.running = 1
@@ -31,12 +31,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			boxes := idle(4, "d0")
-			y := newYard(t, boxes...)
+			y := newEntryHarness(t, boxes...)
 			y.learn(12)
 			id := y.ask(c.kind, 3*sec)
 			y.run(20 * ms)
-			first := y.box(y.open[id][1].Endpoint)
-			others := slices.DeleteFunc(slices.Clone(boxes), func(b *box) bool { return b == first })
+			first := y.endpoint(y.open[id][1].Endpoint)
+			others := slices.DeleteFunc(slices.Clone(boxes), func(b *simEndpoint) bool { return b == first })
 			c.happen(first, others)
 			y.run(320 * ms)
 			if len(y.sent) != c.want || c.want == 2 && y.sent[1] == first.name {
@@ -50,7 +50,7 @@
 // A budget that successes earn is empty then; the read would fail although an idle
 // endpoint stands by and the fleet is far within its bound.
 func TestFirstRequestsOfAProcessAreRepeated(t *testing.T) {
-	y := newYard(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idle(3, "d0")...)
 	id := y.ask(route.Idempotent, 3*sec)
 	y.run(20 * ms)
 	y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
@@ -65,16 +65,16 @@
 // work on one of them is not asked. That it has told nothing is no sign that it is silent.
 func TestNotAskedIsNotSilent(t *testing.T) {
 	boxes := idle(3, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(12)
 	id := y.ask(route.Idempotent, 3*sec)
 	y.run(120 * ms)
 	r := y.requests[id]
-	r.look = lookRound{began: y.now, second: true, active: true}
+	r.probeRound = loadProbeRound{began: y.now, second: true, active: true}
 	if y.overdue(y.now, r, 100*ms) {
 		t.Error("overdue though it was not asked")
 	}
-	r.look.asked = append(r.look.asked, r.attempts[1].index)
+	r.probeRound.asked = append(r.probeRound.asked, r.attempts[1].index)
 	if !y.overdue(y.now, r, 100*ms) {
 		t.Error("not overdue though it was asked and is silent")
 	}
@@ -85,11 +85,11 @@
 // One that began at a slow pace, unseen, is overdue at twice its time.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
 	boxes := idle(3, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(12)
 	y.ask(route.Idempotent, 3*sec)
 	y.run(20 * ms)
-	y.box(y.sent[0]).pace = 500
+	y.endpoint(y.sent[0]).pace = 500
 	y.run(130 * ms)
 	if len(y.sent) != 1 {
 		t.Errorf("a second attempt at 1.5 times the usual work: %v", y.sent)
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -22,7 +22,7 @@
 )
 
 // Sighting is the latest knowledge of load that others put on an endpoint.
-type Sighting struct {
+type ReportedLoad struct {
 	// Foreign is the number of requests in flight or queued at the endpoint
 	// that this entry did not place.
 	Foreign int32
@@ -34,7 +34,7 @@
 
 // Look is what an endpoint itself told of its load when it was last asked, or
 // with its last answer.
-type Look struct {
+type ProbedLoad struct {
 	// Running and Waiting count the requests of everybody.
 	Running, Waiting, Slots int32
 	// Pace is how long work takes on the endpoint's VM at that moment, in percent
@@ -47,7 +47,7 @@
 }
 
 // Load returns how many requests the endpoint holds as far as the look tells.
-func (l *Look) Load() int32 { return l.Running + l.Waiting + l.Since }
+func (l *ProbedLoad) Load() int32 { return l.Running + l.Waiting + l.Since }
 
 // Health is owned by the health system.
 type Health struct {
@@ -92,16 +92,16 @@
 	// Rate is how many requests a second it takes from all entries together, 0 for no limit.
 	Rate float64
 	// Version orders what is known of it in the whole fleet, Turn is which entries own it, as of
-	// ToldAt, when the fleet was last told.
-	Version, Turn uint32
-	ToldAt        time.Duration
+	// SpreadAt, when the fleet was last told.
+	Version, Period uint32
+	SpreadAt        time.Duration
 	// Since is when this entry learned of the rate.
 	Since time.Duration
 	// Owners is how many entries own it, Each how many requests a second each of them sends.
 	Owners int
 	Each   float64
-	// InLooks says that it names a limit also to those who look at it.
-	InLooks bool
+	// InProbes says that it names a limit also to those who look at it.
+	InProbes bool
 }
 
 // Cold is owned by package grant.
@@ -138,9 +138,9 @@
 	// Outstanding counts this entry's own attempts in flight; exact.
 	Outstanding int32
 	// Sighting is what others are known to have placed there.
-	Sighting Sighting
+	Reported ReportedLoad
 	// Look is what the endpoint last told of its load.
-	Look Look
+	Probed ProbedLoad
 	// Evacuated: its failure domain is to get nothing until the operator takes it back.
 	Evacuated bool
 	// Cold is what it bears after its start.
@@ -184,12 +184,12 @@
 	return e.Doubt * math.Exp2(-float64(now-e.DoubtAt)/float64(doubtHalves))
 }
 
-// See takes in what the endpoint told of its load.
-func (e *Endpoint) See(l Look) { e.Look = l }
+// NoteProbed takes in what the endpoint told of its load.
+func (e *Endpoint) NoteProbed(l ProbedLoad) { e.Probed = l }
 
 // HasRoom reports whether by its last look the endpoint has a slot for one more
 // request.
-func (e *Endpoint) HasRoom() bool { return e.Look.Load() < max(1, e.Look.Slots) }
+func (e *Endpoint) HasRoom() bool { return e.Probed.Load() < max(1, e.Probed.Slots) }
 
 // queueAtEndpoint is how many requests may wait at an endpoint when they are sent
 // there: one, so that a slot that comes free is not idle until an entry sees it.
@@ -197,7 +197,7 @@
 const queueAtEndpoint = 1
 
 // MayQueue reports whether one more request would have a slot or be the next.
-func (e *Endpoint) MayQueue() bool { return e.Look.Load() < max(1, e.Look.Slots)+queueAtEndpoint }
+func (e *Endpoint) MayQueue() bool { return e.Probed.Load() < max(1, e.Probed.Slots)+queueAtEndpoint }
 
 // Pool is a group of endpoints that share their work. Services of the same
 // pool compete for its slots.
--- a/internal/core/story.go
+++ b/internal/core/trace.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Story is what became of one request, for the log: the decisions that touched it with
+// RequestTrace is what became of one request, for the log: the decisions that touched it with
 // what they went by. It is told once, when the request ends, so that a request that
 // failed can be explained without a line for each that went well.
-type Story struct {
+type RequestTrace struct {
 	// Name is the caller's name for the request, Service what it was for.
 	Name, Service string
 	// Content is the same for requests with the same host, method, target and body.
@@ -21,27 +21,27 @@
 	// Status is that of the endpoint's answer that was passed on, 0 for none.
 	Status     int
 	RetryAfter time.Duration
-	// Gone says that the caller left before its answer.
-	Gone bool
-	// Age is how long before its arrival the caller first tried, as far as known.
-	Age time.Duration
+	// CallerGone says that the caller left before its answer.
+	CallerGone bool
+	// CallerAge is how long before its arrival the caller first tried, as far as known.
+	CallerAge time.Duration
 	// Took is the time from its arrival, Objective what it should have been.
 	Took, Objective time.Duration
-	// Looks counts the endpoints asked for it, Held how often it found no room.
-	Looks, Held int
+	// LoadProbes counts the endpoints asked for it, Held how often it found no room.
+	LoadProbes, NoRoom int
 	// Late says that it could not be in time any more before it was sent.
 	Late bool
 	// Endpoints counts the endpoints of its pool that take work, Full those of them
 	// that had no room when last heard of just before the end, and Queued the requests
 	// that wait in this entry for any of them.
 	Endpoints, Full, Queued int
-	Attempts                []StoryAttempt
-	// Ordinary says that it went well and is told as a sample.
-	Ordinary bool
+	Attempts                []AttemptTrace
+	// Sampled says that it went well and is told as a sample.
+	Sampled bool
 }
 
-// StoryAttempt is one attempt of a request.
-type StoryAttempt struct {
+// AttemptTrace is one attempt of a request.
+type AttemptTrace struct {
 	Endpoint string `json:"endpoint"`
 	// AtMillis is when it was sent, TookMillis how long it took, from the request's
 	// arrival and in milliseconds.
@@ -81,35 +81,35 @@
 // same requests.
 const sampledIn = 64
 
-// tell appends the story of a request that ends, if it is worth a line.
-func (c *Core) tell(r *request, out *Actions) {
+// traceRequest appends the story of a request that ends, if it is worth a line.
+func (c *Core) traceRequest(r *request, out *Actions) {
 	took := c.now - r.arrived
 	bad := r.outcome != OutcomeDone || r.status >= 500 || r.policy.Objective > 0 && took > r.policy.Objective
 	ordinary := !bad && xxhash.Sum64String(r.arrival.Name)%sampledIn == 0 && r.arrival.Name != ""
 	if !bad && !ordinary {
 		return
 	}
-	s := Story{
+	s := RequestTrace{
 		Name: r.arrival.Name, Service: r.service.name, Content: r.arrival.Content, Revision: c.fleet.profiles.InForce().Revision,
-		Outcome: r.outcome, Reason: r.reason, Status: r.status, RetryAfter: r.retryAfter, Gone: r.gone,
-		Age: r.age, Took: took, Objective: r.policy.Objective, Looks: r.looks, Held: r.held, Late: r.late, Ordinary: ordinary,
+		Outcome: r.outcome, Reason: r.reason, Status: r.status, RetryAfter: r.retryAfter, CallerGone: r.callerGone,
+		CallerAge: r.age, Took: took, Objective: r.policy.Objective, LoadProbes: r.loadProbes, NoRoom: r.noRoom, Late: r.late, Sampled: ordinary,
 	}
 	s.Endpoints, _, s.Full = r.pool.learned.Fullness(c.now, r.pool.Endpoints)
 	s.Queued = r.pool.queue.Len()
 	for i := Attempt(1); i <= r.dispatches; i++ {
-		s.Attempts = append(s.Attempts, c.tellAttempt(r, &r.attempts[i]))
+		s.Attempts = append(s.Attempts, c.traceAttempt(r, &r.attempts[i]))
 	}
-	out.Stories = append(out.Stories, s)
+	out.Traces = append(out.Traces, s)
 }
 
-func (c *Core) tellAttempt(r *request, a *attempt) StoryAttempt {
+func (c *Core) traceAttempt(r *request, a *attempt) AttemptTrace {
 	took := a.took
 	if a.live {
-		took = c.now - a.at
+		took = c.now - a.sentAt
 	}
-	return StoryAttempt{
-		Endpoint: a.endpoint, AtMillis: (a.at - r.arrived).Milliseconds(), TookMillis: took.Milliseconds(),
-		Running: a.look.Running, Waiting: a.look.Waiting, Pace: a.look.Pace, AgeMillis: (a.at - a.look.At).Milliseconds(), Limit: a.limit,
+	return AttemptTrace{
+		Endpoint: a.endpoint, AtMillis: (a.sentAt - r.arrived).Milliseconds(), TookMillis: took.Milliseconds(),
+		Running: a.probedLoad.Running, Waiting: a.probedLoad.Waiting, Pace: a.probedLoad.Pace, AgeMillis: (a.sentAt - a.probedLoad.At).Milliseconds(), Limit: a.limit,
 		Second: a.hedge, Status: a.status, End: a.end.String(), Cause: a.cause,
 	}
 }
--- a/internal/core/story_test.go
+++ b/internal/core/trace_test.go
@@ -9,12 +9,12 @@
 )
 
 // stories runs a scenario on a yard and returns the lines of one request.
-func storiesOf(y *yard, id RequestID, name string) []Story {
-	return slices.DeleteFunc(slices.Clone(y.stories), func(s Story) bool { return s.Name != name })
+func tracesOf(y *entryHarness, id RequestID, name string) []RequestTrace {
+	return slices.DeleteFunc(slices.Clone(y.traces), func(s RequestTrace) bool { return s.Name != name })
 }
 
 // askNamed is ask with a name, by which the log finds the request.
-func (y *yard) askNamed(kind route.Kind, left time.Duration, name string) RequestID {
+func (y *entryHarness) askNamed(kind route.Kind, left time.Duration, name string) RequestID {
 	y.name = name
 	defer func() { y.name = "" }()
 	return y.ask(kind, left)
@@ -26,28 +26,28 @@
 func TestStoriesExplainFailures(t *testing.T) {
 	t.Run("refused though endpoints were free", func(t *testing.T) {
 		boxes := idle(3, "d0")
-		y := newYard(t, boxes...)
+		y := newEntryHarness(t, boxes...)
 		y.learn(8)
 		for _, b := range boxes {
 			b.running, b.waiting = 2, 4
 		}
 		id := y.askNamed(route.Idempotent, 3*sec, "refused")
 		y.run(700 * ms)
-		got := storiesOf(y, id, "refused")
-		if len(got) != 1 || got[0].Outcome != OutcomeNotRun || got[0].Reason != ReasonTooLate || got[0].Held == 0 ||
-			got[0].Looks == 0 || len(got[0].Attempts) != 0 || got[0].RetryAfter == 0 || !got[0].Late ||
+		got := tracesOf(y, id, "refused")
+		if len(got) != 1 || got[0].Outcome != OutcomeNotRun || got[0].Reason != ReasonTooLate || got[0].NoRoom == 0 ||
+			got[0].LoadProbes == 0 || len(got[0].Attempts) != 0 || got[0].RetryAfter == 0 || !got[0].Late ||
 			got[0].Endpoints != 3 || got[0].Full != 3 {
 			t.Errorf("%+v", got)
 		}
 	})
 	t.Run("answered 502", func(t *testing.T) {
-		y := newYard(t, idle(3, "d0")...)
+		y := newEntryHarness(t, idle(3, "d0")...)
 		y.learn(8)
 		id := y.askNamed(route.NonIdempotent, 3*sec, "lost")
 		y.run(20 * ms)
 		endpoint := y.open[id][1].Endpoint
 		y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
-		got := storiesOf(y, id, "lost")
+		got := tracesOf(y, id, "lost")
 		if len(got) != 1 || got[0].Outcome != OutcomeUnknown || got[0].Reason != ReasonEndpointLost || len(got[0].Attempts) != 1 ||
 			got[0].Attempts[0].Endpoint != endpoint || got[0].Attempts[0].End != "lost" || got[0].Attempts[0].Second {
 			t.Errorf("%+v", got)
@@ -55,15 +55,15 @@
 	})
 	t.Run("late", func(t *testing.T) {
 		boxes := idle(1, "d0")
-		y := newYard(t, boxes...)
+		y := newEntryHarness(t, boxes...)
 		y.learn(8)
 		boxes[0].running = 1
 		id := y.askNamed(route.NonIdempotent, 3*sec, "late")
 		y.run(650 * ms)
 		y.answer(id, 1, 200)
-		got := storiesOf(y, id, "late")
+		got := tracesOf(y, id, "late")
 		if len(got) != 1 || got[0].Outcome != OutcomeDone || got[0].Took < 600*ms || got[0].Objective != 400*ms ||
-			len(got[0].Attempts) != 1 || got[0].Attempts[0].Running != 1 || got[0].Attempts[0].TookMillis < 600 || got[0].Ordinary {
+			len(got[0].Attempts) != 1 || got[0].Attempts[0].Running != 1 || got[0].Attempts[0].TookMillis < 600 || got[0].Sampled {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -71,7 +71,7 @@
 
 // Of the requests that went well only a sample is told, the same ones on every entry.
 func TestOrdinaryRequestsAreSampled(t *testing.T) {
-	y := newYard(t, idle(2, "d0")...)
+	y := newEntryHarness(t, idle(2, "d0")...)
 	y.learn(8)
 	told := map[string]bool{}
 	for i := range 400 {
@@ -79,8 +79,8 @@
 		id := y.askNamed(route.Idempotent, 3*sec, name)
 		y.run(30 * ms)
 		y.answer(id, 1, 200)
-		if got := storiesOf(y, id, name); len(got) == 1 {
-			told[name] = got[0].Ordinary
+		if got := tracesOf(y, id, name); len(got) == 1 {
+			told[name] = got[0].Sampled
 		}
 	}
 	if len(told) == 0 || len(told) > 20 {
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -12,7 +12,7 @@
 )
 
 // ask sends a caller's request to an entry.
-func (r *rig) ask(n *node, a Arrival) RequestID {
+func (r *clusterHarness) ask(n *node, a Arrival) RequestID {
 	r.nextID++
 	a.ID, a.Replayable = r.nextID, true
 	if !a.HasKey {
@@ -29,9 +29,9 @@
 }
 
 // direct carries out one step of a request.
-func (r *rig) direct(n *node, d Directive) {
+func (r *clusterHarness) direct(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
-	answer := told{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
+	answer := reply{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
 	switch d.Step {
 	case StepDispatch:
 		n.open[t] = d
@@ -39,7 +39,7 @@
 		r.post(d.Deadline-(r.now-n.started), n, func() { r.end(n, t, End{Kind: EndLost, TimedOut: true}) })
 	case StepForward:
 		n.open[t] = d
-		r.post(hop, n, func() { r.forward(n, d) })
+		r.post(lag, n, func() { r.forward(n, d) })
 		r.post(d.Deadline-(r.now-n.started), n, func() { r.end(n, t, End{Kind: EndLost, TimedOut: true}) })
 	case StepCancel:
 		r.post(0, n, func() { r.end(n, t, End{Kind: EndCancelled}) })
@@ -52,17 +52,17 @@
 }
 
 // tell gives a caller its answer, or the entry that sent the request on.
-func (r *rig) tell(n *node, id RequestID, a told) {
+func (r *clusterHarness) tell(n *node, id RequestID, a reply) {
 	a.at = r.now
-	_, a.twice = n.told[id]
-	n.told[id] = a
+	_, a.twice = n.replies[id]
+	n.replies[id] = a
 	if relay := n.relays[id]; relay != nil {
-		r.post(hop, n, func() { relay(a) })
+		r.post(lag, n, func() { relay(a) })
 	}
 }
 
 // write is the moment before the first byte of an attempt is sent.
-func (r *rig) write(n *node, d Directive) {
+func (r *clusterHarness) write(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
 	if _, open := n.open[t]; !open {
 		return
@@ -81,7 +81,7 @@
 }
 
 // answer brings back what an endpoint answered.
-func (r *rig) answer(n *node, t tried, re reaction, text string) {
+func (r *clusterHarness) answer(n *node, t tried, re reaction, text string) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -101,7 +101,7 @@
 				end.Kind = EndComplete
 			}
 			end.Answer = &idem.Answer{Status: re.head.Status, Body: []byte(text)}
-			r.tell(n, t.id, told{Outcome: d.Outcome, body: text})
+			r.tell(n, t.id, reply{Outcome: d.Outcome, body: text})
 			r.end(n, t, end)
 			return
 		}
@@ -113,7 +113,7 @@
 	r.end(n, t, end)
 }
 
-func (r *rig) end(n *node, t tried, e End) {
+func (r *clusterHarness) end(n *node, t tried, e End) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // forward sends a request on to another entry and brings its answer back.
-func (r *rig) forward(n *node, d Directive) {
+func (r *clusterHarness) forward(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
 	home := r.at(d.Address)
 	if !r.reaches(n, home) {
@@ -133,9 +133,9 @@
 	}
 	a := n.arrivals[d.ID]
 	a.Forwarded = true
-	r.post(hop, home, func() {
+	r.post(lag, home, func() {
 		id := r.nextID + 1
-		home.relays[id] = func(answer told) {
+		home.relays[id] = func(answer reply) {
 			if !r.reaches(home, n) {
 				return
 			}
@@ -146,7 +146,7 @@
 }
 
 // relayed passes on another entry's answer as it is.
-func (r *rig) relayed(n *node, t tried, answer told) {
+func (r *clusterHarness) relayed(n *node, t tried, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -163,9 +163,9 @@
 }
 
 // settled starts a fleet and runs it until all entries serve.
-func settled(t testing.TB, entries int, endpoints ...string) *rig {
+func settled(t testing.TB, entries int, endpoints ...string) *clusterHarness {
 	t.Helper()
-	r := newRig(t, entries)
+	r := newClusterHarness(t, entries)
 	r.list(1, endpoints...)
 	for range 100 {
 		r.run(100 * ms)
@@ -198,7 +198,7 @@
 }
 
 // key makes a new key whose home is an entry.
-func (r *rig) key(home *node) idem.Key {
+func (r *clusterHarness) key(home *node) idem.Key {
 	r.keysMade++
 	key := idem.Key{Home: home.hello.Incarnation, Epoch: home.keys.Epoch()}
 	binary.LittleEndian.PutUint64(key.Random[:], r.keysMade)
@@ -207,7 +207,7 @@
 
 // traffic sends requests to the entries in turn while time passes, and returns
 // what became of them.
-func (r *rig) traffic(a Arrival, every, d time.Duration) (sent []told) {
+func (r *clusterHarness) traffic(a Arrival, every, d time.Duration) (sent []reply) {
 	type request struct {
 		n  *node
 		id RequestID
@@ -220,13 +220,13 @@
 	}
 	r.run(sec)
 	for _, q := range all {
-		sent = append(sent, q.n.told[q.id])
+		sent = append(sent, q.n.replies[q.id])
 	}
 	return sent
 }
 
 // count returns how many callers were told an outcome.
-func count(all []told, o Outcome) (n int) {
+func count(all []reply, o Outcome) (n int) {
 	for _, a := range all {
 		if a.Outcome == o && a.at > 0 {
 			n++
@@ -236,7 +236,7 @@
 }
 
 // total adds up what was written to endpoints whose name begins with prefix.
-func (r *rig) total(prefix string) (n int) {
+func (r *clusterHarness) total(prefix string) (n int) {
 	for name, written := range r.written {
 		if strings.HasPrefix(name, prefix) {
 			n += written
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -40,8 +40,8 @@
 	Profiles, VMs PublishedView
 	// ListHeld says that the losses of the latest VM list do not count yet.
 	ListHeld bool
-	// News tells how evidence gets through the fleet.
-	News       gossip.Stats
+	// Evidence tells how evidence gets through the fleet.
+	Evidence   gossip.Stats
 	Keys       idem.Stats
 	KeysSealed bool
 	// Suspects counts the contents of requests under which endpoints crashed; Quarantined are the
@@ -112,8 +112,8 @@
 	Name string
 	// Policy must not be changed.
 	Policy *profile.Policy
-	// Held counts attempts in flight, Waiting requests in the queue.
-	Held, Waiting int
+	// InUse counts attempts in flight, Waiting requests in the queue.
+	InUse, Waiting int
 	// RetriesLeft is the retry budget saved up, in attempts. Retries counts what
 	// was spent of it, and RetriesDenied the attempts that it did not allow.
 	RetriesLeft            float64
@@ -125,7 +125,7 @@
 	table.Endpoint
 	Pool string
 	// Grant says whether it may get a request now.
-	Grant grant.Verdict
+	Grant grant.Status
 	// Missing says that the platform's list has lost the endpoint.
 	Missing bool
 	// Ejection is nil unless the endpoint is ejected.
@@ -202,7 +202,7 @@
 		Closing:    c.closing,
 		Profiles:   c.viewPublished(published.ProfilesValue),
 		VMs:        c.viewPublished(published.VMsValue),
-		News:       c.fleet.gossip.Stats(),
+		Evidence:   c.fleet.gossip.Stats(),
 		Keys:       c.keys.Stats(),
 		KeysSealed: c.keys.Sealed(),
 		Entries:    c.viewEntries(),
@@ -249,14 +249,14 @@
 }
 
 func (c *Core) viewPool(now time.Duration, p *pool) PoolView {
-	spent := p.watch.Spent()
+	spent := p.healthProbes.Spent()
 	v := PoolView{
 		Name:         p.Name,
 		Slots:        p.Slots(),
 		Outstanding:  p.Outstanding(),
 		Waiting:      p.queue.Len(),
-		WatchShare:   p.watch.Share(),
-		ProbesLeft:   p.watch.Left(),
+		WatchShare:   p.healthProbes.Share(),
+		ProbesLeft:   p.healthProbes.Left(),
 		Probes:       spent.Probes,
 		ProbesDenied: spent.Denied,
 		ProbeTime:    spent.SlotTime,
@@ -301,7 +301,7 @@
 	return ServiceView{
 		Name:          sv.name,
 		Policy:        sv.policy,
-		Held:          sv.held,
+		InUse:         sv.inUse,
 		Waiting:       sv.pool.queue.LenOf(sv.index),
 		RetriesLeft:   sv.retry.Level(),
 		Retries:       spent,
@@ -327,7 +327,7 @@
 			views = append(views, EndpointView{
 				Endpoint: *e,
 				Pool:     p.Name,
-				Grant:    grant.Of(now, &p.Pool, e),
+				Grant:    grant.Check(now, &p.Pool, e),
 				Missing:  missing[e.Name],
 				Ejection: c.viewEjection(now, p, i),
 			})
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			boxes := idle(1, "d0")
-			y := newYard(t, boxes...)
+			y := newEntryHarness(t, boxes...)
 			y.learn(8)
 			for range 40 {
 				boxes[0].running = 1
@@ -49,8 +49,8 @@
 // one that can't any more, wait until the VM is as fast as usual.
 func TestPaceAtTheStartHolds(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
-		idle, full := &box{name: "idle", domain: "d0"}, &box{name: "full", domain: "d0"}
-		y := newYard(t, idle, full)
+		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
+		y := newEntryHarness(t, idle, full)
 		y.learn(12)
 		idle.pace, full.running, full.waiting = 500, 2, 1
 		id := y.ask(route.Idempotent, left)
@@ -72,7 +72,7 @@
 // It waits in the entry instead, and takes the slot that frees up first anywhere.
 func TestNoWaitBehindLongRequests(t *testing.T) {
 	boxes := idle(2, "d0")
-	y := newYard(t, boxes...)
+	y := newEntryHarness(t, boxes...)
 	y.learn(12)
 	for range 12 {
 		id := y.ask(route.NonIdempotent, 3*sec)
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -29,8 +29,8 @@
 	for i := range a.Notes {
 		e.trail.Add(e.recordOf(&a.Notes[i]))
 	}
-	for i := range a.Stories {
-		logStory(&a.Stories[i])
+	for i := range a.Traces {
+		logTrace(&a.Traces[i])
 	}
 	for i := range a.Updates {
 		e.deliver(a.Updates[i])
--- a/internal/entry/coreconfig.go
+++ b/internal/entry/coreconfig.go
@@ -26,7 +26,7 @@
 	c.MissingAfter = e.settings.Platform.MissingAfter.Duration
 	c.KeepLast = e.settings.Platform.KeepLast.Duration
 	c.Repeats = budget.RepeatBound{Share: limits.RepeatShare, Window: limits.RepeatWindow.Duration, Slack: limits.RepeatSlack}
-	c.LooksPerEndpoint = limits.LooksPerEndpoint
+	c.LoadProbesPerEndpoint = limits.LoadProbesPerEndpoint
 	c.WarmupOver, c.WarmupSlack = limits.WarmupOver, limits.WarmupSlack
 	keys := idem.DefaultConfig(e.hello.Incarnation)
 	keys.MaxKeys = limits.Keys
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -215,7 +215,7 @@
 		l.book(n)
 	}
 	unknown := 0
-	for _, about := range l.told {
+	for _, about := range l.replies {
 		arrivals := dying.arrived(about.id)
 		if arrivals > 1 || arrivals > 0 && about.result.Outcome == client.NotRun {
 			t.Errorf("%s arrived %d times, told %s", about.id, arrivals, about.result.Outcome)
--- a/internal/entry/engine.go
+++ b/internal/entry/engine.go
@@ -75,7 +75,7 @@
 }
 
 func hasRest(a *core.Actions) bool {
-	return len(a.Probes)+len(a.Updates)+len(a.Fetches)+len(a.Notes)+len(a.Stories)+len(a.DropAddresses)+len(a.SuspectAddresses) > 0
+	return len(a.Probes)+len(a.Updates)+len(a.Fetches)+len(a.Notes)+len(a.Traces)+len(a.DropAddresses)+len(a.SuspectAddresses) > 0
 }
 
 func (e *engine) carryOut(rest *core.Actions) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -93,17 +93,17 @@
 	connections *forward.Connections
 	// homes are the connections to other entries' callers' side; the same as
 	// connections where that is plain HTTP.
-	homes       *forward.Connections
-	front       *front.Server
-	peerServer  *peer.Server
-	links       *peer.Links
-	told        hearsay
-	trail       *audit.Trail
-	documents   documents
-	platform    *countedPlatform
-	glances     glances
-	instruments *instruments
-	recent      recent
+	homes          *forward.Connections
+	front          *front.Server
+	peerServer     *peer.Server
+	links          *peer.Links
+	knownAddresses addressBook
+	trail          *audit.Trail
+	documents      documents
+	platform       *countedPlatform
+	liveness       livenessChecks
+	instruments    *instruments
+	recent         recent
 
 	// revision of the profiles in force, for answers.
 	revision atomic.Uint64
@@ -160,8 +160,8 @@
 		e.dialect = ownDialect{}
 	}
 	e.platform = newCountedPlatform(opts.Platform, clock)
-	e.glances.platform, _ = opts.Platform.(published.Glancer)
-	e.glances.every = e.settings.Platform.GlanceEvery.Duration
+	e.liveness.platform, _ = opts.Platform.(published.LivenessChecker)
+	e.liveness.every = e.settings.Platform.LivenessEvery.Duration
 	e.instruments = newInstruments()
 	e.buildConnections(clock)
 	rng := rand.New(rand.NewPCG(incarnation, uint64(opts.Wall().UnixNano())))
@@ -254,14 +254,14 @@
 		return err
 	}
 	e.life, e.cancel = context.WithCancel(context.Background())
-	e.told.add(0, e.settings.Peers.Seeds)
+	e.knownAddresses.add(0, e.settings.Peers.Seeds)
 	e.run(func() { e.noteEnd("callers", e.front.Serve(e.callerListener)) })
 	e.run(func() { e.noteEnd("peers", e.peerServer.Serve(e.peerListener)) })
 	e.run(func() { e.tickLoop(e.life) })
 	e.run(func() { e.followLoop(e.life, published.ProfilesValue) })
 	e.run(func() { e.followLoop(e.life, published.VMsValue) })
-	if e.glances.on() {
-		e.run(func() { e.glanceLoop(e.life) })
+	if e.liveness.on() {
+		e.run(func() { e.livenessLoop(e.life) })
 	}
 	return nil
 }
--- a/internal/entry/rig_test.go
+++ b/internal/entry/fixture_test.go
@@ -45,10 +45,10 @@
 `
 
 const (
-	// patience bounds every wait of these tests.
-	patience = 60 * time.Second
-	// look is how often a condition is looked at.
-	look = 5 * time.Millisecond
+	// testTimeout bounds every wait of these tests.
+	testTimeout = 60 * time.Second
+	// pollInterval is how often a condition is looked at.
+	pollInterval = 5 * time.Millisecond
 	// shortAnswers lets planned stops end soon.
 	shortAnswers = 300 * time.Millisecond
 )
@@ -97,7 +97,7 @@
 
 func (f *fleet) ready(t *testing.T) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if err := f.Ready(ctx); err != nil {
 		t.Fatal(err)
@@ -139,9 +139,9 @@
 // await waits until a condition holds.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	ticker := time.NewTicker(look)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !holds() {
 		select {
@@ -214,8 +214,8 @@
 	return n, err
 }
 
-// told is what a caller was told of one request.
-type told struct {
+// reply is what a caller was told of one request.
+type reply struct {
 	id     string
 	once   bool
 	size   int64
--- a/internal/entry/rig_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -22,8 +22,8 @@
 	// room has a place for each request under way; nil for any number of them.
 	room chan struct{}
 
-	mu   sync.Mutex
-	told []told
+	mu      sync.Mutex
+	replies []reply
 }
 
 const (
@@ -110,7 +110,7 @@
 
 func (l *traffic) read(n int) {
 	id := fmt.Sprintf("read-%d", n)
-	l.do(n, told{id: id, size: readSize}, client.Request{
+	l.do(n, reply{id: id, size: readSize}, client.Request{
 		Service: "counts",
 		Method:  http.MethodGet,
 		Path:    fmt.Sprintf("/trays?id=%s&bytes=%d", id, readSize),
@@ -119,7 +119,7 @@
 
 func (l *traffic) book(n int) {
 	id := fmt.Sprintf("booking-%d", n)
-	l.do(n, told{id: id, once: true, size: standin.AnswerSize(id)}, client.Request{
+	l.do(n, reply{id: id, once: true, size: standin.AnswerSize(id)}, client.Request{
 		Service: "bookings",
 		Method:  http.MethodPost,
 		Path:    "/bookings?id=" + id,
@@ -128,7 +128,7 @@
 	})
 }
 
-func (l *traffic) do(n int, about told, request client.Request) {
+func (l *traffic) do(n int, about reply, request client.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
 	defer cancel()
 	request.Header = http.Header{contract.HeaderRequest: {about.id}}
@@ -139,14 +139,14 @@
 	about.result = result
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = append(l.told, about)
+	l.replies = append(l.replies, about)
 }
 
 // answered returns how many requests have ended.
 func (l *traffic) answered() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.told)
+	return len(l.replies)
 }
 
 // awaitMore waits until n more requests have ended, so that what came before
@@ -167,7 +167,7 @@
 	t.Helper()
 	close(l.end)
 	l.sending.Wait()
-	for _, about := range l.told {
+	for _, about := range l.replies {
 		count := &reads
 		if about.once {
 			count = &bookings
@@ -201,7 +201,7 @@
 }
 
 // problem says how a promise was broken to the caller of one request.
-func (a told) problem(ran standin.Count) string {
+func (a reply) problem(ran standin.Count) string {
 	switch {
 	case a.once && ran.Runs > 1:
 		return fmt.Sprintf("ran %d times", ran.Runs)
--- a/internal/entry/glance.go
+++ b/internal/entry/liveness.go
@@ -13,18 +13,18 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// glanceInTime is how long the platform may take to answer a glance before this entry
+// livenessTimeout is how long the platform may take to answer a glance before this entry
 // tells the others not to rely on it. A glance that is answered later than that shows
 // that the platform is slow, so this entry reads on.
-const glanceInTime = 300 * time.Millisecond
+const livenessTimeout = 300 * time.Millisecond
 
 // glances is what an entry that reads the platform learns from cheap calls beside its
 // watches. Guards against a platform that stops answering some entries, the readers
 // among them: their watches wait in silence, and published changes come into force
 // only when the watches time out. Guards as well against a platform that has forgotten a watch,
 // as one that drops its history does: it answers, and the watch waits in silence.
-type glances struct {
-	platform published.Glancer
+type livenessChecks struct {
+	platform published.LivenessChecker
 	every    time.Duration
 	// made and late count them, late those that were not answered in time.
 	made, late atomic.Uint64
@@ -35,30 +35,30 @@
 	failed atomic.Bool
 	// answered says that a glance was answered since this entry reads.
 	answered atomic.Bool
-	// held is how far the platform was at the glance before, renewedAt when a watch was last
+	// latest is how far the platform was at the glance before, renewedAt when a watch was last
 	// made anew.
-	held      uint64
+	latest    uint64
 	renewedAt time.Duration
 	// spreadUntil is when an entry glances next that is one of those who try last, 0 for none.
 	spreadUntil time.Duration
 }
 
-// glanceLoop glances for as long as this entry reads the platform.
-func (e *Entry) glanceLoop(ctx context.Context) {
+// livenessLoop glances for as long as this entry reads the platform.
+func (e *Entry) livenessLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !e.isReader() {
-			e.glances.failed.Store(false)
-			e.glances.answered.Store(false)
-			e.glances.spreadUntil = 0
+			e.liveness.failed.Store(false)
+			e.liveness.answered.Store(false)
+			e.liveness.spreadUntil = 0
 			wait.For(ctx, readerCheck)
 			continue
 		}
-		pause, spread := e.glancePause()
-		if !e.glances.due(e.engine.clock(), pause, spread) {
+		pause, spread := e.livenessPause()
+		if !e.liveness.due(e.engine.clock(), pause, spread) {
 			wait.For(ctx, readerCheck)
 			continue
 		}
-		e.glance(ctx)
+		e.checkLiveness(ctx)
 		if !spread {
 			wait.For(ctx, pause)
 		}
@@ -68,7 +68,7 @@
 // due reports whether to glance now. One that is spread glances at a random moment, on average a
 // pause after it began to read or after the glance before. It is asked again and again meanwhile:
 // an entry whose duty it becomes to read glances at once, rather than up to two pauses later.
-func (g *glances) due(now, pause time.Duration, spread bool) bool {
+func (g *livenessChecks) due(now, pause time.Duration, spread bool) bool {
 	if !spread {
 		g.spreadUntil = 0
 		return true
@@ -83,31 +83,31 @@
 	return true
 }
 
-func (e *Entry) glancePause() (pause time.Duration, spread bool) {
-	e.engine.view(func(now time.Duration, c *core.Core) { pause, spread = c.GlancePause(now, e.glances.every) })
+func (e *Entry) livenessPause() (pause time.Duration, spread bool) {
+	e.engine.view(func(now time.Duration, c *core.Core) { pause, spread = c.LivenessPause(now, e.liveness.every) })
 	return pause, spread
 }
 
-// glance makes one call and notes whether it was answered, and whether in time.
-func (e *Entry) glance(life context.Context) {
+// checkLiveness makes one call and notes whether it was answered, and whether in time.
+func (e *Entry) checkLiveness(life context.Context) {
 	ctx, cancel := context.WithTimeout(life, e.settings.Platform.Timeout.Duration)
 	defer cancel()
-	late := time.AfterFunc(glanceInTime, func() { e.noteGlance(false) })
-	seen, err := e.glances.platform.Glance(ctx)
+	late := time.AfterFunc(livenessTimeout, func() { e.noteLiveness(false) })
+	seen, err := e.liveness.platform.Liveness(ctx)
 	inTime := late.Stop() && err == nil
 	if life.Err() != nil {
 		return // this entry stops
 	}
-	e.noteGlance(inTime)
+	e.noteLiveness(inTime)
 	if err == nil {
-		e.glances.answered.Store(true)
+		e.liveness.answered.Store(true)
 		e.renewWatch(seen)
 	}
-	e.glances.made.Add(1)
+	e.liveness.made.Add(1)
 	if !inTime {
-		e.glances.late.Add(1)
+		e.liveness.late.Add(1)
 	}
-	if failed := err != nil; e.glances.failed.Swap(failed) != failed {
+	if failed := err != nil; e.liveness.failed.Swap(failed) != failed {
 		klog.InfoS("the platform answers glances", "answers", !failed, "err", err)
 	}
 }
@@ -115,33 +115,33 @@
 // renewWatch has a watch made anew that has not brought, a whole glance later, what the platform
 // held by then. Without it a profile that was published while the platform dropped its history
 // came into force when the watches ran out, 3 s later, and the list had to be read besides.
-func (e *Entry) renewWatch(seen published.Glance) {
-	before := e.glances.held
-	e.glances.held = seen.Held
+func (e *Entry) renewWatch(seen published.Liveness) {
+	before := e.liveness.latest
+	e.liveness.latest = seen.Latest
 	now, patience := e.engine.clock(), e.settings.Platform.Timeout.Duration
-	if seen.Brought == 0 || seen.Brought >= before || e.glances.renewedAt != 0 && now-e.glances.renewedAt < patience {
+	if seen.Delivered == 0 || seen.Delivered >= before || e.liveness.renewedAt != 0 && now-e.liveness.renewedAt < patience {
 		return // nothing is missing, or the new call has had no time yet
 	}
-	e.glances.renewedAt = now
-	klog.InfoS("a watch has not brought what the platform holds; it is made anew", "brought", seen.Brought, "held", before)
-	e.glances.renewed.Add(1)
-	e.glances.platform.Rewatch()
+	e.liveness.renewedAt = now
+	klog.InfoS("a watch has not brought what the platform holds; it is made anew", "brought", seen.Delivered, "held", before)
+	e.liveness.renewed.Add(1)
+	e.liveness.platform.RenewWatch()
 }
 
-func (e *Entry) noteGlance(inTime bool) {
-	e.engine.view(func(_ time.Duration, c *core.Core) { c.PlatformGlanced(inTime) })
+func (e *Entry) noteLiveness(inTime bool) {
+	e.engine.view(func(_ time.Duration, c *core.Core) { c.PlatformAlive(inTime) })
 }
 
 // reads reports whether this entry should read the platform now.
-func (e *Entry) reads() bool { return e.isReader() && e.glances.allow(e.assigned()) }
+func (e *Entry) reads() bool { return e.isReader() && e.liveness.allow(e.assigned()) }
 
 // allow reports whether an entry that reads may do so by what its glances tell. One that is not
 // assigned to read does when those that are have no answer, so most likely it gets none
 // either: it waits until a glance was answered. Guards against a platform that is down, to
 // which each entry of the fleet in turn would send reads, ten times as dear.
-func (g *glances) allow(assigned bool) bool {
+func (g *livenessChecks) allow(assigned bool) bool {
 	return !g.failed.Load() && (assigned || !g.on() || g.answered.Load())
 }
 
 // on reports whether this entry glances at all.
-func (g *glances) on() bool { return g.every > 0 && g.platform != nil }
+func (g *livenessChecks) on() bool { return g.every > 0 && g.platform != nil }
--- a/internal/entry/glance_test.go
+++ b/internal/entry/liveness_test.go
@@ -12,18 +12,18 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// mutable is a configuration service that can fall silent towards this entry: watches
+// fakePlatform is a configuration service that can fall silent towards this entry: watches
 // that wait then hear nothing, and nothing is answered.
-type mutable struct {
+type fakePlatform struct {
 	values
-	silent                 atomic.Bool
-	reads, glances, leaves atomic.Int64
+	silent                        atomic.Bool
+	reads, livenessChecks, leaves atomic.Int64
 	// held and brought are what a glance says, renewed counts the watches made anew.
 	held, brought atomic.Uint64
 	renewed       atomic.Int64
 }
 
-func (m *mutable) Read(ctx context.Context, name string) (published.Value, error) {
+func (m *fakePlatform) Read(ctx context.Context, name string) (published.Value, error) {
 	m.reads.Add(1)
 	if m.silent.Load() {
 		<-ctx.Done()
@@ -32,7 +32,7 @@
 	return m.values.Read(ctx, name)
 }
 
-func (m *mutable) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
+func (m *fakePlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
 	v, err := m.values.Watch(ctx, name, after)
 	if err != nil {
 		m.leaves.Add(1)
@@ -40,27 +40,27 @@
 	return v, err
 }
 
-func (m *mutable) Glance(context.Context) (published.Glance, error) {
-	m.glances.Add(1)
+func (m *fakePlatform) Liveness(context.Context) (published.Liveness, error) {
+	m.livenessChecks.Add(1)
 	if m.silent.Load() {
-		return published.Glance{}, errors.New("no answer")
+		return published.Liveness{}, errors.New("no answer")
 	}
-	return published.Glance{Held: m.held.Load(), Brought: m.brought.Load()}, nil
+	return published.Liveness{Latest: m.held.Load(), Delivered: m.brought.Load()}, nil
 }
 
-func (m *mutable) Rewatch() { m.renewed.Add(1) }
+func (m *fakePlatform) RenewWatch() { m.renewed.Add(1) }
 
-// glancing starts an entry that glances at a service every 20 ms, and returns how to wait for it.
-func glancing(t *testing.T) (*mutable, *entry.Entry, func(what string, holds func() bool)) {
+// newReadingEntry starts an entry that glances at a service every 20 ms, and returns how to wait for it.
+func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
-	m := &mutable{values: values{
+	m := &fakePlatform{values: values{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 		published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: published.EncodeVMs(published.VMList{})},
 	}}
 	s := settings.Default()
 	s.Name, s.Region, s.FailureDomain = "entry-1", "r", "a"
 	s.Addresses.Caller, s.Addresses.Peer = "127.0.0.1:0", "127.0.0.1:0"
-	s.Platform.GlanceEvery.Duration = 20 * time.Millisecond
+	s.Platform.LivenessEvery.Duration = 20 * time.Millisecond
 	e, err := entry.New(s, entry.Options{Platform: m})
 	if err != nil {
 		t.Fatal(err)
@@ -91,11 +91,11 @@
 // service further than the watches have brought, a glance later still, has them made anew; a
 // service of which the watches bring all that changes is left alone.
 func TestForgottenWatchIsMadeAnew(t *testing.T) {
-	m, e, until := glancing(t)
+	m, e, until := newReadingEntry(t)
 	until("ready", func() bool { ok, _ := e.Ready(); return ok })
 	more := func() {
-		glances := m.glances.Load()
-		until("five glances", func() bool { return m.glances.Load() >= glances+5 })
+		glances := m.livenessChecks.Load()
+		until("five glances", func() bool { return m.livenessChecks.Load() >= glances+5 })
 	}
 	for range 20 {
 		m.brought.Store(m.held.Add(1))
@@ -119,12 +119,12 @@
 // The entry leaves them at once, asks nothing but whether it answers, and reads anew as
 // soon as it does.
 func TestServiceFallsSilentDuringAWatch(t *testing.T) {
-	m, e, until := glancing(t)
+	m, e, until := newReadingEntry(t)
 	until("ready", func() bool { ok, _ := e.Ready(); return ok })
 	m.silent.Store(true)
 	until("both watches are left", func() bool { return m.leaves.Load() >= 2 })
-	reads, glances := m.reads.Load(), m.glances.Load()
-	until("ten more glances", func() bool { return m.glances.Load() >= glances+10 })
+	reads, glances := m.reads.Load(), m.livenessChecks.Load()
+	until("ten more glances", func() bool { return m.livenessChecks.Load() >= glances+10 })
 	if more := m.reads.Load() - reads; more != 0 {
 		t.Errorf("%d reads of a silent service", more)
 	}
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -28,20 +28,20 @@
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\|").FindAllStringSubmatch(section, -1) {
 		explained = append(explained, m[1])
 	}
-	if !slices.Equal(explained, storyFields) {
-		t.Errorf("the page explains %v, a line has %v", explained, storyFields)
+	if !slices.Equal(explained, traceFields) {
+		t.Errorf("the page explains %v, a line has %v", explained, traceFields)
 	}
 	var out strings.Builder
 	w := logging.NewWriter(&out, logging.Config{})
 	logging.Use(w)
 	defer klog.ClearLogger()
-	logStory(&core.Story{Name: "9c41", Attempts: []core.StoryAttempt{{Endpoint: "i-1", End: "lost"}}})
+	logTrace(&core.RequestTrace{Name: "9c41", Attempts: []core.AttemptTrace{{Endpoint: "i-1", End: "lost"}}})
 	w.Close()
 	var line map[string]any
 	if err := json.Unmarshal([]byte(out.String()), &line); err != nil {
 		t.Fatalf("%q: %v", out.String(), err)
 	}
-	for _, field := range storyFields {
+	for _, field := range traceFields {
 		if _, there := line[field]; !there {
 			t.Errorf("the line has no %s", field)
 		}
@@ -58,7 +58,7 @@
 			t.Errorf("an example is not JSON: %v", err)
 		}
 		for name := range fields {
-			if !slices.Contains(append([]string{"msg", "entry"}, storyFields...), name) {
+			if !slices.Contains(append([]string{"msg", "entry"}, traceFields...), name) {
 				t.Errorf("an example has a field %s that no line has", name)
 			}
 		}
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -27,9 +27,9 @@
 // The endings. An exchange has ended for goneCaller until it is told otherwise.
 const (
 	goneCaller ending = iota
-	toldDone
-	toldNotRun
-	toldUnknown
+	endedDone
+	endedNotRun
+	endedUnknown
 	// cutOff: the answer broke off after its head was passed on.
 	cutOff
 	endingCount
@@ -37,22 +37,22 @@
 
 // endingNames are the names of the counters.
 var endingNames = [endingCount]string{
-	goneCaller:  "caller_gone",
-	toldDone:    "done",
-	toldNotRun:  "not_run",
-	toldUnknown: "unknown",
-	cutOff:      "cut_off",
+	goneCaller:   "caller_gone",
+	endedDone:    "done",
+	endedNotRun:  "not_run",
+	endedUnknown: "unknown",
+	cutOff:       "cut_off",
 }
 
 // endingOf is the ending of an exchange whose caller was told an outcome.
 func endingOf(o core.Outcome) ending {
 	switch o {
 	case core.OutcomeDone:
-		return toldDone
+		return endedDone
 	case core.OutcomeNotRun:
-		return toldNotRun
+		return endedNotRun
 	}
-	return toldUnknown
+	return endedUnknown
 }
 
 // instruments measure what an entry does. What can be read from the core is
--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -116,7 +116,7 @@
 		total("requests.forwarded", c.Forwarded),
 		total("requests.replayed", c.Replayed),
 		total("requests.endpoint_not_run", c.EndpointNotRun),
-		total("requests.looks", c.Looks),
+		total("requests.looks", c.LoadProbes),
 		total("requests.crashes", c.Crashes),
 		gauge("requests.suspected", float64(f.view.Suspects)),
 		gauge("requests.quarantined", float64(len(f.view.Quarantined))),
@@ -136,8 +136,8 @@
 		total("platform.calls", p.calls),
 		total("platform.failures", p.failures),
 		total("platform.unusable", p.unusable),
-		total("platform.glances", f.glances),
-		total("platform.glances_late", f.lateGlances),
+		total("platform.glances", f.livenessChecks),
+		total("platform.glances_late", f.lateLivenessChecks),
 		total("platform.watches_renewed", f.renewedWatches),
 		gauge("platform.failing", float64(len(f.failingValues()))),
 		total("published.stale", c.StaleProfiles),
@@ -160,7 +160,7 @@
 }
 
 func (f *facts) fleetReadings() []reading {
-	c, fleet, news := &f.view.Counters, f.fleetView(), &f.view.News
+	c, fleet, news := &f.view.Counters, f.fleetView(), &f.view.Evidence
 	return []reading{
 		gauge("fleet.entries_usable", float64(fleet.EntriesUsable)),
 		gauge("fleet.entries_suspected", float64(fleet.EntriesSuspected)),
@@ -219,7 +219,7 @@
 	for i := range p.Services {
 		s := &p.Services[i]
 		all = append(all,
-			gauge(serviceMetric(s.Name, "outstanding"), float64(s.Held)),
+			gauge(serviceMetric(s.Name, "outstanding"), float64(s.InUse)),
 			gauge(serviceMetric(s.Name, "waiting"), float64(s.Waiting)),
 			gauge(serviceMetric(s.Name, "retries_left"), s.RetriesLeft),
 			total(serviceMetric(s.Name, "retries"), s.Retries),
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -13,7 +13,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			m.passed(3*time.Millisecond, 2*time.Millisecond)
-			m.ended("live-counts", toldDone, 3*time.Millisecond)
+			m.ended("live-counts", endedDone, 3*time.Millisecond)
 		}
 	})
 }
--- a/internal/entry/pass.go
+++ b/internal/entry/pass.go
@@ -36,11 +36,11 @@
 	}
 	switch contract.Outcome(c.response.Header.Get(contract.HeaderOutcome)) {
 	case contract.OutcomeDone:
-		return toldDone
+		return endedDone
 	case contract.OutcomeNotRun:
-		return toldNotRun
+		return endedNotRun
 	}
-	return toldUnknown
+	return endedUnknown
 }
 
 // stream copies the answer to the caller and then reports its end.
@@ -81,7 +81,7 @@
 	if err != nil {
 		_ = body.Close()
 		x.end(c.attempt, core.EndTruncated, nil)
-		x.ending = toldUnknown
+		x.ending = endedUnknown
 		x.entry.reply(w, x.request, core.Directive{Outcome: core.OutcomeUnknown, Reason: core.ReasonAnswerBroken})
 		return
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -48,13 +48,13 @@
 // ownHello is how this entry introduces itself, with its state and which others it knows.
 func (e *Entry) ownHello() message.Hello {
 	h := e.hello
-	e.engine.view(func(_ time.Duration, c *core.Core) { h.Says, h.Knows = c.Says(), c.Roster() })
+	e.engine.view(func(_ time.Duration, c *core.Core) { h.Status, h.Records = c.OwnStatus(), c.RecordSet() })
 	return h
 }
 
 // SetSeeds replaces the peer addresses to try first. Links to entries that are
 // known stay.
-func (e *Entry) SetSeeds(seeds []string) { e.told.add(e.engine.clock(), seeds) }
+func (e *Entry) SetSeeds(seeds []string) { e.knownAddresses.add(e.engine.clock(), seeds) }
 
 // rememberFor is how long an address is tried at which no entry is known any more, and
 // rememberMost how many addresses are remembered.
@@ -63,17 +63,17 @@
 	rememberMost = 4096
 )
 
-// hearsay are the addresses of seeds and of entries that were known, with when that was last.
+// addressBook are the addresses of seeds and of entries that were known, with when that was last.
 // Those at which no entry is known now are dialled by a few: one that was killed comes back at
 // its address, and the other part of a fleet that was cut in two is found there.
-type hearsay struct {
+type addressBook struct {
 	mu      sync.Mutex
 	seenAt  map[string]time.Duration
 	version uint64
 }
 
 // add notes addresses.
-func (s *hearsay) add(now time.Duration, addresses []string) {
+func (s *addressBook) add(now time.Duration, addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.seenAt == nil {
@@ -91,7 +91,7 @@
 }
 
 // forget drops the addresses at which no entry was known for long.
-func (s *hearsay) forget(now time.Duration) {
+func (s *addressBook) forget(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, at := range s.seenAt {
@@ -102,14 +102,14 @@
 }
 
 // latest is the version of the list of addresses; it is 0 while none is known.
-func (s *hearsay) latest() uint64 {
+func (s *addressBook) latest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
 // appendTo appends all addresses.
-func (s *hearsay) appendTo(out []string) []string {
+func (s *addressBook) appendTo(out []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address := range s.seenAt {
@@ -154,7 +154,7 @@
 // of the others, two parts of a fleet could miss each other for good, and callers of one
 // would never be sent to the other.
 func (e *Entry) updateLinks(set *wantedLinks) {
-	version := e.told.latest()
+	version := e.knownAddresses.latest()
 	var wanted, known []string
 	e.engine.view(func(now time.Duration, c *core.Core) {
 		links, starting := c.LinksVersion(), now < seedsFor || !c.KnowsOthers()
@@ -162,7 +162,7 @@
 			return
 		}
 		set.version, set.told, set.starting = links, version, starting
-		told := e.told.appendTo(nil)
+		told := e.knownAddresses.appendTo(nil)
 		wanted, known = c.LinkAddresses([]string{}), c.PeerAddresses(nil)
 		lost := lostOf(told, known)
 		if starting {
@@ -175,8 +175,8 @@
 		return
 	}
 	now := e.engine.clock()
-	e.told.add(now, append(known, e.settings.Peers.Seeds...))
-	e.told.forget(now)
+	e.knownAddresses.add(now, append(known, e.settings.Peers.Seeds...))
+	e.knownAddresses.forget(now)
 	wanted = slices.DeleteFunc(wanted, func(address string) bool { return address == e.hello.PeerAddress })
 	slices.Sort(wanted)
 	wanted = slices.Compact(wanted)
@@ -238,7 +238,7 @@
 	ack := message.Ack{Accepted: true}
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		known = c.PeerUpdate(now, &u, out)
-		ack.Known, ack.Roster = c.EvidenceDigest(), c.Roster().Digest
+		ack.Known, ack.RecordDigest = c.EvidenceDigest(), c.RecordSet().Digest
 	})
 	if !known {
 		return message.Ack{Reason: "say hello first"}, nil
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -95,7 +95,7 @@
 	e.awaitPeers(ctx)
 	for ctx.Err() == nil {
 		if e.reads() {
-			wait.For(ctx, e.readPatience())
+			wait.For(ctx, e.readDelay())
 		}
 		if e.reads() {
 			e.follow(ctx, name)
@@ -104,19 +104,19 @@
 	}
 }
 
-func (e *Entry) readPatience() (patience time.Duration) {
-	e.engine.view(func(_ time.Duration, c *core.Core) { patience = c.ReadPatience() })
+func (e *Entry) readDelay() (patience time.Duration) {
+	e.engine.view(func(_ time.Duration, c *core.Core) { patience = c.ReadDelay() })
 	return patience
 }
 
-// startPatience is for how long an entry that starts waits to learn of others before
+// startWait is for how long an entry that starts waits to learn of others before
 // it reads for all: each entry of a fleet that starts would otherwise read as if it
-// were alone. meetingPatience is the same while it and those that it met hold different
+// were alone. meetingWait is the same while it and those that it met hold different
 // records, as hundreds that start together do for seconds, and at the first start of a whole
 // fleet, when no caller comes for longer.
 const (
-	startPatience   = time.Second
-	meetingPatience = 3 * time.Second
+	startWait   = time.Second
+	meetingWait = 3 * time.Second
 )
 
 // meeting tells when an entry that starts has met the others: it agrees with its peers on who
@@ -150,19 +150,19 @@
 
 // awaitPeers waits until this entry knows the others, if it has been told of any.
 func (e *Entry) awaitPeers(ctx context.Context) {
-	if e.told.latest() == 0 {
+	if e.knownAddresses.latest() == 0 {
 		return
 	}
-	patience, m := startPatience, meeting{checks: meetingChecks}
+	patience, m := startWait, meeting{checks: meetingChecks}
 	if e.settings.Platform.FirstStart {
-		patience, m.checks = meetingPatience, firstChecks
+		patience, m.checks = meetingWait, firstChecks
 	}
 	began := e.engine.clock()
 	for ctx.Err() == nil {
 		known, agreed := 0, false
 		e.engine.view(func(_ time.Duration, c *core.Core) { known, agreed = c.UsableEntries(), c.Agrees() })
 		waited := e.engine.clock() - began
-		if m.over(known, agreed) || waited >= meetingPatience || agreed && waited >= patience {
+		if m.over(known, agreed) || waited >= meetingWait || agreed && waited >= patience {
 			return
 		}
 		wait.For(ctx, readerCheck/4)
@@ -186,7 +186,7 @@
 	defer cancel()
 	e.run(func() { e.endFollowing(ctx, cancel) })
 	options := published.FollowOptions{
-		Gap:     e.settings.Platform.NewsGap.Duration,
+		Gap:     e.settings.Platform.ChangeGap.Duration,
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Backoff: published.NewBackoff(0, duty.CheckPeriod(e.KnownEntries(), readRetry)),
 		OnError: func(err error) { e.platformFailed(name, err) },
--- a/internal/entry/reads_test.go
+++ b/internal/entry/reads_test.go
@@ -8,9 +8,9 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-type glancer struct{ published.Glancer }
+type alive struct{ published.LivenessChecker }
 
-func (glancer) Glance(context.Context) (published.Glance, error) { return published.Glance{}, nil }
+func (alive) Liveness(context.Context) (published.Liveness, error) { return published.Liveness{}, nil }
 
 // The platform is down, and 87 entries that stand in for those assigned to read it each sent it
 // two reads and more before a glance, at a tenth of the price, had told them that it does not
@@ -26,7 +26,7 @@
 		{"the latest glance was not", false, true, true, false, false},
 		{"no glances are made", true, false, false, true, true},
 	} {
-		g := &glances{platform: glancer{}, every: time.Second}
+		g := &livenessChecks{platform: alive{}, every: time.Second}
 		if tt.off {
 			g.every = 0
 		}
@@ -44,7 +44,7 @@
 func TestNewReaderGlancesAtOnce(t *testing.T) {
 	const pause = 7 * time.Second
 	for range 100 {
-		g := &glances{}
+		g := &livenessChecks{}
 		if g.due(time.Second, pause, true) {
 			continue // its moment has come at once
 		}
@@ -55,7 +55,7 @@
 			t.Fatal("the moment of before holds on")
 		}
 	}
-	g, glanced := &glances{}, 0
+	g, glanced := &livenessChecks{}, 0
 	const lasts = 700 * time.Second
 	for now := time.Duration(0); now < lasts; now += readerCheck {
 		if g.due(now, pause, true) {
--- a/internal/entry/refusal_test.go
+++ b/internal/entry/refusal_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(conn, request); err != nil {
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -30,9 +30,9 @@
 	view     core.View
 	recent   recentCounts
 	platform platformCounts
-	// glances are the cheap calls beside those, lateGlances the ones without an
+	// glances are the cheap calls beside those, lateLivenessChecks the ones without an
 	// answer in time.
-	glances, lateGlances uint64
+	livenessChecks, lateLivenessChecks uint64
 	// renewedWatches are the watches that were made anew.
 	renewedWatches uint64
 	callers        int
@@ -55,18 +55,18 @@
 // facts gathers what is known now.
 func (e *Entry) facts() *facts {
 	f := &facts{
-		wall:           e.options.Wall(),
-		settings:       e.settings,
-		hello:          &e.hello,
-		platform:       e.platform.snapshot(),
-		glances:        e.glances.made.Load(),
-		lateGlances:    e.glances.late.Load(),
-		renewedWatches: e.glances.renewed.Load(),
-		callers:        e.front.Connections(),
-		connections:    make(map[string]int),
-		links:          e.links.Stats(),
-		peerServer:     e.peerServer.Stats(),
-		process:        readProcess(),
+		wall:               e.options.Wall(),
+		settings:           e.settings,
+		hello:              &e.hello,
+		platform:           e.platform.snapshot(),
+		livenessChecks:     e.liveness.made.Load(),
+		lateLivenessChecks: e.liveness.late.Load(),
+		renewedWatches:     e.liveness.renewed.Load(),
+		callers:            e.front.Connections(),
+		connections:        make(map[string]int),
+		links:              e.links.Stats(),
+		peerServer:         e.peerServer.Stats(),
+		process:            readProcess(),
 	}
 	e.engine.view(func(now time.Duration, c *core.Core) { f.now, f.view = now, c.View(now) })
 	f.view.Sort()
@@ -211,8 +211,8 @@
 	if e.SlowUntil > 0 {
 		v.SlowStart = float64(e.Slots) / float64(max(e.Listed, 1))
 	}
-	if e.Sighting.Seen {
-		v.Foreign, v.SightingAge = int(e.Sighting.Foreign), (f.now - e.Sighting.At).Seconds()
+	if e.Reported.Seen {
+		v.Foreign, v.SightingAge = int(e.Reported.Foreign), (f.now - e.Reported.At).Seconds()
 	}
 	if why := e.Ejection; why != nil {
 		v.Ejection = &admin.EjectionView{
--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -173,21 +173,21 @@
 }
 
 // beginAdopted answers for a key of another home. Such a key is never run.
-func (t *Table) beginAdopted(k Key, caller uint64, d Digest) Verdict {
+func (t *Table) beginAdopted(k Key, caller uint64, d Digest) Decision {
 	h := t.adopted.find(k.Home)
 	if h == nil {
-		return Verdict{Kind: NotHome, Home: k.Home}
+		return Decision{Kind: NotHome, Home: k.Home}
 	}
 	if r, ok := h.rows[adoptedKey{epoch: k.Epoch, random: k.Random}]; ok {
 		return t.known(&r, k, caller, d)
 	}
 	switch {
 	case k.Epoch < h.oldest:
-		return Verdict{Kind: Expired, Home: k.Home}
+		return Decision{Kind: Expired, Home: k.Home}
 	case h.complete():
-		return Verdict{Kind: SealedNotRun, Home: k.Home}
+		return Decision{Kind: SealedNotRun, Home: k.Home}
 	default:
-		return Verdict{Kind: OutcomeUnknown, Home: k.Home}
+		return Decision{Kind: OutcomeUnknown, Home: k.Home}
 	}
 }
 
--- a/internal/idem/verdict.go
+++ b/internal/idem/decision.go
@@ -1,13 +1,13 @@
 package idem
 
-// VerdictKind says what becomes of a request that brings a key.
-type VerdictKind uint8
+// DecisionKind says what becomes of a request that brings a key.
+type DecisionKind uint8
 
 // The kinds of verdicts.
 const (
 	// Run: the key is recorded as running. Whoever called Begin ends it by
 	// Finish or Release.
-	Run VerdictKind = iota + 1
+	Run DecisionKind = iota + 1
 	// Join: the same request is running. Wait for its end and call Begin
 	// again. A caller that can't wait so long is told "unknown".
 	Join
@@ -44,7 +44,7 @@
 	SealedNotRun
 )
 
-var verdictNames = [...]string{
+var decisionNames = [...]string{
 	Run:            "run",
 	Join:           "join",
 	Replay:         "replay",
@@ -62,9 +62,9 @@
 }
 
 // String returns the kind's name as it stands in logs and the audit trail.
-func (v VerdictKind) String() string {
-	if int(v) < len(verdictNames) && verdictNames[v] != "" {
-		return verdictNames[v]
+func (v DecisionKind) String() string {
+	if int(v) < len(decisionNames) && decisionNames[v] != "" {
+		return decisionNames[v]
 	}
 	return "invalid"
 }
@@ -76,31 +76,31 @@
 const (
 	// Pending: nothing can be told yet. If it must be, the outcome is unknown.
 	Pending Outcome = iota
-	// ToldNotRun: no try of the key has run, and none ever will.
-	ToldNotRun
-	// ToldUnknown: the request may have run, or may still run.
-	ToldUnknown
-	// ToldDone: the request ran once.
-	ToldDone
+	// ReplyNotRun: no try of the key has run, and none ever will.
+	ReplyNotRun
+	// ReplyUnknown: the request may have run, or may still run.
+	ReplyUnknown
+	// ReplyDone: the request ran once.
+	ReplyDone
 )
 
 // Outcome returns the strongest statement that the verdict supports.
-func (v VerdictKind) Outcome() Outcome {
+func (v DecisionKind) Outcome() Outcome {
 	switch v {
 	case Run, Join, NotHome:
 		return Pending
 	case Replay, DoneNoAnswer:
-		return ToldDone
+		return ReplyDone
 	case Mismatch, Spent, Sealed, Full, SealedNotRun:
-		return ToldNotRun
+		return ReplyNotRun
 	default:
-		return ToldUnknown
+		return ReplyUnknown
 	}
 }
 
-// Verdict is the answer to Begin.
-type Verdict struct {
-	Kind VerdictKind
+// Decision is the answer to Begin.
+type Decision struct {
+	Kind DecisionKind
 	// Home is the key's home.
 	Home uint64
 	// Answer is set for Replay only. It is shared and must not be changed.
--- a/internal/idem/fleet_test.go
+++ b/internal/idem/fleet_test.go
@@ -139,7 +139,7 @@
 		f.runAt(n, &job{id: id})
 	case v.Kind == Mismatch && f.fault == "answers anyone" && n.cfg.Self == id.key.Home:
 		r := rows.byRandom[id.key.Random]
-		v = r.verdict(id.key.Home)
+		v = r.decision(id.key.Home)
 	}
 	told := v.Kind.Outcome()
 	switch {
@@ -148,15 +148,15 @@
 	case v.Kind == NotHome && !forwarded:
 		to := f.homeOf(id)
 		f.post(to, func() { f.arrive(to, id, true) })
-	case told == ToldNotRun:
+	case told == ReplyNotRun:
 		f.tellNotRun(id, v.Kind)
-	case told == ToldDone:
+	case told == ReplyDone:
 		f.check(f.ran[id.key] == id, "told %v of a request that did not run", v.Kind)
 		f.check(v.Answer == nil || string(v.Answer.Body) == fmt.Sprint(id), "replayed another request's answer")
 	}
 }
 
-func (f *fleet) tellNotRun(id identity, kind VerdictKind) {
+func (f *fleet) tellNotRun(id identity, kind DecisionKind) {
 	f.notRun[id] = true
 	f.check(f.ran[id.key] != id, "told %v of a request that ran", kind)
 }
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -19,17 +19,17 @@
 	return r.caller == caller && r.digest == d
 }
 
-// verdict returns what is told to the row's own caller.
-func (r *row) verdict(home uint64) Verdict {
+// decision returns what is told to the row's own caller.
+func (r *row) decision(home uint64) Decision {
 	switch {
 	case r.result == Running:
-		return Verdict{Kind: Join, Home: home}
+		return Decision{Kind: Join, Home: home}
 	case r.result == Done && r.answer != nil:
-		return Verdict{Kind: Replay, Home: home, Answer: r.answer}
+		return Decision{Kind: Replay, Home: home, Answer: r.answer}
 	case r.result == Done:
-		return Verdict{Kind: DoneNoAnswer, Home: home}
+		return Decision{Kind: DoneNoAnswer, Home: home}
 	default:
-		return Verdict{Kind: OutcomeUnknown, Home: home}
+		return Decision{Kind: OutcomeUnknown, Home: home}
 	}
 }
 
@@ -132,7 +132,7 @@
 // Begin decides what becomes of a request that brings key k. caller is a hash
 // of the caller's identity and d binds the request. The verdict is Run at most
 // once per key in the table's life.
-func (t *Table) Begin(now time.Duration, k Key, caller uint64, d Digest) Verdict {
+func (t *Table) Begin(now time.Duration, k Key, caller uint64, d Digest) Decision {
 	t.Tick(now)
 	if k.Home != t.cfg.Self {
 		return t.beginAdopted(k, caller, d)
@@ -148,26 +148,26 @@
 
 // known answers for a key that has a row. The caller is compared before
 // anything else, so that nobody learns the state of another caller's request.
-func (t *Table) known(r *row, k Key, caller uint64, d Digest) Verdict {
+func (t *Table) known(r *row, k Key, caller uint64, d Digest) Decision {
 	if !r.matches(caller, d) {
 		t.stats.RefusedMismatch++
-		return Verdict{Kind: Mismatch, Home: k.Home}
+		return Decision{Kind: Mismatch, Home: k.Home}
 	}
-	return r.verdict(k.Home)
+	return r.decision(k.Home)
 }
 
 // beginNew answers for a key without a row; rows is nil if its epoch has none.
-func (t *Table) beginNew(rows *epochRows, k Key, caller uint64, d Digest) Verdict {
+func (t *Table) beginNew(rows *epochRows, k Key, caller uint64, d Digest) Decision {
 	switch {
 	case rows != nil && rows.spent.has(k.Random):
 		t.stats.RefusedSpent++
-		return Verdict{Kind: Spent, Home: k.Home}
+		return Decision{Kind: Spent, Home: k.Home}
 	case k.Epoch < t.Oldest():
-		return Verdict{Kind: Expired, Home: k.Home}
+		return Decision{Kind: Expired, Home: k.Home}
 	case t.sealed:
-		return Verdict{Kind: Sealed, Home: k.Home}
+		return Decision{Kind: Sealed, Home: k.Home}
 	case k.Epoch > t.epoch:
-		return Verdict{Kind: FromFuture, Home: k.Home}
+		return Decision{Kind: FromFuture, Home: k.Home}
 	}
 	if rows == nil {
 		rows = t.addEpoch(k.Epoch)
@@ -175,14 +175,14 @@
 	if t.keys >= t.cfg.MaxKeys {
 		rows.spent.add(k.Random)
 		t.stats.RefusedFull++
-		return Verdict{Kind: Full, Home: k.Home}
+		return Decision{Kind: Full, Home: k.Home}
 	}
 	rows.byRandom[k.Random] = row{caller: caller, digest: d, result: Running}
 	rows.running++
 	t.keys++
 	t.running++
 	t.stats.Begun++
-	return Verdict{Kind: Run, Home: k.Home}
+	return Decision{Kind: Run, Home: k.Home}
 }
 
 // MayDispatch reports whether k is running, and so may be sent to an endpoint.
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -37,15 +37,15 @@
 	PeerAddress   string
 	// Capacity is what the sender's VM gives it, in thousandths of a core.
 	Capacity uint32
-	// Knows says which entries the sender knows: one that knows fewer asks for the records.
-	Knows Roster
-	// Says is what the sender tells of itself, as in an Update without evidence,
+	// Records says which entries the sender knows: one that knows fewer asks for the records.
+	Records RecordSet
+	// Status is what the sender tells of itself, as in an Update without evidence,
 	// sightings and a place in the sequence; From is 0 if it tells nothing.
-	Says Update
+	Status Update
 }
 
 // Roster says which entries somebody knows, itself included, without their addresses.
-type Roster struct {
+type RecordSet struct {
 	Count  uint16 `cbor:"1,keyasint,omitempty"`
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -143,18 +143,18 @@
 	// Rate is in requests a second, 0 for no limit.
 	Rate    float64 `cbor:"9,keyasint,omitempty"`
 	Version uint32  `cbor:"10,keyasint,omitempty"`
-	// Turn is whose turn it is to send to the endpoint.
-	Turn uint32 `cbor:"11,keyasint,omitempty"`
+	// Period is whose turn it is to send to the endpoint.
+	Period uint32 `cbor:"11,keyasint,omitempty"`
 }
 
 // Newer reports whether l replaces other: a later version, and of two that were told at the same time
 // the same one at every entry.
 func (l Limit) Newer(other Limit) bool {
-	return cmp.Or(cmp.Compare(l.Version, other.Version), cmp.Compare(l.Turn, other.Turn), cmp.Compare(l.Rate, other.Rate)) > 0
+	return cmp.Or(cmp.Compare(l.Version, other.Version), cmp.Compare(l.Period, other.Period), cmp.Compare(l.Rate, other.Rate)) > 0
 }
 
-// Sighting is one entry's knowledge of the load of one endpoint.
-type Sighting struct {
+// LoadReport is one entry's knowledge of the load of one endpoint.
+type LoadReport struct {
 	// Endpoint is the endpoint's VM name.
 	Endpoint    string
 	Incarnation uint64
@@ -182,11 +182,11 @@
 	// entries that neither has evidence for the other.
 	Known uint64
 	// Version is that of the sender's own record, Roster digests all records that it holds.
-	Version   uint32
-	Roster    uint64
-	Evidence  []Evidence
-	Records   []Record
-	Sightings []Sighting
+	Version      uint32
+	RecordDigest uint64
+	Evidence     []Evidence
+	Records      []Record
+	LoadReports  []LoadReport
 }
 
 // Fetch asks a peer for the text of a published value.
@@ -230,7 +230,7 @@
 	// Update.Known does for its sender.
 	Known uint64 `cbor:"3,keyasint,omitempty"`
 	// Roster is the same of records.
-	Roster uint64 `cbor:"4,keyasint,omitempty"`
+	RecordDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Receipt tells the sender of an update how that ended.
@@ -238,5 +238,5 @@
 	// Acked: the peer has taken it in.
 	Acked bool
 	// Known and Roster are those of the peer's Ack.
-	Known, Roster uint64
+	Known, RecordDigest uint64
 }
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -24,7 +24,7 @@
 		VMs:      message.Mark{Revision: 90_000, Digest: 0xc2b2ae3d27d4eb4f},
 		Rate:     2500 + uint32(sequence%100), Known: 0x165667b19e3779f9}
 	for i := range sightings {
-		u.Sightings = append(u.Sightings, message.Sighting{
+		u.LoadReports = append(u.LoadReports, message.LoadReport{
 			Endpoint:    fmt.Sprintf("endpoint-%03d", (sequence*7+i)%100),
 			Incarnation: 0x9e3779b97f4a7c15 + uint64((sequence*7+i)%100),
 			InFlight:    uint16(i % 4), Own: uint16(i % 2), AgeMillis: uint16(50 * i)})
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -269,7 +269,7 @@
 		return nil
 	}
 	ack, err := l.sendUpdate(ctx, c, u)
-	l.settle(done, message.Receipt{Acked: err == nil, Known: ack.Known, Roster: ack.Roster})
+	l.settle(done, message.Receipt{Acked: err == nil, Known: ack.Known, RecordDigest: ack.RecordDigest})
 	return err
 }
 
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -36,9 +36,9 @@
 	for i := range u.Evidence {
 		u.Evidence[i].AgeMillis = uint32(aged(uint64(u.Evidence[i].AgeMillis), waited, math.MaxUint32))
 	}
-	u.Sightings = slices.Clone(u.Sightings)
-	for i := range u.Sightings {
-		u.Sightings[i].AgeMillis = uint16(aged(uint64(u.Sightings[i].AgeMillis), waited, math.MaxUint16))
+	u.LoadReports = slices.Clone(u.LoadReports)
+	for i := range u.LoadReports {
+		u.LoadReports[i].AgeMillis = uint16(aged(uint64(u.LoadReports[i].AgeMillis), waited, math.MaxUint16))
 	}
 	return u, done, ok
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,8 +20,8 @@
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		first := message.Update{From: 1, Sequence: 1, State: message.EntryServing, Epoch: 3,
 			Profiles: message.Mark{Revision: 4, Digest: 5}, VMs: message.Mark{Revision: 6, Digest: 7}, Reader: true, Rate: 8,
-			Evidence:  []message.Evidence{{VM: "vm-1", Incarnation: 9, Kind: message.EvidenceLeaving, AgeMillis: 10}},
-			Sightings: []message.Sighting{{Endpoint: "live-1", Incarnation: 11, InFlight: 2, Own: 1, AgeMillis: 12}}}
+			Evidence:    []message.Evidence{{VM: "vm-1", Incarnation: 9, Kind: message.EvidenceLeaving, AgeMillis: 10}},
+			LoadReports: []message.LoadReport{{Endpoint: "live-1", Incarnation: 11, InFlight: 2, Own: 1, AgeMillis: 12}}}
 		second := first // the same marks and endpoint again, which are not repeated on the wire
 		second.Sequence, second.Evidence = 2, nil
 		for _, u := range []message.Update{first, second} {
@@ -189,15 +189,15 @@
 		var first, second []bool
 		p.links.Deliver(peerAddress, message.Update{Sequence: 1}, func(r message.Receipt) { first = append(first, r.Acked) })
 		p.links.Deliver(peerAddress, message.Update{Sequence: 2,
-			Evidence:  []message.Evidence{{VM: "vm-1", AgeMillis: 70_000}},
-			Sightings: []message.Sighting{{Endpoint: "live-1", AgeMillis: 65_000}},
+			Evidence:    []message.Evidence{{VM: "vm-1", AgeMillis: 70_000}},
+			LoadReports: []message.LoadReport{{Endpoint: "live-1", AgeMillis: 65_000}},
 		}, func(r message.Receipt) { second = append(second, r.Acked) })
 		elapse(2 * time.Second)
 		if !cmp.Equal(first, []bool{false}) || !cmp.Equal(second, []bool{true}) {
 			t.Fatalf("acked: first %v, second %v", first, second)
 		}
 		got := n.received()[0]
-		if age := got.Evidence[0].AgeMillis; age < 70_500 || age > 72_000 || got.Sightings[0].AgeMillis != 65_535 {
+		if age := got.Evidence[0].AgeMillis; age < 70_500 || age > 72_000 || got.LoadReports[0].AgeMillis != 65_535 {
 			t.Errorf("received %+v", got)
 		}
 	})
--- a/internal/peer/wire/forms.go
+++ b/internal/peer/wire/forms.go
@@ -17,16 +17,16 @@
 
 // helloForm is what MarshalBinary makes of a Hello.
 type helloForm struct {
-	Version       uint16         `cbor:"1,keyasint"`
-	MinVersion    uint16         `cbor:"2,keyasint"`
-	Name          string         `cbor:"3,keyasint"`
-	Incarnation   uint64         `cbor:"4,keyasint"`
-	Region        string         `cbor:"5,keyasint,omitempty"`
-	Domain        string         `cbor:"6,keyasint,omitempty"`
-	CallerAddress string         `cbor:"7,keyasint,omitempty"`
-	PeerAddress   string         `cbor:"8,keyasint,omitempty"`
-	Knows         message.Roster `cbor:"9,keyasint"`
-	// Says is nil if the sender tells nothing of itself.
+	Version       uint16            `cbor:"1,keyasint"`
+	MinVersion    uint16            `cbor:"2,keyasint"`
+	Name          string            `cbor:"3,keyasint"`
+	Incarnation   uint64            `cbor:"4,keyasint"`
+	Region        string            `cbor:"5,keyasint,omitempty"`
+	Domain        string            `cbor:"6,keyasint,omitempty"`
+	CallerAddress string            `cbor:"7,keyasint,omitempty"`
+	PeerAddress   string            `cbor:"8,keyasint,omitempty"`
+	Knows         message.RecordSet `cbor:"9,keyasint"`
+	// State is nil if the sender tells nothing of itself.
 	Says     *Update `cbor:"12,keyasint,omitempty"`
 	Capacity uint32  `cbor:"13,keyasint,omitempty"`
 }
@@ -35,10 +35,10 @@
 func (h Hello) MarshalBinary() ([]byte, error) {
 	form := helloForm{
 		Version: h.Version, MinVersion: h.MinVersion, Name: h.Name, Incarnation: h.Incarnation, Region: h.Region, Domain: h.Domain,
-		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Knows: h.Knows, Capacity: h.Capacity,
+		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Knows: h.Records, Capacity: h.Capacity,
 	}
-	if h.Says.From != 0 {
-		form.Says = new(Packer).Pack(h.Says)
+	if h.Status.From != 0 {
+		form.Says = new(Packer).Pack(h.Status)
 	}
 	return cbor.Marshal(form)
 }
@@ -51,13 +51,13 @@
 	}
 	*h = Hello{
 		Version: form.Version, MinVersion: form.MinVersion, Name: form.Name, Incarnation: form.Incarnation, Region: form.Region, Domain: form.Domain,
-		CallerAddress: form.CallerAddress, PeerAddress: form.PeerAddress, Knows: form.Knows, Capacity: form.Capacity,
+		CallerAddress: form.CallerAddress, PeerAddress: form.PeerAddress, Records: form.Knows, Capacity: form.Capacity,
 	}
 	if form.Says == nil {
 		return nil
 	}
 	says, err := new(Unpacker).Unpack(form.Incarnation, form.Says)
-	h.Says = says
+	h.Status = says
 	return err
 }
 
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -33,12 +33,12 @@
 	Restart bool `cbor:"10,keyasint,omitempty"`
 	// Names are numbered in order of their appearance on the connection.
 	Names []Name `cbor:"11,keyasint,omitempty"`
-	// Sightings holds four unsigned varints for each sighting: the endpoint's
+	// LoadReports holds four unsigned varints for each sighting: the endpoint's
 	// number, InFlight, Own and AgeMillis.
 	Sightings []byte           `cbor:"12,keyasint,omitempty"`
 	Version   uint32           `cbor:"13,keyasint,omitempty"`
 	Records   []message.Record `cbor:"14,keyasint,omitempty"`
-	// Roster is packed as Known is.
+	// RecordDigest is packed as Known is.
 	Roster uint64 `cbor:"15,keyasint,omitempty"`
 }
 
@@ -71,14 +71,14 @@
 		Evidence: u.Evidence,
 		Version:  u.Version,
 		Records:  u.Records,
-		Roster:   u.Roster ^ p.roster,
+		Roster:   u.RecordDigest ^ p.roster,
 	}
-	p.known, p.roster = u.Known, u.Roster
-	if p.numbers == nil || len(p.numbers)+len(u.Sightings) > maxNames {
+	p.known, p.roster = u.Known, u.RecordDigest
+	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxNames {
 		packed.Restart = p.numbers != nil
 		p.numbers = make(map[Name]uint64)
 	}
-	for _, s := range u.Sightings {
+	for _, s := range u.LoadReports {
 		p.pack(packed, s)
 	}
 	return packed
@@ -92,7 +92,7 @@
 	return now
 }
 
-func (p *Packer) pack(packed *Update, s message.Sighting) {
+func (p *Packer) pack(packed *Update, s message.LoadReport) {
 	name := Name{Endpoint: s.Endpoint, Incarnation: s.Incarnation}
 	number, known := p.numbers[name]
 	if !known {
@@ -131,20 +131,20 @@
 	p.known ^= packed.Known
 	p.roster ^= packed.Roster
 	return message.Update{
-		From:      from,
-		Sequence:  packed.Sequence,
-		State:     packed.State,
-		Epoch:     packed.Epoch,
-		Profiles:  latest(&p.profiles, packed.Profiles),
-		VMs:       latest(&p.vms, packed.VMs),
-		Reader:    packed.Reader,
-		Rate:      packed.Rate,
-		Known:     p.known,
-		Evidence:  packed.Evidence,
-		Version:   packed.Version,
-		Records:   packed.Records,
-		Roster:    p.roster,
-		Sightings: sightings,
+		From:         from,
+		Sequence:     packed.Sequence,
+		State:        packed.State,
+		Epoch:        packed.Epoch,
+		Profiles:     latest(&p.profiles, packed.Profiles),
+		VMs:          latest(&p.vms, packed.VMs),
+		Reader:       packed.Reader,
+		Rate:         packed.Rate,
+		Known:        p.known,
+		Evidence:     packed.Evidence,
+		Version:      packed.Version,
+		Records:      packed.Records,
+		RecordDigest: p.roster,
+		LoadReports:  sightings,
 	}, nil
 }
 
@@ -155,8 +155,8 @@
 	return *last
 }
 
-func (p *Unpacker) sightings(b []byte) ([]message.Sighting, error) {
-	var out []message.Sighting
+func (p *Unpacker) sightings(b []byte) ([]message.LoadReport, error) {
+	var out []message.LoadReport
 	for len(b) > 0 {
 		var fields [4]uint64
 		for i := range fields {
@@ -173,7 +173,7 @@
 			return nil, badUpdate("holds a number beyond its range")
 		}
 		name := p.names[fields[0]]
-		out = append(out, message.Sighting{
+		out = append(out, message.LoadReport{
 			Endpoint:    name.Endpoint,
 			Incarnation: name.Incarnation,
 			InFlight:    uint16(fields[1]),
--- a/internal/peer/wire/wire_test.go
+++ b/internal/peer/wire/wire_test.go
@@ -128,8 +128,8 @@
 	mark := rapid.Custom(func(t *rapid.T) message.Mark {
 		return message.Mark{Revision: rapid.Uint64Range(1, 3).Draw(t, "revision"), Digest: 7}
 	})
-	sighting := rapid.Custom(func(t *rapid.T) message.Sighting {
-		return message.Sighting{
+	sighting := rapid.Custom(func(t *rapid.T) message.LoadReport {
+		return message.LoadReport{
 			Endpoint:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "endpoint"),
 			Incarnation: rapid.Uint64Range(0, 2).Draw(t, "incarnation"),
 			InFlight:    rapid.Uint16().Draw(t, "in flight"),
@@ -143,7 +143,7 @@
 			u := message.Update{From: 5, Profiles: mark.Draw(t, "profiles"), VMs: mark.Draw(t, "VMs"),
 				Known: rapid.Uint64Range(0, 2).Draw(t, "known")}
 			if sightings := rapid.SliceOfN(sighting, 0, 4).Draw(t, "sightings"); len(sightings) > 0 {
-				u.Sightings = sightings
+				u.LoadReports = sightings
 			}
 			got, err := unpacker.Unpack(5, packer.Pack(u))
 			if diff := cmp.Diff(u, got); err != nil || diff != "" {
@@ -162,7 +162,7 @@
 	for round := range uint64(10) {
 		u := message.Update{From: 5}
 		for i := range uint64(1000) {
-			u.Sightings = append(u.Sightings, message.Sighting{Endpoint: "a", Incarnation: round*500 + i})
+			u.LoadReports = append(u.LoadReports, message.LoadReport{Endpoint: "a", Incarnation: round*500 + i})
 		}
 		packed := packer.Pack(u)
 		if packed.Restart {
@@ -221,7 +221,7 @@
 func TestNoFieldOfHelloIsLost(t *testing.T) {
 	var h message.Hello
 	fill(t, reflect.ValueOf(&h).Elem())
-	h.Says.From = h.Incarnation
+	h.Status.From = h.Incarnation
 	data, err := Hello(h).MarshalBinary()
 	if err != nil {
 		t.Fatal(err)
@@ -239,8 +239,8 @@
 // ones described the types of all messages: 2.8 KB on each link, 44 MB in a fleet of 126.
 func TestFirstMessagesAreSmall(t *testing.T) {
 	h := Hello{Version: 2, MinVersion: 2, Name: "front-south-a-1", Incarnation: 1 << 60, Region: "south", Domain: "south-a",
-		CallerAddress: "10.1.0.35:8144", PeerAddress: "10.1.0.35:8146", Knows: message.Roster{Count: 126, Digest: 1 << 60}}
-	h.Says = message.Update{From: h.Incarnation, Epoch: 30, VMs: message.Mark{Revision: 100, Digest: 1 << 60}, Known: 1 << 60}
+		CallerAddress: "10.1.0.35:8144", PeerAddress: "10.1.0.35:8146", Records: message.RecordSet{Count: 126, Digest: 1 << 60}}
+	h.Status = message.Update{From: h.Incarnation, Epoch: 30, VMs: message.Mark{Revision: 100, Digest: 1 << 60}, Known: 1 << 60}
 	for name, messages := range map[string][]any{
 		"asked":    {RequestHeader{Method: MethodHello, Seq: 1}, h, Update{Sequence: 1, Rate: 7}},
 		"answered": {ResponseHeader{Seq: 1}, HelloReply{Hello: h}, AckReply{Ack: message.Ack{Accepted: true}}},
@@ -260,7 +260,7 @@
 
 // Whatever comes as a greeting gives a typed error or a greeting, and no panic.
 func FuzzHello(f *testing.F) {
-	data, _ := Hello{Name: "a", Incarnation: 1, Says: message.Update{From: 1}}.MarshalBinary()
+	data, _ := Hello{Name: "a", Incarnation: 1, Status: message.Update{From: 1}}.MarshalBinary()
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		var h Hello
--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -42,7 +42,7 @@
 		effect: "Latency within which an answer has its full value; hedges and early refusals go by it. `0s`: none. A route's own takes its place.",
 	},
 	{
-		name: "looks", ref: func(p *Policy) any { return &p.Looks }, max: 32,
+		name: "looks", ref: func(p *Policy) any { return &p.LoadProbes }, max: 32,
 		effect: "Endpoints that may be asked for their load right before a request is sent, within `watch_budget`. `0`: none, the choice goes by what answers and peers told.",
 	},
 	{
--- a/internal/profile/policy.go
+++ b/internal/profile/policy.go
@@ -43,9 +43,9 @@
 	// Objective is the latency within which an answer has its full value; 0 where
 	// nobody named one.
 	Objective time.Duration
-	// Looks is how many endpoints may be asked for their load right before a
+	// LoadProbes is how many endpoints may be asked for their load right before a
 	// request is sent; 0 for none.
-	Looks int
+	LoadProbes int
 	// QueueLimit is how many requests of the service may wait at one entry.
 	QueueLimit int
 	QueueOrder QueueOrder
--- a/internal/published/follow.go
+++ b/internal/published/follow.go
@@ -8,9 +8,9 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// minHold is how long an unchanged watch lasts at least at a service that holds
+// minWatchWait is how long an unchanged watch lasts at least at a service that holds
 // it. A shorter one means that the service answers at once without news.
-const minHold = time.Second
+const minWatchWait = time.Second
 
 // FollowOptions are the hooks and limits of Follow.
 type FollowOptions struct {
@@ -69,7 +69,7 @@
 			continue
 		}
 		deliver(value)
-		held := opts.Now()-asked >= minHold
+		held := opts.Now()-asked >= minWatchWait
 		if value.Revision > after || held {
 			opts.Backoff.Reset()
 			if rest := opts.Gap - (opts.Now() - asked); value.Revision > after && rest > 0 {
--- a/internal/published/era.go
+++ b/internal/published/generation.go
@@ -6,28 +6,28 @@
 // some out again. So that a list of VMs of a later era is later than all before it, wherever
 // revisions are compared, the upper bits of a list's revision are its era. The lower ones are the
 // service's own revision, which leaves room for 100 changes a second over thousands of years.
-const eraShift = 44
+const generationShift = 44
 
-// InEra returns a revision of the service in an era. Era 0 is that of a service that tells none.
-func InEra(era, revision uint64) uint64 { return 2*era<<eraShift | revision }
+// InGeneration returns a revision of the service in an era. Era 0 is that of a service that tells none.
+func InGeneration(era, revision uint64) uint64 { return 2*era<<generationShift | revision }
 
 // Unsettled returns the revision of a list that was made while the service may still lack
 // what it lost: later than all of the era before, and earlier than all settled ones of its own.
-func Unsettled(revision uint64) uint64 { return revision - 1<<eraShift }
+func Unsettled(revision uint64) uint64 { return revision - 1<<generationShift }
 
-// Settled reports whether a revision is one of InEra.
-func Settled(revision uint64) bool { return revision>>eraShift%2 == 0 }
+// Settled reports whether a revision is one of InGeneration.
+func Settled(revision uint64) bool { return revision>>generationShift%2 == 0 }
 
-// EraOf returns the era of a revision.
-func EraOf(revision uint64) uint64 { return (revision>>eraShift + 1) / 2 }
+// GenerationOf returns the era of a revision.
+func GenerationOf(revision uint64) uint64 { return (revision>>generationShift + 1) / 2 }
 
 // InService returns a revision as the service itself counts it.
-func InService(revision uint64) uint64 { return revision & (1<<eraShift - 1) }
+func InService(revision uint64) uint64 { return revision & (1<<generationShift - 1) }
 
 // RevisionText returns a revision as people read it.
 func RevisionText(revision uint64) string {
 	text := strconv.FormatUint(InService(revision), 10)
-	if era := EraOf(revision); era > 0 {
+	if era := GenerationOf(revision); era > 0 {
 		text += " of era " + strconv.FormatUint(era, 10)
 	}
 	if !Settled(revision) {
--- a/internal/published/era_test.go
+++ b/internal/published/generation_test.go
@@ -15,17 +15,17 @@
 		era := rapid.Uint64Range(1, 1<<18)
 		count := rapid.Uint64Range(0, 1<<44-1)
 		e, before, after := era.Draw(rt, "era"), count.Draw(rt, "before"), count.Draw(rt, "after")
-		old, unsettled, settled := published.InEra(e-1, before), published.Unsettled(published.InEra(e, after)), published.InEra(e, after)
-		if old >= unsettled || unsettled >= published.InEra(e, 0) || published.Settled(unsettled) || !published.Settled(settled) {
+		old, unsettled, settled := published.InGeneration(e-1, before), published.Unsettled(published.InGeneration(e, after)), published.InGeneration(e, after)
+		if old >= unsettled || unsettled >= published.InGeneration(e, 0) || published.Settled(unsettled) || !published.Settled(settled) {
 			rt.Fatalf("%d, %d, %d are not in order", old, unsettled, settled)
 		}
 		for _, r := range []uint64{unsettled, settled} {
-			if published.EraOf(r) != e || published.InService(r) != after {
-				rt.Fatalf("%d is revision %d of era %d", r, published.InService(r), published.EraOf(r))
+			if published.GenerationOf(r) != e || published.InService(r) != after {
+				rt.Fatalf("%d is revision %d of era %d", r, published.InService(r), published.GenerationOf(r))
 			}
 		}
 	})
-	for text, revision := range map[string]uint64{"61": 61, "61 of era 3": published.InEra(3, 61), "7 of era 1, unsettled": published.Unsettled(published.InEra(1, 7))} {
+	for text, revision := range map[string]uint64{"61": 61, "61 of era 3": published.InGeneration(3, 61), "7 of era 1, unsettled": published.Unsettled(published.InGeneration(1, 7))} {
 		if got := published.RevisionText(revision); got != text {
 			t.Errorf("got %q, want %q", got, text)
 		}
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -41,22 +41,22 @@
 	Watch(ctx context.Context, name string, after uint64) (Value, error)
 }
 
-// Glancer is a service that can be asked cheaply whether it answers at all, and how far it is. A
+// LivenessChecker is a service that can be asked cheaply whether it answers at all, and how far it is. A
 // watch that waits is silent, and so is a service that has stopped answering, or one that has
 // forgotten the watch.
-type Glancer interface {
+type LivenessChecker interface {
 	// Glance makes one cheap call.
-	Glance(ctx context.Context) (Glance, error)
-	// Rewatch ends the call of a watch that waits, if there is one, and makes it anew from the
+	Liveness(ctx context.Context) (Liveness, error)
+	// RenewWatch ends the call of a watch that waits, if there is one, and makes it anew from the
 	// same place. Whoever waits for the watch waits on.
-	Rewatch()
+	RenewWatch()
 }
 
 // Glance is how far a service is, in revisions of its own that count all changes.
-type Glance struct {
-	// Held is the latest that it holds, or was a moment ago; Brought is up to where watches have
+type Liveness struct {
+	// Latest is the latest that it holds, or was a moment ago; Brought is up to where watches have
 	// brought what changed, 0 if there is none.
-	Held, Brought uint64
+	Latest, Delivered uint64
 }
 
 // Resumer is a service that can go on from a list of VMs that is held already, without reading
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -146,8 +146,8 @@
 	}
 	c.inside("platform.readers_per_domain", p.ReadersPerDomain, 1, 1000)
 	c.span("platform.check_every", p.CheckEvery, time.Second, time.Hour)
-	c.span("platform.news_gap", p.NewsGap, 0, 10*time.Second)
-	c.span("platform.glance_every", p.GlanceEvery, 0, 30*time.Second)
+	c.span("platform.news_gap", p.ChangeGap, 0, 10*time.Second)
+	c.span("platform.glance_every", p.LivenessEvery, 0, 30*time.Second)
 	c.span("platform.missing_after", p.MissingAfter, time.Millisecond, 24*time.Hour)
 	c.span("platform.keep_last", p.KeepLast, time.Millisecond, 30*24*time.Hour)
 }
@@ -201,7 +201,7 @@
 	c.share("limits.cores", l.Cores, 1024)
 	c.share("limits.repeat_share", l.RepeatShare, 1)
 	c.share("limits.repeat_slack", l.RepeatSlack, 1e6)
-	c.share("limits.looks_per_endpoint", l.LooksPerEndpoint, 1e6)
+	c.share("limits.looks_per_endpoint", l.LoadProbesPerEndpoint, 1e6)
 	c.share("limits.warmup_over", l.WarmupOver, 100)
 	c.share("limits.warmup_slack", l.WarmupSlack, 1e6)
 	c.inside("limits.heap_growth", l.HeapGrowth, 10, 10_000)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,12 +66,12 @@
 	// CheckEvery is the shortest time between two reads of an entry that others read
 	// for; default 10s.
 	CheckEvery Duration `toml:"check_every" unit:"duration"`
-	// NewsGap is the shortest time between two watches of a value, so that changes
+	// ChangeGap is the shortest time between two watches of a value, so that changes
 	// that come together are read together; default 0s.
-	NewsGap Duration `toml:"news_gap" unit:"duration"`
-	// GlanceEvery is the time between two cheap calls of a reader, by which it notices
+	ChangeGap Duration `toml:"news_gap" unit:"duration"`
+	// LivenessEvery is the time between two cheap calls of a reader, by which it notices
 	// that the service has stopped answering while a watch waits; default 0s: none.
-	GlanceEvery Duration `toml:"glance_every" unit:"duration"`
+	LivenessEvery Duration `toml:"glance_every" unit:"duration"`
 	// ReadersPerDomain is how many entries of each failure domain read the service
 	// for all; default 2.
 	ReadersPerDomain int `toml:"readers_per_domain" unit:"entries"`
@@ -193,9 +193,9 @@
 	RepeatWindow Duration `toml:"repeat_window" unit:"duration"`
 	// RepeatSlack is what may be sent beyond the share in a window; default 0.
 	RepeatSlack float64 `toml:"repeat_slack" unit:"attempts"`
-	// LooksPerEndpoint bounds how often a second all entries together ask an
+	// LoadProbesPerEndpoint bounds how often a second all entries together ask an
 	// endpoint for its load before they choose; default 0, which sets no bound.
-	LooksPerEndpoint float64 `toml:"looks_per_endpoint" unit:"looks/s"`
+	LoadProbesPerEndpoint float64 `toml:"looks_per_endpoint" unit:"looks/s"`
 	// WarmupOver is how many times the rate that is published for cold endpoints all entries
 	// together may send to one in any second; default 1.
 	WarmupOver float64 `toml:"warmup_over" unit:"times"`
