--- a/internal/core/balance/order.go
+++ b/internal/core/balance/order.go
@@ -25,7 +25,7 @@
 	n := len(p.Endpoints)
 	o.rank = make([]int32, n)
 	o.home = make([]bool, n)
-	holders, own := holderOrder(p.Name, deciders, self)
+	holders, own := slotUserOrder(p.Name, deciders, self)
 	for position, i := range sortedBy(p, p.Name) {
 		o.home[i] = position%holders == own
 	}
@@ -44,9 +44,9 @@
 	return sorted
 }
 
-// holderOrder returns the number of deciders and this one's place among them,
+// slotUserOrder returns the number of deciders and this one's place among them,
 // in an order that differs from pool to pool.
-func holderOrder(pool string, deciders []string, self string) (holders, own int) {
+func slotUserOrder(pool string, deciders []string, self string) (holders, own int) {
 	if len(deciders) == 0 {
 		return 1, 0
 	}
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -19,7 +19,7 @@
 )
 
 // view is what the policies share: eligibility, and the upkeep of the fields of
-// table.Endpoint that this package owns (Sighting, ServiceNanos).
+// table.Endpoint that this package owns (Reported, ServiceNanos).
 type view struct {
 	cfg Config
 	rng *rand.Rand
--- a/internal/core/budget/retry.go
+++ b/internal/core/budget/retry.go
@@ -9,7 +9,7 @@
 	// MinPerSecond is earned by all entries together without any success, so
 	// that a service with little traffic can retry.
 	MinPerSecond float64
-	// LargestFleet is as in WatchConfig.
+	// LargestFleet is as in HealthProbeConfig.
 	LargestFleet int
 	// Cap is the most that can be saved up, DefaultRetryCap if zero.
 	Cap float64
--- a/internal/core/caps_test.go
+++ b/internal/core/caps_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("%d endpoints have a row", got)
 	}
 	// Each of the first incarnations is known to be gone, and is told.
-	if got := c.fleet.gossip.Stats().Held; got < endpoints {
+	if got := c.fleet.gossip.Stats().Stored; got < endpoints {
 		t.Errorf("%d pieces of evidence are held", got)
 	}
 	data, err := wire.MarshalRecords(c.RecordsBeyond(nil))
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -94,7 +94,7 @@
 	probes       []Probe
 }
 
-// told is what a caller got.
+// reply is what a caller got.
 type reply struct {
 	Outcome Outcome
 	Reason  Reason
--- a/internal/core/coldfleet_test.go
+++ b/internal/core/coldfleet_test.go
@@ -74,7 +74,7 @@
 			w.watch(4 * sec)
 			w.cut = func(int, int) bool { return false }
 			w.watch(4 * sec)
-			w.killHerd()
+			w.killMany()
 			w.watch(5 * sec)
 			for range max(1, n/10) {
 				vm := len(w.vms)
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -181,7 +181,7 @@
 		}
 		before := c.quarantine.Quarantined(now, nil)
 		if c.applyRequestEvidence(now, e) {
-			c.noteVerdicts(now, before, e, out)
+			c.auditVerdicts(now, before, e, out)
 			news = true
 		}
 	}
@@ -204,8 +204,8 @@
 	return news
 }
 
-// noteVerdicts notes for the audit trail which requests went into quarantine or left it.
-func (c *Core) noteVerdicts(now time.Duration, before []quarantine.Request, e *message.Evidence, out *Actions) {
+// auditVerdicts notes for the audit trail which requests went into quarantine or left it.
+func (c *Core) auditVerdicts(now time.Duration, before []quarantine.Request, e *message.Evidence, out *Actions) {
 	after := c.quarantine.Quarantined(now, nil)
 	for _, request := range after {
 		if !slices.Contains(before, request) {
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -44,7 +44,7 @@
 profile = "uploads"
 `
 
-// box is an endpoint of a yard as it tells its load.
+// simEndpoint is an endpoint of an entry harness as it tells its load.
 type simEndpoint struct {
 	name, domain           string
 	running, waiting, pace int
@@ -55,7 +55,7 @@
 	coldUntil time.Duration
 	// limit is how many requests a second it takes, as it tells in its answers.
 	limit float64
-	// busyUntil is until when its slots are taken, in a yard whose endpoints queue.
+	// busyUntil is until when its slots are taken, in a harness whose endpoints queue.
 	busyUntil [2]time.Duration
 }
 
@@ -70,7 +70,7 @@
 }
 
 // entryHarness is one core in failure domain d0 before endpoints with two slots each, whose
-// loads a test sets. Looks are answered after a millisecond.
+// loads a test sets. Load probes are answered after a millisecond.
 type entryHarness struct {
 	testing.TB
 	*Core
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// until runs the rig until all running entries fulfil ok, and returns how long
+// until runs the harness until all running entries fulfil ok, and returns how long
 // that took, at most limit.
 func (r *clusterHarness) until(limit time.Duration, ok func(n *node) bool) time.Duration {
 	r.Helper()
--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -26,7 +26,7 @@
 	}
 	u := s.base()
 	room := s.room(why.floor())
-	u.Evidence = s.owedEvidence(now, p, room)
+	u.Evidence = s.pendingEvidence(now, p, room)
 	u.Records = s.records.dueTo(p, room-(Size(&u)-heartbeatBytes))
 	if p.shares && p.kind == linkMesh {
 		room = s.room(loadReportFloor) - Size(&u) + heartbeatBytes
@@ -174,7 +174,7 @@
 		s.allKnown(p)
 		return
 	}
-	if p.owed == 0 {
+	if p.pending == 0 {
 		s.noteDifference(now, p)
 		return
 	}
@@ -245,7 +245,7 @@
 // good, because one of them is full, the pauses grow. While news comes in, sets differ
 // for that alone.
 func (s *Scheduler) noteDifference(now time.Duration, p *peer) {
-	if p.kind == linkBack || p.owed > 0 || p.inFlight || now-s.log.changedAt < passedWithin {
+	if p.kind == linkBack || p.pending > 0 || p.inFlight || now-s.log.changedAt < passedWithin {
 		p.differs = false
 		return
 	}
@@ -261,6 +261,6 @@
 	for _, c := range s.log.stored {
 		c.known.remove(p.slot)
 	}
-	p.owed, p.owedSince, p.lacks = len(s.log.stored), now, len(s.log.stored) > 0
+	p.pending, p.pendingSince, p.lacks = len(s.log.stored), now, len(s.log.stored) > 0
 	s.recountAll()
 }
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -141,19 +141,19 @@
 	}
 	for _, id := range s.order {
 		p := s.peers[id]
-		if p.owed == 0 {
-			p.owedSince = now
+		if p.pending == 0 {
+			p.pendingSince = now
 		}
-		p.owed++
-		if c.eagerFor(p) {
-			p.eager++
+		p.pending++
+		if c.urgentFor(p) {
+			p.urgent++
 		}
 	}
 	return c
 }
 
-// eagerFor reports whether a peer that lacks the claim is told it without being asked.
-func (c *storedEvidence) eagerFor(p *peer) bool {
+// urgentFor reports whether a peer that lacks the claim is told it without being asked.
+func (c *storedEvidence) urgentFor(p *peer) bool {
 	return p.kind == linkRegion || p.finger && p.distance < c.reach
 }
 
@@ -171,8 +171,8 @@
 // recount adds a claim to, or takes it from, what peers are to be told at once.
 func (s *Scheduler) recount(c *storedEvidence, by int) {
 	for _, id := range s.order {
-		if p := s.peers[id]; !c.known.has(p.slot) && c.eagerFor(p) {
-			p.eager += by
+		if p := s.peers[id]; !c.known.has(p.slot) && c.urgentFor(p) {
+			p.urgent += by
 		}
 	}
 }
@@ -181,13 +181,13 @@
 func (s *Scheduler) recountAll() {
 	for _, id := range s.order {
 		p := s.peers[id]
-		p.eager = 0
-		if !p.finger || p.owed == 0 {
+		p.urgent = 0
+		if !p.finger || p.pending == 0 {
 			continue
 		}
 		for _, c := range s.log.stored {
-			if !c.known.has(p.slot) && c.eagerFor(p) {
-				p.eager++
+			if !c.known.has(p.slot) && c.urgentFor(p) {
+				p.urgent++
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 	s.log.digest ^= c.hash
 	for _, id := range s.order {
 		if p := s.peers[id]; !c.known.has(p.slot) {
-			s.paid(c, p)
+			s.countDelivered(c, p)
 		}
 	}
 }
@@ -222,17 +222,17 @@
 func (s *Scheduler) markKnown(c *storedEvidence, p *peer) {
 	if !c.known.has(p.slot) {
 		c.known.add(p.slot)
-		s.paid(c, p)
+		s.countDelivered(c, p)
 	}
 }
 
-// paid counts one claim less that a peer lacks.
-func (s *Scheduler) paid(c *storedEvidence, p *peer) {
-	p.owed--
-	if c.eagerFor(p) {
-		p.eager--
+// countDelivered counts one claim less that a peer lacks.
+func (s *Scheduler) countDelivered(c *storedEvidence, p *peer) {
+	p.pending--
+	if c.urgentFor(p) {
+		p.urgent--
 	}
-	if p.owed == 0 {
+	if p.pending == 0 {
 		p.lacks = false
 	}
 }
@@ -240,7 +240,7 @@
 // allKnown notes that a peer has the same evidence as this entry.
 func (s *Scheduler) allKnown(p *peer) {
 	p.differs, p.repairs, p.lacks = false, 0, false
-	if p.owed == 0 {
+	if p.pending == 0 {
 		return
 	}
 	for _, c := range s.log.stored {
@@ -248,17 +248,17 @@
 	}
 }
 
-// owedEvidence returns the evidence to tell a peer now, newest first, as many pieces as fit
+// pendingEvidence returns the evidence to tell a peer now, newest first, as many pieces as fit
 // into budget bytes, and remembers it as under way.
-func (s *Scheduler) owedEvidence(now time.Duration, p *peer, budget int) []message.Evidence {
+func (s *Scheduler) pendingEvidence(now time.Duration, p *peer, budget int) []message.Evidence {
 	p.underWay = p.underWay[:0]
-	if p.owed == 0 {
+	if p.pending == 0 {
 		return nil
 	}
 	var out []message.Evidence
 	for i := len(s.log.stored) - 1; i >= 0 && len(out) < maxEvidence; i-- {
 		c := s.log.stored[i]
-		if c.known.has(p.slot) || !s.tells(now, p, c) {
+		if c.known.has(p.slot) || !s.isUrgentFor(now, p, c) {
 			continue
 		}
 		budget -= evidenceSize(&c.evidence)
@@ -273,18 +273,18 @@
 	return out
 }
 
-// tells reports whether a message tells a peer a claim that it is owed. It does if the peer
+// isUrgentFor reports whether a message tells a peer a claim that it is owed. It does if the peer
 // hears it first from this entry, or is known to lack some. A near finger is also told what it may
 // have from others where that takes no more than the question whether it has; or what it has
 // been owed for long, while so much comes in that no digest can tell.
-func (s *Scheduler) tells(now time.Duration, p *peer, c *storedEvidence) bool {
+func (s *Scheduler) isUrgentFor(now time.Duration, p *peer, c *storedEvidence) bool {
 	switch {
-	case p.lacks || c.eagerFor(p):
+	case p.lacks || c.urgentFor(p):
 		return true
 	case !p.finger:
 		return false
 	case now-s.log.changedAt >= passedWithin:
-		return p.near && p.owed*pieceBytes <= heartbeatBytes
+		return p.near && p.pending*pieceBytes <= heartbeatBytes
 	}
 	return now-c.learnedAt >= passedAtMost
 }
--- a/internal/core/gossip/flood_test.go
+++ b/internal/core/gossip/flood_test.go
@@ -22,7 +22,7 @@
 		copies = 4
 	)
 	f := newFleet(entries, 1)
-	f.sightless = true
+	f.withoutReports = true
 	f.run(8 * time.Second) // each has told all others that it serves
 	before, began := 0, f.now
 	for _, id := range f.ids {
@@ -66,7 +66,7 @@
 	t.Parallel()
 	const gap, within = 50 * time.Millisecond, 2 * time.Second
 	f := newFleet(60, 1)
-	f.sightless = true
+	f.withoutReports = true
 	f.run(8 * time.Second)
 	dead := func(id uint64) bool { return id%3 == 1 }
 	f.cut = func(from, to uint64) bool { return dead(from) || dead(to) }
@@ -105,7 +105,7 @@
 	t.Parallel()
 	const entries, pieces, gap = 60, 144, 80 * time.Millisecond
 	f := newFleet(entries, 1)
-	f.sightless = true
+	f.withoutReports = true
 	f.run(8 * time.Second)
 	before, began := 0, f.now
 	for _, id := range f.ids {
--- a/internal/core/gossip/gossip_test.go
+++ b/internal/core/gossip/gossip_test.go
@@ -41,8 +41,8 @@
 	worstGap time.Duration
 	// carried, if not nil, is told of each message.
 	carried func(from, to uint64, u *message.Update)
-	// sightless says that the entries tell no loads.
-	sightless bool
+	// withoutReports says that the entries tell no loads.
+	withoutReports bool
 }
 
 // domainOf returns the failure domain of an entry, one of five.
@@ -99,7 +99,7 @@
 func (f *fleet) send(id uint64) {
 	node := f.nodes[id]
 	sightings := []message.LoadReport{{Endpoint: "endpoint-1", Incarnation: 7, InFlight: uint16(f.now / step)}}
-	if f.sightless {
+	if f.withoutReports {
 		sightings = nil
 	}
 	for _, to := range node.Due(f.now, nil) {
@@ -191,7 +191,7 @@
 // once, not with its next heartbeats, and is told each of them about once.
 func TestThatAnEntryServesIsToldAtOnce(t *testing.T) {
 	f := newFleet(15, 1)
-	f.sightless = true
+	f.withoutReports = true
 	starts := f.ids[3]
 	announce := func(version uint32, state message.EntryState) {
 		f.nodes[starts].Announce(f.now, message.Record{Name: "entry-3", Incarnation: starts, Version: version, State: state})
@@ -231,7 +231,7 @@
 // went into another domain.
 func TestNewsStaysInItsDomain(t *testing.T) {
 	f := newFleet(125, 1)
-	f.sightless = true
+	f.withoutReports = true
 	f.run(10 * time.Second)
 	near, far := 0, 0
 	f.carried = func(from, to uint64, u *message.Update) {
@@ -303,8 +303,8 @@
 	f.run(20 * time.Second)
 	for _, id := range f.ids {
 		for _, p := range f.nodes[id].peers {
-			if p.owed != 0 {
-				t.Fatalf("entry %d still owes %d claims to %d", id, p.owed, p.incarnation)
+			if p.pending != 0 {
+				t.Fatalf("entry %d still owes %d claims to %d", id, p.pending, p.incarnation)
 			}
 		}
 	}
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -21,7 +21,7 @@
 	Version uint32
 }
 
-// told is what a peer is known to have been told.
+// revisionPair is what a peer is known to have been told.
 type revisionPair struct {
 	profiles, vms uint64
 }
@@ -58,10 +58,10 @@
 	recordsAt    time.Duration
 
 	ackedRevisions revisionPair
-	// owed counts the claims that it is not known to have, eager those of them that it is
-	// to be told at once. owedSince is when owed was 0 last.
-	owed, eager int
-	owedSince   time.Duration
+	// pending counts the claims that it is not known to have, eager those of them that it is
+	// to be told at once. pendingSince is when owed was 0 last.
+	pending, urgent int
+	pendingSince    time.Duration
 	// lacks says that it is known not to have all that it is owed; doubted that its latest
 	// ack said so.
 	lacks, doubted bool
@@ -217,7 +217,7 @@
 	added := &peer{
 		incarnation: p.Incarnation, slot: slot, region: p.Region,
 		shares: p.Shares, suspected: p.Suspected,
-		owed: len(s.log.stored), owedSince: s.allow.at,
+		pending: len(s.log.stored), pendingSince: s.allow.at,
 		loadReports: make(map[string]sentLoadReport), named: make(map[string]uint64),
 	}
 	s.peers[p.Incarnation] = added
@@ -296,7 +296,7 @@
 	switch {
 	case now-p.heartbeatAt >= s.period(p)/2:
 		return dueOverdue
-	case now >= p.urgentAt && (p.lacks || p.eager > 0):
+	case now >= p.urgentAt && (p.lacks || p.urgent > 0):
 		return dueEvidence
 	case now >= p.urgentAt && p.finger && s.revisionsDue(p):
 		return dueRevisions
@@ -342,11 +342,11 @@
 			return true
 		}
 	}
-	if p.owed == 0 {
+	if p.pending == 0 {
 		return false
 	}
 	quiet := s.log.changedAt + passedWithin
-	return p.near && now >= quiet && p.sentAt < quiet || now-max(p.owedSince, p.sentAt) >= passedAtMost
+	return p.near && now >= quiet && p.sentAt < quiet || now-max(p.pendingSince, p.sentAt) >= passedAtMost
 }
 
 // needs is what the message that a peer is due to takes of the bound, its news included. A
@@ -354,9 +354,9 @@
 func (s *Scheduler) needs(p *peer, u urgency) int {
 	need := heartbeatBytes
 	if u == dueEvidence {
-		pieces := p.eager
+		pieces := p.urgent
 		if p.lacks {
-			pieces = p.owed
+			pieces = p.pending
 		}
 		need += min(pieces, fewPieces) * pieceBytes
 	}
--- a/internal/core/gossip/stats.go
+++ b/internal/core/gossip/stats.go
@@ -11,22 +11,22 @@
 	// Pieces counts the evidence learned from peers, Copies what they told of it again, and
 	// Late the pieces that were learned more than a second after they were first told.
 	Pieces, Copies, Late uint64
-	// Held is how much evidence this entry holds.
-	Held int
-	// Owed is how much evidence this entry has yet to pass on to its fingers, and Room the
+	// Stored is how much evidence this entry holds.
+	Stored int
+	// Pending is how much evidence this entry has yet to pass on to its fingers, and Room the
 	// share of the bound on bytes that is saved up.
-	Owed int
-	Room float64
+	Pending int
+	Room    float64
 }
 
 // Stats returns what was counted so far.
 func (s *Scheduler) Stats() Stats {
 	stats := s.stats
-	stats.Held = len(s.log.stored)
+	stats.Stored = len(s.log.stored)
 	stats.Room = max(0, s.allow.room(0)) / (burst * s.allow.bytesRate)
 	for _, id := range s.order {
 		if p := s.peers[id]; p.finger {
-			stats.Owed += p.owed
+			stats.Pending += p.pending
 		}
 	}
 	return stats
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -314,7 +314,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newLargeFleet(t, n)
 			f.run(10 * sec)
-			f.killHerd()
+			f.killMany()
 			f.run(800 * ms)
 			took := f.until(30*sec, func(e *largeEntry) bool { return e.usable() == n })
 			t.Logf("%d entries know all %v after the last start", n, took)
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -133,8 +133,8 @@
 	f.tick(e)
 }
 
-// killHerd kills 55 of 100 entries, which start again half a second later or a little after.
-func (f *largeFleet) killHerd() {
+// killMany kills 55 of 100 entries, which start again half a second later or a little after.
+func (f *largeFleet) killMany() {
 	for vm, e := range f.vms {
 		if vm%20 < 11 {
 			e.dead = true
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -109,7 +109,7 @@
 func (c *class) overdue() bool { return c.passed >= PassLimit }
 
 // Overdue reports whether the service has waited for PassLimit dispatches of
-// others. See Holder.
+// others. See SlotUser.
 func (q *Queue) Overdue(service int32) bool {
 	for _, c := range q.classes {
 		if c.service == service && c.waiting > 0 && c.overdue() {
--- a/internal/core/quota/limit.go
+++ b/internal/core/quota/limit.go
@@ -30,7 +30,7 @@
 	limitSettles = 200 * time.Millisecond
 )
 
-// Turn returns which turn it is to own an endpoint that names a limit, and when it ends.
+// OwnerPeriod returns which turn it is to own an endpoint that names a limit, and when it ends.
 func OwnerPeriod(now time.Duration, e *table.Endpoint) (turn uint32, ends time.Duration) {
 	passed := max(0, now-e.Limit.SpreadAt) / ownerPeriodLength
 	return e.Limit.Period + uint32(passed), e.Limit.SpreadAt + (passed+1)*ownerPeriodLength
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -12,7 +12,7 @@
 // readerSilence is how long no reader of this region may have reached the
 // platform before this entry tries for itself. It is short: a reader says at once
 // that it reaches it no more, and until another reads, published changes wait.
-// startPatience is the same for an entry that has just started and hears its
+// startSilence is the same for an entry that has just started and hears its
 // peers one by one.
 const (
 	readerSilence = 400 * time.Millisecond
@@ -191,7 +191,7 @@
 	return time.Duration(c.fleet.readers.standbyGroup) * standbyGap
 }
 
-// startPatience is how long an entry that starts leaves the platform to those that read it
+// startReadDelay is how long an entry that starts leaves the platform to those that read it
 // for all. While its peers hold other records than it does, it may just not have heard of
 // those: 472 entries that lost power together would each read 1.5 s later.
 func (c *Core) startReadDelay() time.Duration {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -111,7 +111,7 @@
 	tried balance.Set
 	// lastReason is why the latest attempt failed.
 	lastReason Reason
-	// look is the round of looks that is under way, or was last.
+	// probeRound is the round of looks that is under way, or was last.
 	probeRound loadProbeRound
 	// age is how long before its arrival the caller first tried, as far as known.
 	age time.Duration
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// session is a rig that a golden file drives.
+// session is a cluster harness that a golden file drives.
 type session struct {
 	*clusterHarness
 	keys map[string]idem.Key
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -21,7 +21,7 @@
 	EndpointGone
 )
 
-// Sighting is the latest knowledge of load that others put on an endpoint.
+// ReportedLoad is the latest knowledge of load that others put on an endpoint.
 type ReportedLoad struct {
 	// Foreign is the number of requests in flight or queued at the endpoint
 	// that this entry did not place.
@@ -32,7 +32,7 @@
 	Seen bool
 }
 
-// Look is what an endpoint itself told of its load when it was last asked, or
+// ProbedLoad is what an endpoint itself told of its load when it was last asked, or
 // with its last answer.
 type ProbedLoad struct {
 	// Running and Waiting count the requests of everybody.
@@ -137,9 +137,9 @@
 	Listed int32
 	// Outstanding counts this entry's own attempts in flight; exact.
 	Outstanding int32
-	// Sighting is what others are known to have placed there.
+	// Reported is what others are known to have placed there.
 	Reported ReportedLoad
-	// Look is what the endpoint last told of its load.
+	// Probed is what the endpoint last told of its load.
 	Probed ProbedLoad
 	// Evacuated: its failure domain is to get nothing until the operator takes it back.
 	Evacuated bool
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// stories runs a scenario on a yard and returns the lines of one request.
+// tracesOf runs a scenario on an entry harness and returns the lines of one request.
 func tracesOf(y *entryHarness, id RequestID, name string) []RequestTrace {
 	return slices.DeleteFunc(slices.Clone(y.traces), func(s RequestTrace) bool { return s.Name != name })
 }
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -44,15 +44,15 @@
 	case StepCancel:
 		r.post(0, n, func() { r.end(n, t, End{Kind: EndCancelled}) })
 	case StepReply:
-		r.tell(n, d.ID, answer)
+		r.recordReply(n, d.ID, answer)
 	case StepReplay:
 		answer.body = string(d.Answer.Body)
-		r.tell(n, d.ID, answer)
+		r.recordReply(n, d.ID, answer)
 	}
 }
 
-// tell gives a caller its answer, or the entry that sent the request on.
-func (r *clusterHarness) tell(n *node, id RequestID, a reply) {
+// recordReply gives a caller its answer, or the entry that sent the request on.
+func (r *clusterHarness) recordReply(n *node, id RequestID, a reply) {
 	a.at = r.now
 	_, a.twice = n.replies[id]
 	n.replies[id] = a
@@ -101,7 +101,7 @@
 				end.Kind = EndComplete
 			}
 			end.Answer = &idem.Answer{Status: re.head.Status, Body: []byte(text)}
-			r.tell(n, t.id, reply{Outcome: d.Outcome, body: text})
+			r.recordReply(n, t.id, reply{Outcome: d.Outcome, body: text})
 			r.end(n, t, end)
 			return
 		}
@@ -155,7 +155,7 @@
 	out := r.do(n, func(now time.Duration, out *Actions) { n.Head(now, head, out) })
 	for _, d := range out.Requests {
 		if d.Step == StepCommit && d.ID == t.id {
-			r.tell(n, t.id, answer)
+			r.recordReply(n, t.id, answer)
 			end.Kind = EndComplete
 		}
 	}
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -15,15 +15,15 @@
 	handoverRecords = 256
 	// handoverTimeout bounds a hand-over as a whole.
 	handoverTimeout = 10 * time.Second
-	// enoughTakers is how many successors take each table.
-	enoughTakers = 2
+	// enoughSuccessors is how many successors take each table.
+	enoughSuccessors = 2
 )
 
 // handover says how a hand-over went.
 type handover struct {
 	keys int
-	// takers counts the entries that took whole tables.
-	takers int
+	// successors counts the entries that took whole tables.
+	successors int
 }
 
 // table is the keys of one home, in parts, with who may take them.
@@ -48,7 +48,7 @@
 			klog.InfoS("nobody took the idempotency keys of an entry; callers that ask for them will be told unknown", "home", t.parts[0].Home)
 		}
 	}
-	done.takers = len(takers)
+	done.successors = len(takers)
 	return done
 }
 
@@ -67,11 +67,11 @@
 	return tables
 }
 
-// handOverTable gives a table to the first enoughTakers that accept it and adds
+// handOverTable gives a table to the first enoughSuccessors that accept it and adds
 // them to takers.
 func (e *Entry) handOverTable(ctx context.Context, t table, takers map[string]bool) (took int) {
 	for _, address := range t.addresses {
-		if took == enoughTakers {
+		if took == enoughSuccessors {
 			break
 		}
 		if e.handOverTo(ctx, address, t.parts) {
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -18,7 +18,7 @@
 // that the platform is slow, so this entry reads on.
 const livenessTimeout = 300 * time.Millisecond
 
-// glances is what an entry that reads the platform learns from cheap calls beside its
+// livenessChecks is what an entry that reads the platform learns from cheap calls beside its
 // watches. Guards against a platform that stops answering some entries, the readers
 // among them: their watches wait in silence, and published changes come into force
 // only when the watches time out. Guards as well against a platform that has forgotten a watch,
--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -175,7 +175,7 @@
 		total("news.pieces", news.Pieces),
 		total("news.copies", news.Copies),
 		total("news.late", news.Late),
-		gauge("news.owed", float64(news.Owed)),
+		gauge("news.owed", float64(news.Pending)),
 		gauge("news.room", news.Room),
 	}
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -58,7 +58,7 @@
 	return StopSummary{
 		Cut:        cut,
 		HandedOver: handedOver.keys,
-		Successors: handedOver.takers,
+		Successors: handedOver.successors,
 		Took:       e.engine.clock() - began,
 	}
 }
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -30,7 +30,7 @@
 	view     core.View
 	recent   recentCounts
 	platform platformCounts
-	// glances are the cheap calls beside those, lateLivenessChecks the ones without an
+	// livenessChecks are the cheap calls beside those, lateLivenessChecks the ones without an
 	// answer in time.
 	livenessChecks, lateLivenessChecks uint64
 	// renewedWatches are the watches that were made anew.
--- a/internal/idem/decision.go
+++ b/internal/idem/decision.go
@@ -11,13 +11,13 @@
 	// Join: the same request is running. Wait for its end and call Begin
 	// again. A caller that can't wait so long is told "unknown".
 	Join
-	// Replay: the request is done, Verdict.Answer holds its answer.
+	// Replay: the request is done, Decision.Answer holds its answer.
 	Replay
 	// DoneNoAnswer: the request is done, its answer was not kept.
 	DoneNoAnswer
 	// OutcomeUnknown: the request may have run. It is never run again.
 	OutcomeUnknown
-	// NotHome: Verdict.Home alone can tell. Forward the request there once, or
+	// NotHome: Decision.Home alone can tell. Forward the request there once, or
 	// to a successor of it; a request that was forwarded is not forwarded again.
 	NotHome
 	// HomeUnknown: the home can't be reached and nobody holds its table. The
--- a/internal/idem/fleet_test.go
+++ b/internal/idem/fleet_test.go
@@ -149,14 +149,14 @@
 		to := f.homeOf(id)
 		f.post(to, func() { f.arrive(to, id, true) })
 	case told == ReplyNotRun:
-		f.tellNotRun(id, v.Kind)
+		f.replyNotRun(id, v.Kind)
 	case told == ReplyDone:
 		f.check(f.ran[id.key] == id, "told %v of a request that did not run", v.Kind)
 		f.check(v.Answer == nil || string(v.Answer.Body) == fmt.Sprint(id), "replayed another request's answer")
 	}
 }
 
-func (f *fleet) tellNotRun(id identity, kind DecisionKind) {
+func (f *fleet) replyNotRun(id identity, kind DecisionKind) {
 	f.notRun[id] = true
 	f.check(f.ran[id.key] != id, "told %v of a request that ran", kind)
 }
@@ -191,7 +191,7 @@
 		if f.fault == "forgets released keys" {
 			n.rowsOf(k.Epoch).spent = filter{}
 		}
-		f.tellNotRun(j.id, Spent)
+		f.replyNotRun(j.id, Spent)
 	}
 }
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -44,7 +44,7 @@
 	Status Update
 }
 
-// Roster says which entries somebody knows, itself included, without their addresses.
+// RecordSet says which entries somebody knows, itself included, without their addresses.
 type RecordSet struct {
 	Count  uint16 `cbor:"1,keyasint,omitempty"`
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
@@ -181,7 +181,7 @@
 	// EvidenceDigest digests all evidence that the sender holds. Equal digests tell two
 	// entries that neither has evidence for the other.
 	EvidenceDigest uint64
-	// Version is that of the sender's own record, Roster digests all records that it holds.
+	// Version is that of the sender's own record, RecordDigest digests all records that it holds.
 	Version      uint32
 	RecordDigest uint64
 	Evidence     []Evidence
@@ -229,7 +229,7 @@
 	// EvidenceDigest digests all evidence that the receiver of an update holds after it, as
 	// Update.Known does for its sender.
 	EvidenceDigest uint64 `cbor:"3,keyasint,omitempty"`
-	// Roster is the same of records.
+	// RecordDigest is the same of records.
 	RecordDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -237,6 +237,6 @@
 type Receipt struct {
 	// Acked: the peer has taken it in.
 	Acked bool
-	// EvidenceDigest and Roster are those of the peer's Ack.
+	// EvidenceDigest and RecordDigest are those of the peer's Ack.
 	EvidenceDigest, RecordDigest uint64
 }
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -124,7 +124,7 @@
 	if len(p.names) > maxNames {
 		return message.Update{}, badUpdate("names more than %d endpoints", maxNames)
 	}
-	sightings, err := p.sightings(packed.Sightings)
+	sightings, err := p.loadReports(packed.Sightings)
 	if err != nil {
 		return message.Update{}, err
 	}
@@ -155,7 +155,7 @@
 	return *last
 }
 
-func (p *Unpacker) sightings(b []byte) ([]message.LoadReport, error) {
+func (p *Unpacker) loadReports(b []byte) ([]message.LoadReport, error) {
 	var out []message.LoadReport
 	for len(b) > 0 {
 		var fields [4]uint64
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -18,7 +18,7 @@
 
 // Value is one published value at one revision. Revisions of a name only grow at the service;
 // a lagging replica, or one that was restored from a copy, may still answer with an older one. Those
-// of the list of VMs bear the service's era (InEra), and grow through restorations as well.
+// of the list of VMs bear the service's era (InGeneration), and grow through restorations as well.
 type Value struct {
 	Name     string
 	Revision uint64
@@ -45,14 +45,14 @@
 // watch that waits is silent, and so is a service that has stopped answering, or one that has
 // forgotten the watch.
 type LivenessChecker interface {
-	// Glance makes one cheap call.
+	// Liveness makes one cheap call.
 	Liveness(ctx context.Context) (Liveness, error)
 	// RenewWatch ends the call of a watch that waits, if there is one, and makes it anew from the
 	// same place. Whoever waits for the watch waits on.
 	RenewWatch()
 }
 
-// Glance is how far a service is, in revisions of its own that count all changes.
+// Liveness is how far a service is, in revisions of its own that count all changes.
 type Liveness struct {
 	// Latest is the latest that it holds, or was a moment ago; Brought is up to where watches have
 	// brought what changed, 0 if there is none.
