--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -117,7 +117,7 @@
 	poolRows    []*pool
 	// splits choose among the services of routes that lead to several.
 	splits map[string]*split
-	// probing are the requests with a round of looks under way, watched those whose
+	// probing are the requests with a round of load probes under way, supervised those whose
 	// attempt is looked after.
 	probing    []RequestID
 	supervised []supervisedAttempt
@@ -137,7 +137,7 @@
 	joined  []RequestID
 
 	// quarantine knows the requests under which endpoints crashed, broken are the attempts whose
-	// endpoint is asked whether it has, untold the crashes of which the fleet is not told yet.
+	// endpoint is asked whether it has, unspreadCrashes the crashes of which the fleet is not told yet.
 	quarantine      *quarantine.Table
 	broken          []brokenAttempt
 	unspreadCrashes []unspreadCrash
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -55,7 +55,7 @@
 	shares map[uint64]bool
 	// gossipPeers is scratch memory.
 	gossipPeers []gossip.Peer
-	// due, fresh and sightings are scratch memory of composeUpdates.
+	// due, fresh and loadReports are scratch memory of composeUpdates.
 	due         []uint64
 	fresh       []message.Evidence
 	loadReports []message.LoadReport
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -58,8 +58,8 @@
 	recordsAt    time.Duration
 
 	ackedRevisions revisionPair
-	// pending counts the claims that it is not known to have, eager those of them that it is
-	// to be told at once. pendingSince is when owed was 0 last.
+	// pending counts the claims that it is not known to have, urgent those of them that it is
+	// to be told at once. pendingSince is when pending was 0 last.
 	pending, urgent int
 	pendingSince    time.Duration
 	// lacks says that it is known not to have all that it is owed; doubted that its latest
@@ -75,7 +75,7 @@
 	inFlight bool
 	sentAt   time.Duration
 	sequence uint64
-	offered  revisionPair      // becomes told when the message in flight is acked
+	offered  revisionPair      // becomes ackedRevisions when the message in flight is acked
 	underWay []*storedEvidence // becomes known when the message in flight is acked
 	carried  []*storedRecord   // the same of records
 	// recordDigest is the digest of the records that it last said to hold, recordDigestSince since when that
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -89,7 +89,7 @@
 type Table struct {
 	records map[Request]*record
 	// explained are the endpoints that crashed under a request with crashesMost crashes or more, and
-	// held is how many such requests there are.
+	// quarantined is how many such requests there are.
 	explained   map[endpoint]bool
 	quarantined int
 }
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -41,7 +41,7 @@
 	stale bool
 	// standbyGroup is after how many spans of silence this entry tries.
 	standbyGroup int
-	// reaches says that the platform answered this entry's latest call, and silent
+	// reaches says that the platform answered this entry's latest call, and platformSilent
 	// that it did not answer the latest glance in time.
 	reaches, platformSilent bool
 	// reachedAt is when a reader last was known to reach the platform.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -55,7 +55,7 @@
 	hedge    bool
 	forward  bool
 	idleOnly bool
-	// alone says that the endpoint had easy room by its last look, fills
+	// alone says that the endpoint had easy room by its last load probe, fills
 	// that it was nearly full with this one.
 	alone, fills bool
 	index        int
@@ -67,7 +67,7 @@
 	status    int
 	load      Load
 	headAfter time.Duration
-	// endpoint is its name, look and limit what it had told; end, cause and took are how the attempt
+	// endpoint is its name, probedLoad and limit what it had told; end, cause and took are how the attempt
 	// ended, for the log.
 	endpoint   string
 	probedLoad table.ProbedLoad
@@ -111,14 +111,14 @@
 	tried balance.Set
 	// lastReason is why the latest attempt failed.
 	lastReason Reason
-	// probeRound is the round of looks that is under way, or was last.
+	// probeRound is the round of load probes that is under way, or was last.
 	probeRound loadProbeRound
 	// age is how long before its arrival the caller first tried, as far as known.
 	age time.Duration
 	// late says that it can't be answered in time any more; it waits until lateUntil.
 	late      bool
 	lateUntil time.Duration
-	// loadProbes counts the endpoints asked, held how often there was no room; the rest is
+	// loadProbes counts the endpoints asked, noRoom how often there was no room; the rest is
 	// how the request ended, for the log.
 	loadProbes, noRoom int
 	outcome            Outcome
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -81,12 +81,12 @@
 	serviceNanos float64
 	// repeats bounds attempts beyond the first of each request, nil for no bound.
 	repeats *budget.Repeats
-	// loadProbes pays for looks at endpoints; probingFor is the request at the head of
+	// loadProbes pays for load probes; probingFor is the request at the head of
 	// the queue for which a round is under way, probeAgainAt when the next may be.
 	loadProbes   *budget.LoadProbes
 	probingFor   RequestID
 	probeAgainAt time.Duration
-	// loadless counts looks in a row that were answered without a load.
+	// loadless counts load probes in a row that were answered without a load.
 	loadless int
 	// probePath is where the endpoints tell their load, "" for the contract's.
 	probePath string
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -91,7 +91,7 @@
 	OwnerQuota
 	// Rate is how many requests a second it takes from all entries together, 0 for no limit.
 	Rate float64
-	// Version orders what is known of it in the whole fleet, Turn is which entries own it, as of
+	// Version orders what is known of it in the whole fleet, Period is which entries own it, as of
 	// SpreadAt, when the fleet was last told.
 	Version, Period uint32
 	SpreadAt        time.Duration
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -27,7 +27,7 @@
 	CallerAge time.Duration
 	// Took is the time from its arrival, Objective what it should have been.
 	Took, Objective time.Duration
-	// LoadProbes counts the endpoints asked for it, Held how often it found no room.
+	// LoadProbes counts the endpoints asked for it, NoRoom how often it found no room.
 	LoadProbes, NoRoom int
 	// Late says that it could not be in time any more before it was sent.
 	Late bool
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -227,7 +227,7 @@
 	Accepted bool   `cbor:"1,keyasint,omitempty"`
 	Reason   string `cbor:"2,keyasint,omitempty"`
 	// EvidenceDigest digests all evidence that the receiver of an update holds after it, as
-	// Update.Known does for its sender.
+	// Update.EvidenceDigest does for its sender.
 	EvidenceDigest uint64 `cbor:"3,keyasint,omitempty"`
 	// RecordDigest is the same of records.
 	RecordDigest uint64 `cbor:"4,keyasint,omitempty"`
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -54,7 +54,7 @@
 
 // Liveness is how far a service is, in revisions of its own that count all changes.
 type Liveness struct {
-	// Latest is the latest that it holds, or was a moment ago; Brought is up to where watches have
+	// Latest is the latest that it holds, or was a moment ago; Delivered is up to where watches have
 	// brought what changed, 0 if there is none.
 	Latest, Delivered uint64
 }
