--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -43,7 +43,7 @@
 	for i := range benchPeers {
 		peer := message.Hello{Name: fmt.Sprintf("entry-%d", i+1), Incarnation: uint64(i + 2), Region: "r", Domain: fmt.Sprint(i % 3),
 			CallerAddress: fmt.Sprintf("10.0.1.%d:80", i), PeerAddress: fmt.Sprintf("10.0.1.%d:81", i)}
-		c.Introduce(0, peer, out)
+		c.HelloReceived(0, peer, out)
 	}
 	mark := message.Mark{Revision: 1, Digest: 1}
 	c.Offer(0, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform, Profiles: snapshot}, out)
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -323,8 +323,8 @@
 			known := false
 			r.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
 			if !known && r.reaches(to, from) {
-				r.do(to, func(now time.Duration, out *Actions) { to.Introduce(now, from.greeting(), out) })
-				r.do(from, func(now time.Duration, out *Actions) { from.Met(now, to.greeting(), out) })
+				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.greeting(), out) })
+				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.greeting(), out) })
 			}
 		})
 	}
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -93,7 +93,7 @@
 func (c *Core) remember(now time.Duration) {
 	f := &c.fleet
 	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settling {
-		f.settled = f.gossip.Agrees()
+		f.settled = f.gossip.RecordsAgree()
 	}
 	if f.rememberedAt == f.version {
 		return
--- a/internal/core/cost_test.go
+++ b/internal/core/cost_test.go
@@ -24,7 +24,7 @@
 		r.offer(n, r.docs[name], 0)
 	}
 	for _, other := range r.nodes[1:] {
-		r.do(n, func(now time.Duration, out *Actions) { n.Introduce(now, other.greeting(), out) })
+		r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.greeting(), out) })
 	}
 	return r, list
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -155,7 +155,7 @@
 		endpoint:    e.Name,
 		probedLoad:  e.Probed,
 		limit:       e.Limit.Rate,
-		due:         view.Takes(e),
+		due:         view.ServiceTime(e),
 	}
 	if placement.Fills(e) {
 		p.learned.NoteFill(now)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -113,7 +113,7 @@
 		members: member.New(member.Config{
 			Self:         c.cfg.Self.Incarnation,
 			Region:       c.cfg.Self.Region,
-			Heartbeat:    func() time.Duration { return c.fleet.gossip.Beat() },
+			Heartbeat:    func() time.Duration { return c.fleet.gossip.HeartbeatInterval() },
 			MissingAfter: c.cfg.MissingAfter,
 			KeepLast:     c.cfg.KeepLast,
 			ListIsFinal:  c.cfg.ListIsFinal,
@@ -128,7 +128,7 @@
 		gossip:     gossip.New(gossipConfig),
 		reader:     true,
 	}
-	c.fleet.members.Introduce(0, vmOf(c.cfg.Self))
+	c.fleet.members.HelloReceived(0, vmOf(c.cfg.Self))
 	c.refreshEntries()
 	c.announce(0)
 }
@@ -218,14 +218,14 @@
 	return out
 }
 
-// Introduce feeds the first message on a peer link. What a peer says of itself counts
+// NoteHello feeds the first message on a peer link. What a peer says of itself counts
 // until its first update; later on its updates are the newer word.
-func (c *Core) Introduce(now time.Duration, h message.Hello, out *Actions) {
-	c.applyChanges(now, c.fleet.members.Introduce(now, vmOf(h)), "peer "+h.Name, out)
+func (c *Core) HelloReceived(now time.Duration, h message.Hello, out *Actions) {
+	c.applyChanges(now, c.fleet.members.HelloReceived(now, vmOf(h)), "peer "+h.Name, out)
 	if !c.fleet.members.Knows(h.Incarnation) {
 		return
 	}
-	c.fleet.gossip.Greeted(now, recordOf(h))
+	c.fleet.gossip.NoteHello(now, recordOf(h))
 	c.fleet.members.Version(h.Incarnation, h.Status.Version)
 	_, heard := c.fleet.peers[h.Incarnation]
 	if heard || h.Status.From != h.Incarnation {
@@ -236,10 +236,10 @@
 	c.takeUpdate(now, p, &h.Status, out)
 }
 
-// Met feeds the answer to this entry's own first message on a link.
-func (c *Core) Met(now time.Duration, h message.Hello, out *Actions) {
-	c.Introduce(now, h, out)
-	c.fleet.gossip.Meets(h.Incarnation, h.Records)
+// NoteHelloAnswer feeds the answer to this entry's own first message on a link.
+func (c *Core) HelloAnswered(now time.Duration, h message.Hello, out *Actions) {
+	c.HelloReceived(now, h, out)
+	c.fleet.gossip.NoteHelloAnswer(h.Incarnation, h.Records)
 }
 
 // applyEvidence feeds evidence about VMs; what it says of requests and limits is left out.
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -307,7 +307,7 @@
 	r := settled(t, 2, "counts/c1")
 	n := r.nodes[0]
 	fresh := message.Hello{Name: "entry-2", Incarnation: 77, Region: "r", Domain: "d2", CallerAddress: "10.0.0.3:80", PeerAddress: "10.0.0.3:81"}
-	r.do(n, func(now time.Duration, out *Actions) { n.Introduce(now, fresh, out) })
+	r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, fresh, out) })
 	for sequence, state := range []message.EntryState{message.EntryStarting, message.EntryServing} {
 		u := message.Update{From: 77, Sequence: uint64(sequence + 1), State: state, Epoch: 1}
 		r.do(n, func(now time.Duration, out *Actions) { n.PeerUpdate(now, &u, out) })
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Learned takes in evidence that came with a list of VMs from a peer. The list is passed on
+// LearnedFromList takes in evidence that came with a list of VMs from a peer. The list is passed on
 // with the evidence in it, so others are only asked whether they have it.
-func (s *Scheduler) Learned(now time.Duration, evidence []message.Evidence) {
+func (s *Scheduler) LearnedFromList(now time.Duration, evidence []message.Evidence) {
 	s.settle()
 	for _, e := range evidence {
 		s.storeEvidence(now, e, 0)
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -81,12 +81,12 @@
 	s.storeRecord(now, &r, everywhere, nil)
 }
 
-// Greeted takes in the record of an entry that introduced itself on a link. It tells its own
+// NoteHello takes in the record of an entry that introduced itself on a link. It tells its own
 // neighbours, so nobody is told here, and whoever missed it pulls it.
 //
 // One that was forgotten, for it was cut off for long, lives. Others would refuse what it told
 // before; as soon as it sees that it was taken for silent, it tells a later version.
-func (s *Scheduler) Greeted(now time.Duration, r message.Record) {
+func (s *Scheduler) NoteHello(now time.Duration, r message.Record) {
 	s.settle()
 	if last, ended := s.records.ended[r.Name]; ended && last.Incarnation == r.Incarnation && !r.Newer(&last) {
 		delete(s.records.ended, r.Name)
@@ -229,9 +229,9 @@
 	return out
 }
 
-// Agrees reports whether all peers that said which records they hold said last to hold the same
+// RecordsAgree reports whether all peers that said which records they hold said last to hold the same
 // as this entry.
-func (s *Scheduler) Agrees() bool {
+func (s *Scheduler) RecordsAgree() bool {
 	for _, p := range s.peers {
 		if p.recordDigest != 0 && p.recordDigest != s.records.digest {
 			return false
@@ -311,9 +311,9 @@
 	}
 }
 
-// Meets takes in which records an entry holds that answered a greeting: one that holds more is
+// NoteHelloAnswer takes in which records an entry holds that answered a greeting: one that holds more is
 // asked for them at once.
-func (s *Scheduler) Meets(id uint64, r message.RecordSet) {
+func (s *Scheduler) NoteHelloAnswer(id uint64, r message.RecordSet) {
 	if r.Digest != s.records.digest && int(r.Count) >= len(s.records.byName) && !s.pulls.asked {
 		s.pulls.wanted, s.pulls.notBefore = id, 0
 	}
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -105,19 +105,19 @@
 	// changedAt is when the revisions in force changed last.
 	changedAt time.Duration
 	// known are the other entries, peers those of them with which links are held.
-	known    []Peer
-	peers    map[uint64]*peer
-	order    []uint64 // incarnations of peers in order
-	slots    [MaxPeers]bool
-	told     int           // peers that get heartbeats
-	beat     time.Duration // HeartbeatPeriod of so many
-	allow    allowance
-	log      evidenceLog
-	records  records
-	pulls    pulls
-	sequence uint64
-	expireAt time.Duration
-	stats    Stats
+	known             []Peer
+	peers             map[uint64]*peer
+	order             []uint64 // incarnations of peers in order
+	slots             [MaxPeers]bool
+	told              int           // peers that get heartbeats
+	heartbeatInterval time.Duration // HeartbeatPeriod of so many
+	allow             allowance
+	log               evidenceLog
+	records           records
+	pulls             pulls
+	sequence          uint64
+	expireAt          time.Duration
+	stats             Stats
 	// failed counts the failures in a row of entries of other regions.
 	failed map[uint64]int
 	// senders are the entries that told this one something, and when they did last.
@@ -133,11 +133,11 @@
 func New(cfg Config) *Scheduler {
 	cfg = cfg.withDefaults()
 	return &Scheduler{
-		cfg:   cfg,
-		peers: make(map[uint64]*peer),
-		allow: newAllowance(cfg.BytesPerSecond, cfg.MessagesPerSecond),
-		log:   newEvidenceLog(),
-		beat:  cfg.HeartbeatPeriod(0),
+		cfg:               cfg,
+		peers:             make(map[uint64]*peer),
+		allow:             newAllowance(cfg.BytesPerSecond, cfg.MessagesPerSecond),
+		log:               newEvidenceLog(),
+		heartbeatInterval: cfg.HeartbeatPeriod(0),
 
 		records: newRecords(),
 		failed:  make(map[uint64]int),
@@ -243,7 +243,7 @@
 	if p.kind == linkRegion {
 		return s.cfg.SummaryEvery
 	}
-	return s.beat
+	return s.heartbeatInterval
 }
 
 // nextHeartbeat spreads heartbeats: up to an eighth of a period early, by hash
--- a/internal/core/gossip/topology.go
+++ b/internal/core/gossip/topology.go
@@ -228,7 +228,7 @@
 			s.told++
 		}
 	}
-	s.beat = s.cfg.HeartbeatPeriod(s.told)
+	s.heartbeatInterval = s.cfg.HeartbeatPeriod(s.told)
 	s.scheduleNew(s.allow.at)
 }
 
@@ -269,8 +269,8 @@
 	return p != nil && p.kind == linkMesh
 }
 
-// Beat is how often each entry that is watched is told something.
-func (s *Scheduler) Beat() time.Duration { return s.beat }
+// HeartbeatInterval is how often each entry that is watched is told something.
+func (s *Scheduler) HeartbeatInterval() time.Duration { return s.heartbeatInterval }
 
 // answering returns the first entries that have not failed too often.
 func (s *Scheduler) answering(ranked []uint64) []uint64 {
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -199,7 +199,7 @@
 			known[address], e.told[address] = true, true
 		}
 		for address := range e.told {
-			if !known[address] && (starting || e.Finds(address)) {
+			if !known[address] && (starting || e.DialsLost(address)) {
 				wanted[address] = true
 			}
 		}
@@ -235,13 +235,13 @@
 	h := e.hello
 	h.Status, h.Records = e.OwnStatus(), e.RecordSet()
 	f.work(to, dialTakes, func() {
-		f.do(to, func(now time.Duration, out *Actions) { to.Introduce(now, h, out) })
+		f.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, h, out) })
 		answer := to.hello
 		answer.Status, answer.Records = to.OwnStatus(), to.RecordSet()
 		f.post(largeLag, func() {
 			f.work(e, messageTakes, func() {
 				e.linked[answer.PeerAddress] = true
-				f.do(e, func(now time.Duration, out *Actions) { e.Met(now, answer, out) })
+				f.do(e, func(now time.Duration, out *Actions) { e.HelloAnswered(now, answer, out) })
 			})
 		})
 	})
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -48,14 +48,14 @@
 	})
 }
 
-// finders is how many entries dial an address at which an entry was or may be that nobody
+// lostDialers is how many entries dial an address at which an entry was or may be that nobody
 // knows now. With three, two of them may be on the wrong side of a partition or dead.
-const finders = 3
+const lostDialers = 3
 
-// Finds reports whether this entry is one of those that dial an address at which no entry is
+// DialsLost reports whether this entry is one of those that dial an address at which no entry is
 // known. Guards against a fleet in which all dial each one that is lost: after a partition
 // into halves that is a quarter of the square of the fleet.
-func (c *Core) Finds(address string) bool {
+func (c *Core) DialsLost(address string) bool {
 	key, before := assign.Key("finds", address), 0
 	own := assign.Score(key, c.fleet.selfID)
 	for i := range c.fleet.readMembers {
@@ -63,5 +63,5 @@
 			before++
 		}
 	}
-	return before < finders
+	return before < lostDialers
 }
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -233,7 +233,7 @@
 		return
 	}
 	if view := c.placementView(now, r); best.Index < 0 && !r.probeRound.ownOnly && !c.anyAnswered(r) && !view.Crowded() {
-		if i := view.Blind(); i >= 0 && c.dispatchProbed(now, r, i, out) {
+		if i := view.WithoutLoad(); i >= 0 && c.dispatchProbed(now, r, i, out) {
 			return
 		}
 	}
--- a/internal/core/loadprobes_test.go
+++ b/internal/core/loadprobes_test.go
@@ -150,7 +150,7 @@
 func TestNoSightingsWhereEndpointsAreLookedAt(t *testing.T) {
 	y := newEntryHarness(t, idle(3, "d0")...)
 	peer := message.Hello{Name: "other", Incarnation: 2, Region: "r", Domain: "d1", CallerAddress: "10.0.0.2:80", PeerAddress: "10.0.0.2:81"}
-	y.do(func(out *Actions) { y.Introduce(y.now, peer, out) })
+	y.do(func(out *Actions) { y.HelloReceived(y.now, peer, out) })
 	y.learn(20)
 	if len(y.updates) == 0 {
 		t.Fatal("the peer was told nothing")
--- a/internal/core/member/claim.go
+++ b/internal/core/member/claim.go
@@ -54,10 +54,10 @@
 	return t.ApplyEvidence(now, message.Evidence{VM: name, Incarnation: r.vm.Incarnation, Kind: message.EvidenceReplaced})
 }
 
-// Introduce takes in an entry that opened a link and said who it is. It may be
+// HelloReceived takes in an entry that opened a link and said who it is. It may be
 // newer than the platform's list, which numbers VMs and not processes: whatever
 // the list says of its VM stays with it.
-func (t *Table) Introduce(now time.Duration, vm published.VM) []Change {
+func (t *Table) HelloReceived(now time.Duration, vm published.VM) []Change {
 	if unusable(vm) != "" || !isEntry(vm) || t.departures.isGone(vm.Name, vm.Incarnation) {
 		return nil
 	}
@@ -144,8 +144,8 @@
 	return changes
 }
 
-// Reached notes that an entry took a message: it lives.
-func (t *Table) Reached(now time.Duration, incarnation uint64) []Change {
+// Acked notes that an entry took a message: it lives.
+func (t *Table) Acked(now time.Duration, incarnation uint64) []Change {
 	r := t.entry(incarnation)
 	if r == nil {
 		return nil
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -83,7 +83,7 @@
 	case "heard":
 		return show(table.Heard(now, who.Incarnation, message.EntryState(numbers["state"])))
 	case "introduce":
-		return show(table.Introduce(now, who))
+		return show(table.HelloReceived(now, who))
 	case "answered":
 		return show(table.Answered(now, who.Name, who.Incarnation))
 	case "unreachable":
@@ -159,7 +159,7 @@
 			case 3:
 				changes = table.Heard(now, drawVM().Incarnation, message.EntryState(rapid.IntRange(0, 3).Draw(rt, "state")))
 			case 4:
-				changes = table.Introduce(now, drawVM())
+				changes = table.HelloReceived(now, drawVM())
 			case 5:
 				vm := drawVM()
 				changes = table.Answered(now, vm.Name, vm.Incarnation)
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -106,10 +106,10 @@
 		e.DoubtAfter(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchange)
 }
 
-// Blind returns the index of an endpoint to choose when none told its load, because the
+// WithoutLoad returns the index of an endpoint to choose when none told its load, because the
 // budget is spent or nobody answers; -1 for none. The one with the fewest own requests is
 // the best guess.
-func (v *View) Blind() int {
+func (v *View) WithoutLoad() int {
 	best, bestRank := -1, 0.0
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
--- a/internal/core/placement/work.go
+++ b/internal/core/placement/work.go
@@ -26,7 +26,7 @@
 // worth its use only where both can bear it.
 func (v *View) Expected(e *table.Endpoint) time.Duration {
 	work := float64(v.Request.Work)
-	after := float64(v.Takes(e))
+	after := float64(v.ServiceTime(e))
 	if Fills(e) {
 		after += (v.Learned.sharing - 1) * work
 	}
@@ -37,11 +37,11 @@
 	return time.Duration(after)
 }
 
-// Takes estimates how long an endpoint would take, by its load and pace as it told them
+// ServiceTime estimates how long an endpoint would take, by its load and pace as it told them
 // last. The pace at the start of a request holds until its end: of those that began at
 // five times the usual pace half took 4.9 times as long as usual or longer, and of those
 // that began at the usual one 99 in 100 less than 2.9 times as long.
-func (v *View) Takes(e *table.Endpoint) time.Duration {
+func (v *View) ServiceTime(e *table.Endpoint) time.Duration {
 	pace := Pace(&e.Probed)
 	load, slots := e.Probed.Load(), max(1, e.Probed.Slots)
 	own, wait := float64(v.Request.Work), 0.0
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -107,7 +107,7 @@
 		c.applyChanges(now, c.fleet.members.ApplyList(now, o.VMs), note.Actor, out)
 		if o.Source != assign.Platform {
 			c.fleet.fresh = c.fleet.members.TakeEvidence(c.fleet.fresh[:0])
-			c.fleet.gossip.Learned(now, c.fleet.fresh)
+			c.fleet.gossip.LearnedFromList(now, c.fleet.fresh)
 		}
 		return
 	}
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -195,7 +195,7 @@
 // for all. While its peers hold other records than it does, it may just not have heard of
 // those: 472 entries that lost power together would each read 1.5 s later.
 func (c *Core) startReadDelay() time.Duration {
-	if c.cfg.FirstStart || !c.Agrees() {
+	if c.cfg.FirstStart || !c.RecordsAgree() {
 		return firstStartSilence
 	}
 	return startSilence
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -118,7 +118,7 @@
 	f := &c.fleet
 	var changes []member.Change
 	for _, incarnation := range f.acked {
-		changes = append(changes, f.members.Reached(now, incarnation)...)
+		changes = append(changes, f.members.Acked(now, incarnation)...)
 	}
 	f.acked = f.acked[:0]
 	c.applyChanges(now, changes, "peer", out)
@@ -171,8 +171,8 @@
 // RecordsBeyond returns the records held that are not among those marked.
 func (c *Core) RecordsBeyond(marks []uint32) []message.Record { return c.fleet.gossip.Beyond(marks) }
 
-// Agrees reports whether the peers from which this entry has heard hold the same records.
-func (c *Core) Agrees() bool { return c.fleet.gossip.Agrees() }
+// RecordsAgree reports whether the peers from which this entry has heard hold the same records.
+func (c *Core) RecordsAgree() bool { return c.fleet.gossip.RecordsAgree() }
 
 // RecordSet says which records this entry holds.
 func (c *Core) RecordSet() message.RecordSet { return c.fleet.gossip.RecordSet() }
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -22,7 +22,7 @@
 		for peer := range 3 {
 			h := message.Hello{Name: fmt.Sprintf("entry-%d", peer), Incarnation: uint64(peer + 1), Region: "r"}
 			if h.Incarnation != n.hello.Incarnation {
-				r.do(n, func(now time.Duration, out *Actions) { n.Introduce(now, h, out) })
+				r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, h, out) })
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 		for at := ms; at < 400*ms; at += 5 * ms {
 			var out Actions
 			if meets && at == 51*ms {
-				n.Introduce(at, peer, &out)
+				n.HelloReceived(at, peer, &out)
 			}
 			n.Tick(at, r.wall, &out)
 			fetches = append(fetches, out.Fetches...)
@@ -80,7 +80,7 @@
 	for _, a := range r.nodes {
 		for _, b := range r.nodes {
 			if a != b {
-				r.do(a, func(now time.Duration, out *Actions) { a.Introduce(now, b.greeting(), out) })
+				r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.greeting(), out) })
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Fatalf("names %v before they met", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.Introduce(now, greeting, out) })
+	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, greeting, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 2 {
 		t.Errorf("names %v after the greeting", got)
 	}
@@ -123,7 +123,7 @@
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Errorf("names %v though the other leaves", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.Introduce(now, greeting, out) })
+	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, greeting, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Errorf("names %v after an old greeting", got)
 	}
@@ -179,7 +179,7 @@
 		for _, a := range r.nodes {
 			for _, b := range r.nodes {
 				if a != b {
-					r.do(a, func(now time.Duration, out *Actions) { a.Introduce(now, b.greeting(), out) })
+					r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.greeting(), out) })
 				}
 			}
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -42,7 +42,7 @@
 		ClientTLS:      e.options.TLS.PeerClient,
 	}
 	e.peerServer = peer.NewServer(cfg, (*peerHandler)(e))
-	e.links = peer.NewLinks(cfg, e.ownHello, e.met)
+	e.links = peer.NewLinks(cfg, e.ownHello, e.helloAnswered)
 }
 
 // ownHello is how this entry introduces itself, with its state and which others it knows.
@@ -118,17 +118,17 @@
 	return out
 }
 
-// introduce tells the core who opened a link.
-func (e *Entry) introduce(h message.Hello) {
+// helloReceived tells the core who opened a link.
+func (e *Entry) helloReceived(h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
-		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Introduce(now, h, out) })
+		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.HelloReceived(now, h, out) })
 	}
 }
 
-// met tells the core who answered on a link that this entry opened.
-func (e *Entry) met(_ string, h message.Hello) {
+// helloAnswered tells the core who answered on a link that this entry opened.
+func (e *Entry) helloAnswered(_ string, h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
-		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Met(now, h, out) })
+		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.HelloAnswered(now, h, out) })
 	}
 }
 
@@ -169,7 +169,7 @@
 			wanted = append(wanted, lost...)
 			return
 		}
-		wanted = append(wanted, slices.DeleteFunc(lost, func(address string) bool { return !c.Finds(address) })...)
+		wanted = append(wanted, slices.DeleteFunc(lost, func(address string) bool { return !c.DialsLost(address) })...)
 	})
 	if wanted == nil {
 		return
@@ -227,7 +227,7 @@
 // Hello implements peer.Handler.
 func (h *peerHandler) Hello(from message.Hello) (message.Hello, error) {
 	e := (*Entry)(h)
-	e.introduce(from)
+	e.helloReceived(from)
 	return e.ownHello(), nil
 }
 
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -160,7 +160,7 @@
 	began := e.engine.clock()
 	for ctx.Err() == nil {
 		known, agreed := 0, false
-		e.engine.view(func(_ time.Duration, c *core.Core) { known, agreed = c.UsableEntries(), c.Agrees() })
+		e.engine.view(func(_ time.Duration, c *core.Core) { known, agreed = c.UsableEntries(), c.RecordsAgree() })
 		waited := e.engine.clock() - began
 		if m.over(known, agreed) || waited >= meetingWait || agreed && waited >= patience {
 			return
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -60,7 +60,7 @@
 	c.Offer(0, core.Offered{Name: published.VMsValue, Mark: message.Mark{Revision: 1, Digest: 1}, Source: assign.Platform,
 		VMs: published.VMList{Revision: 1, VMs: vms}}, &out)
 	for _, vm := range vms[size.Endpoints+1:] {
-		c.Introduce(0, hello(vm), &out)
+		c.HelloReceived(0, hello(vm), &out)
 	}
 	return c
 }
