--- a/internal/core/quota/limit_test.go
+++ b/internal/core/quota/limit_test.go
@@ -36,7 +36,7 @@
 		{"no limit any more", now, limitedAt(now, 0, false), Granted},
 		{"cold besides", now, cold, ColdElsewhere},
 	} {
-		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: NewColdQuota(Warmup{PerSecond: 5})}
+		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: NewColdQuota(Warmup{PerSecond: 5})}
 		if got := Of(c.at, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -55,7 +55,7 @@
 		return Evacuated
 	case IsCold(now, p, e) && !e.Cold.Own:
 		return ColdElsewhere
-	case IsCold(now, p, e) && tokens(now, &e.Cold.OwnerQuota, p.ColdShare.Rate) < 1:
+	case IsCold(now, p, e) && tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate) < 1:
 		return ColdSpent
 	case !IsLimited(e):
 		return Granted
@@ -72,13 +72,13 @@
 
 // IsCold reports whether the endpoint is cold, in a pool where that binds.
 func IsCold(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
-	return now < e.Cold.Until && p.ColdShare.Bound > 0
+	return now < e.Cold.Until && p.ColdQuota.Bound > 0
 }
 
 // Spend takes a request that is sent to e into account.
 func Spend(now time.Duration, p *table.Pool, e *table.Endpoint) {
 	if IsCold(now, p, e) {
-		e.Cold.Tokens, e.Cold.At = tokens(now, &e.Cold.OwnerQuota, p.ColdShare.Rate)-1, now
+		e.Cold.Tokens, e.Cold.At = tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate)-1, now
 	}
 	if IsLimited(e) {
 		e.Limit.Tokens, e.Limit.At = tokens(now, &e.Limit.OwnerQuota, e.Limit.Each)-1, now
@@ -102,5 +102,5 @@
 // BecameCold notes that the endpoint is cold as far as others say, for as long as that commonly
 // takes in its pool, or until it tells more.
 func BecameCold(now time.Duration, p *table.Pool, e *table.Endpoint) {
-	e.Cold.Until = max(e.Cold.Until, now+p.ColdShare.Warmup)
+	e.Cold.Until = max(e.Cold.Until, now+p.ColdQuota.Warmup)
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -39,7 +39,7 @@
 			c.want = ColdSpent // no owner may send: Rate and Owners are 0
 			c.e.Cold.At, c.e.Cold.Tokens = now, 0
 		}
-		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: c.share}
+		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: c.share}
 		if got := Of(now, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -102,7 +102,7 @@
 			if i >= cut {
 				side = 1
 			}
-			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdShare: share, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
+			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdQuota: share, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
 			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Own: s.view.Owns(s.id, "e", "0", share.Owners)}}
 			return s
 		}
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -207,7 +207,7 @@
 	// membership change.
 	Endpoints []Endpoint
 	// ColdQuota is what this entry may send to cold ones.
-	ColdShare ColdQuota
+	ColdQuota ColdQuota
 }
 
 // Slots returns the slots of all endpoints that take work.
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -89,8 +89,8 @@
 		{"large handover before Hello", 0, "Peer.Handover", &message.Handover{Records: make([]idem.Record, 100)}, new(wire.AckReply), ""},
 		{"Hello twice", 1, "Peer.Hello", &hello, new(wire.HelloReply), "Hello came twice"},
 		{"method of a later release", 1, "Peer.Later", &wire.Ping{}, new(wire.PingReply), "can't find method"},
-		{"update that makes no sense", 1, "Peer.Update", &wire.Update{Sightings: []byte{9, 9, 9, 9}}, new(wire.AckReply), ""},
-		{"update over its limit", 1, "Peer.Update", &wire.Update{Sightings: make([]byte, regularBytes+headroom)}, new(wire.AckReply), "smaller parts"},
+		{"update that makes no sense", 1, "Peer.Update", &wire.Update{LoadReports: []byte{9, 9, 9, 9}}, new(wire.AckReply), ""},
+		{"update over its limit", 1, "Peer.Update", &wire.Update{LoadReports: make([]byte, regularBytes+headroom)}, new(wire.AckReply), "smaller parts"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/peer/wire/forms.go
+++ b/internal/peer/wire/forms.go
@@ -25,9 +25,9 @@
 	Domain        string            `cbor:"6,keyasint,omitempty"`
 	CallerAddress string            `cbor:"7,keyasint,omitempty"`
 	PeerAddress   string            `cbor:"8,keyasint,omitempty"`
-	Knows         message.RecordSet `cbor:"9,keyasint"`
-	// State is nil if the sender tells nothing of itself.
-	Says     *Update `cbor:"12,keyasint,omitempty"`
+	Records       message.RecordSet `cbor:"9,keyasint"`
+	// Status is nil if the sender tells nothing of itself.
+	Status   *Update `cbor:"12,keyasint,omitempty"`
 	Capacity uint32  `cbor:"13,keyasint,omitempty"`
 }
 
@@ -35,10 +35,10 @@
 func (h Hello) MarshalBinary() ([]byte, error) {
 	form := helloForm{
 		Version: h.Version, MinVersion: h.MinVersion, Name: h.Name, Incarnation: h.Incarnation, Region: h.Region, Domain: h.Domain,
-		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Knows: h.Records, Capacity: h.Capacity,
+		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Records: h.Records, Capacity: h.Capacity,
 	}
 	if h.Status.From != 0 {
-		form.Says = new(Packer).Pack(h.Status)
+		form.Status = new(Packer).Pack(h.Status)
 	}
 	return cbor.Marshal(form)
 }
@@ -51,13 +51,13 @@
 	}
 	*h = Hello{
 		Version: form.Version, MinVersion: form.MinVersion, Name: form.Name, Incarnation: form.Incarnation, Region: form.Region, Domain: form.Domain,
-		CallerAddress: form.CallerAddress, PeerAddress: form.PeerAddress, Records: form.Knows, Capacity: form.Capacity,
+		CallerAddress: form.CallerAddress, PeerAddress: form.PeerAddress, Records: form.Records, Capacity: form.Capacity,
 	}
-	if form.Says == nil {
+	if form.Status == nil {
 		return nil
 	}
-	says, err := new(Unpacker).Unpack(form.Incarnation, form.Says)
-	h.Status = says
+	status, err := new(Unpacker).Unpack(form.Incarnation, form.Status)
+	h.Status = status
 	return err
 }
 
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -27,19 +27,19 @@
 	Reader   bool         `cbor:"6,keyasint,omitempty"`
 	Rate     uint32       `cbor:"7,keyasint,omitempty"`
 	// EvidenceDigest is the exclusive or with its last value: 0 when unchanged.
-	Known    uint64             `cbor:"8,keyasint,omitempty"`
-	Evidence []message.Evidence `cbor:"9,keyasint,omitempty"`
+	EvidenceDigest uint64             `cbor:"8,keyasint,omitempty"`
+	Evidence       []message.Evidence `cbor:"9,keyasint,omitempty"`
 	// Restart tells the receiver to forget all names before it adds Names.
 	Restart bool `cbor:"10,keyasint,omitempty"`
 	// Names are numbered in order of their appearance on the connection.
 	Names []Name `cbor:"11,keyasint,omitempty"`
-	// LoadReports holds four unsigned varints for each sighting: the endpoint's
+	// LoadReports holds four unsigned varints for each load report: the endpoint's
 	// number, InFlight, Own and AgeMillis.
-	Sightings []byte           `cbor:"12,keyasint,omitempty"`
-	Version   uint32           `cbor:"13,keyasint,omitempty"`
-	Records   []message.Record `cbor:"14,keyasint,omitempty"`
-	// RecordDigest is packed as Known is.
-	Roster uint64 `cbor:"15,keyasint,omitempty"`
+	LoadReports []byte           `cbor:"12,keyasint,omitempty"`
+	Version     uint32           `cbor:"13,keyasint,omitempty"`
+	Records     []message.Record `cbor:"14,keyasint,omitempty"`
+	// RecordDigest is packed as EvidenceDigest is.
+	RecordDigest uint64 `cbor:"15,keyasint,omitempty"`
 }
 
 // Name identifies one incarnation of an endpoint.
@@ -51,29 +51,29 @@
 // Packer packs the updates that are sent on one connection. It is not safe for
 // concurrent use.
 type Packer struct {
-	profiles, vms message.Mark
-	known, roster uint64
-	numbers       map[Name]uint64
+	profiles, vms                message.Mark
+	evidenceDigest, recordDigest uint64
+	numbers                      map[Name]uint64
 }
 
 // Pack returns the packed form. The update's From is left out; the receiver
 // knows it from the Hello.
 func (p *Packer) Pack(u message.Update) *Update {
 	packed := &Update{
-		Sequence: u.Sequence,
-		State:    u.State,
-		Epoch:    u.Epoch,
-		Profiles: changed(&p.profiles, u.Profiles),
-		VMs:      changed(&p.vms, u.VMs),
-		Reader:   u.Reader,
-		Rate:     u.Rate,
-		Known:    u.EvidenceDigest ^ p.known,
-		Evidence: u.Evidence,
-		Version:  u.Version,
-		Records:  u.Records,
-		Roster:   u.RecordDigest ^ p.roster,
+		Sequence:       u.Sequence,
+		State:          u.State,
+		Epoch:          u.Epoch,
+		Profiles:       changed(&p.profiles, u.Profiles),
+		VMs:            changed(&p.vms, u.VMs),
+		Reader:         u.Reader,
+		Rate:           u.Rate,
+		EvidenceDigest: u.EvidenceDigest ^ p.evidenceDigest,
+		Evidence:       u.Evidence,
+		Version:        u.Version,
+		Records:        u.Records,
+		RecordDigest:   u.RecordDigest ^ p.recordDigest,
 	}
-	p.known, p.roster = u.EvidenceDigest, u.RecordDigest
+	p.evidenceDigest, p.recordDigest = u.EvidenceDigest, u.RecordDigest
 	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxNames {
 		packed.Restart = p.numbers != nil
 		p.numbers = make(map[Name]uint64)
@@ -100,18 +100,18 @@
 		p.numbers[name] = number
 		packed.Names = append(packed.Names, name)
 	}
-	b := binary.AppendUvarint(packed.Sightings, number)
+	b := binary.AppendUvarint(packed.LoadReports, number)
 	b = binary.AppendUvarint(b, uint64(s.InFlight))
 	b = binary.AppendUvarint(b, uint64(s.Own))
-	packed.Sightings = binary.AppendUvarint(b, uint64(s.AgeMillis))
+	packed.LoadReports = binary.AppendUvarint(b, uint64(s.AgeMillis))
 }
 
 // Unpacker restores the updates that come in on one connection. It is not safe
 // for concurrent use.
 type Unpacker struct {
-	profiles, vms message.Mark
-	known, roster uint64
-	names         []Name
+	profiles, vms                message.Mark
+	evidenceDigest, recordDigest uint64
+	names                        []Name
 }
 
 // Unpack restores an update of the given sender. An error means that the two
@@ -124,12 +124,12 @@
 	if len(p.names) > maxNames {
 		return message.Update{}, badUpdate("names more than %d endpoints", maxNames)
 	}
-	sightings, err := p.loadReports(packed.Sightings)
+	sightings, err := p.loadReports(packed.LoadReports)
 	if err != nil {
 		return message.Update{}, err
 	}
-	p.known ^= packed.Known
-	p.roster ^= packed.Roster
+	p.evidenceDigest ^= packed.EvidenceDigest
+	p.recordDigest ^= packed.RecordDigest
 	return message.Update{
 		From:           from,
 		Sequence:       packed.Sequence,
@@ -139,11 +139,11 @@
 		VMs:            latest(&p.vms, packed.VMs),
 		Reader:         packed.Reader,
 		Rate:           packed.Rate,
-		EvidenceDigest: p.known,
+		EvidenceDigest: p.evidenceDigest,
 		Evidence:       packed.Evidence,
 		Version:        packed.Version,
 		Records:        packed.Records,
-		RecordDigest:   p.roster,
+		RecordDigest:   p.recordDigest,
 		LoadReports:    sightings,
 	}, nil
 }
--- a/internal/peer/wire/wire_test.go
+++ b/internal/peer/wire/wire_test.go
@@ -185,10 +185,10 @@
 		packed Update
 		want   string
 	}{
-		{"cut sighting", Update{Names: names, Sightings: []byte{0, 1}}, "ends within a sighting"},
-		{"endless number", Update{Names: names, Sightings: bytes.Repeat([]byte{0xff}, 20)}, "ends within a sighting"},
-		{"unknown endpoint", Update{Names: names, Sightings: []byte{1, 0, 0, 0}}, "refers to endpoint 1 of 1"},
-		{"number out of range", Update{Names: names, Sightings: []byte{0, 0xff, 0xff, 0x7f, 0, 0}}, "beyond its range"},
+		{"cut sighting", Update{Names: names, LoadReports: []byte{0, 1}}, "ends within a sighting"},
+		{"endless number", Update{Names: names, LoadReports: bytes.Repeat([]byte{0xff}, 20)}, "ends within a sighting"},
+		{"unknown endpoint", Update{Names: names, LoadReports: []byte{1, 0, 0, 0}}, "refers to endpoint 1 of 1"},
+		{"number out of range", Update{Names: names, LoadReports: []byte{0, 0xff, 0xff, 0x7f, 0, 0}}, "beyond its range"},
 		{"too many names", Update{Names: make([]Name, maxNames+1)}, "names more than"},
 	}
 	for _, c := range cases {
