--- a/internal/core/balance/attempts.go
+++ b/internal/core/balance/attempts.go
@@ -11,7 +11,7 @@
 
 // attempts holds when this entry's attempts in flight at one endpoint began.
 type attempts struct {
-	begun [trackedAttempts]time.Duration
+	started [trackedAttempts]time.Duration
 	// queued marks those that were sent to wait at the endpoint.
 	queued [trackedAttempts]bool
 	count  int
@@ -21,25 +21,25 @@
 	if a.count == trackedAttempts {
 		return
 	}
-	a.begun[a.count], a.queued[a.count] = now, queued
+	a.started[a.count], a.queued[a.count] = now, queued
 	a.count++
 }
 
 // remove forgets the attempt that began closest to begun and reports whether it
 // was known and had not been queued, so that its latency is service time.
-func (a *attempts) remove(begun time.Duration) (served bool) {
+func (a *attempts) remove(started time.Duration) (served bool) {
 	if a.count == 0 {
 		return false
 	}
 	best := 0
 	for k := 1; k < a.count; k++ {
-		if (a.begun[k] - begun).Abs() < (a.begun[best] - begun).Abs() {
+		if (a.started[k] - started).Abs() < (a.started[best] - started).Abs() {
 			best = k
 		}
 	}
 	served = !a.queued[best]
 	a.count--
-	a.begun[best], a.queued[best] = a.begun[a.count], a.queued[a.count]
+	a.started[best], a.queued[best] = a.started[a.count], a.queued[a.count]
 	return served
 }
 
@@ -51,17 +51,17 @@
 		if a.queued[k] {
 			continue
 		}
-		ran := float64(now - a.begun[k])
+		ran := float64(now - a.started[k])
 		// One that runs far too long is taken to be a long one.
-		end = min(end, max(leastLeft*service, service-ran, ran-overdue*service))
+		end = min(end, max(minRemaining*service, service-ran, ran-overdueFactor*service))
 	}
 	return end
 }
 
-// overdue is after how many service times an attempt is taken to need long
+// overdueFactor is after how many service times an attempt is taken to need long
 // still.
-const overdue = 2
+const overdueFactor = 2
 
-// leastLeft is the share of a service time that an attempt is taken to need
+// minRemaining is the share of a service time that an attempt is taken to need
 // still, however long it has run.
-const leastLeft = 0.15
+const minRemaining = 0.15
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -89,8 +89,8 @@
 type PeerLoad struct {
 	// From is the index of the peer among the deciders given to Changed.
 	From int
-	// Own counts the attempts that the peer has in flight there.
-	Own int32
+	// Attempts counts the attempts that the peer has in flight there.
+	Attempts int32
 	// At is when this was true, on this entry's clock.
 	At time.Duration
 }
@@ -121,8 +121,8 @@
 type Config struct {
 	// Self is this entry's name, as among the deciders.
 	Self string
-	// Service is the time of a request assumed before any was measured.
-	Service time.Duration
+	// ServiceTime is the time of a request assumed before any was measured.
+	ServiceTime time.Duration
 	// QueueAtEndpoint is how many requests beyond its slots the claims policy
 	// lets an endpoint hold; negative for none.
 	QueueAtEndpoint int
@@ -134,14 +134,14 @@
 
 // Defaults of Config.
 const (
-	DefaultService         = 15 * time.Millisecond
+	DefaultServiceTime     = 15 * time.Millisecond
 	DefaultQueueAtEndpoint = 4
 	DefaultIdleWait        = 0.25
 )
 
 func (c Config) withDefaults() Config {
-	if c.Service <= 0 {
-		c.Service = DefaultService
+	if c.ServiceTime <= 0 {
+		c.ServiceTime = DefaultServiceTime
 	}
 	if c.QueueAtEndpoint == 0 {
 		c.QueueAtEndpoint = DefaultQueueAtEndpoint
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -41,7 +41,7 @@
 	return p
 }
 
-func TestPickIsEligible(t *testing.T) {
+func TestPickChoosesEligibleEndpoint(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy, rapid.MakeCheck(func(t *rapid.T) {
 			p := drawPool(t)
@@ -62,7 +62,7 @@
 			if e.State != table.EndpointLive || ask.Tried.Has(c.Index) {
 				t.Fatalf("chose %+v, tried %b", e, ask.Tried)
 			}
-			if !c.Trial && !usable(testNow, p, e) && stands(testNow, p, ask.Tried) == ordinary {
+			if !c.Trial && !usable(testNow, p, e) && requiredEligibility(testNow, p, ask.Tried) == notEjected {
 				t.Fatal("chose an ejected endpoint though others stand")
 			}
 			if c.Trial && (!ask.Trial || e.Health.TrialAt > testNow) {
@@ -75,7 +75,7 @@
 // Nobody answers any more, and all that was last heard is that every endpoint
 // has a long queue. A request that waits must go out in the end: only an answer
 // could tell that the queues are gone.
-func TestAViewOfFullEndpointsDoesNotLast(t *testing.T) {
+func TestStaleFullViewDoesNotBlockRequests(t *testing.T) {
 	for _, policy := range Policies() {
 		picker, p := newPicker(t, policy), benchPool(6)
 		picker.Changed(testNow, p, []string{"a", "b", "c"})
@@ -84,7 +84,7 @@
 			for range 100 {
 				picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, Foreign: 50, At: testNow})
 			}
-			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Own: 20, At: testNow})
+			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Attempts: 20, At: testNow})
 		}
 		if c := picker.Pick(testNow+time.Second, p, Request{}, time.Second); !c.OK {
 			t.Errorf("%s: still waits after a second without news", policy)
@@ -112,7 +112,7 @@
 				picker.Dispatched(testNow, p, c.Index)
 				picker.Answered(testNow, p, c.Index, Observation{Latency: time.Millisecond, HasLoad: true, Slots: 2})
 			}
-			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Own: 1, At: testNow})
+			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Attempts: 1, At: testNow})
 		})
 		if allocs != 0 {
 			t.Errorf("%s: %v allocations a choice", policy, allocs)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestUnknownPolicyNamesTheKnown(t *testing.T) {
+func TestUnknownPolicyIsRejected(t *testing.T) {
 	if _, err := New("fastest", Config{}, nil); err == nil {
 		t.Fatal("accepted an unknown policy")
 	}
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// leastSilence and silenceTimes bound how long a peer's counts are believed
+	// minSilence and silenceFactor bound how long a peer's counts are believed
 	// without news: several updates, and several service times, since a peer
 	// tells changes only. One that is partitioned away or has paused then stops
 	// holding slots in this entry's view.
-	leastSilence = 100 * time.Millisecond
-	silenceTimes = 4
-	// idleShare is how much of a slot must look idle to try it.
-	idleShare = 0.5
-	// askAgain is how soon a waiting request asks again without news, as the
+	minSilence    = 100 * time.Millisecond
+	silenceFactor = 4
+	// minIdleShare is how much of a slot must look idle to try it.
+	minIdleShare = 0.5
+	// pickInterval is how soon a waiting request asks again without news, as the
 	// estimates fade.
-	askAgain = 2 * time.Millisecond
-	// homeBonus puts an idle slot of the own share before all others, and
+	pickInterval = 2 * time.Millisecond
+	// preferredBonus puts an idle slot of the own share before all others, and
 	// rankCost decides between equals.
-	homeBonus = 10
-	// longWait is after how many times its patience a request queues at an
+	preferredBonus = 10
+	// longWaitFactor is after how many times its patience a request queues at an
 	// endpoint however full that looks.
-	longWait = 20
-	rankCost = 1e-3
+	longWaitFactor = 20
+	rankCost       = 1e-3
 )
 
 // claims keeps a request in the entry's queue until a slot looks idle, by the
@@ -40,11 +40,11 @@
 	view
 	order   order
 	peers   peerLoads
-	records []record
-	// reference is the pool's median service time in nanoseconds, refreshed
+	records []endpointRecord
+	// medianService is the pool's median service time in nanoseconds, refreshed
 	// after every medianEvery answers.
-	reference float64
-	answers   int
+	medianService float64
+	answers       int
 	// lastIdleOnly is whether the last choice asked for an idle slot.
 	lastIdleOnly bool
 }
@@ -53,8 +53,8 @@
 func (c *claims) Changed(_ time.Duration, p *table.Pool, deciders []string) {
 	c.order.rebuild(p, deciders, c.cfg.Self)
 	c.peers.reset(len(p.Endpoints), len(deciders))
-	c.records = make([]record, len(p.Endpoints))
-	c.reference = median(p)
+	c.records = make([]endpointRecord, len(p.Endpoints))
+	c.medianService = median(p)
 }
 
 // Dispatched implements Picker.
@@ -69,7 +69,7 @@
 	c.noteLoad(now, e, obs)
 	switch {
 	case obs.Failed:
-		r.failed(now)
+		r.noteFailure(now)
 		return
 	case obs.Refused:
 		// The refusal itself proves that no slot is idle, whatever load the
@@ -83,11 +83,11 @@
 	r.failures, r.avoidUntil = 0, 0
 	if served {
 		c.measure(e, obs.Latency)
-		r.measured(now, c.slow(e))
+		r.noteMeasurement(now, c.slow(e))
 	}
 	c.answers++
 	if c.answers%medianEvery == 0 {
-		c.reference = median(p)
+		c.medianService = median(p)
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // PeerHeard implements Picker.
-func (c *claims) PeerHeard(from int, at time.Duration) { c.peers.hear(from, at) }
+func (c *claims) PeerHeard(from int, at time.Duration) { c.peers.noteHeard(from, at) }
 
 // Pick implements Picker.
 func (c *claims) Pick(now time.Duration, p *table.Pool, ask Request, waited time.Duration) Choice {
@@ -114,36 +114,36 @@
 		c.lastIdleOnly = false
 		return choice
 	}
-	c.peers.expire(now, max(leastSilence, time.Duration(silenceTimes*c.typical())))
-	if i, ok := c.idle(now, p, ask, s, waited); ok {
+	c.peers.expire(now, max(minSilence, time.Duration(silenceFactor*c.typicalService())))
+	if i, ok := c.pickIdle(now, p, ask, s, waited); ok {
 		c.lastIdleOnly = !ask.MustQueue
 		return Choice{Index: i, OK: true, IdleOnly: !ask.MustQueue}
 	}
-	if patience := c.idleWait(); waited < patience {
-		return Choice{Wait: min(askAgain, patience-waited)}
+	if idleLimit := c.idleWait(); waited < idleLimit {
+		return Choice{Wait: min(pickInterval, idleLimit-waited)}
 	}
-	if i, ok := c.queueAt(now, p, ask, s, waited); ok {
+	if i, ok := c.pickQueue(now, p, ask, s, waited); ok {
 		c.lastIdleOnly = false
 		return Choice{Index: i, OK: true}
 	}
-	return Choice{Wait: askAgain}
+	return Choice{Wait: pickInterval}
 }
 
 // idleWait is how long a request waits for an idle slot only.
 func (c *claims) idleWait() time.Duration {
-	return time.Duration(c.cfg.IdleWait * c.typical())
+	return time.Duration(c.cfg.IdleWait * c.typicalService())
 }
 
-// typical is the pool's service time in nanoseconds, measured or assumed.
-func (c *claims) typical() float64 {
-	if c.reference > 0 {
-		return c.reference
+// typicalService is the pool's service time in nanoseconds, measured or assumed.
+func (c *claims) typicalService() float64 {
+	if c.medianService > 0 {
+		return c.medianService
 	}
-	return float64(c.cfg.Service)
+	return float64(c.cfg.ServiceTime)
 }
 
-// idle returns the best endpoint that seems to have an idle slot.
-func (c *claims) idle(now time.Duration, p *table.Pool, ask Request, s standing, waited time.Duration) (int, bool) {
+// pickIdle returns the best endpoint that seems to have an idle slot.
+func (c *claims) pickIdle(now time.Duration, p *table.Pool, ask Request, s eligibility, waited time.Duration) (int, bool) {
 	best, bestScore := -1, 0.0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
@@ -152,12 +152,12 @@
 			continue
 		}
 		free := float64(slots-e.Outstanding) - c.foreign(now, i, e, ask)
-		if free < idleShare || c.passOver(now, e, i, ask, waited) {
+		if free < minIdleShare || c.passOver(now, e, i, ask, waited) {
 			continue
 		}
 		score := free/float64(slots) - float64(c.order.rank[i])*rankCost
-		if c.order.home[i] {
-			score += homeBonus
+		if c.order.preferred[i] {
+			score += preferredBonus
 		}
 		if best < 0 || score > bestScore {
 			best, bestScore = i, score
@@ -187,19 +187,19 @@
 	if ask.Trial && e.Outstanding == 0 && now >= r.retryAt {
 		return false
 	}
-	return float64(waited) < e.ServiceNanos-c.reference
+	return float64(waited) < e.ServiceNanos-c.medianService
 }
 
 func (c *claims) slow(e *table.Endpoint) bool {
-	return c.reference > 0 && e.ServiceNanos > slowFactor*c.reference
+	return c.medianService > 0 && e.ServiceNanos > slowFactor*c.medianService
 }
 
-// queueAt returns the endpoint where a queued request is served soonest. The
+// pickQueue returns the endpoint where a queued request is served soonest. The
 // limit on the queue falls after a long wait and when this entry has nothing in
 // flight: then no answer will correct a view that shows every queue as full.
-func (c *claims) queueAt(now time.Duration, p *table.Pool, ask Request, s standing, waited time.Duration) (int, bool) {
-	limit := float64(c.cfg.QueueAtEndpoint) - idleShare
-	if waited > longWait*c.idleWait() || p.Outstanding() == 0 {
+func (c *claims) pickQueue(now time.Duration, p *table.Pool, ask Request, s eligibility, waited time.Duration) (int, bool) {
+	limit := float64(c.cfg.QueueAtEndpoint) - minIdleShare
+	if waited > longWaitFactor*c.idleWait() || p.Outstanding() == 0 {
 		limit = math.Inf(1)
 	}
 	best, bestTime := -1, 0.0
--- a/internal/core/balance/claims_test.go
+++ b/internal/core/balance/claims_test.go
@@ -11,9 +11,9 @@
 
 const testService = 20 * time.Millisecond
 
-// pair is a pool of two idle endpoints that answered in the same time, and a
+// newPair is a pool of two idle endpoints that answered in the same time, and a
 // picker of three deciders for it that prefers endpoint 0.
-func pair(t *testing.T) (Picker, *table.Pool) {
+func newPair(t *testing.T) (Picker, *table.Pool) {
 	p := benchPool(2)
 	for i := range p.Endpoints {
 		p.Endpoints[i].Name = []string{"second", "first"}[i]
@@ -55,12 +55,12 @@
 			}
 		}},
 		{"is filled by a peer", func(picker Picker, p *table.Pool) {
-			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Own: 2, At: testNow})
+			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Attempts: 2, At: testNow})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			picker, p := pair(t)
+			picker, p := newPair(t)
 			if got := picker.Pick(testNow-2*time.Second, p, Request{}, 0); got.Index != 0 {
 				t.Fatalf("chose %+v though nothing speaks against endpoint 0", got)
 			}
@@ -81,17 +81,17 @@
 // or sleeps, and can't say that they are free again. Requests would wait or
 // queue for as long as the peer is away. An update without changes keeps the
 // counts; silence ends them.
-func TestSilentPeerHoldsNoSlots(t *testing.T) {
-	picker, p := pair(t)
+func TestSilentPeerUsesNoSlots(t *testing.T) {
+	picker, p := newPair(t)
 	for i := range p.Endpoints {
-		picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Own: 2, At: testNow})
+		picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Attempts: 2, At: testNow})
 	}
 	heard := testNow + 90*time.Millisecond
 	picker.PeerHeard(0, heard)
 	if c := picker.Pick(heard, p, Request{}, 0); c.OK {
 		t.Fatalf("chose %+v though the peer still holds all slots", c)
 	}
-	if c := picker.Pick(heard+leastSilence+1, p, Request{}, 0); !c.OK || !c.IdleOnly {
+	if c := picker.Pick(heard+minSilence+1, p, Request{}, 0); !c.OK || !c.IdleOnly {
 		t.Fatalf("got %+v, want a slot: the peer is silent", c)
 	}
 }
@@ -99,8 +99,8 @@
 // All slots look busy for good because two other entries hand theirs on to
 // their own requests. A request of this entry would starve; past its patience it
 // queues at an endpoint, the one whose own attempt ends first.
-func TestPatienceEndsInAQueue(t *testing.T) {
-	picker, p := pair(t)
+func TestRequestQueuesAtEndpointAfterIdleWait(t *testing.T) {
+	picker, p := newPair(t)
 	for i := range p.Endpoints {
 		p.Endpoints[i].Outstanding = 2
 	}
@@ -116,14 +116,14 @@
 
 // The entry's own count is exact: a slot that it fills itself is never asked
 // for as idle, whatever reports and peers say.
-func TestOwnCountIsRespected(t *testing.T) {
+func TestOwnAttemptsNeverCountAsIdleSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPool(t)
 		picker := newPicker(t, Claims)
 		picker.Changed(testNow, p, []string{"a", "b", "c"})
 		for i := range p.Endpoints {
 			picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, At: testNow, Foreign: int32(rapid.IntRange(-2, 2).Draw(t, "told"))})
-			picker.PeerReported(testNow, p, i, PeerLoad{From: rapid.IntRange(-1, 3).Draw(t, "from"), Own: 1, At: testNow})
+			picker.PeerReported(testNow, p, i, PeerLoad{From: rapid.IntRange(-1, 3).Draw(t, "from"), Attempts: 1, At: testNow})
 		}
 		c := picker.Pick(testNow, p, Request{}, time.Duration(rapid.IntRange(0, 100).Draw(t, "waited"))*time.Millisecond)
 		if c.OK && c.IdleOnly && p.Endpoints[c.Index].Outstanding >= p.Endpoints[c.Index].Slots {
--- a/internal/core/balance/order.go
+++ b/internal/core/balance/order.go
@@ -17,17 +17,17 @@
 type order struct {
 	// rank of each endpoint: low is taken first.
 	rank []int32
-	// home tells the endpoints on which this entry has first claim.
-	home []bool
+	// preferred tells the endpoints on which this entry has first claim.
+	preferred []bool
 }
 
 func (o *order) rebuild(p *table.Pool, deciders []string, self string) {
 	n := len(p.Endpoints)
 	o.rank = make([]int32, n)
-	o.home = make([]bool, n)
-	holders, own := slotUserOrder(p.Name, deciders, self)
+	o.preferred = make([]bool, n)
+	total, own := positionAmong(p.Name, deciders, self)
 	for position, i := range sortedBy(p, p.Name) {
-		o.home[i] = position%holders == own
+		o.preferred[i] = position%total == own
 	}
 	for position, i := range sortedBy(p, self) {
 		o.rank[i] = int32(position)
@@ -44,23 +44,23 @@
 	return sorted
 }
 
-// slotUserOrder returns the number of deciders and this one's place among them,
+// positionAmong returns the number of deciders and this one's place among them,
 // in an order that differs from pool to pool.
-func slotUserOrder(pool string, deciders []string, self string) (holders, own int) {
+func positionAmong(pool string, deciders []string, self string) (total, position int) {
 	if len(deciders) == 0 {
 		return 1, 0
 	}
-	mine := xxhash.Sum64String(pool + "\x00" + self)
-	for _, d := range deciders {
-		if d != self && xxhash.Sum64String(pool+"\x00"+d) < mine {
-			own++
+	selfHash := xxhash.Sum64String(pool + "\x00" + self)
+	for _, decider := range deciders {
+		if decider != self && xxhash.Sum64String(pool+"\x00"+decider) < selfHash {
+			position++
 		}
 	}
-	holders = len(deciders)
+	total = len(deciders)
 	if !slices.Contains(deciders, self) {
 		// Callers reached an entry that is not named for the pool any more: it
 		// has no share and borrows all.
-		return holders, holders
+		return total, total
 	}
-	return holders, own
+	return total, position
 }
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -13,8 +13,8 @@
 	oldest time.Duration
 	rows   []peerRow
 	peers  []peerState
-	// own[i*len(peers)+j] is peer j's count at endpoint i.
-	own []int32
+	// counts[i*len(peers)+j] is peer j's count at endpoint i.
+	counts []int32
 }
 
 type peerRow struct {
@@ -33,7 +33,7 @@
 func (l *peerLoads) reset(endpoints, peers int) {
 	l.rows = make([]peerRow, endpoints)
 	l.peers = make([]peerState, peers)
-	l.own = make([]int32, endpoints*peers)
+	l.counts = make([]int32, endpoints*peers)
 }
 
 // setOwn takes in a peer's count. What a report showed beyond the counts is
@@ -42,10 +42,10 @@
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
 	}
-	l.hear(load.From, load.At)
+	l.noteHeard(load.From, load.At)
 	at := i*len(l.peers) + load.From
-	change := load.Own - l.own[at]
-	l.own[at] = load.Own
+	change := load.Attempts - l.counts[at]
+	l.counts[at] = load.Attempts
 	row := &l.rows[i]
 	row.sum += change
 	switch {
@@ -56,8 +56,8 @@
 	}
 }
 
-// hear notes that a peer's counts were true at the given time, changed or not.
-func (l *peerLoads) hear(from int, at time.Duration) {
+// noteHeard notes that a peer's counts were true at the given time, changed or not.
+func (l *peerLoads) noteHeard(from int, at time.Duration) {
 	if from < 0 || from >= len(l.peers) {
 		return
 	}
@@ -94,8 +94,8 @@
 	l.peers[j].believed = false
 	for i := range l.rows {
 		at := i*len(l.peers) + j
-		l.rows[i].sum -= l.own[at]
-		l.own[at] = 0
+		l.rows[i].sum -= l.counts[at]
+		l.counts[at] = 0
 	}
 }
 
@@ -124,12 +124,12 @@
 	row := &l.rows[i]
 	reported := service / (service + float64(max(0, now-row.extraAt)))
 	age := float64(max(0, now-l.oldest)) / service
-	told := 1 / (1 + age*age)
-	load = max(0, float64(row.sum)*told+float64(row.extra)*reported)
+	counted := 1 / (1 + age*age)
+	load = max(0, float64(row.sum)*counted+float64(row.extra)*reported)
 	if row.sum == 0 {
 		return load, reported
 	}
-	return load, max(told, reported)
+	return load, max(counted, reported)
 }
 
 // meanWeight is the weight of a report in the mean.
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -30,8 +30,8 @@
 // Reports on ordinary answers fill the pool as well as probes do.
 type prequal struct {
 	view
-	pool  [probePoolSize]probeResult
-	count int
+	results [probePoolSize]probeResult
+	count   int
 }
 
 // Changed implements Picker; indexes of old results are void.
@@ -57,28 +57,28 @@
 // oldest.
 func (q *prequal) put(r probeResult) {
 	for k := range q.count {
-		if q.pool[k].index == r.index {
-			q.pool[k] = r
+		if q.results[k].index == r.index {
+			q.results[k] = r
 			return
 		}
 	}
 	if q.count < probePoolSize {
-		q.pool[q.count] = r
+		q.results[q.count] = r
 		q.count++
 		return
 	}
 	oldest := 0
 	for k := range q.count {
-		if q.pool[k].at < q.pool[oldest].at {
+		if q.results[k].at < q.results[oldest].at {
 			oldest = k
 		}
 	}
-	q.pool[oldest] = r
+	q.results[oldest] = r
 }
 
 func (q *prequal) remove(k int) {
 	q.count--
-	q.pool[k] = q.pool[q.count]
+	q.results[k] = q.results[q.count]
 }
 
 // Pick implements Picker.
@@ -88,16 +88,16 @@
 		return c
 	}
 	for k := q.count - 1; k >= 0; k-- {
-		if now-q.pool[k].at > probeMaxAge {
+		if now-q.results[k].at > probeMaxAge {
 			q.remove(k)
 		}
 	}
 	best, hot := -1, q.hotLoad()
 	for k := range q.count {
-		if !eligible(now, p, q.pool[k].index, ask.Tried, s) {
+		if !eligible(now, p, q.results[k].index, ask.Tried, s) {
 			continue
 		}
-		if best < 0 || q.better(&q.pool[k], &q.pool[best], hot) {
+		if best < 0 || q.better(&q.results[k], &q.results[best], hot) {
 			best = k
 		}
 	}
@@ -105,10 +105,10 @@
 		i, ok := q.pickRandom(now, p, ask.Tried, s, -1)
 		return Choice{Index: i, OK: ok}
 	}
-	chosen := q.pool[best].index
-	q.pool[best].load++
-	q.pool[best].uses--
-	if q.pool[best].uses == 0 {
+	chosen := q.results[best].index
+	q.results[best].load++
+	q.results[best].uses--
+	if q.results[best].uses == 0 {
 		q.remove(best)
 	}
 	return Choice{Index: chosen, OK: true}
@@ -119,11 +119,11 @@
 	var loads [probePoolSize]int32
 	for k := range q.count {
 		at := k
-		for at > 0 && loads[at-1] > q.pool[k].load {
+		for at > 0 && loads[at-1] > q.results[k].load {
 			loads[at] = loads[at-1]
 			at--
 		}
-		loads[at] = q.pool[k].load
+		loads[at] = q.results[k].load
 	}
 	if q.count == 0 {
 		return 0
--- a/internal/core/balance/standings.go
+++ b/internal/core/balance/records.go
@@ -10,21 +10,21 @@
 	// slowFactor is how much slower than the pool's median an endpoint must be
 	// to be avoided.
 	slowFactor = 2
-	// slowRetryFirst and slowRetryMost bound the time after which a slow
+	// slowRetryMin and slowRetryMax bound the time after which a slow
 	// endpoint is measured again by a request that may be spent on a trial; it
 	// doubles while the endpoint stays slow.
-	slowRetryFirst = 100 * time.Millisecond
-	slowRetryMost  = 10 * time.Second
+	slowRetryMin = 100 * time.Millisecond
+	slowRetryMax = 10 * time.Second
 	// medianEvery is the number of answers between two looks at the median.
 	medianEvery = 32
-	// avoidFirst and avoidMost bound the time for which an endpoint that
+	// avoidMin and avoidMax bound the time for which an endpoint that
 	// failed a request is passed over; it doubles with each failure in a row.
-	avoidFirst = 20 * time.Millisecond
-	avoidMost  = time.Second
+	avoidMin = 20 * time.Millisecond
+	avoidMax = time.Second
 )
 
-// record is what the claims policy remembers of one endpoint beside its row.
-type record struct {
+// endpointRecord is what the claims policy remembers of one endpoint beside its row.
+type endpointRecord struct {
 	attempts attempts
 	// retryAt is when a slow endpoint may be measured again, after a pause
 	// that has doubled so many times.
@@ -35,28 +35,28 @@
 	failures   int
 }
 
-// failed notes an attempt without a usable answer. An endpoint that fails fast
+// noteFailure notes an attempt without a usable answer. An endpoint that fails fast
 // is idle and quick, hence the most attractive of all by load and latency; the
 // growing pause keeps it from drawing the pool's traffic until the health
 // system has ejected it.
-func (r *record) failed(now time.Duration) {
-	r.avoidUntil = now + min(avoidMost, avoidFirst<<r.failures)
-	r.failures = min(r.failures+1, mostDoublings)
+func (r *endpointRecord) noteFailure(now time.Duration) {
+	r.avoidUntil = now + min(avoidMax, avoidMin<<r.failures)
+	r.failures = min(r.failures+1, maxDoublings)
 }
 
-// measured plans the next measurement after one that found the endpoint slow or
+// noteMeasurement plans the next measurement after one that found the endpoint slow or
 // not.
-func (r *record) measured(now time.Duration, slow bool) {
+func (r *endpointRecord) noteMeasurement(now time.Duration, slow bool) {
 	if !slow {
 		r.doublings = 0
 		return
 	}
-	r.retryAt = now + min(slowRetryMost, slowRetryFirst<<r.doublings)
-	r.doublings = min(r.doublings+1, mostDoublings)
+	r.retryAt = now + min(slowRetryMax, slowRetryMin<<r.doublings)
+	r.doublings = min(r.doublings+1, maxDoublings)
 }
 
-// mostDoublings keeps the growth within the range of a duration.
-const mostDoublings = 10
+// maxDoublings keeps the growth within the range of a duration.
+const maxDoublings = 10
 
 // median returns the median service time of the pool's measured live
 // endpoints, or 0. It looks at the first MaxRemembered endpoints.
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if best < 0 {
-		return Choice{Wait: idleWait}
+		return Choice{Wait: noEndpointWait}
 	}
 	return Choice{Index: best, OK: true}
 }
--- a/internal/core/balance/shares.go
+++ b/internal/core/balance/shares.go
@@ -6,8 +6,8 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// loanTries is how many borrowed slots are tried before a request waits.
-const loanTries = 3
+// maxBorrowTries is how many borrowed slots are tried before a request waits.
+const maxBorrowTries = 3
 
 // shares uses the endpoints on which this entry has first claim while they have
 // a slot that it does not fill itself, then tries to borrow idle slots of others,
@@ -41,8 +41,8 @@
 			best = i
 		}
 	}
-	if best < 0 || (!h.order.home[best] && tries >= loanTries) {
-		return Choice{Wait: idleWait}
+	if best < 0 || (!h.order.preferred[best] && tries >= maxBorrowTries) {
+		return Choice{Wait: noEndpointWait}
 	}
 	return Choice{Index: best, OK: true, IdleOnly: true}
 }
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -38,7 +38,7 @@
 			return Choice{Index: i, OK: true}
 		}
 	}
-	return Choice{Wait: idleWait}
+	return Choice{Wait: noEndpointWait}
 }
 
 // leastOutstanding picks the endpoint with the fewest own attempts per slot,
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -11,11 +11,11 @@
 const (
 	// serviceWeight is the weight of a new measurement in ServiceNanos.
 	serviceWeight = 0.1
-	// largestSample bounds a measurement by a multiple of the present value, so
+	// maxSampleFactor bounds a measurement by a multiple of the present value, so
 	// that a few very long requests don't make a slow endpoint.
-	largestSample = 4
-	// idleWait is how long to wait when no endpoint may be used at all.
-	idleWait = 5 * time.Millisecond
+	maxSampleFactor = 4
+	// noEndpointWait is how long to wait when no endpoint may be used at all.
+	noEndpointWait = 5 * time.Millisecond
 )
 
 // view is what the policies share: eligibility, and the upkeep of the fields of
@@ -68,7 +68,7 @@
 		e.ServiceNanos = float64(latency)
 		return
 	}
-	sample := min(float64(latency), largestSample*e.ServiceNanos)
+	sample := min(float64(latency), maxSampleFactor*e.ServiceNanos)
 	e.ServiceNanos += serviceWeight * (sample - e.ServiceNanos)
 }
 
@@ -77,7 +77,7 @@
 	if e.ServiceNanos > 0 {
 		return e.ServiceNanos
 	}
-	return float64(v.cfg.Service)
+	return float64(v.cfg.ServiceTime)
 }
 
 // usable reports whether ordinary work may go to e.
@@ -85,42 +85,42 @@
 	return quota.Of(now, p, e) == quota.Granted && now >= e.Health.EjectedUntil
 }
 
-// standing says how far eligibility must be relaxed for a choice to exist.
-type standing uint8
+// eligibility says how far eligibility must be relaxed for a choice to exist.
+type eligibility uint8
 
 const (
-	// ordinary: live and not ejected.
-	ordinary standing = iota
-	// relaxed: live, though ejected. Used when every live endpoint is ejected:
+	// notEjected: live and not ejected.
+	notEjected eligibility = iota
+	// ejectedToo: live, though ejected. Used when every live endpoint is ejected:
 	// then the view is wrong or nothing is lost by trying.
-	relaxed
-	// nowhere: no endpoint may be used.
-	nowhere
+	ejectedToo
+	// noneUsable: no endpoint may be used.
+	noneUsable
 )
 
-// stands returns the standing that endpoints must have for this request.
-func stands(now time.Duration, p *table.Pool, tried Set) standing {
-	found := nowhere
+// requiredEligibility returns the standing that endpoints must have for this request.
+func requiredEligibility(now time.Duration, p *table.Pool, tried Set) eligibility {
+	found := noneUsable
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if quota.Of(now, p, e) != quota.Granted || tried.Has(i) {
 			continue
 		}
 		if now >= e.Health.EjectedUntil {
-			return ordinary
+			return notEjected
 		}
-		found = relaxed
+		found = ejectedToo
 	}
 	return found
 }
 
 // eligible reports whether endpoint i may get the request under the standing.
-func eligible(now time.Duration, p *table.Pool, i int, tried Set, s standing) bool {
+func eligible(now time.Duration, p *table.Pool, i int, tried Set, s eligibility) bool {
 	e := &p.Endpoints[i]
 	if quota.Of(now, p, e) != quota.Granted || tried.Has(i) {
 		return false
 	}
-	return s == relaxed || now >= e.Health.EjectedUntil
+	return s == ejectedToo || now >= e.Health.EjectedUntil
 }
 
 // trial returns an ejected endpoint whose next trial is due.
@@ -140,19 +140,19 @@
 
 // begin does what every policy does first. It returns the standing to choose
 // under, or a finished choice.
-func (v *view) begin(now time.Duration, p *table.Pool, ask Request) (standing, Choice, bool) {
+func (v *view) begin(now time.Duration, p *table.Pool, ask Request) (eligibility, Choice, bool) {
 	if c, ok := trial(now, p, ask); ok {
-		return ordinary, c, true
+		return notEjected, c, true
 	}
-	s := stands(now, p, ask.Tried)
-	if s == nowhere {
-		return s, Choice{Wait: idleWait}, true
+	s := requiredEligibility(now, p, ask.Tried)
+	if s == noneUsable {
+		return s, Choice{Wait: noEndpointWait}, true
 	}
 	return s, Choice{}, false
 }
 
 // pickRandom returns a random eligible endpoint other than not.
-func (v *view) pickRandom(now time.Duration, p *table.Pool, tried Set, s standing, not int) (int, bool) {
+func (v *view) pickRandom(now time.Duration, p *table.Pool, tried Set, s eligibility, not int) (int, bool) {
 	count, chosen := 0, -1
 	for i := range p.Endpoints {
 		if i == not || !eligible(now, p, i, tried, s) {
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -43,7 +43,7 @@
 
 // setWarmup puts in force what is published of a pool's cold endpoints.
 func (c *Core) setWarmup(p *pool, w profile.Warmup) {
-	p.ColdShare = quota.NewColdQuota(quota.Warmup{For: w.For, PerSecond: w.PerSecond, Over: c.cfg.WarmupOver, Slack: c.cfg.WarmupSlack})
+	p.ColdQuota = quota.NewColdQuota(quota.Warmup{For: w.For, PerSecond: w.PerSecond, Over: c.cfg.WarmupOver, Slack: c.cfg.WarmupSlack})
 }
 
 // refreshOwnership works out which of the pool's endpoints that are cold, or name a limit, this entry may
@@ -63,7 +63,7 @@
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if now < e.Cold.Until {
-			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfID, e.Name, e.Domain, p.ColdShare.Owners)
+			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfID, e.Name, e.Domain, p.ColdQuota.Owners)
 		}
 		if quota.IsLimited(e) {
 			turn, ends := quota.OwnerPeriod(now, e)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -238,7 +238,7 @@
 		c.sweepHealth(now, out)
 		for _, p := range c.poolRows {
 			p.forgetOldTimes(now)
-			placement.RiseFromSlowStart(now, p.Endpoints)
+			placement.AdvanceSlowStart(now, p.Endpoints)
 		}
 	}
 	if now >= c.nextProbe {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -140,7 +140,7 @@
 	p := r.pool
 	index := choice.Index
 	e := &p.Endpoints[index]
-	view, told := c.placementView(now, r), e.Probed.Seen && now-e.Probed.At < placement.Remembered
+	view, told := c.placementView(now, r), e.Probed.Seen && now-e.Probed.At < placement.RememberedFor
 	r.phase = phaseActive
 	r.dispatches++
 	r.attempts[r.dispatches] = attempt{
@@ -148,7 +148,7 @@
 		hedge:       hedge,
 		idleOnly:    choice.IdleOnly,
 		alone:       told && placement.HasEasyRoom(e),
-		fills:       told && placement.Fills(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
+		fills:       told && placement.MakesNearlyFull(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
 		index:       index,
 		incarnation: e.Incarnation,
 		sentAt:      now,
@@ -157,13 +157,13 @@
 		limit:       e.Limit.Rate,
 		due:         view.ServiceTime(e),
 	}
-	if placement.Fills(e) {
+	if placement.MakesNearlyFull(e) {
 		p.learned.NoteFill(now)
 	}
 	r.tried = r.tried.With(index)
 	quota.Spend(now, &p.Pool, e)
 	e.Outstanding++
-	e.Probed.Since++
+	e.Probed.SentSince++
 	r.service.inUse++
 	p.picker.Dispatched(now, &p.Pool, index)
 	c.counters.Dispatched++
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -82,7 +82,7 @@
 	return placement.Request{
 		Arrived: r.arrived, Deadline: r.deadline, FirstTry: r.arrived - r.age, Objective: r.policy.Objective,
 		Work: r.typicalWork(), Kilobytes: r.service.kilobytes, Late: r.late,
-		Tried: r.tried, Asked: r.probeRound.asked, Began: r.probeRound.began, OwnOnly: r.probeRound.ownOnly, MaxProbes: r.policy.LoadProbes,
+		Tried: r.tried, Probed: r.probeRound.asked, RoundStart: r.probeRound.began, OwnDomainOnly: r.probeRound.ownOnly, MaxProbes: r.policy.LoadProbes,
 	}
 }
 
@@ -104,7 +104,7 @@
 	c.probing = append(c.probing, r.arrival.ID)
 	if r.queuedOnce && !second {
 		// An answer that has just come in told of a slot that is free by now.
-		if best := c.bestChoice(now, r); best.Worth && c.dispatchProbed(now, r, best.Index, out) {
+		if best := c.bestChoice(now, r); best.Worthwhile && c.dispatchProbed(now, r, best.Index, out) {
 			return true
 		}
 	}
@@ -127,8 +127,8 @@
 	}
 	view := c.placementView(now, r)
 	for range min(p.learned.Batch(), most) {
-		view.Request.Asked = r.probeRound.asked
-		i := view.NextToAsk()
+		view.Request.Probed = r.probeRound.asked
+		i := view.NextToProbe()
 		if i < 0 || !p.loadProbes.TrySpend(now, p.live(), c.fleet.ownShare) {
 			break
 		}
@@ -237,7 +237,7 @@
 			return
 		}
 	}
-	if best.Worth && c.dispatchProbed(now, r, best.Index, out) {
+	if best.Worthwhile && c.dispatchProbed(now, r, best.Index, out) {
 		return
 	}
 	c.endProbeRound(r)
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -46,7 +46,7 @@
 			r.service.work.Observe(a.latency(now))
 		}
 		if a.fills {
-			p.learned.NoteSharing(a.latency(now), r.service.work.Typical())
+			p.learned.NoteSlowdown(a.latency(now), r.service.work.Typical())
 		}
 		p.noteServiceTime(now - a.sentAt)
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -250,7 +250,7 @@
 	ref.pool.peerSlots.set(from, ref.index, int32(s.Own))
 	at := now - time.Duration(s.AgeMillis)*time.Millisecond
 	decider := c.deciderIndex(ref.pool, from)
-	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(s.Own), At: at})
+	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Attempts: int32(s.Own), At: at})
 }
 
 // deciderIndex returns the place of an entry among the pool's deciders, or -1.
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -12,15 +12,15 @@
 // serve in time are refused.
 
 const (
-	// busyAfter is how many looks at a failure domain that find no easy room in a row, together
+	// busyProbes is how many looks at a failure domain that find no easy room in a row, together
 	// with a request that found no room at all, make it count as busy.
-	busyAfter = 3
-	// busyLasts is for how long it does after the latest of them.
-	busyLasts = 500 * time.Millisecond
+	busyProbes = 3
+	// busyFor is for how long it does after the latest of them.
+	busyFor = 500 * time.Millisecond
 )
 
 // NoteRoom takes in what a look at an endpoint found.
-func (p *Pool) NoteRoom(now time.Duration, e *table.Endpoint) {
+func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
 	if HasEasyRoom(e) {
 		d.busy = 0
@@ -31,9 +31,9 @@
 }
 
 // isBusy reports whether the latest looks in a failure domain found no room.
-func (p *Pool) isBusy(now time.Duration, name string) bool {
+func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
-	return d != nil && d.busy >= busyAfter && now-d.busyAt < busyLasts
+	return d != nil && d.busy >= busyProbes && now-d.busyAt < busyFor
 }
 
 // leavesOwnDomain reports whether endpoints of other failure domains are asked like those of
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -17,28 +17,28 @@
 		e.Name = fmt.Sprint(e.Domain, i)
 		endpoints = append(endpoints, e)
 	}
-	v := see(endpoints...)
+	v := viewOf(endpoints...)
 	v.Request.MaxProbes = 9
 	return v
 }
 
-// elsewhere is the part of the choices in which an endpoint of another domain is asked first.
-func (v *View) elsewhere() float64 {
+// shareElsewhere is the part of the choices in which an endpoint of another domain is asked first.
+func (v *View) shareElsewhere() float64 {
 	const choices = 1000
-	n := 0
+	remote := 0
 	for range choices {
-		if i := v.NextToAsk(); !v.isNear(&v.Endpoints[i]) {
-			n++
+		if i := v.NextToProbe(); !v.isNear(&v.Endpoints[i]) {
+			remote++
 		}
 	}
-	return float64(n) / choices
+	return float64(remote) / choices
 }
 
 // A failure domain has 67 endpoints, all at work, and the two others have room. An entry there
 // asks nine for a request, all of its own domain, finds none, and refuses the request half a
 // second later: 58 others of its own domain were not asked yet, and went before all of the
 // others. 255 of 275 refusals of the fleet came from that domain.
-func TestBusyDomainIsLeft(t *testing.T) {
+func TestRequestsLeaveBusyOwnDomain(t *testing.T) {
 	full := endpoint("a", 2, 2, 100, 0)
 	room := endpoint("a", 0, 2, 100, 0)
 	for _, c := range []struct {
@@ -65,7 +65,7 @@
 				v.Learned.NoteShort(v.Now)
 			}
 			// Two thirds of the endpoints are elsewhere.
-			if share := v.elsewhere(); c.left && share < 0.5 || !c.left && share > 0 {
+			if share := v.shareElsewhere(); c.left && share < 0.5 || !c.left && share > 0 {
 				t.Errorf("asks elsewhere first in %.2f of the choices, the domain is to be left: %v", share, c.left)
 			}
 		})
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -10,26 +10,26 @@
 type Choice struct {
 	// Index is the endpoint's, -1 for none.
 	Index int
-	// After is when it is expected to answer, from now; cost is what the choice costs,
+	// Expected is when it is expected to answer, from now; cost is what the choice costs,
 	// in the same unit.
-	After, cost time.Duration
-	// Worth says that the request should go there rather than wait.
-	Worth bool
+	Expected, cost time.Duration
+	// Worthwhile says that the request should go there rather than wait.
+	Worthwhile bool
 	// near says that it lies in the own failure domain and will be in time almost surely.
 	near bool
 }
 
-// sureTimes is how many times the expected time an answer takes in the worst of about
+// worstCaseFactor is how many times the expected time an answer takes in the worst of about
 // twenty cases: how long requests of one service work differs that much.
-const sureTimes = 1.5
+const worstCaseFactor = 1.5
 
 const (
-	// perKilobyte is the later answer that a kilobyte between failure domains is worth.
+	// costPerKilobyte is the later answer that a kilobyte between failure domains is worth.
 	// An upload of 60 KB goes to another domain only when it would be late in its own.
-	perKilobyte = 2 * time.Millisecond
-	// smallExchange is the size in kilobytes of a request with its answer from
+	costPerKilobyte = 2 * time.Millisecond
+	// smallExchangeKilobytes is the size in kilobytes of a request with its answer from
 	// which on the way into another failure domain counts.
-	smallExchange = 1.0
+	smallExchangeKilobytes = 1.0
 )
 
 // Best returns the best choice among the endpoints with a fresh look and room.
@@ -37,13 +37,13 @@
 	best := Choice{Index: -1}
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		if !v.eligible(i) || !e.Probed.Seen || e.Probed.At < v.Request.Began-Fresh || !e.MayQueue() {
+		if !v.eligible(i) || !e.Probed.Seen || e.Probed.At < v.Request.RoundStart-FreshFor || !e.MayQueue() {
 			continue
 		}
-		choice := Choice{Index: i, After: v.Expected(e)}
-		choice.cost = choice.After + v.wayCost(e)
-		choice.Worth = v.worthwhile(e, choice.After)
-		choice.near = choice.Worth && v.isNear(e) && v.surelyInTime(choice.After)
+		choice := Choice{Index: i, Expected: v.Expected(e)}
+		choice.cost = choice.Expected + v.transferCost(e)
+		choice.Worthwhile = v.worthwhile(e, choice.Expected)
+		choice.near = choice.Worthwhile && v.isNear(e) && v.surelyInTime(choice.Expected)
 		if choice.before(best) {
 			best = choice
 		}
@@ -55,7 +55,7 @@
 // also if it takes longer than most.
 func (v *View) surelyInTime(after time.Duration) bool {
 	r := &v.Request
-	return r.Objective > 0 && !r.Late && v.Now+time.Duration(sureTimes*float64(after)) <= r.FirstTry+r.Objective
+	return r.Objective > 0 && !r.Late && v.Now+time.Duration(worstCaseFactor*float64(after)) <= r.FirstTry+r.Objective
 }
 
 // before reports whether c is a better choice than other.
@@ -63,21 +63,21 @@
 	switch {
 	case other.Index < 0:
 		return true
-	case c.Worth != other.Worth:
-		return c.Worth
+	case c.Worthwhile != other.Worthwhile:
+		return c.Worthwhile
 	case c.near != other.near:
 		return c.near
 	}
 	return c.cost < other.cost
 }
 
-// wayCost is what the bytes of a request and its answer cost on the way into another
+// transferCost is what the bytes of a request and its answer cost on the way into another
 // failure domain, where an endpoint of the own one could be in time as well.
-func (v *View) wayCost(e *table.Endpoint) time.Duration {
+func (v *View) transferCost(e *table.Endpoint) time.Duration {
 	if v.isNear(e) {
 		return 0
 	}
-	return time.Duration(v.Request.Kilobytes * float64(perKilobyte))
+	return time.Duration(v.Request.Kilobytes * float64(costPerKilobyte))
 }
 
 // worthwhile reports whether the request should go to an endpoint that would answer after
@@ -95,7 +95,7 @@
 	case r.Objective == 0:
 		return true
 	case r.Late:
-		return !v.Learned.isShort(v.Now) && e.HasRoom() && (!Fills(e) || v.Learned.sharing < littleSharing) && Pace(&e.Probed) < SlowPace
+		return !v.Learned.isShort(v.Now) && e.HasRoom() && (!MakesNearlyFull(e) || v.Learned.slowdown < littleSlowdown) && Pace(&e.Probed) < SlowPace
 	}
 	return v.Now+expected <= r.FirstTry+r.Objective
 }
@@ -103,7 +103,7 @@
 // Perfect reports whether no other endpoint could be a better choice than e.
 func (v *View) Perfect(e *table.Endpoint) bool {
 	return v.granted(e) && HasEasyRoom(e) && v.Now >= e.AvoidUntil && !e.Missing &&
-		e.DoubtAfter(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchange)
+		e.CurrentDoubt(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchangeKilobytes)
 }
 
 // WithoutLoad returns the index of an endpoint to choose when none told its load, because the
@@ -113,7 +113,7 @@
 	best, bestRank := -1, 0.0
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		full := e.Probed.Seen && v.Now-e.Probed.At < fullLasts && !e.HasRoom()
+		full := e.Probed.Seen && v.Now-e.Probed.At < fullFor && !e.HasRoom()
 		if !v.granted(e) || v.Request.Tried.Has(i) || e.Outstanding >= max(1, e.Slots) || full || v.seemsSlow(e) {
 			continue
 		}
@@ -126,5 +126,5 @@
 
 // seemsSlow reports whether an endpoint's VM was slow a moment ago.
 func (v *View) seemsSlow(e *table.Endpoint) bool {
-	return e.Probed.Seen && v.Now-e.Probed.At < Remembered && Pace(&e.Probed) >= SlowPace
+	return e.Probed.Seen && v.Now-e.Probed.At < RememberedFor && Pace(&e.Probed) >= SlowPace
 }
--- a/internal/core/placement/connected_test.go
+++ b/internal/core/placement/connected_test.go
@@ -10,30 +10,30 @@
 
 // connectedFirst counts who of thirty endpoints alike is asked first in many choices: the first
 // six were asked a second ago, the others never.
-func connectedFirst(short bool) (asked int, connected float64) {
-	const choices, known = 3000, 6
+func connectedFirst(short bool) (probed int, connected float64) {
+	const choices, connectedEndpoints = 3000, 6
 	var endpoints []table.Endpoint
 	for i := range 30 {
 		ago := -time.Millisecond
-		if i < known {
+		if i < connectedEndpoints {
 			ago = time.Second
 		}
 		endpoints = append(endpoints, endpoint("a", 0, 6, 100, ago))
 		endpoints[i].Name = fmt.Sprint("a-", i)
 	}
-	v := see(endpoints...)
+	v := viewOf(endpoints...)
 	if short {
 		v.Learned.NoteShort(v.Now)
 	}
-	times, first := map[int]bool{}, 0
+	probedOnce, first := map[int]bool{}, 0
 	for range choices {
-		i := v.NextToAsk()
-		times[i] = true
-		if i < known {
+		i := v.NextToProbe()
+		probedOnce[i] = true
+		if i < connectedEndpoints {
 			first++
 		}
 	}
-	return len(times), float64(first) / choices
+	return len(probedOnce), float64(first) / choices
 }
 
 // An entry that sees twenty requests a second before thirty endpoints chose among them by
@@ -41,7 +41,7 @@
 // of a slot: what it had opened before was closed again when chance came back to it. It
 // keeps to endpoints with which it has spoken lately while there is room, and tries others often
 // enough that one that has just joined gets its part.
-func TestRequestsKeepToOpenConnections(t *testing.T) {
+func TestRequestsPreferConnectedEndpoints(t *testing.T) {
 	if asked, connected := connectedFirst(false); connected < 0.8 || asked < 30 {
 		t.Errorf("with room: %.2f of the choices have a connection, want 0.8; %d of 30 endpoints asked at all", connected, asked)
 	}
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -7,17 +7,17 @@
 // while for which it leaves one alone: requests end at endpoints that are gone while others have room.
 
 const (
-	// lostAfter is how many endpoints of a failure domain that can't be reached in a row, none
+	// lostFailures is how many endpoints of a failure domain that can't be reached in a row, none
 	// answering between, make it count as lost.
-	lostAfter = 3
-	// lostFirst is for how long it counts so at first; twice as long with each further one, up
-	// to lostMost. After that the next request asks it first again.
-	lostFirst = 250 * time.Millisecond
-	lostMost  = 2 * time.Second
+	lostFailures = 3
+	// lostMin is for how long it counts so at first; twice as long with each further one, up
+	// to lostMax. After that the next request asks it first again.
+	lostMin = 250 * time.Millisecond
+	lostMax = 2 * time.Second
 )
 
-// domain is what is known of the endpoints of a pool in a failure domain.
-type domain struct {
+// domainState is what is known of the endpoints of a pool in a failure domain.
+type domainState struct {
 	// failures counts contacts in a row that failed.
 	failures  int
 	lostUntil time.Duration
@@ -26,21 +26,21 @@
 	busyAt time.Duration
 }
 
-// domain returns what is known of a failure domain.
-func (p *Pool) domain(name string) *domain {
+// domainState returns what is known of a failure domain.
+func (p *PoolState) domain(name string) *domainState {
 	if p.domains == nil {
-		p.domains = make(map[string]*domain)
+		p.domains = make(map[string]*domainState)
 	}
 	d := p.domains[name]
 	if d == nil {
-		d = &domain{}
+		d = &domainState{}
 		p.domains[name] = d
 	}
 	return d
 }
 
 // NoteContact takes in whether an endpoint of a failure domain could be reached.
-func (p *Pool) NoteContact(now time.Duration, name string, reached bool) {
+func (p *PoolState) NoteContact(now time.Duration, name string, reached bool) {
 	d := p.domain(name)
 	if reached {
 		d.failures, d.lostUntil = 0, 0
@@ -49,13 +49,13 @@
 	if now < d.lostUntil {
 		return // contacts that were begun before
 	}
-	if d.failures++; d.failures >= lostAfter {
-		d.lostUntil = now + min(lostFirst<<min(d.failures-lostAfter, 8), lostMost)
+	if d.failures++; d.failures >= lostFailures {
+		d.lostUntil = now + min(lostMin<<min(d.failures-lostFailures, 8), lostMax)
 	}
 }
 
 // isLost reports whether a failure domain counts as lost.
-func (p *Pool) isLost(now time.Duration, name string) bool {
+func (p *PoolState) isLost(now time.Duration, name string) bool {
 	d := p.domains[name]
 	return d != nil && now < d.lostUntil
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -23,14 +23,14 @@
 
 // The ages up to which what an endpoint told counts.
 const (
-	// Fresh is how old a look may be to count for a request that did not ask for it.
-	Fresh = 2 * time.Millisecond
-	// Remembered is for how long an earlier look says whom to ask first: the time in which
+	// FreshFor is how old a look may be to count for a request that did not ask for it.
+	FreshFor = 2 * time.Millisecond
+	// RememberedFor is for how long an earlier look says whom to ask first: the time in which
 	// the pace of a VM commonly changes.
-	Remembered = 150 * time.Millisecond
-	// fullLasts is for how long an endpoint without room is taken to have none: some
+	RememberedFor = 150 * time.Millisecond
+	// fullFor is for how long an endpoint without room is taken to have none: some
 	// times what a request takes there.
-	fullLasts = 1500 * time.Millisecond
+	fullFor = 1500 * time.Millisecond
 )
 
 // SlowPace is from when on a VM counts as slow.
@@ -54,11 +54,11 @@
 	Late bool
 	// Tried are the endpoints that it was sent to, Asked those looked at in the round of
 	// looks that began at Began.
-	Tried balance.Set
-	Asked []int
-	Began time.Duration
-	// OwnOnly says that only endpoints of the own failure domain are of use.
-	OwnOnly bool
+	Tried      balance.Set
+	Probed     []int
+	RoundStart time.Duration
+	// OwnDomainOnly says that only endpoints of the own failure domain are of use.
+	OwnDomainOnly bool
 	// MaxProbes is how many endpoints are asked for it in a round at most.
 	MaxProbes int
 }
@@ -74,7 +74,7 @@
 	Domain string
 	*table.Pool
 	// Learned is what is learned of the pool.
-	Learned *Pool
+	Learned *PoolState
 	// SlotTime is what the requests that a full endpoint holds commonly take there.
 	SlotTime time.Duration
 	// Rand decides between endpoints that are alike.
@@ -91,20 +91,20 @@
 // Pace is how many times as long as usual work takes by a look.
 func Pace(l *table.ProbedLoad) float64 { return max(1, float64(l.Pace)/100) }
 
-// doubtStep and trustStep move the doubt about an endpoint: each attempt without an answer
+// doubtStep and doubtRecovery move the doubt about an endpoint: each attempt without an answer
 // of use raises it by doubtStep of what is missing to 1, each good answer lowers it.
 const (
-	doubtStep = 0.35
-	trustStep = 0.25
+	doubtStep     = 0.35
+	doubtRecovery = 0.25
 )
 
 // NoteOutcome takes in how an attempt at an endpoint ended.
 func NoteOutcome(now time.Duration, e *table.Endpoint, failed bool) {
-	doubt := e.DoubtAfter(now)
+	doubt := e.CurrentDoubt(now)
 	if failed {
 		doubt += doubtStep * (1 - doubt)
 	} else {
-		doubt -= trustStep * doubt
+		doubt -= doubtRecovery * doubt
 	}
 	e.Doubt, e.DoubtAt = doubt, now
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -11,13 +11,13 @@
 
 const ms = time.Millisecond
 
-// see returns a view of endpoints from domain "a": a request of 130 ms with an objective
+// viewOf returns a view of endpoints from domain "a": a request of 130 ms with an objective
 // of 400, at time 10 s.
-func see(endpoints ...table.Endpoint) *View {
+func viewOf(endpoints ...table.Endpoint) *View {
 	now := 10 * time.Second
-	pool := NewPool()
+	pool := NewPoolState()
 	return &View{Now: now, Domain: "a", Pool: &table.Pool{Endpoints: endpoints}, Learned: &pool, SlotTime: 150 * ms, Rand: rand.New(rand.NewPCG(1, 2)),
-		Request: Request{Arrived: now, FirstTry: now, Deadline: now + 1500*ms, Objective: 400 * ms, Work: 130 * ms, Kilobytes: 0.8, Began: now}}
+		Request: Request{Arrived: now, FirstTry: now, Deadline: now + 1500*ms, Objective: 400 * ms, Work: 130 * ms, Kilobytes: 0.8, RoundStart: now}}
 }
 
 // endpoint is one that told its load a while ago; a negative time says that it never did.
@@ -33,7 +33,7 @@
 // request were made, a fifth of them in other domains, and one request in nine went there,
 // while the own domain had room. The own domain is asked first and used as long as it can
 // answer in time; it is left as soon as it is short by what was seen, at once.
-func TestOwnDomainFirst(t *testing.T) {
+func TestOwnDomainIsProbedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		endpoints []table.Endpoint
@@ -51,12 +51,12 @@
 		{"twelve slots, three quarters taken", []table.Endpoint{endpoint("a", 8, 12, 100, 0), endpoint("b", 0, 12, 100, 0)}, "a", "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := see(c.endpoints...)
-			if i := v.NextToAsk(); i < 0 || v.Endpoints[i].Name != c.ask {
+			v := viewOf(c.endpoints...)
+			if i := v.NextToProbe(); i < 0 || v.Endpoints[i].Name != c.ask {
 				t.Errorf("asks %d, want %s", i, c.ask)
 			}
 			got := ""
-			if best := v.Best(); best.Worth {
+			if best := v.Best(); best.Worthwhile {
 				got = v.Endpoints[best.Index].Name
 			}
 			if got != c.choose {
@@ -69,7 +69,7 @@
 // A read meets endpoints that work on other requests but have room. Only an idle one ended
 // the round of looks, so that it asked nine; now one with easy room does, which is an idle
 // one where there are two slots.
-func TestEasyRoomEndsTheRound(t *testing.T) {
+func TestEasyRoomEndsProbeRound(t *testing.T) {
 	for _, c := range []struct {
 		running, slots, pace int32
 		easy                 bool
@@ -81,7 +81,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d at %d", c.running, c.slots, c.pace), func(t *testing.T) {
 			e := endpoint("a", c.running, c.slots, c.pace, 0)
-			if got := see(e).Perfect(&e); got != c.easy {
+			if got := viewOf(e).Perfect(&e); got != c.easy {
 				t.Errorf("ends the round: %v", got)
 			}
 		})
@@ -91,8 +91,8 @@
 // On a quiet day three of four endpoints have easy room, and asking three at a time made
 // three and a half looks a request, of which two were not needed. When most are busy, one
 // at a time would take many round trips. How many are asked follows what looks find.
-func TestLooksFollowWhatTheyFind(t *testing.T) {
-	p := NewPool()
+func TestBatchSizeFollowsProbeResults(t *testing.T) {
+	p := NewPoolState()
 	free, full := endpoint("a", 1, 6, 100, 0), endpoint("a", 6, 6, 100, 0)
 	learn := func(found int) int {
 		for i := range 200 {
@@ -130,11 +130,11 @@
 		{"twelve slots, nearly full, slower", 9, 12, 1.7, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := see(endpoint("a", c.running, c.slots, 100, 0))
+			v := viewOf(endpoint("a", c.running, c.slots, 100, 0))
 			for range 50 {
-				v.Learned.NoteSharing(time.Duration(c.times*float64(v.Request.Work)), v.Request.Work)
+				v.Learned.NoteSlowdown(time.Duration(c.times*float64(v.Request.Work)), v.Request.Work)
 			}
-			if got := v.Best().Worth; got != c.want {
+			if got := v.Best().Worthwhile; got != c.want {
 				t.Errorf("sent there: %v", got)
 			}
 		})
@@ -144,15 +144,15 @@
 // In a peak one request in ten got a slot when it was late already, and each of these slots
 // was missing to one that came a moment later and could have been in time. A late request
 // is served while nobody in time is short.
-func TestLateRequestsLeaveSlotsToThoseInTime(t *testing.T) {
+func TestLateRequestsLeaveSlotsToTimelyRequests(t *testing.T) {
 	for _, c := range []struct {
 		ago        time.Duration
 		late, want bool
 	}{{50 * ms, true, false}, {50 * ms, false, true}, {300 * ms, true, true}} {
-		v := see(endpoint("a", 1, 6, 100, 0))
+		v := viewOf(endpoint("a", 1, 6, 100, 0))
 		v.Learned.NoteShort(v.Now - c.ago)
 		v.Request.Late = c.late
-		if got := v.Best().Worth; got != c.want {
+		if got := v.Best().Worthwhile; got != c.want {
 			t.Errorf("short %v ago, late %v: sent there %v", c.ago, c.late, got)
 		}
 	}
@@ -160,9 +160,9 @@
 
 // An entry sees three requests a second for a service that is short for seconds. After 200
 // ms it had forgotten that others found no room, and late ones took the slots.
-func TestShortageIsRememberedForSomeRequests(t *testing.T) {
+func TestShortageLastsForSeveralArrivals(t *testing.T) {
 	for _, c := range []struct{ every, lasts time.Duration }{{10 * ms, 200 * ms}, {300 * ms, 1200 * ms}, {5 * time.Second, 2 * time.Second}} {
-		p := NewPool()
+		p := NewPoolState()
 		now := 10 * time.Second
 		for range 80 {
 			now += c.every
@@ -178,10 +178,10 @@
 // An operator reads in the log why requests were refused: "full 0 of 26", while placement
 // took each of these endpoints for full, since one more request would have made it slower.
 // The log counts what placement counts.
-func TestLogCountsFullAsPlacementDoes(t *testing.T) {
-	v := see(endpoint("a", 4, 6, 100, ms), endpoint("a", 3, 6, 100, ms), endpoint("a", 6, 6, 100, ms), endpoint("a", 6, 6, 100, 2*time.Second))
+func TestFullnessMatchesPlacement(t *testing.T) {
+	v := viewOf(endpoint("a", 4, 6, 100, ms), endpoint("a", 3, 6, 100, ms), endpoint("a", 6, 6, 100, ms), endpoint("a", 6, 6, 100, 2*time.Second))
 	for range 50 {
-		v.Learned.NoteSharing(2*v.Request.Work, v.Request.Work)
+		v.Learned.NoteSlowdown(2*v.Request.Work, v.Request.Work)
 	}
 	live, told, full := v.Learned.Fullness(v.Now, v.Endpoints)
 	if live != 4 || told != 3 || full != 2 || !v.Crowded() {
@@ -193,29 +193,29 @@
 // long at five. Each of 57 entries filled them at its beginning to find that out, and they stayed
 // full for as long as callers pressed. One request a second tries until a few are measured; then what
 // was measured counts, also where it costs nothing.
-func TestNearlyFullIsTriedBeforeItIsUsed(t *testing.T) {
+func TestFillingIsMeasuredBeforeItIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		times float64
 		used  bool
 	}{{"it costs nothing", 1, true}, {"it costs more than it brings", 1.7, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			p := NewPool()
+			p := NewPoolState()
 			e := endpoint("a", 4, 6, 100, 0)
 			now := 10 * time.Second
-			for tried := range enoughSharings {
+			for tried := range enoughSlowdownSamples {
 				if p.overfills(now, &e) {
 					t.Fatalf("it is not tried after %d measurements", tried)
 				}
 				p.NoteFill(now)
-				if c.times > 1.5 && !p.overfills(now+trialEvery/2, &e) {
+				if c.times > 1.5 && !p.overfills(now+fillTrialEvery/2, &e) {
 					t.Fatal("it is used before it was measured")
 				}
-				now += trialEvery
-				p.NoteSharing(time.Duration(c.times*float64(100*ms)), 100*ms)
+				now += fillTrialEvery
+				p.NoteSlowdown(time.Duration(c.times*float64(100*ms)), 100*ms)
 			}
 			if p.overfills(now, &e) == c.used {
-				t.Errorf("used afterwards: %v, want %v (measured %.2f)", !c.used, c.used, p.Sharing())
+				t.Errorf("used afterwards: %v, want %v (measured %.2f)", !c.used, c.used, p.Slowdown())
 			}
 		})
 	}
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -44,9 +44,9 @@
 	otherShare = 0.125
 )
 
-// keepsToConnected reports whether endpoints with a connection go first in this choice. Where
+// prefersConnected reports whether endpoints with a connection go first in this choice. Where
 // requests find no room they don't: each entry would find its own endpoints full.
-func (v *View) keepsToConnected() bool {
+func (v *View) prefersConnected() bool {
 	return !v.Learned.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
 
@@ -54,21 +54,21 @@
 // is taken to stay full.
 const busySlotTimes = 2
 
-// NextToAsk returns the index of the endpoint to look at next, or -1: those of the own
+// NextToProbe returns the index of the endpoint to look at next, or -1: those of the own
 // failure domain first, and of these the ones that had most room when last heard of.
-func (v *View) NextToAsk() int {
+func (v *View) NextToProbe() int {
 	best, bestRank := -1, 0.0
-	keeps, leaves := v.keepsToConnected(), v.leavesOwnDomain()
+	preferConnected, leaveOwnDomain := v.prefersConnected(), v.leavesOwnDomain()
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		if !v.eligible(i) || slices.Contains(v.Request.Asked, i) {
+		if !v.eligible(i) || slices.Contains(v.Request.Probed, i) {
 			continue
 		}
 		rank := v.rank(e)
-		if leaves && !v.isNear(e) {
+		if leaveOwnDomain && !v.isNear(e) {
 			rank -= rankRemote
 		}
-		if keeps && e.Probed.Seen && v.Now-e.Probed.At < connectedFor {
+		if preferConnected && e.Probed.Seen && v.Now-e.Probed.At < connectedFor {
 			rank -= rankConnected
 		}
 		if best < 0 || rank < bestRank {
@@ -81,22 +81,22 @@
 // eligible reports whether the request may go to the endpoint at an index at all.
 func (v *View) eligible(i int) bool {
 	e := &v.Endpoints[i]
-	return v.granted(e) && !v.Request.Tried.Has(i) && (!v.Request.OwnOnly || v.isNear(e))
+	return v.granted(e) && !v.Request.Tried.Has(i) && (!v.Request.OwnDomainOnly || v.isNear(e))
 }
 
 // rank orders the endpoints to ask: a lower one goes first.
 func (v *View) rank(e *table.Endpoint) float64 {
 	slots := float64(max(1, e.Slots))
-	rank := v.Rand.Float64() + rankFull*float64(e.Outstanding)/slots + rankDoubt*max(0, e.DoubtAfter(v.Now)-SlightDoubt)
+	rank := v.Rand.Float64() + rankFull*float64(e.Outstanding)/slots + rankDoubt*max(0, e.CurrentDoubt(v.Now)-SlightDoubt)
 	if v.Now < e.AvoidUntil {
 		rank += rankAvoided
 	}
 	if e.Missing {
 		rank += rankMissing
 	}
-	if age := v.Now - e.Probed.At; e.Probed.Seen && age < Remembered {
-		part := 1 - float64(age)/float64(Remembered)
-		rank += part * (rankFull*float64(e.Probed.Running+e.Probed.Waiting)/slots + rankPace*(Pace(&e.Probed)-1))
+	if age := v.Now - e.Probed.At; e.Probed.Seen && age < RememberedFor {
+		weight := 1 - float64(age)/float64(RememberedFor)
+		rank += weight * (rankFull*float64(e.Probed.Running+e.Probed.Waiting)/slots + rankPace*(Pace(&e.Probed)-1))
 	}
 	if v.Learned.isLost(v.Now, e.Domain) {
 		rank += rankLost
@@ -114,7 +114,7 @@
 // its VM is slow, or its slots are all taken and none of them commonly frees up so soon.
 func (v *View) reportedBusy(e *table.Endpoint) bool {
 	age := v.Now - e.Probed.At
-	if !e.Probed.Seen || age >= Remembered {
+	if !e.Probed.Seen || age >= RememberedFor {
 		return false
 	}
 	freed := time.Duration(busySlotTimes * float64(v.SlotTime) / float64(max(1, e.Slots)))
--- a/internal/core/placement/work.go
+++ b/internal/core/placement/servicetime.go
@@ -11,11 +11,11 @@
 	// endpoint: usual in three of four cases, five times as slow in the others, of
 	// which it would be late whatever is chosen.
 	queuedPace = 1.3
-	// slotTimePart is what a request that waits for the first of an endpoint's slots to
+	// remainingSlotShare is what a request that waits for the first of an endpoint's slots to
 	// free up has still to wait, as a part of what requests take there, times slots:
 	// those at work have done a part already, and the longer ones are met more often.
 	// Measured: 0.4 and 0.46 of the time of a request at two slots.
-	slotTimePart = 0.9
+	remainingSlotShare = 0.9
 	// avoidedCost is how many times its work a request may take elsewhere before an
 	// avoided endpoint is tried.
 	avoidedCost = 10
@@ -27,10 +27,10 @@
 func (v *View) Expected(e *table.Endpoint) time.Duration {
 	work := float64(v.Request.Work)
 	after := float64(v.ServiceTime(e))
-	if Fills(e) {
-		after += (v.Learned.sharing - 1) * work
+	if MakesNearlyFull(e) {
+		after += (v.Learned.slowdown - 1) * work
 	}
-	after += e.DoubtAfter(v.Now) * 2 * work
+	after += e.CurrentDoubt(v.Now) * 2 * work
 	if v.Now < e.AvoidUntil || e.Missing {
 		after += avoidedCost * work
 	}
@@ -45,11 +45,11 @@
 	pace := Pace(&e.Probed)
 	load, slots := e.Probed.Load(), max(1, e.Probed.Slots)
 	own, wait := float64(v.Request.Work), 0.0
-	if fills(load, slots) {
-		own *= v.Learned.sharing
+	if makesNearlyFull(load, slots) {
+		own *= v.Learned.slowdown
 	}
 	if ahead := load - slots + 1; ahead > 0 {
-		wait = float64(v.SlotTime) * pace * (float64(ahead-1) + slotTimePart) / float64(slots)
+		wait = float64(v.SlotTime) * pace * (float64(ahead-1) + remainingSlotShare) / float64(slots)
 		pace = queuedPace
 	}
 	return time.Duration(wait + own*pace)
--- a/internal/core/placement/shortage.go
+++ b/internal/core/placement/shortage.go
@@ -10,30 +10,30 @@
 // none: about as long as endpoints keep a state, and until some more requests have come,
 // since an entry that sees a few requests a second hardly ever sees two within that time.
 const (
-	shortLasts    = 200 * time.Millisecond
+	shortMin      = 200 * time.Millisecond
 	shortArrivals = 4
-	shortMost     = 2 * time.Second
+	shortMax      = 2 * time.Second
 	// gapWeight is the weight of a new time between two requests.
 	gapWeight = 0.1
 )
 
 // NoteArrival notes a request for the pool.
-func (p *Pool) NoteArrival(now time.Duration) {
+func (p *PoolState) NoteArrival(now time.Duration) {
 	if p.arrivedAt > 0 {
-		p.gap += gapWeight * (float64(min(now-p.arrivedAt, shortMost)) - p.gap)
+		p.gap += gapWeight * (float64(min(now-p.arrivedAt, shortMax)) - p.gap)
 	}
 	p.arrivedAt = now
 }
 
 // shortFor is for how long the pool counts as short.
-func (p *Pool) shortFor() time.Duration {
-	return min(max(shortLasts, time.Duration(shortArrivals*p.gap)), shortMost)
+func (p *PoolState) shortFor() time.Duration {
+	return min(max(shortMin, time.Duration(shortArrivals*p.gap)), shortMax)
 }
 
 // NoteShort notes that a request that could be in time found no room.
-func (p *Pool) NoteShort(now time.Duration) { p.shortAt = now }
+func (p *PoolState) NoteShort(now time.Duration) { p.shortAt = now }
 
 // isShort reports whether a request that could be in time found no room a moment ago.
-func (p *Pool) isShort(now time.Duration) bool {
+func (p *PoolState) isShort(now time.Duration) bool {
 	return p.shortAt > 0 && now-p.shortAt < p.shortFor()
 }
--- a/internal/core/placement/slowstart.go
+++ b/internal/core/placement/slowstart.go
@@ -6,20 +6,20 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// slowStart is how long an endpoint that joins a pool at work gets fewer
+// slowStartTime is how long an endpoint that joins a pool at work gets fewer
 // requests than it has slots for.
-const slowStart = 5 * time.Second
+const slowStartTime = 5 * time.Second
 
 // BeginSlowStart limits a new endpoint if the others of its pool have been at work for
 // longer. It guards against a cold endpoint that looks best because it is idle:
 // it would get a full share at once and answer all of it slowly. In a pool that
 // starts as a whole nobody is limited, since there is nobody else to turn to.
-func BeginSlowStart(now time.Duration, others []table.Endpoint, joins *table.Endpoint) {
+func BeginSlowStart(now time.Duration, others []table.Endpoint, joining *table.Endpoint) {
 	for i := range others {
 		e := &others[i]
-		if e.State == table.EndpointLive && e.SlowUntil == 0 && now-e.AdmittedAt >= slowStart {
-			joins.SlowUntil = now + slowStart
-			joins.Slots = AllowedSlots(now, joins)
+		if e.State == table.EndpointLive && e.SlowUntil == 0 && now-e.AdmittedAt >= slowStartTime {
+			joining.SlowUntil = now + slowStartTime
+			joining.Slots = AllowedSlots(now, joining)
 			return
 		}
 	}
@@ -32,12 +32,12 @@
 	if e.SlowUntil == 0 || left <= 0 {
 		return e.Listed
 	}
-	part := float64(slowStart-left) / float64(slowStart)
-	return max(1, int32(part*float64(e.Listed)))
+	share := float64(slowStartTime-left) / float64(slowStartTime)
+	return max(1, int32(share*float64(e.Listed)))
 }
 
-// RiseFromSlowStart gives endpoints the slots that they may have by now.
-func RiseFromSlowStart(now time.Duration, endpoints []table.Endpoint) {
+// AdvanceSlowStart gives endpoints the slots that they may have by now.
+func AdvanceSlowStart(now time.Duration, endpoints []table.Endpoint) {
 	for i := range endpoints {
 		e := &endpoints[i]
 		if e.SlowUntil == 0 {
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -28,19 +28,19 @@
 // to its part, while callers below their part are ordered by deadline or
 // arrival as if the class had no fairness at all.
 type class struct {
-	service  int32
-	priority int
-	waiting  int
-	virtual  int64
+	service     int32
+	priority    int
+	waiting     int
+	virtualTime int64
 	// passed counts the dispatches of other classes since this one was served
 	// last or began to wait.
 	passed int
 	// ready and held are heaps of flows: those whose start time is reached, in
 	// the order of their first item, and the others by start time.
-	ready, held indexedHeap
-	flows       map[uint64]int32
-	first, last int32
-	pace        pace
+	ready, blocked indexedHeap
+	flows          map[uint64]int32
+	first, last    int32
+	pace           pace
 }
 
 // flow holds the waiting items of one caller in a class.
@@ -135,7 +135,7 @@
 // empty.
 func (q *Queue) head(c *class) int32 {
 	if c.ready.len() == 0 {
-		c.virtual = c.held.top().key
+		c.virtualTime = c.blocked.top().key
 		q.release(c)
 	}
 	return q.flows[c.ready.top().ref].items.top().ref
@@ -143,9 +143,9 @@
 
 // release makes the flows ready whose start time is reached.
 func (q *Queue) release(c *class) {
-	for c.held.len() > 0 && c.held.top().key <= c.virtual {
-		ref := c.held.top().ref
-		c.held.remove(q.inClass, ref)
+	for c.blocked.len() > 0 && c.blocked.top().key <= c.virtualTime {
+		ref := c.blocked.top().ref
+		c.blocked.remove(q.inClass, ref)
 		q.enter(c, ref)
 	}
 }
@@ -153,13 +153,13 @@
 // enter puts a flow with items into the heap where it belongs.
 func (q *Queue) enter(c *class, ref int32) {
 	f := &q.flows[ref]
-	f.ready = f.start <= c.virtual
+	f.ready = f.start <= c.virtualTime
 	if f.ready {
 		first := f.items.top()
 		c.ready.push(q.inClass, element{first.key, first.tie, ref})
 		return
 	}
-	c.held.push(q.inClass, element{f.start, f.caller, ref})
+	c.blocked.push(q.inClass, element{f.start, f.caller, ref})
 }
 
 func (q *Queue) leave(c *class, ref int32) {
@@ -167,15 +167,15 @@
 		c.ready.remove(q.inClass, ref)
 		return
 	}
-	c.held.remove(q.inClass, ref)
+	c.blocked.remove(q.inClass, ref)
 }
 
 // charge counts one dispatch for a flow and moves the virtual time on.
 func (q *Queue) charge(c *class, ref int32) {
 	q.leave(c, ref)
 	f := &q.flows[ref]
-	f.start = max(f.start, c.virtual) + quantum
-	c.virtual += max(1, quantum/int64(len(c.flows)))
+	f.start = max(f.start, c.virtualTime) + quantum
+	c.virtualTime += max(1, quantum/int64(len(c.flows)))
 	q.enter(c, ref)
 	q.release(c)
 }
@@ -218,7 +218,7 @@
 		q.inClass = append(q.inClass, 0)
 	}
 	items := q.flows[at].items
-	q.flows[at] = flow{class: c, caller: caller, start: c.virtual, items: items}
+	q.flows[at] = flow{class: c, caller: caller, start: c.virtualTime, items: items}
 	c.flows[caller] = at
 	return at
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -115,8 +115,8 @@
 	inClass     []int32
 	deadlines   indexedHeap
 
-	// lapsed are items that Next found expired and Expire has yet to report.
-	lapsed []Item
+	// expired are items that Next found expired and Expire has yet to report.
+	expired []Item
 }
 
 // New returns an empty queue.
@@ -133,7 +133,7 @@
 	}
 	c := q.classOf(it.Service, it.Priority)
 	if c.waiting == 0 {
-		c.pace.begin(now)
+		c.pace.noteFirstWaiting(now)
 	}
 	ref := q.newNode(it, lim)
 	q.byID[it.ID] = ref
@@ -148,11 +148,11 @@
 	if now+expectedWait >= it.latestStart() {
 		return TooLate
 	}
-	waiting, held := q.count(it.Service, it.Caller)
+	waiting, ofCaller := q.count(it.Service, it.Caller)
 	if _, known := q.byID[it.ID]; known || waiting >= lim.QueueLimit {
 		return Full
 	}
-	if held > 0 && !callerMayAdd(held, lim.QueueLimit-waiting, lim.CallerShare) {
+	if ofCaller > 0 && !callerMayAdd(ofCaller, lim.QueueLimit-waiting, lim.CallerShare) {
 		return CallerShare
 	}
 	return None
@@ -163,25 +163,25 @@
 // the places that are left. With the factor share/(1-share) a caller that is
 // alone gets exactly its share of the queue, and however many greedy callers
 // come, some places stay free for the next one.
-func callerMayAdd(held, left int, share float64) bool {
+func callerMayAdd(ofCaller, left int, share float64) bool {
 	if share >= 1 {
 		return true
 	}
-	return float64(held)*(1-share) < share*float64(left)
+	return float64(ofCaller)*(1-share) < share*float64(left)
 }
 
 // count returns the waiting items of a service and those of one caller in it.
-func (q *Queue) count(service int32, caller uint64) (waiting, held int) {
+func (q *Queue) count(service int32, caller uint64) (waiting, ofCaller int) {
 	for _, c := range q.classes {
 		if c.service != service {
 			continue
 		}
 		waiting += c.waiting
 		if f, ok := c.flows[caller]; ok {
-			held += q.flows[f].items.len()
+			ofCaller += q.flows[f].items.len()
 		}
 	}
-	return waiting, held
+	return waiting, ofCaller
 }
 
 // Next returns the item to run next without removing it. It never returns an
@@ -189,7 +189,7 @@
 // says whether a service may take a slot now; it is asked at most once for
 // each class of waiting requests.
 func (q *Queue) Next(now time.Duration, eligible func(service int32) bool) (Item, bool) {
-	q.lapse(now)
+	q.expireDue(now)
 	var best *class
 	for _, c := range q.classes {
 		if c.waiting == 0 || !eligible(c.service) {
@@ -216,7 +216,7 @@
 	c := q.flows[q.nodes[ref].flow].class
 	q.countPassed(c)
 	q.charge(c, q.nodes[ref].flow)
-	c.pace.taken(now)
+	c.pace.noteDispatch(now)
 	return q.drop(ref), true
 }
 
@@ -226,9 +226,9 @@
 	if ref, ok := q.byID[id]; ok {
 		return q.drop(ref), true
 	}
-	for i, it := range q.lapsed {
+	for i, it := range q.expired {
 		if it.ID == id {
-			q.lapsed = append(q.lapsed[:i], q.lapsed[i+1:]...)
+			q.expired = append(q.expired[:i], q.expired[i+1:]...)
 			return it, true
 		}
 	}
@@ -238,15 +238,15 @@
 // Expire removes the items that can no longer be answered in time, appends
 // them to out and returns it. Each expired item is reported once.
 func (q *Queue) Expire(now time.Duration, out []Item) []Item {
-	q.lapse(now)
-	out = append(out, q.lapsed...)
-	q.lapsed = q.lapsed[:0]
+	q.expireDue(now)
+	out = append(out, q.expired...)
+	q.expired = q.expired[:0]
 	return out
 }
 
-func (q *Queue) lapse(now time.Duration) {
+func (q *Queue) expireDue(now time.Duration) {
 	for q.deadlines.len() > 0 && q.deadlines.top().key <= int64(now) {
-		q.lapsed = append(q.lapsed, q.drop(q.deadlines.top().ref))
+		q.expired = append(q.expired, q.drop(q.deadlines.top().ref))
 	}
 }
 
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-var roomy = Limits{QueueLimit: 20000, CallerShare: 1, DeadlineOrder: true}
+var roomyLimits = Limits{QueueLimit: 20000, CallerShare: 1, DeadlineOrder: true}
 
 func anyService(int32) bool { return true }
 
-func run(q *Queue, now time.Duration) Item {
+func dispatchNext(q *Queue, now time.Duration) Item {
 	it, _ := q.Next(now, anyService)
 	q.Take(now, it.ID)
 	return it
@@ -22,7 +22,7 @@
 
 // One caller alone gets its share of the places; more greedy callers share the
 // rest, so that a place is left for the next one, until the queue is full.
-func TestRefusals(t *testing.T) {
+func TestPushRefusals(t *testing.T) {
 	q := New()
 	id := uint64(0)
 	push := func(caller uint64, deadline time.Duration) Refusal {
@@ -49,17 +49,17 @@
 // At month-end one auditor's script asks for 1,000 summaries at once; a second
 // auditor asks for two a moment later and sees a page that never loads. In
 // order of arrival the two would wait behind the thousand.
-func TestHeavyCallerDoesNotHoldBackOthers(t *testing.T) {
+func TestHeavyCallerDoesNotDelayOthers(t *testing.T) {
 	q := New()
 	for i := range uint64(1000) {
-		q.Push(0, Item{ID: i, Caller: 1, Deadline: time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: i, Caller: 1, Deadline: time.Hour}, roomyLimits, 0)
 	}
-	run(q, 0)
+	dispatchNext(q, 0)
 	for i := range uint64(2) {
-		q.Push(0, Item{ID: 2000 + i, Caller: 2, Deadline: 2 * time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: 2000 + i, Caller: 2, Deadline: 2 * time.Hour}, roomyLimits, 0)
 	}
 	for range 5 {
-		run(q, 0)
+		dispatchNext(q, 0)
 	}
 	if _, waits := q.Remove(2001); waits {
 		t.Error("both requests of the second caller must be among the next 5")
@@ -69,20 +69,20 @@
 // Cooks see counts of a minute ago while urgent checks keep the pool at its
 // limit: the higher priority always has a request waiting, so in strict order
 // of priority the others would wait until they expire.
-func TestEveryClassIsServedWithinTheBound(t *testing.T) {
+func TestEveryClassIsServedWithinPassLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		priorities := rapid.SliceOfN(rapid.IntRange(0, 3), 2, 6).Draw(t, "priorities")
 		q := New()
 		push := func(n, service int) {
 			it := Item{ID: uint64(n), Service: int32(service), Priority: priorities[service], Deadline: time.Hour}
-			q.Push(0, it, roomy, 0)
+			q.Push(0, it, roomyLimits, 0)
 		}
 		for service := range priorities {
 			push(1000+service, service)
 		}
 		last := make([]int, len(priorities))
 		for n := 1; n <= 300; n++ {
-			served := run(q, 0).Service
+			served := dispatchNext(q, 0).Service
 			last[served] = n
 			push(n, int(served))
 			for service, at := range last {
@@ -184,10 +184,10 @@
 // An overload refuses requests as too late because dispatches are slow. Once
 // it is over, the remembered pace must not refuse the next request, or nothing
 // would ever be dispatched and measured again.
-func TestExpectedWaitFollowsThePaceAndForgetsIt(t *testing.T) {
+func TestExpectedWaitForgetsOldPace(t *testing.T) {
 	q := New()
 	for i := range uint64(21) {
-		q.Push(0, Item{ID: i, Caller: i, Deadline: time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: i, Caller: i, Deadline: time.Hour}, roomyLimits, 0)
 	}
 	check := func(when string, now time.Duration, idle int, want time.Duration) {
 		t.Helper()
@@ -197,15 +197,15 @@
 	}
 	check("20 ahead at 5 ms", 0, 1, 100*ms)
 	for n := range time.Duration(10) {
-		run(q, (n+1)*100*ms)
+		dispatchNext(q, (n+1)*100*ms)
 	}
 	check("11 ahead at 100 ms as measured", 1000*ms, 0, 1100*ms)
 	check("11 ahead, none left for 2 s", 3000*ms, 0, 22*time.Second)
 	for q.Len() > 0 {
-		run(q, 3*time.Second)
+		dispatchNext(q, 3*time.Second)
 	}
 	check("none ahead", 5*time.Second, 0, 0)
-	q.Push(5*time.Second, Item{ID: 200, Deadline: time.Hour}, roomy, 0)
+	q.Push(5*time.Second, Item{ID: 200, Deadline: time.Hour}, roomyLimits, 0)
 	check("one ahead after the overload", 5*time.Second, 0, 5*ms)
 }
 
@@ -217,9 +217,9 @@
 			q, id := New(), uint64(0)
 			for b.ReportAllocs(); id < length || b.Loop(); id++ {
 				q.Push(0, Item{ID: id, Service: int32(id % 3), Caller: id * 7919 % 100, Priority: int(id % 3),
-					Deadline: time.Hour + time.Duration(id*104729%1000)}, roomy, 0)
+					Deadline: time.Hour + time.Duration(id*104729%1000)}, roomyLimits, 0)
 				if id >= length {
-					run(q, 0)
+					dispatchNext(q, 0)
 				}
 			}
 		})
--- a/internal/core/queue/shares.go
+++ b/internal/core/queue/slots.go
@@ -44,37 +44,37 @@
 // they use on average. A service that is overdue may pass these claims, but
 // only for a small part of the slots, so that it never starves and its long
 // requests never add up to the whole pool.
-func MayTake(holders []SlotUser, me int, c Capacity) bool {
-	h := &holders[me]
-	if c.Free <= 0 || h.InUse >= h.limit(c.Slots) {
+func MayTake(users []SlotUser, me int, c Capacity) bool {
+	user := &users[me]
+	if c.Free <= 0 || user.InUse >= user.limit(c.Slots) {
 		return false
 	}
-	if h.Overdue && h.InUse < overdueSlots(c.Slots) {
+	if user.Overdue && user.InUse < overdueSlots(c.Slots) {
 		return true
 	}
 	claimed := 0
-	for i := range holders {
-		if holders[i].Priority > h.Priority {
-			claimed += holders[i].claim(c.Slots)
+	for i := range users {
+		if users[i].Priority > user.Priority {
+			claimed += users[i].claim(c.Slots)
 		}
 	}
 	return c.Free > claimed
 }
 
-func (h *SlotUser) limit(slots int) int {
-	return max(1, int(h.Share*float64(slots)))
+func (u *SlotUser) limit(slots int) int {
+	return max(1, int(u.Share*float64(slots)))
 }
 
 // claim is how many free slots the service has first claim to. To the average
 // need comes its square root: the spread of the number in use when requests
 // arrive independently of each other.
-func (h *SlotUser) claim(slots int) int {
+func (u *SlotUser) claim(slots int) int {
 	need := 0
-	if h.Need > 0 {
-		need = int(math.Ceil(h.Need + math.Sqrt(h.Need)))
+	if u.Need > 0 {
+		need = int(math.Ceil(u.Need + math.Sqrt(u.Need)))
 	}
-	claim := max(h.Waiting, need-h.InUse)
-	return max(0, min(claim, h.limit(slots)-h.InUse))
+	claim := max(u.Waiting, need-u.InUse)
+	return max(0, min(claim, u.limit(slots)-u.InUse))
 }
 
 func overdueSlots(slots int) int {
@@ -84,8 +84,8 @@
 const (
 	// demandTime is the time over which Demand averages.
 	demandTime = 5 * time.Second
-	// demandStart is the shortest time that an average is taken over.
-	demandStart = time.Second
+	// minDemandTime is the shortest time that an average is taken over.
+	minDemandTime = time.Second
 )
 
 // Demand measures how many slots the traffic of a service keeps busy. The zero
@@ -102,7 +102,7 @@
 	if !d.started {
 		*d = Demand{since: now, at: now, started: true}
 	}
-	d.slots = d.faded(now) + float64(work)/float64(demandTime)
+	d.slots = d.decayed(now) + float64(work)/float64(demandTime)
 	d.at = max(d.at, now)
 }
 
@@ -111,10 +111,10 @@
 // after the first arrival the average is over the time since then, so that an
 // entry that has just started reserves enough.
 func (d *Demand) Slots(now time.Duration) float64 {
-	age := max(now-d.since, demandStart)
-	return d.faded(now) / (1 - math.Exp(-float64(age)/float64(demandTime)))
+	age := max(now-d.since, minDemandTime)
+	return d.decayed(now) / (1 - math.Exp(-float64(age)/float64(demandTime)))
 }
 
-func (d *Demand) faded(now time.Duration) float64 {
+func (d *Demand) decayed(now time.Duration) float64 {
 	return d.slots * math.Exp(-float64(max(0, now-d.at))/float64(demandTime))
 }
--- a/internal/core/queue/shares_test.go
+++ b/internal/core/queue/slots_test.go
@@ -35,7 +35,7 @@
 // checks of 10 ms arrive all the time, 4 slots' worth on 12 slots, and see
 // their answers a second late: bulk had filled every idle slot, and no slot
 // came free before a batch had ended. Yet the batches must arrive.
-func TestBulkLeavesSlotsAndIsServed(t *testing.T) {
+func TestBulkLeavesSlotsForUrgentRequests(t *testing.T) {
 	const slots, urgent, bulk = 12, 0, 1
 	work := [2]time.Duration{10 * ms, time.Second}
 	q, demand := New(), Demand{}
@@ -49,18 +49,18 @@
 			} else if now >= 250*ms {
 				continue
 			}
-			q.Push(now, it, roomy, 0)
+			q.Push(now, it, roomyLimits, 0)
 		}
 		for s := range ends {
 			ends[s] = slices.DeleteFunc(ends[s], func(end time.Duration) bool { return end <= now })
 		}
 		eligible := func(service int32) bool {
-			holders := []SlotUser{
+			users := []SlotUser{
 				{InUse: len(ends[urgent]), Waiting: q.LenOf(urgent), Share: 1, Priority: 9, Need: demand.Slots(now)},
 				{InUse: len(ends[bulk]), Waiting: q.LenOf(bulk), Share: 1, Priority: 8, Overdue: q.Overdue(bulk)},
 			}
 			free := slots - len(ends[urgent]) - len(ends[bulk])
-			return MayTake(holders, int(service), Capacity{Slots: slots, Free: free})
+			return MayTake(users, int(service), Capacity{Slots: slots, Free: free})
 		}
 		for it, ok := q.Next(now, eligible); ok; it, ok = q.Next(now, eligible) {
 			q.Take(now, it.ID)
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -22,15 +22,15 @@
 	since time.Duration
 }
 
-// begin notes that the first request waits after none did.
-func (p *pace) begin(now time.Duration) {
+// noteFirstWaiting notes that the first request waits after none did.
+func (p *pace) noteFirstWaiting(now time.Duration) {
 	if now-p.since > paceMemory {
 		p.measured = false
 	}
 	p.since = now
 }
 
-func (p *pace) taken(now time.Duration) {
+func (p *pace) noteDispatch(now time.Duration) {
 	sample := float64(now - p.since)
 	if !p.measured {
 		p.interval = sample
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -76,7 +76,7 @@
 	if slots <= 0 || sum <= 0 {
 		return time.Duration(p.serviceNanos)
 	}
-	return time.Duration(p.learned.Sharing() * sum / slots)
+	return time.Duration(p.learned.Slowdown() * sum / slots)
 }
 
 // ageOf estimates how long ago the caller first tried: most callers of a service
--- a/internal/core/quota/limit.go
+++ b/internal/core/quota/limit.go
@@ -25,25 +25,25 @@
 	ownerPeriodLength = 10 * time.Second
 	// renewAfter is after how long an owner tells the fleet that the limit holds still.
 	renewAfter = ownerPeriodLength / 2
-	// limitSettles is how long after news of a limit an answer that takes it back is not believed:
+	// limitSettleTime is how long after news of a limit an answer that takes it back is not believed:
 	// it may have been given before.
-	limitSettles = 200 * time.Millisecond
+	limitSettleTime = 200 * time.Millisecond
 )
 
 // OwnerPeriod returns which turn it is to own an endpoint that names a limit, and when it ends.
-func OwnerPeriod(now time.Duration, e *table.Endpoint) (turn uint32, ends time.Duration) {
+func OwnerPeriod(now time.Duration, e *table.Endpoint) (period uint32, ends time.Duration) {
 	passed := max(0, now-e.Limit.SpreadAt) / ownerPeriodLength
 	return e.Limit.Period + uint32(passed), e.Limit.SpreadAt + (passed+1)*ownerPeriodLength
 }
 
 // limitKey names an endpoint in the division among entries.
-func limitKey(name string, turn uint32) string {
-	return name + "#" + strconv.FormatUint(uint64(turn), 10)
+func limitKey(name string, period uint32) string {
+	return name + "#" + strconv.FormatUint(uint64(period), 10)
 }
 
 // OwnsLimited reports whether the entry of number self is among the owners of an endpoint in a turn.
-func (c *Candidates) OwnsLimited(self uint64, e *table.Endpoint, turn uint32) bool {
-	return c.Owns(self, limitKey(e.Name, turn), e.Domain, e.Limit.Owners)
+func (c *Candidates) OwnsLimited(self uint64, e *table.Endpoint, period uint32) bool {
+	return c.Owns(self, limitKey(e.Name, period), e.Domain, e.Limit.Owners)
 }
 
 // SetOwner notes whether this entry owns an endpoint that names a limit. One that becomes an owner earns
@@ -65,23 +65,23 @@
 		l.Own = false
 	}
 	l.Rate = rate
-	l.Owners, l.Each = limitQuota(rate)
+	l.Owners, l.OwnerRate = limitQuota(rate)
 }
 
-// limitQuota divides a limit among as many owners as have leastEach, one at least.
-func limitQuota(rate float64) (owners int, each float64) {
+// limitQuota divides a limit among as many owners as have minOwnerRate, one at least.
+func limitQuota(rate float64) (owners int, ownerRate float64) {
 	if rate <= 0 {
 		return 0, 0
 	}
 	window := limitWindow.Seconds()
-	owners = max(1, min(mostOwners, int(rate/leastEach)))
-	usable := (limitOver*rate*window + limitSlack) * reserve
-	all := (usable - burst*float64(owners)) / window
-	return owners, min(rate, all) / float64(owners)
+	owners = max(1, min(maxOwners, int(rate/minOwnerRate)))
+	usable := (limitOver*rate*window + limitSlack) * ownersShare
+	total := (usable - burst*float64(owners)) / window
+	return owners, min(rate, total) / float64(owners)
 }
 
 // Settled reports whether an answer that names another limit, or none, may be believed.
-func Settled(now time.Duration, e *table.Endpoint) bool { return now-e.Limit.Since >= limitSettles }
+func Settled(now time.Duration, e *table.Endpoint) bool { return now-e.Limit.Since >= limitSettleTime }
 
 // RenewalDue reports whether an owner is to tell the fleet that the limit holds still.
 func RenewalDue(now time.Duration, e *table.Endpoint) bool {
--- a/internal/core/quota/limit_test.go
+++ b/internal/core/quota/limit_test.go
@@ -18,7 +18,7 @@
 	return e
 }
 
-func TestVerdictsOnLimits(t *testing.T) {
+func TestStatusOfLimitedEndpoints(t *testing.T) {
 	now := 10 * time.Second
 	cold := limitedAt(now, 10, true)
 	cold.Cold.Until = now + ms
@@ -36,7 +36,7 @@
 		{"no limit any more", now, limitedAt(now, 0, false), Granted},
 		{"cold besides", now, cold, ColdElsewhere},
 	} {
-		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: NewColdQuota(Warmup{PerSecond: 5})}
+		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: NewColdQuota(Warmup{PerSecond: 5})}
 		if got := Of(c.at, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -85,8 +85,8 @@
 				e := &s.pool.Endpoints[0]
 				if now%(500*ms) == 0 {
 					view := &views[s.view]
-					turn, _ := OwnerPeriod(now+view.offset, e)
-					SetOwner(now, e, view.candidates.OwnsLimited(s.id, e, turn))
+					period, _ := OwnerPeriod(now+view.offset, e)
+					SetOwner(now, e, view.candidates.OwnsLimited(s.id, e, period))
 				}
 				for Of(now, &s.pool, e) == Granted {
 					Spend(now, &s.pool, e)
@@ -107,19 +107,19 @@
 // Guards against a limited endpoint that gets far less than it takes where all know each other.
 func TestLimitedEndpointIsUsed(t *testing.T) {
 	for _, rate := range []float64{0.4, 1, 1.1, 3, 10, 40} {
-		owners, each := limitQuota(rate)
-		if all := float64(owners) * each; all > rate+1e-9 || all < 0.7*rate {
-			t.Errorf("limit %v: %d owners with %.2f a second each", rate, owners, each)
+		owners, ownerRate := limitQuota(rate)
+		if total := float64(owners) * ownerRate; total > rate+1e-9 || total < 0.7*rate {
+			t.Errorf("limit %v: %d owners with %.2f a second each", rate, owners, ownerRate)
 		}
 	}
-	if owners, each := limitQuota(0); owners != 0 || each != 0 {
+	if owners, ownerRate := limitQuota(0); owners != 0 || ownerRate != 0 {
 		t.Error("there are owners without a limit")
 	}
 }
 
 // Guards against an endpoint that gets nothing for good since the entry that owns it has no callers or is
 // down: others take their turn unless the fleet is told that the limit holds.
-func TestOwnersTakeTurns(t *testing.T) {
+func TestOwnersChangeEachPeriod(t *testing.T) {
 	var all []Entry
 	for i := range 14 {
 		all = append(all, Entry{ID: uint64(1 + i), Domain: fmt.Sprint(i % 3)})
@@ -130,19 +130,19 @@
 	owners := map[uint64]bool{}
 	for k := range 30 {
 		now := time.Duration(k) * ownerPeriodLength
-		turn, ends := OwnerPeriod(now, &e)
-		if turn != uint32(k) || ends != now+ownerPeriodLength {
-			t.Fatalf("at %v turn %d until %v", now, turn, ends)
+		period, ends := OwnerPeriod(now, &e)
+		if period != uint32(k) || ends != now+ownerPeriodLength {
+			t.Fatalf("at %v turn %d until %v", now, period, ends)
 		}
 		had := 0
 		for _, o := range all {
-			if candidates.OwnsLimited(o.ID, &e, turn) {
+			if candidates.OwnsLimited(o.ID, &e, period) {
 				owners[o.ID] = true
 				had++
 			}
 		}
 		if had != 1 {
-			t.Errorf("turn %d has %d owners", turn, had)
+			t.Errorf("turn %d has %d owners", period, had)
 		}
 	}
 	if len(owners) < 4 {
--- a/internal/core/quota/share.go
+++ b/internal/core/quota/owners.go
@@ -13,14 +13,14 @@
 const (
 	// burst is how many requests an owner may send at once.
 	burst = 1.0
-	// reserve is the part of the bound that the owners of an endpoint have together. The rest is
+	// ownersShare is the part of the bound that the owners of an endpoint have together. The rest is
 	// for entries that own it by another view of the fleet: as many again, as when a partition
 	// lasts until each side has forgotten the other, or entries join and others don't know yet.
-	reserve = 0.5
-	// mostOwners is how many entries own an endpoint at most, and leastEach the requests a second
+	ownersShare = 0.5
+	// maxOwners is how many entries own an endpoint at most, and minOwnerRate the requests a second
 	// that are worth an owner.
-	mostOwners = 3
-	leastEach  = 1.25
+	maxOwners    = 3
+	minOwnerRate = 1.25
 )
 
 // Warmup is what is published of a pool's cold endpoints, and what the platform allows beyond it.
@@ -39,8 +39,8 @@
 		return table.ColdQuota{}
 	}
 	s := table.ColdQuota{Warmup: w.For, Bound: w.PerSecond*max(1, w.Over) + w.Slack}
-	usable := s.Bound * reserve
-	s.Owners = min(mostOwners, int(usable/leastEach))
+	usable := s.Bound * ownersShare
+	s.Owners = min(maxOwners, int(usable/minOwnerRate))
 	if s.Owners == 0 && usable >= burst {
 		s.Owners = 1
 	}
@@ -60,13 +60,13 @@
 }
 
 const (
-	// ownersNear is how many owners of an endpoint lie in its own failure domain. The others lie
+	// ownersInDomain is how many owners of an endpoint lie in its own failure domain. The others lie
 	// elsewhere, since entries of a domain that lost power come back with its endpoints.
-	ownersNear = 2
-	// strongFirst is how many of the strongest entries of a failure domain own most; each further
+	ownersInDomain = 2
+	// strongEntries is how many of the strongest entries of a failure domain own most; each further
 	// one owns less, by its place. Callers are sent to the strongest, to more of them by their
 	// calls, which each entry counts a little differently: who owns what must not follow them.
-	strongFirst = 8
+	strongEntries = 8
 )
 
 // Candidates are the entries of a fleet in the order of their strength, each with its weight. Make
@@ -87,7 +87,7 @@
 		if place++; i > 0 && entries[i].Domain != entries[i-1].Domain {
 			place = 1
 		}
-		c.weights[i] = strongFirst / max(float64(place), strongFirst)
+		c.weights[i] = strongEntries / max(float64(place), strongEntries)
 	}
 	return c
 }
@@ -95,23 +95,23 @@
 // Owns reports whether the entry of number self is among so many owners of an endpoint: those that
 // rank first for its name, by their weight, which moves only what an entry that comes or goes owns.
 func (c *Candidates) Owns(self uint64, name, domain string, owners int) bool {
-	near := min(owners, ownersNear)
-	own := slices.IndexFunc(c.entries, func(e Entry) bool { return e.ID == self })
-	if own < 0 {
+	near := min(owners, ownersInDomain)
+	ownIndex := slices.IndexFunc(c.entries, func(e Entry) bool { return e.ID == self })
+	if ownIndex < 0 {
 		return false
 	}
 	key := assign.Key("cold", name)
-	isNear := c.entries[own].Domain == domain
-	most, mine := owners-near, c.rank(key, own)
+	isNear := c.entries[ownIndex].Domain == domain
+	places, ownRank := owners-near, c.rank(key, ownIndex)
 	if isNear {
-		most = near
+		places = near
 	}
 	for i := range c.entries {
-		if i != own && (c.entries[i].Domain == domain) == isNear && c.rank(key, i) < mine {
-			most--
+		if i != ownIndex && (c.entries[i].Domain == domain) == isNear && c.rank(key, i) < ownRank {
+			places--
 		}
 	}
-	return most > 0
+	return places > 0
 }
 
 // rank is that of weighted rendezvous hashing; the lowest goes first.
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -42,7 +42,7 @@
 var statusNames = [...]string{"granted", "leaving", "gone", "evacuated", "cold-elsewhere", "cold-spent", "limit-elsewhere", "limit-spent"}
 
 // String returns the verdict as the log shows it.
-func (v Status) String() string { return statusNames[v] }
+func (s Status) String() string { return statusNames[s] }
 
 // Of returns whether endpoint e of pool p may get a request now.
 func Of(now time.Duration, p *table.Pool, e *table.Endpoint) Status {
@@ -55,13 +55,13 @@
 		return Evacuated
 	case IsCold(now, p, e) && !e.Cold.Own:
 		return ColdElsewhere
-	case IsCold(now, p, e) && tokens(now, &e.Cold.OwnerQuota, p.ColdShare.Rate) < 1:
+	case IsCold(now, p, e) && tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate) < 1:
 		return ColdSpent
 	case !IsLimited(e):
 		return Granted
 	case !e.Limit.Own:
 		return LimitElsewhere
-	case tokens(now, &e.Limit.OwnerQuota, e.Limit.Each) < 1:
+	case tokens(now, &e.Limit.OwnerQuota, e.Limit.OwnerRate) < 1:
 		return LimitSpent
 	}
 	return Granted
@@ -72,23 +72,23 @@
 
 // IsCold reports whether the endpoint is cold, in a pool where that binds.
 func IsCold(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
-	return now < e.Cold.Until && p.ColdShare.Bound > 0
+	return now < e.Cold.Until && p.ColdQuota.Bound > 0
 }
 
 // Spend takes a request that is sent to e into account.
 func Spend(now time.Duration, p *table.Pool, e *table.Endpoint) {
 	if IsCold(now, p, e) {
-		e.Cold.Tokens, e.Cold.At = tokens(now, &e.Cold.OwnerQuota, p.ColdShare.Rate)-1, now
+		e.Cold.Tokens, e.Cold.At = tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate)-1, now
 	}
 	if IsLimited(e) {
-		e.Limit.Tokens, e.Limit.At = tokens(now, &e.Limit.OwnerQuota, e.Limit.Each)-1, now
+		e.Limit.Tokens, e.Limit.At = tokens(now, &e.Limit.OwnerQuota, e.Limit.OwnerRate)-1, now
 	}
 }
 
 // tokens is how many requests this entry may send now of a part with a rate. One that was not bounded
 // for a while has all that may be saved.
-func tokens(now time.Duration, p *table.OwnerQuota, rate float64) float64 {
-	return min(burst, p.Tokens+(now-p.At).Seconds()*rate)
+func tokens(now time.Duration, q *table.OwnerQuota, rate float64) float64 {
+	return min(burst, q.Tokens+(now-q.At).Seconds()*rate)
 }
 
 // SetCold takes in how much longer the endpoint says that it stays cold; 0 says that it is warm.
@@ -102,5 +102,5 @@
 // BecameCold notes that the endpoint is cold as far as others say, for as long as that commonly
 // takes in its pool, or until it tells more.
 func BecameCold(now time.Duration, p *table.Pool, e *table.Endpoint) {
-	e.Cold.Until = max(e.Cold.Until, now+p.ColdShare.Warmup)
+	e.Cold.Until = max(e.Cold.Until, now+p.ColdQuota.Warmup)
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func TestVerdicts(t *testing.T) {
+func TestStatus(t *testing.T) {
 	share := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: 5.8, Over: 1.5, Slack: 8})
 	now := 10 * time.Second
 	cold := table.Cold{Until: now + ms}
@@ -39,7 +39,7 @@
 			c.want = ColdSpent // no owner may send: Rate and Owners are 0
 			c.e.Cold.At, c.e.Cold.Tokens = now, 0
 		}
-		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdShare: c.share}
+		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: c.share}
 		if got := Of(now, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -48,7 +48,7 @@
 
 // What the owners of an endpoint may send in any second, together, is half of the bound at most,
 // whatever an operator publishes; and as far as that allows there are several owners.
-func TestOwnersTogetherKeepHalfOfTheBound(t *testing.T) {
+func TestOwnersTogetherStayWithinHalfTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Warmup{
 			PerSecond: rapid.Float64Range(0.01, 500).Draw(t, "rate"),
@@ -56,10 +56,10 @@
 			Slack:     rapid.Float64Range(0, 100).Draw(t, "slack"),
 		}
 		s := NewColdQuota(w)
-		if s.Rate < 0 || float64(s.Owners)*(s.Rate+burst) > s.Bound*reserve+1e-9 {
+		if s.Rate < 0 || float64(s.Owners)*(s.Rate+burst) > s.Bound*ownersShare+1e-9 {
 			t.Errorf("%d owners with %v a second each and %v at once, bound %v", s.Owners, s.Rate, burst, s.Bound)
 		}
-		if s.Bound >= 8 && s.Owners < mostOwners {
+		if s.Bound >= 8 && s.Owners < maxOwners {
 			t.Errorf("%d owners where %v requests a second are allowed", s.Owners, s.Bound)
 		}
 	})
@@ -78,7 +78,7 @@
 // forgotten each other, or those who know of entries that joined and those who don't), what they
 // send together in any second stays within the bound: over starts and ends of processes, each of
 // which begins with a full allowance, and with callers that press as hard as they can.
-func TestBoundHoldsInEverySecond(t *testing.T) {
+func TestColdBoundHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: rapid.Float64Range(0.5, 30).Draw(rt, "rate"),
 			Over: 1.5, Slack: rapid.Float64Range(0, 20).Draw(rt, "slack")})
@@ -97,18 +97,18 @@
 		case 2: // some know of entries that joined
 			views = [2][]Entry{all[:cut], all}
 		}
-		fresh := func(i int) *sender {
+		newSender := func(i int) *sender {
 			side := 0
 			if i >= cut {
 				side = 1
 			}
-			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdShare: share, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
+			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdQuota: share, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
 			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Own: s.view.Owns(s.id, "e", "0", share.Owners)}}
 			return s
 		}
 		var owners []*sender
 		for i := range n {
-			if s := fresh(i); s.pool.Endpoints[0].Cold.Own {
+			if s := newSender(i); s.pool.Endpoints[0].Cold.Own {
 				owners = append(owners, s)
 			}
 		}
@@ -118,7 +118,7 @@
 		for now := 10 * time.Second; now < 16*time.Second; now += 20 * ms {
 			for i, s := range owners {
 				if rapid.IntRange(0, 200).Draw(rt, "restart") == 0 {
-					owners[i] = fresh(int(s.id))
+					owners[i] = newSender(int(s.id))
 					quietUntil[i] = now + 1500*ms
 					continue
 				}
@@ -140,7 +140,7 @@
 
 // A failure domain comes back cold and most callers are there. Each endpoint has owners in its own
 // domain, and one elsewhere that was up all the while; what is owned is spread evenly.
-func TestOwnersLieNearAndOneElsewhere(t *testing.T) {
+func TestOwnersAreInDomainAndOneElsewhere(t *testing.T) {
 	var all []Entry
 	for i := range 60 {
 		all = append(all, Entry{ID: uint64(1000 + i), Domain: string(rune('a' + i%3))})
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -91,7 +91,7 @@
 	// probePath is where the endpoints tell their load, "" for the contract's.
 	probePath string
 	// learned is what placement learned of the endpoints.
-	learned placement.Pool
+	learned placement.PoolState
 	cold    coldOwners
 	// limited counts the endpoints that name a limit.
 	limited int
@@ -201,7 +201,7 @@
 		serviceNanos: float64(firstService),
 		repeats:      budget.NewRepeats(c.cfg.Repeats, c.cfg.LargestFleet, 0),
 		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
-		learned:      placement.NewPool(),
+		learned:      placement.NewPoolState(),
 	}
 	p.repeats.SetFleet(c.fleet.mostEntries)
 	c.pools[name] = p
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -119,7 +119,7 @@
 	if best.Index < 0 {
 		return !c.overdue(now, r, r.typicalWork())
 	}
-	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.After)
+	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
 }
 
 // decideSecond sends a second attempt if the first looks lost or slow and an idle
@@ -130,7 +130,7 @@
 		c.endProbeRound(r)
 		return
 	}
-	if !placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.After) || !c.dispatchProbed(now, r, best.Index, out) {
+	if !placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected) || !c.dispatchProbed(now, r, best.Index, out) {
 		c.endProbeRound(r)
 	}
 }
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -42,12 +42,12 @@
 	Pace int32
 	At   time.Duration
 	Seen bool
-	// Since counts this entry's dispatches to the endpoint after that.
-	Since int32
+	// SentSince counts this entry's dispatches to the endpoint after that.
+	SentSince int32
 }
 
 // Load returns how many requests the endpoint holds as far as the look tells.
-func (l *ProbedLoad) Load() int32 { return l.Running + l.Waiting + l.Since }
+func (l *ProbedLoad) Load() int32 { return l.Running + l.Waiting + l.SentSince }
 
 // Health is owned by the health system.
 type Health struct {
@@ -95,11 +95,11 @@
 	// SpreadAt, when the fleet was last told.
 	Version, Period uint32
 	SpreadAt        time.Duration
-	// Since is when this entry learned of the rate.
+	// SentSince is when this entry learned of the rate.
 	Since time.Duration
 	// Owners is how many entries own it, Each how many requests a second each of them sends.
-	Owners int
-	Each   float64
+	Owners    int
+	OwnerRate float64
 	// InProbes says that it names a limit also to those who look at it.
 	InProbes bool
 }
@@ -172,16 +172,16 @@
 // a request now is for package quota to say.
 func (e *Endpoint) TakesWork() bool { return e.State == EndpointLive && !e.Evacuated }
 
-// doubtHalves is the time in which a doubt that nothing confirms halves: an
+// doubtHalfLife is the time in which a doubt that nothing confirms halves: an
 // endpoint that was bad for some seconds is tried again soon after.
-const doubtHalves = 4 * time.Second
+const doubtHalfLife = 4 * time.Second
 
-// DoubtAfter returns the doubt as it has faded by now.
-func (e *Endpoint) DoubtAfter(now time.Duration) float64 {
+// CurrentDoubt returns the doubt as it has faded by now.
+func (e *Endpoint) CurrentDoubt(now time.Duration) float64 {
 	if e.Doubt == 0 || now <= e.DoubtAt {
 		return e.Doubt
 	}
-	return e.Doubt * math.Exp2(-float64(now-e.DoubtAt)/float64(doubtHalves))
+	return e.Doubt * math.Exp2(-float64(now-e.DoubtAt)/float64(doubtHalfLife))
 }
 
 // NoteProbed takes in what the endpoint told of its load.
@@ -207,7 +207,7 @@
 	// membership change.
 	Endpoints []Endpoint
 	// ColdQuota is what this entry may send to cold ones.
-	ColdShare ColdQuota
+	ColdQuota ColdQuota
 }
 
 // Slots returns the slots of all endpoints that take work.
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -37,7 +37,7 @@
 			id := y.sendRequest(route.Idempotent, 3*sec)
 			y.run(20 * ms)
 			if got := len(y.open[id]) > 0; got != c.wants {
-				t.Errorf("sent beside another: %v, want %v (sharing %.2f)", got, c.wants, y.pools["p"].learned.Sharing())
+				t.Errorf("sent beside another: %v, want %v (sharing %.2f)", got, c.wants, y.pools["p"].learned.Slowdown())
 			}
 		})
 	}
