--- a/internal/core/balance/attempts.go
+++ b/internal/core/balance/attempts.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// trackedAttempts is how many own attempts in flight are tracked at one
-// endpoint; more than its slots and a short queue tell nothing new.
+// trackedAttempts is how many of this entry's attempts in flight are tracked at one endpoint. More
+// attempts than the endpoint's slots and a short queue would not improve the estimate.
 const trackedAttempts = 4
 
-// attempts holds when this entry's attempts in flight at one endpoint began.
+// attempts records when this entry's attempts in flight at one endpoint were started.
 type attempts struct {
 	started [trackedAttempts]time.Duration
-	// queued marks those that were sent to wait at the endpoint.
+	// queued marks the attempts that were sent to wait in the endpoint's queue.
 	queued [trackedAttempts]bool
 	count  int
 }
@@ -25,8 +25,8 @@
 	a.count++
 }
 
-// remove forgets the attempt that began closest to begun and reports whether it
-// was known and had not been queued, so that its latency is service time.
+// remove deletes the attempt whose start is closest to started. It reports whether such an attempt
+// was tracked and had not been queued, so that its latency is a service time.
 func (a *attempts) remove(started time.Duration) (served bool) {
 	if a.count == 0 {
 		return false
@@ -43,8 +43,8 @@
 	return served
 }
 
-// nextEnd estimates when the first of the attempts in service ends, given a
-// service time.
+// nextEnd estimates when the first of the attempts in service ends, given a service time; the
+// result is the time from now in nanoseconds.
 func (a *attempts) nextEnd(now time.Duration, service float64) float64 {
 	end := math.Inf(1)
 	for k := range a.count {
@@ -52,16 +52,16 @@
 			continue
 		}
 		ran := float64(now - a.started[k])
-		// One that runs far too long is taken to be a long one.
+		// An attempt that has run far too long is expected to run as long again.
 		end = min(end, max(minRemaining*service, service-ran, ran-overdueFactor*service))
 	}
 	return end
 }
 
-// overdueFactor is after how many service times an attempt is taken to need long
-// still.
+// overdueFactor is the number of service times after which an attempt is expected to need much
+// longer still.
 const overdueFactor = 2
 
-// minRemaining is the share of a service time that an attempt is taken to need
-// still, however long it has run.
+// minRemaining is the least share of a service time that an attempt is expected to need still,
+// however long it has run.
 const minRemaining = 0.15
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -1,10 +1,10 @@
-// Package balance chooses the endpoint of a request, or says that the request
-// had better wait in this entry's queue. It is pure: time, randomness and every
-// observation are passed in, and a Picker must not be used concurrently. A
-// choice scans one pool and allocates nothing.
+// Package balance chooses the endpoint of a request, or decides that the request should wait in
+// this entry's queue. The package is pure: the caller passes in time, randomness and every
+// observation. A Picker must not be used concurrently. A choice scans one pool and allocates
+// nothing.
 //
-// A Picker serves one pool. What it knows of other entries' load is advice that
-// ages: a wrong view costs latency, never a promise.
+// A Picker serves one pool. What it knows of other entries' load is approximate and ages: a wrong
+// view costs latency, but breaks no guarantee.
 package balance
 
 import (
@@ -38,97 +38,97 @@
 
 // Request describes the request that needs an endpoint.
 type Request struct {
-	// Tried holds the endpoints that already refused or failed the request.
+	// Tried has the endpoints that already refused or failed the request.
 	Tried Set
-	// Trial says that the request may be spent on an ejected endpoint whose
-	// next trial is due: it is idempotent and not urgent.
+	// Trial says that the request may be used for the trial of an ejected endpoint whose next
+	// trial is due: it is idempotent and not urgent.
 	Trial bool
-	// MustQueue says that the request may not ask an endpoint to refuse it, so
-	// that a choice of a busy endpoint costs a wait there.
+	// MustQueue says that the request may not ask an endpoint to refuse it, so that the choice of
+	// a busy endpoint costs a wait there.
 	MustQueue bool
-	// LocalDomain breaks ties towards endpoints of the entry's own failure
-	// domain; empty for no preference.
+	// LocalDomain is preferred between equal endpoints; it is the entry's own failure domain, or
+	// empty for no preference.
 	LocalDomain string
 }
 
-// Choice is the answer to an Ask.
+// Choice is the result of Picker.Pick.
 type Choice struct {
-	// Index of the endpoint in the pool, valid if OK.
+	// Index is the index of the endpoint in the pool; it is valid if OK is set.
 	Index int
-	// OK is false when waiting in the entry's queue is better than any
-	// endpoint now, or when no endpoint may be used.
+	// OK is false when waiting in the entry's queue is better than any endpoint now, or when no
+	// endpoint may be used.
 	OK bool
 	// IdleOnly asks the endpoint to refuse the request at once rather than
 	// queue it when no slot is idle. An endpoint that ignores this queues it.
 	IdleOnly bool
 	// Trial marks a choice of an ejected endpoint.
 	Trial bool
-	// Wait is how long to wait at the latest before asking again, if not OK.
-	// An answer, a peer's report or a membership change is a reason to ask
-	// earlier.
+	// Wait is the longest time to wait before the next Pick, if OK is not set. An answer, a peer's
+	// load report or a membership change is a reason to call Pick earlier.
 	Wait time.Duration
 }
 
-// Observation is what an answer tells about its endpoint.
+// Observation describes the answer or the failure that ended an attempt.
 type Observation struct {
 	// Latency is the time from dispatch to the answer's head.
 	Latency time.Duration
-	// HasLoad says that InFlight, Queued and Slots were reported. They don't
-	// count the request that was answered.
+	// HasLoad says that the answer reported InFlight, Queued and Slots. The counts do not include
+	// the request that was answered.
 	HasLoad  bool
 	InFlight int
 	Queued   int
 	Slots    int
-	// Refused: the endpoint said that it did not run the request.
+	// Refused says that the endpoint did not run the request and said so.
 	Refused bool
-	// Failed: the attempt ended without a usable answer.
+	// Failed says that the attempt ended without a usable answer.
 	Failed bool
 }
 
-// PeerReported is what another entry says of its own attempts at one endpoint.
+// PeerLoad is another entry's count of its own attempts at one endpoint.
 type PeerLoad struct {
-	// From is the index of the peer among the deciders given to Changed.
+	// From is the index of the peer among the deciders given to Picker.Changed.
 	From int
-	// Attempts counts the attempts that the peer has in flight there.
+	// Attempts is the number of attempts that the peer has in flight at the endpoint.
 	Attempts int32
-	// At is when this was true, on this entry's clock.
+	// At is when the count was true, on this entry's clock.
 	At time.Duration
 }
 
-// Picker is a policy with its view of one pool.
+// Picker is a balancing policy with its view of one pool.
 type Picker interface {
-	// Changed is called first, and after each change of the pool's endpoints
-	// or of the entries that serve the pool's callers. Deciders are their
-	// names, this entry's own among them; it may be empty when unknown.
+	// Changed is called first, and after each change of the pool's endpoints or of the entries
+	// that serve the pool's callers. Deciders are the names of these entries, this entry's own
+	// among them; the list may be empty when they are unknown.
 	Changed(now time.Duration, p *table.Pool, deciders []string)
-	// Pick chooses for a request that has waited in this entry's queue.
+	// Pick chooses an endpoint for a request that has waited in this entry's queue for the given
+	// time.
 	Pick(now time.Duration, p *table.Pool, ask Request, waited time.Duration) Choice
-	// Dispatched follows the sending of an attempt to endpoint i; the
-	// endpoint's Outstanding already counts it.
+	// Dispatched is called after an attempt was sent to endpoint i; the endpoint's Outstanding
+	// already counts it.
 	Dispatched(now time.Duration, p *table.Pool, i int)
-	// Answered follows the end of an attempt; Outstanding no longer counts it.
+	// Answered is called after an attempt has ended; Outstanding no longer counts it.
 	Answered(now time.Duration, p *table.Pool, i int, obs Observation)
-	// LoadReported passes on another entry's sighting of the whole foreign load.
+	// LoadReported passes on another entry's report of the endpoint's whole foreign load, which is
+	// the load that this entry did not place.
 	LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad)
-	// PeerHeard follows an update of another entry, the index From of a
-	// PeerReported: counts that it did not change were still true at that time.
+	// PeerHeard is called after an update from another entry. From is the peer's index as in
+	// PeerLoad.From. Counts that the update did not change were still true at the given time.
 	PeerHeard(from int, at time.Duration)
 	// PeerReported passes on another entry's count of its own attempts.
 	PeerReported(now time.Duration, p *table.Pool, i int, load PeerLoad)
 }
 
-// Config tunes the policies. The zero value of a field means its default.
+// Config tunes the policies. A field that is zero has its default value.
 type Config struct {
-	// Self is this entry's name, as among the deciders.
+	// Self is this entry's name, as it appears among the deciders.
 	Self string
-	// ServiceTime is the time of a request assumed before any was measured.
+	// ServiceTime is the service time that is assumed until one has been measured.
 	ServiceTime time.Duration
-	// QueueAtEndpoint is how many requests beyond its slots the claims policy
-	// lets an endpoint hold; negative for none.
+	// QueueAtEndpoint is how many requests beyond its slots the claims policy may send to an
+	// endpoint; negative for none.
 	QueueAtEndpoint int
-	// IdleWait is how long a request waits in the entry for an idle slot before
-	// it may queue at an endpoint, as a share of the pool's service time;
-	// negative for not at all.
+	// IdleWait is how long a request waits in the entry for an idle slot before it may queue at an
+	// endpoint, as a share of the pool's service time; negative for no wait.
 	IdleWait float64
 }
 
@@ -154,7 +154,7 @@
 	return c
 }
 
-// Names of the policies.
+// The names of the policies.
 const (
 	Random           = "random"
 	RoundRobin       = "round-robin"
@@ -168,7 +168,7 @@
 	Claims           = "claims"
 )
 
-// Default is the policy to use unless a profile names another.
+// Default is the policy that is used unless the settings name another.
 const Default = Claims
 
 // Policies returns the names that New accepts.
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -51,7 +51,7 @@
 			c := picker.Pick(testNow, p, ask, 0)
 			if !c.OK {
 				if c.Wait <= 0 {
-					t.Fatal("neither a choice nor a time to ask again")
+					t.Fatal("neither a choice nor a time to wait")
 				}
 				return
 			}
@@ -63,18 +63,18 @@
 				t.Fatalf("chose %+v, tried %b", e, ask.Tried)
 			}
 			if !c.Trial && !usable(testNow, p, e) && requiredEligibility(testNow, p, ask.Tried) == notEjected {
-				t.Fatal("chose an ejected endpoint though others stand")
+				t.Fatal("chose an ejected endpoint although others are not ejected")
 			}
 			if c.Trial && (!ask.Trial || e.Health.TrialAt > testNow) {
-				t.Fatal("a trial that was not due or not allowed")
+				t.Fatal("chose a trial that was not due or not allowed")
 			}
 		}))
 	}
 }
 
-// Nobody answers any more, and all that was last heard is that every endpoint
-// has a long queue. A request that waits must go out in the end: only an answer
-// could tell that the queues are gone.
+// Guards against requests that wait forever in the entry: no answer arrives any more, and by the
+// last reports every endpoint has a long queue. A waiting request must be sent in the end, since
+// only an answer could show that the queues are gone.
 func TestStaleFullViewDoesNotBlockRequests(t *testing.T) {
 	for _, policy := range Policies() {
 		picker, p := newPicker(t, policy), benchPool(6)
@@ -87,12 +87,13 @@
 			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Attempts: 20, At: testNow})
 		}
 		if c := picker.Pick(testNow+time.Second, p, Request{}, time.Second); !c.OK {
-			t.Errorf("%s: still waits after a second without news", policy)
+			t.Errorf("%s: the request still waits after a second without a report", policy)
 		}
 	}
 }
 
-// benchPool is a pool of the largest size that one service is expected to have.
+// benchPool returns a pool of n endpoints, each with some load; 60 is the largest size that one
+// service is expected to have.
 func benchPool(n int) *table.Pool {
 	p := &table.Pool{Endpoints: make([]table.Endpoint, n)}
 	for i := range p.Endpoints {
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -8,44 +8,43 @@
 )
 
 const (
-	// minSilence and silenceFactor bound how long a peer's counts are believed
-	// without news: several updates, and several service times, since a peer
-	// tells changes only. One that is partitioned away or has paused then stops
-	// holding slots in this entry's view.
+	// minSilence and silenceFactor (times the service time) bound how long a peer's counts are
+	// believed without an update from it. That is the time of several updates and of several
+	// service times, since a peer sends only changes. After it, a peer that is partitioned away or
+	// paused no longer uses slots in this entry's view.
 	minSilence    = 100 * time.Millisecond
 	silenceFactor = 4
-	// minIdleShare is how much of a slot must look idle to try it.
+	// minIdleShare is the least part of a slot that must look idle for the slot to be tried.
 	minIdleShare = 0.5
-	// pickInterval is how soon a waiting request asks again without news, as the
-	// estimates fade.
+	// pickInterval is how long a waiting request waits for the next Pick when nothing is reported,
+	// since the estimates decay meanwhile.
 	pickInterval = 2 * time.Millisecond
-	// preferredBonus puts an idle slot of the own share before all others, and
-	// rankCost decides between equals.
+	// preferredBonus ranks an idle slot of a preferred endpoint before all others. rankCost
+	// decides between endpoints with the same score.
 	preferredBonus = 10
-	// longWaitFactor is after how many times its patience a request queues at an
-	// endpoint however full that looks.
+	// longWaitFactor times its idle wait is the time after which a request queues at an endpoint
+	// however full that looks.
 	longWaitFactor = 20
 	rankCost       = 1e-3
 )
 
-// claims keeps a request in the entry's queue until a slot looks idle, by the
-// entry's own count, its peers' counts and the reports on answers, and takes the
-// slots in an order in which the deciders meet as late as possible. The request
-// asks the endpoint to refuse rather than queue it, so that a wrong view costs
-// one round trip instead of a service time. A request that waited past its
-// patience may queue at an endpoint: it gets the next free slot there whoever
-// held it, so that no decider starves while others hand their slots on to their
-// own requests.
+// claims keeps a request in the entry's queue until a slot looks idle, by the entry's own count,
+// its peers' counts and the loads reported with answers. It takes the slots in an order that
+// differs between entries, so that they collide as late as possible. The request asks the endpoint
+// to refuse rather than queue it, so that a wrong view costs one round trip instead of a service
+// time. A request that has waited longer than the idle wait may queue at an endpoint: it gets the
+// next free slot there, whichever entry used it before. Otherwise an entry would starve while
+// others reuse their slots for their own requests.
 type claims struct {
 	view
 	order   order
 	peers   peerLoads
 	records []endpointRecord
-	// medianService is the pool's median service time in nanoseconds, refreshed
-	// after every medianEvery answers.
+	// medianService is the pool's median service time in nanoseconds, updated after every
+	// medianEvery answers.
 	medianService float64
 	answers       int
-	// lastIdleOnly is whether the last choice asked for an idle slot.
+	// lastIdleOnly says whether the last choice asked for an idle slot.
 	lastIdleOnly bool
 }
 
@@ -72,8 +71,7 @@
 		r.noteFailure(now)
 		return
 	case obs.Refused:
-		// The refusal itself proves that no slot is idle, whatever load the
-		// endpoint reports.
+		// The refusal itself proves that no slot is idle, whatever load the endpoint reports.
 		c.peers.setReported(now, i, max(e.Reported.Foreign, e.Slots-e.Outstanding))
 		return
 	}
@@ -129,12 +127,12 @@
 	return Choice{Wait: pickInterval}
 }
 
-// idleWait is how long a request waits for an idle slot only.
+// idleWait returns how long a request waits only for an idle slot.
 func (c *claims) idleWait() time.Duration {
 	return time.Duration(c.cfg.IdleWait * c.typicalService())
 }
 
-// typicalService is the pool's service time in nanoseconds, measured or assumed.
+// typicalService returns the pool's service time in nanoseconds, measured or assumed.
 func (c *claims) typicalService() float64 {
 	if c.medianService > 0 {
 		return c.medianService
@@ -166,7 +164,8 @@
 	return best, best >= 0
 }
 
-// foreign is the estimate of foreign load that fits what a wrong one costs.
+// foreign returns the estimate of the foreign load. Which estimate is used depends on what a wrong
+// one costs: a round trip, or a wait in the endpoint's queue.
 func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, ask Request) float64 {
 	if ask.MustQueue {
 		return c.peers.expected(now, i, c.service(e))
@@ -174,8 +173,8 @@
 	return c.peers.foreign(now, i, c.service(e))
 }
 
-// passOver reports whether an endpoint is better left alone: it failed a
-// moment ago, or is so slow that the request would end earlier by waiting on.
+// passOver reports whether an endpoint should not be used now: it failed a moment ago, or is so
+// slow that the request would end earlier by waiting for another endpoint.
 func (c *claims) passOver(now time.Duration, e *table.Endpoint, i int, ask Request, waited time.Duration) bool {
 	r := &c.records[i]
 	if now < r.avoidUntil {
@@ -194,9 +193,9 @@
 	return c.medianService > 0 && e.ServiceNanos > slowFactor*c.medianService
 }
 
-// pickQueue returns the endpoint where a queued request is served soonest. The
-// limit on the queue falls after a long wait and when this entry has nothing in
-// flight: then no answer will correct a view that shows every queue as full.
+// pickQueue returns the endpoint where a queued request is served soonest. The limit on the
+// endpoint's queue does not apply after a long wait, nor while this entry has no attempt in
+// flight: no answer would then correct a view in which every queue is full.
 func (c *claims) pickQueue(now time.Duration, p *table.Pool, ask Request, s eligibility, waited time.Duration) (int, bool) {
 	limit := float64(c.cfg.QueueAtEndpoint) - minIdleShare
 	if waited > longWaitFactor*c.idleWait() || p.Outstanding() == 0 {
@@ -215,8 +214,8 @@
 		if now < r.avoidUntil || ahead >= limit {
 			continue
 		}
-		// Of the foreign attempts only the number is known: the first of them
-		// ends in the mean after this part of a service time.
+		// Only the number of the foreign attempts is known: the first of them ends on average
+		// after this part of a service time.
 		end := min(r.attempts.nextEnd(now, service), service/(min(foreign, slots)+1))
 		ready := end + ahead*service/slots + service
 		if best < 0 || ready < bestTime {
--- a/internal/core/balance/claims_test.go
+++ b/internal/core/balance/claims_test.go
@@ -11,8 +11,8 @@
 
 const testService = 20 * time.Millisecond
 
-// newPair is a pool of two idle endpoints that answered in the same time, and a
-// picker of three deciders for it that prefers endpoint 0.
+// newPair returns a pool of two idle endpoints that answered in the same time, and a picker for it
+// with three deciders that prefers endpoint 0.
 func newPair(t *testing.T) (Picker, *table.Pool) {
 	p := benchPool(2)
 	for i := range p.Endpoints {
@@ -33,16 +33,16 @@
 	picker.Answered(at+obs.Latency, p, i, obs)
 }
 
-// Endpoint 0 misbehaves; each case is one way to look better than it is. A user
-// would see errors or slow answers while endpoint 1 idles, because everything
-// that is reported speaks for endpoint 0. The choice must go to endpoint 1.
+// Guards against an endpoint that attracts traffic because its reports look better than it is.
+// Callers would see errors or slow answers while endpoint 1 is idle. In each case endpoint 0
+// misleads in another way, and the picker must choose endpoint 1.
 func TestMisleadingEndpointIsPassedOver(t *testing.T) {
 	idle := Observation{Latency: testService, HasLoad: true, Slots: 2}
 	cases := []struct {
-		name string
-		tell func(picker Picker, p *table.Pool)
+		name    string
+		mislead func(picker Picker, p *table.Pool)
 	}{
-		{"turns everything away at once", func(picker Picker, p *table.Pool) {
+		{"fails every request at once", func(picker Picker, p *table.Pool) {
 			send(picker, p, testNow, 0, Observation{Latency: time.Millisecond, HasLoad: true, Slots: 2, Failed: true})
 		}},
 		{"refuses although it reports idle slots", func(picker Picker, p *table.Pool) {
@@ -54,7 +54,7 @@
 				send(picker, p, testNow-time.Second, 0, Observation{Latency: 10 * testService, HasLoad: true, Slots: 2})
 			}
 		}},
-		{"is filled by a peer", func(picker Picker, p *table.Pool) {
+		{"has its slots used by a peer", func(picker Picker, p *table.Pool) {
 			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Attempts: 2, At: testNow})
 		}},
 	}
@@ -62,13 +62,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			picker, p := newPair(t)
 			if got := picker.Pick(testNow-2*time.Second, p, Request{}, 0); got.Index != 0 {
-				t.Fatalf("chose %+v though nothing speaks against endpoint 0", got)
+				t.Fatalf("chose %+v, want endpoint 0, which is still equal", got)
 			}
-			c.tell(picker, p)
+			c.mislead(picker, p)
 			for range 2 {
 				got := picker.Pick(testNow+time.Millisecond, p, Request{}, 0)
 				if !got.OK || got.Index != 1 {
-					t.Fatalf("chose %+v", got)
+					t.Fatalf("chose %+v, want endpoint 1", got)
 				}
 				p.Endpoints[1].Outstanding++
 				picker.Dispatched(testNow+time.Millisecond, p, 1)
@@ -77,10 +77,9 @@
 	}
 }
 
-// A peer holds all slots in this entry's view, then is cut off by a partition
-// or sleeps, and can't say that they are free again. Requests would wait or
-// queue for as long as the peer is away. An update without changes keeps the
-// counts; silence ends them.
+// Guards against slots that count as used by a peer that is partitioned away or paused and can't
+// report that they are free again: requests would wait or queue for as long as the peer is away.
+// An update without changes keeps the peer's counts; silence drops them.
 func TestSilentPeerUsesNoSlots(t *testing.T) {
 	picker, p := newPair(t)
 	for i := range p.Endpoints {
@@ -89,16 +88,16 @@
 	heard := testNow + 90*time.Millisecond
 	picker.PeerHeard(0, heard)
 	if c := picker.Pick(heard, p, Request{}, 0); c.OK {
-		t.Fatalf("chose %+v though the peer still holds all slots", c)
+		t.Fatalf("chose %+v although the peer still uses all slots", c)
 	}
 	if c := picker.Pick(heard+minSilence+1, p, Request{}, 0); !c.OK || !c.IdleOnly {
-		t.Fatalf("got %+v, want a slot: the peer is silent", c)
+		t.Fatalf("got %+v, want an idle slot since the peer is silent", c)
 	}
 }
 
-// All slots look busy for good because two other entries hand theirs on to
-// their own requests. A request of this entry would starve; past its patience it
-// queues at an endpoint, the one whose own attempt ends first.
+// Guards against starvation: all slots look busy for good because two other entries reuse theirs
+// for their own requests. After the idle wait the request queues at the endpoint whose own attempt
+// ends first.
 func TestRequestQueuesAtEndpointAfterIdleWait(t *testing.T) {
 	picker, p := newPair(t)
 	for i := range p.Endpoints {
@@ -107,27 +106,27 @@
 	picker.Dispatched(testNow-testService/2, p, 0)
 	picker.Dispatched(testNow, p, 1)
 	if c := picker.Pick(testNow, p, Request{}, 0); c.OK || c.Wait <= 0 {
-		t.Fatalf("got %+v, want to wait first", c)
+		t.Fatalf("got %+v, want a wait first", c)
 	}
 	if c := picker.Pick(testNow, p, Request{}, testService); !c.OK || c.IdleOnly || c.Index != 0 {
-		t.Fatalf("got %+v, want endpoint 0 with a queue", c)
+		t.Fatalf("got %+v, want endpoint 0 and a wait in its queue", c)
 	}
 }
 
-// The entry's own count is exact: a slot that it fills itself is never asked
-// for as idle, whatever reports and peers say.
+// The entry's own count is exact: a slot that this entry uses itself is never taken for idle,
+// whatever reports and peers say.
 func TestOwnAttemptsNeverCountAsIdleSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPool(t)
 		picker := newPicker(t, Claims)
 		picker.Changed(testNow, p, []string{"a", "b", "c"})
 		for i := range p.Endpoints {
-			picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, At: testNow, Foreign: int32(rapid.IntRange(-2, 2).Draw(t, "told"))})
+			picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, At: testNow, Foreign: int32(rapid.IntRange(-2, 2).Draw(t, "reported"))})
 			picker.PeerReported(testNow, p, i, PeerLoad{From: rapid.IntRange(-1, 3).Draw(t, "from"), Attempts: 1, At: testNow})
 		}
 		c := picker.Pick(testNow, p, Request{}, time.Duration(rapid.IntRange(0, 100).Draw(t, "waited"))*time.Millisecond)
 		if c.OK && c.IdleOnly && p.Endpoints[c.Index].Outstanding >= p.Endpoints[c.Index].Slots {
-			t.Fatalf("asked endpoint %d for an idle slot that this entry fills", c.Index)
+			t.Fatalf("asked endpoint %d for an idle slot that this entry uses itself", c.Index)
 		}
 	})
 }
--- a/internal/core/balance/order.go
+++ b/internal/core/balance/order.go
@@ -9,15 +9,14 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// order divides a pool among the deciders without a message: each has first
-// claim on an equal share of the endpoints and an order of its own among those
-// that are otherwise equal, so that two deciders seldom pick the same slot.
-// Deciders that disagree about the membership get different shares; that costs
-// collisions only.
+// order divides a pool among the deciders without a message: each entry prefers an equal share of
+// the endpoints and has its own order among endpoints that are otherwise equal, so that two
+// entries seldom choose the same slot. Entries that disagree about the membership get different
+// shares, which only causes collisions.
 type order struct {
-	// rank of each endpoint: low is taken first.
+	// rank has the rank of each endpoint; the lowest is taken first.
 	rank []int32
-	// preferred tells the endpoints on which this entry has first claim.
+	// preferred marks the endpoints of this entry's own share.
 	preferred []bool
 }
 
@@ -34,7 +33,7 @@
 	}
 }
 
-// sortedBy returns the indexes of the endpoints in an order that salt gives.
+// sortedBy returns the indexes of the endpoints in an order that depends on salt.
 func sortedBy(p *table.Pool, salt string) []int {
 	sorted, keys := make([]int, len(p.Endpoints)), make([]uint64, len(p.Endpoints))
 	for i := range sorted {
@@ -44,8 +43,8 @@
 	return sorted
 }
 
-// positionAmong returns the number of deciders and this one's place among them,
-// in an order that differs from pool to pool.
+// positionAmong returns the number of deciders and this entry's position among them, in an order
+// that differs from pool to pool.
 func positionAmong(pool string, deciders []string, self string) (total, position int) {
 	if len(deciders) == 0 {
 		return 1, 0
@@ -58,8 +57,8 @@
 	}
 	total = len(deciders)
 	if !slices.Contains(deciders, self) {
-		// Callers reached an entry that is not named for the pool any more: it
-		// has no share and borrows all.
+		// Callers reached an entry that is no longer one of the pool's deciders: it has no share
+		// of its own and uses the endpoints of the others.
 		return total, total
 	}
 	return total, position
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// peerLoads joins two kinds of knowledge about foreign load: each peer's count
-// of its own attempts, exact but some milliseconds old, and the endpoint's
-// report on an answer, which counts everybody.
+// peerLoads combines two sources of the foreign load: each peer's count of its own attempts, which
+// is exact but some milliseconds old, and the endpoint's load reported with an answer, which
+// counts the requests of all entries.
 type peerLoads struct {
 	// mean is the smoothed foreign load of an endpoint as reported.
 	mean float64
-	// oldest is when the believed peer that has been silent for longest was
-	// last heard, as of the latest call of expire.
+	// oldest is when the believed peer that has been silent for longest was last heard, as of the
+	// latest call of expire.
 	oldest time.Duration
 	rows   []peerRow
 	peers  []peerState
@@ -18,9 +18,9 @@
 }
 
 type peerRow struct {
-	// sum of the counts of the peers that are believed.
+	// sum is the total of the counts of the believed peers.
 	sum int32
-	// extra is what a report showed beyond sum, negative if less.
+	// extra is the reported load beyond sum, negative if the report shows less.
 	extra   int32
 	extraAt time.Duration
 }
@@ -36,8 +36,8 @@
 	l.counts = make([]int32, endpoints*peers)
 }
 
-// setOwn takes in a peer's count. What a report showed beyond the counts is
-// explained by the peer's change, as far as both go the same way.
+// setOwn records a peer's count. A difference between the report and the counts is reduced by the
+// peer's change, as far as both go in the same direction.
 func (l *peerLoads) setOwn(i int, load PeerLoad) {
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// noteHeard notes that a peer's counts were true at the given time, changed or not.
+// noteHeard records that a peer's counts were true at the given time, whether they changed or not.
 func (l *peerLoads) noteHeard(from int, at time.Duration) {
 	if from < 0 || from >= len(l.peers) {
 		return
@@ -66,7 +66,7 @@
 	peer.heard = max(peer.heard, at)
 }
 
-// setReported takes in the whole foreign load as an endpoint reported it.
+// setReported records the whole foreign load as an endpoint reported it.
 func (l *peerLoads) setReported(at time.Duration, i int, foreign int32) {
 	row := &l.rows[i]
 	row.extra = foreign - row.sum
@@ -74,7 +74,7 @@
 	l.mean += meanWeight * (float64(foreign) - l.mean)
 }
 
-// expire forgets the counts of peers that fell silent for longer than silence.
+// expire drops the counts of peers from which nothing was heard for longer than silence.
 func (l *peerLoads) expire(now, silence time.Duration) {
 	l.oldest = now
 	for j := range l.peers {
@@ -99,27 +99,27 @@
 	}
 }
 
-// foreign estimates the foreign load at endpoint i. What is known fades with
-// the service time, so that an entry that hears nothing more does not take the
-// pool for full for ever. For a request that is refused at the cost of a round
-// trip if the endpoint is not idle, this hopeful view is right.
+// foreign estimates the foreign load at endpoint i. The known load decays towards zero with the
+// service time, so that an entry that hears nothing more does not take the pool for full forever.
+// The optimistic estimate fits a request that the endpoint refuses at the cost of a round trip if
+// it is not idle.
 func (l *peerLoads) foreign(now time.Duration, i int, service float64) float64 {
 	load, _ := l.known(now, i, service)
 	return load
 }
 
-// expected estimates the foreign load as well, but what is known fades towards
-// the mean. For a request that would have to queue, an endpoint of which nothing
-// is known must not look better than one seen with little load.
+// expected estimates the foreign load as well, but the known load decays towards the mean. For a
+// request that would have to queue, an endpoint of which nothing is known must not look better
+// than an endpoint that reported little load.
 func (l *peerLoads) expected(now time.Duration, i int, service float64) float64 {
 	load, left := l.known(now, i, service)
 	return load + l.mean*(1-left)
 }
 
-// known returns what is left of the known foreign load and the share of the
-// knowledge that is left. Peers' counts hold for a part of the service time, as
-// an attempt does, and then fade fast; a report, which says nothing of the
-// attempts' ages, fades from the start.
+// known returns the decayed foreign load and the share of the knowledge that is left after the
+// decay. Peers' counts stay valid for a part of the service time, as an attempt lasts that long,
+// and then decay fast. A report decays from the start, since it does not say how long the attempts
+// have been running.
 func (l *peerLoads) known(now time.Duration, i int, service float64) (load, left float64) {
 	row := &l.rows[i]
 	reported := service / (service + float64(max(0, now-row.extraAt)))
@@ -132,5 +132,5 @@
 	return load, max(counted, reported)
 }
 
-// meanWeight is the weight of a report in the mean.
+// meanWeight is the weight of one report in the mean.
 const meanWeight = 0.05
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -6,14 +6,14 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Parameters of the probe pool.
+// Parameters of the pool of load reports.
 const (
 	probePoolSize = 16
 	probeMaxAge   = 200 * time.Millisecond
-	// probeUses is how often one result may be used. More draws the load to the
+	// probeUses is how often one result may be used. More uses would direct the load to the
 	// endpoints that answered last.
 	probeUses = 1
-	// hotQuantile separates the endpoints with many requests in flight.
+	// hotQuantile is the quantile of the load above which an endpoint counts as hot.
 	hotQuantile = 0.84
 )
 
@@ -25,16 +25,17 @@
 	uses    int
 }
 
-// prequal keeps a small pool of load reports that are used up: among the
-// reports that are not hot it takes the lowest latency, else the least load.
-// Reports on ordinary answers fill the pool as well as probes do.
+// prequal keeps a small pool of load reports, each of which is used a limited number of times.
+// Among the reports that are not hot it takes the one with the lowest latency; if all are hot, the
+// one with the least load. Loads reported with ordinary answers fill the pool as well as load
+// reports of other entries.
 type prequal struct {
 	view
 	results [probePoolSize]probeResult
 	count   int
 }
 
-// Changed implements Picker; indexes of old results are void.
+// Changed implements Picker. It drops all results, since their indexes are no longer valid.
 func (q *prequal) Changed(time.Duration, *table.Pool, []string) { q.count = 0 }
 
 // LoadReported implements Picker.
@@ -53,8 +54,8 @@
 	}
 }
 
-// put adds a result in place of an older one of the same endpoint or of the
-// oldest.
+// put adds a result. It replaces the older result of the same endpoint, or else the oldest one if
+// the pool is full.
 func (q *prequal) put(r probeResult) {
 	for k := range q.count {
 		if q.results[k].index == r.index {
@@ -114,7 +115,7 @@
 	return Choice{Index: chosen, OK: true}
 }
 
-// hotLoad is the load at the hot quantile of the pool.
+// hotLoad returns the load at the hot quantile of the results.
 func (q *prequal) hotLoad() int32 {
 	var loads [probePoolSize]int32
 	for k := range q.count {
--- a/internal/core/balance/records.go
+++ b/internal/core/balance/records.go
@@ -7,44 +7,42 @@
 )
 
 const (
-	// slowFactor is how much slower than the pool's median an endpoint must be
-	// to be avoided.
+	// slowFactor is how many times as slow as the pool's median an endpoint must be to be avoided.
 	slowFactor = 2
-	// slowRetryMin and slowRetryMax bound the time after which a slow
-	// endpoint is measured again by a request that may be spent on a trial; it
-	// doubles while the endpoint stays slow.
+	// slowRetryMin and slowRetryMax bound the time after which a slow endpoint is measured again
+	// by a request that may be used for a trial; the time doubles while the endpoint stays slow.
 	slowRetryMin = 100 * time.Millisecond
 	slowRetryMax = 10 * time.Second
-	// medianEvery is the number of answers between two looks at the median.
+	// medianEvery is the number of answers between two updates of the median.
 	medianEvery = 32
-	// avoidMin and avoidMax bound the time for which an endpoint that
-	// failed a request is passed over; it doubles with each failure in a row.
+	// avoidMin and avoidMax bound the time for which an endpoint that failed a request is not
+	// used; the time doubles with each consecutive failure.
 	avoidMin = 20 * time.Millisecond
 	avoidMax = time.Second
 )
 
-// endpointRecord is what the claims policy remembers of one endpoint beside its row.
+// endpointRecord is what the claims policy stores of one endpoint beside its table.Endpoint.
 type endpointRecord struct {
 	attempts attempts
-	// retryAt is when a slow endpoint may be measured again, after a pause
-	// that has doubled so many times.
+	// retryAt is when a slow endpoint may be measured again; doublings counts how often the delay
+	// before that has doubled.
 	retryAt   time.Duration
 	doublings int
-	// avoidUntil and failures pass over an endpoint that turns requests away.
+	// avoidUntil is the time before which an endpoint that failed requests is not used; failures
+	// counts its consecutive failures.
 	avoidUntil time.Duration
 	failures   int
 }
 
-// noteFailure notes an attempt without a usable answer. An endpoint that fails fast
-// is idle and quick, hence the most attractive of all by load and latency; the
-// growing pause keeps it from drawing the pool's traffic until the health
-// system has ejected it.
+// noteFailure records an attempt without a usable answer. An endpoint that fails fast is idle and
+// quick, and so looks best by load and latency. The growing delay keeps it from attracting the
+// pool's traffic until the health system has ejected it.
 func (r *endpointRecord) noteFailure(now time.Duration) {
 	r.avoidUntil = now + min(avoidMax, avoidMin<<r.failures)
 	r.failures = min(r.failures+1, maxDoublings)
 }
 
-// noteMeasurement plans the next measurement after one that found the endpoint slow or
+// noteMeasurement sets the time of the next measurement after one that found the endpoint slow or
 // not.
 func (r *endpointRecord) noteMeasurement(now time.Duration, slow bool) {
 	if !slow {
@@ -55,11 +53,11 @@
 	r.doublings = min(r.doublings+1, maxDoublings)
 }
 
-// maxDoublings keeps the growth within the range of a duration.
+// maxDoublings keeps the delays within the range of a duration.
 const maxDoublings = 10
 
-// median returns the median service time of the pool's measured live
-// endpoints, or 0. It looks at the first MaxRemembered endpoints.
+// median returns the median service time of the pool's measured live endpoints, or 0. It considers
+// the first MaxRemembered of them.
 func median(p *table.Pool) float64 {
 	var sorted [MaxRemembered]float64
 	count := 0
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -6,9 +6,9 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// centralQueue sends a request only to a slot that is idle by the entry's own
-// count and lets it wait in the entry otherwise. With one entry for the whole
-// load it is one queue with perfect knowledge: the yardstick of the others.
+// centralQueue sends a request only to a slot that is idle by the entry's own count; until there
+// is one, the request waits in the entry. With one entry for the whole load it is a single queue
+// with perfect knowledge, the reference for the other policies.
 type centralQueue struct{ view }
 
 // Pick implements Picker.
@@ -39,8 +39,8 @@
 	return Choice{Index: best, OK: true}
 }
 
-// sightings takes the endpoint with the least known load: own attempts and the
-// foreign ones of the last report, which weigh less as they age.
+// sightings takes the endpoint with the least known load: own attempts and the last reported
+// foreign load, which is weighted less as it ages.
 type sightings struct{ view }
 
 // Pick implements Picker.
--- a/internal/core/balance/shares.go
+++ b/internal/core/balance/shares.go
@@ -6,12 +6,12 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// maxBorrowTries is how many borrowed slots are tried before a request waits.
+// maxBorrowTries is how many slots of other entries' endpoints are tried before a request waits.
 const maxBorrowTries = 3
 
-// shares uses the endpoints on which this entry has first claim while they have
-// a slot that it does not fill itself, then tries to borrow idle slots of others,
-// then waits for one of its own.
+// shares uses the endpoints of this entry's own share while they have a slot that this entry does
+// not fill itself, then tries idle slots of other endpoints, then waits for a slot of its own
+// share.
 type shares struct {
 	view
 	order order
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -19,7 +19,7 @@
 	return Choice{Index: i, OK: ok}
 }
 
-// roundRobin takes the endpoints in turn from a random start.
+// roundRobin takes the endpoints in order, beginning at a random one.
 type roundRobin struct {
 	view
 	next int
@@ -41,8 +41,8 @@
 	return Choice{Wait: noEndpointWait}
 }
 
-// leastOutstanding picks the endpoint with the fewest own attempts per slot,
-// any one of those that tie.
+// leastOutstanding picks the endpoint with the fewest own attempts per slot, and a random one
+// among equals.
 type leastOutstanding struct{ view }
 
 // Pick implements Picker.
@@ -70,13 +70,13 @@
 	return Choice{Index: best, OK: best >= 0}
 }
 
-// ownLoad is the entry's own attempts per slot.
+// ownLoad returns the entry's own attempts per slot.
 func ownLoad(e *table.Endpoint) float64 {
 	return float64(e.Outstanding) / float64(max(1, e.Slots))
 }
 
-// twoChoices compares two random endpoints and takes the less loaded one, by
-// own attempts alone or with reported foreign load added.
+// twoChoices compares two random endpoints and takes the less loaded one, by own attempts alone or
+// with the reported foreign load added.
 type twoChoices struct {
 	view
 	reports bool
@@ -104,8 +104,8 @@
 	return load
 }
 
-// foreign is the sighted foreign load, weighing less as it ages: after one
-// service time about half of what was seen has ended.
+// foreign returns the reported foreign load, which is weighted less as it ages: after one service
+// time about half of the reported attempts have ended.
 func (v *view) foreign(now time.Duration, e *table.Endpoint) float64 {
 	if !e.Reported.Seen {
 		return 0
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// serviceWeight is the weight of a new measurement in ServiceNanos.
+	// serviceWeight is the weight of a new measurement in Endpoint.ServiceNanos.
 	serviceWeight = 0.1
-	// maxSampleFactor bounds a measurement by a multiple of the present value, so
-	// that a few very long requests don't make a slow endpoint.
+	// maxSampleFactor bounds a measurement to a multiple of the present value, so that a few very
+	// long requests don't make an endpoint look slow.
 	maxSampleFactor = 4
 	// noEndpointWait is how long to wait when no endpoint may be used at all.
 	noEndpointWait = 5 * time.Millisecond
 )
 
-// view is what the policies share: eligibility, and the upkeep of the fields of
-// table.Endpoint that this package owns (Reported, ServiceNanos).
+// view is the part that all policies share: which endpoints are eligible, and the update of the
+// fields of table.Endpoint that this package owns (Reported, ServiceNanos).
 type view struct {
 	cfg Config
 	rng *rand.Rand
@@ -40,14 +40,14 @@
 func (v *view) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
 	e := &p.Endpoints[i]
 	v.noteLoad(now, e, obs)
-	// A refusal or failure is quick; counting it as service time would make an
-	// endpoint that turns everything away look fast.
+	// A refusal or failure is quick; counting it as service time would make an endpoint that
+	// refuses everything look fast.
 	if !obs.Refused && !obs.Failed {
 		v.measure(e, obs.Latency)
 	}
 }
 
-// noteLoad takes in the load that an answer reported.
+// noteLoad records the load that an answer reported.
 func (v *view) noteLoad(now time.Duration, e *table.Endpoint, obs Observation) {
 	if !obs.HasLoad {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// measure takes in a service time.
+// measure records a service time.
 func (v *view) measure(e *table.Endpoint, latency time.Duration) {
 	if e.ServiceNanos == 0 {
 		e.ServiceNanos = float64(latency)
@@ -72,7 +72,7 @@
 	e.ServiceNanos += serviceWeight * (sample - e.ServiceNanos)
 }
 
-// service is the endpoint's service time in nanoseconds, or an assumed one.
+// service returns the endpoint's service time in nanoseconds, or the assumed one.
 func (v *view) service(e *table.Endpoint) float64 {
 	if e.ServiceNanos > 0 {
 		return e.ServiceNanos
@@ -80,25 +80,25 @@
 	return float64(v.cfg.ServiceTime)
 }
 
-// usable reports whether ordinary work may go to e.
+// usable reports whether e may get a request and is not ejected.
 func usable(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
 	return quota.Of(now, p, e) == quota.Granted && now >= e.Health.EjectedUntil
 }
 
-// eligibility says how far eligibility must be relaxed for a choice to exist.
+// eligibility says which endpoints may be chosen, depending on what the pool has to offer.
 type eligibility uint8
 
 const (
-	// notEjected: live and not ejected.
+	// notEjected allows the endpoints that may get a request and are not ejected.
 	notEjected eligibility = iota
-	// ejectedToo: live, though ejected. Used when every live endpoint is ejected:
-	// then the view is wrong or nothing is lost by trying.
+	// ejectedToo allows ejected endpoints as well. It applies when every endpoint that may get a
+	// request is ejected: then either this entry's view is wrong or nothing is lost by trying.
 	ejectedToo
-	// noneUsable: no endpoint may be used.
+	// noneUsable says that no endpoint may be used.
 	noneUsable
 )
 
-// requiredEligibility returns the standing that endpoints must have for this request.
+// requiredEligibility returns which endpoints may be chosen for this request.
 func requiredEligibility(now time.Duration, p *table.Pool, tried Set) eligibility {
 	found := noneUsable
 	for i := range p.Endpoints {
@@ -114,7 +114,7 @@
 	return found
 }
 
-// eligible reports whether endpoint i may get the request under the standing.
+// eligible reports whether endpoint i may get the request under the eligibility s.
 func eligible(now time.Duration, p *table.Pool, i int, tried Set, s eligibility) bool {
 	e := &p.Endpoints[i]
 	if quota.Of(now, p, e) != quota.Granted || tried.Has(i) {
@@ -138,8 +138,8 @@
 	return Choice{}, false
 }
 
-// begin does what every policy does first. It returns the standing to choose
-// under, or a finished choice.
+// begin does the first steps of every policy. It returns the eligibility for the choice, or a
+// finished choice.
 func (v *view) begin(now time.Duration, p *table.Pool, ask Request) (eligibility, Choice, bool) {
 	if c, ok := trial(now, p, ask); ok {
 		return notEjected, c, true
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -112,7 +112,7 @@
 // Cold describes an endpoint that has started a moment ago. It is owned by package quota.
 type Cold struct {
 	OwnerQuota
-	// Until is when the endpoint is warm as far as known; 0 or past for a warm one.
+	// Until is when the endpoint is expected to be warm; 0 or a past time for a warm endpoint.
 	Until time.Duration
 }
 
