--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -6,20 +6,21 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// The load that this answers: the endpoints of a failure domain are at work while others have
-// room. Those of the own domain are asked first, and in a domain with far more of them than are
-// asked for a request there is always one that was not asked yet: requests that others could
-// serve in time are refused.
+// Some workloads keep all endpoints of one failure domain busy while other domains have room.
+// Endpoints of the own domain are probed first; in a domain with far more endpoints than are
+// probed for one request there is always one that was not probed yet. Without the rules below,
+// requests that other domains could serve in time would be refused.
 
 const (
-	// busyProbes is how many looks at a failure domain that find no easy room in a row, together
-	// with a request that found no room at all, make it count as busy.
+	// busyProbes is how many consecutive load probes in a failure domain must find no easy room,
+	// together with a request that found no room at all, for the domain to count as busy.
 	busyProbes = 3
-	// busyFor is for how long it does after the latest of them.
+	// busyFor is how long the domain counts as busy after the latest of these probes.
 	busyFor = 500 * time.Millisecond
 )
 
-// NoteRoom takes in what a look at an endpoint found.
+// NoteRoom records the result of a load probe of an endpoint for the busy state of its failure
+// domain.
 func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
 	if HasEasyRoom(e) {
@@ -30,14 +31,14 @@
 	d.busyAt = now
 }
 
-// isBusy reports whether the latest looks in a failure domain found no room.
+// isBusy reports whether the latest load probes in a failure domain found no room.
 func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
 	return d != nil && d.busy >= busyProbes && now-d.busyAt < busyFor
 }
 
-// leavesOwnDomain reports whether endpoints of other failure domains are asked like those of
-// the own one. Where a request can ask all of its own domain it does that first.
+// leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
+// own domain. A request that can probe all endpoints of the own domain does that first.
 func (v *View) leavesOwnDomain() bool {
 	if !v.Learned.isShort(v.Now) || !v.Learned.isBusy(v.Now, v.Domain) {
 		return false
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// manyDomains returns a view of endpoints of the own domain and twice as many of others, of
-// which nothing is known.
+// manyDomains returns a view with endpoints of the own failure domain and twice as many of other
+// domains, none of which has reported a load.
 func manyDomains(own int) *View {
 	var endpoints []table.Endpoint
 	for i := range 3 * own {
@@ -22,7 +22,8 @@
 	return v
 }
 
-// shareElsewhere is the part of the choices in which an endpoint of another domain is asked first.
+// shareElsewhere returns the share of the choices in which an endpoint of another domain is probed
+// first.
 func (v *View) shareElsewhere() float64 {
 	const choices = 1000
 	remote := 0
@@ -34,39 +35,40 @@
 	return float64(remote) / choices
 }
 
-// A failure domain has 67 endpoints, all at work, and the two others have room. An entry there
-// asks nine for a request, all of its own domain, finds none, and refuses the request half a
-// second later: 58 others of its own domain were not asked yet, and went before all of the
-// others. 255 of 275 refusals of the fleet came from that domain.
+// Guards against refusals in a busy failure domain while others have room. One domain had 67
+// endpoints, all busy. An entry there probed nine of them for a request, found no room and refused
+// the request half a second later: the 58 others of its own domain, which were not probed yet,
+// ranked before all endpoints of the other domains. 255 of the fleet's 275 refusals came from that
+// domain.
 func TestRequestsLeaveBusyOwnDomain(t *testing.T) {
 	full := endpoint("a", 2, 2, 100, 0)
 	room := endpoint("a", 0, 2, 100, 0)
 	for _, c := range []struct {
-		name  string
-		own   int
-		looks []table.Endpoint
-		short bool
-		later time.Duration
-		left  bool
+		name   string
+		own    int
+		probes []table.Endpoint
+		short  bool
+		later  time.Duration
+		left   bool
 	}{
-		{"requests find no room, nor do looks", 30, []table.Endpoint{full, full, full}, true, 0, true},
-		{"a look finds room", 30, []table.Endpoint{full, full, full, room}, true, 0, false},
+		{"neither requests nor probes find room", 30, []table.Endpoint{full, full, full}, true, 0, true},
+		{"a probe finds room", 30, []table.Endpoint{full, full, full, room}, true, 0, false},
 		{"requests find room elsewhere", 30, []table.Endpoint{full, full, full}, false, 0, false},
 		{"a while later", 30, []table.Endpoint{full, full, full}, true, time.Second, false},
-		{"so few that all are asked", 9, []table.Endpoint{full, full, full}, true, 0, false},
+		{"so few endpoints that all are probed", 9, []table.Endpoint{full, full, full}, true, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := manyDomains(c.own)
-			for i := range c.looks {
-				v.Learned.NoteRoom(v.Now, &c.looks[i])
+			for i := range c.probes {
+				v.Learned.NoteRoom(v.Now, &c.probes[i])
 			}
 			v.Now += c.later
 			if c.short {
 				v.Learned.NoteShort(v.Now)
 			}
-			// Two thirds of the endpoints are elsewhere.
+			// Two thirds of the endpoints are in other domains.
 			if share := v.shareElsewhere(); c.left && share < 0.5 || !c.left && share > 0 {
-				t.Errorf("asks elsewhere first in %.2f of the choices, the domain is to be left: %v", share, c.left)
+				t.Errorf("other domains are probed first in %.2f of the choices, want requests to leave the domain: %v", share, c.left)
 			}
 		})
 	}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -6,33 +6,35 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Choice is an endpoint with a fresh look as a choice for a request.
+// Choice is an endpoint with a fresh probed load, as a choice for a request.
 type Choice struct {
-	// Index is the endpoint's, -1 for none.
+	// Index is the endpoint's index, -1 for none.
 	Index int
-	// Expected is when it is expected to answer, from now; cost is what the choice costs,
-	// in the same unit.
+	// Expected is the time from now in which the endpoint is expected to answer. cost is the cost
+	// of the choice as a time.
 	Expected, cost time.Duration
-	// Worthwhile says that the request should go there rather than wait.
+	// Worthwhile says that the request should be sent there rather than wait.
 	Worthwhile bool
-	// near says that it lies in the own failure domain and will be in time almost surely.
+	// near says that the endpoint is in the own failure domain and almost certainly answers in
+	// time.
 	near bool
 }
 
-// worstCaseFactor is how many times the expected time an answer takes in the worst of about
-// twenty cases: how long requests of one service work differs that much.
+// worstCaseFactor is the ratio of the longest of about twenty answers to the expected time: the
+// service times of requests of one service differ that much.
 const worstCaseFactor = 1.5
 
 const (
-	// costPerKilobyte is the later answer that a kilobyte between failure domains is worth.
-	// An upload of 60 KB goes to another domain only when it would be late in its own.
+	// costPerKilobyte is the delay of the answer that is accepted to avoid a transfer of one
+	// kilobyte between failure domains. An upload of 60 KB goes to another domain only when it
+	// would be late in its own.
 	costPerKilobyte = 2 * time.Millisecond
-	// smallExchangeKilobytes is the size in kilobytes of a request with its answer from
-	// which on the way into another failure domain counts.
+	// smallExchangeKilobytes is the size of a request with its answer from which on the transfer
+	// to another failure domain counts.
 	smallExchangeKilobytes = 1.0
 )
 
-// Best returns the best choice among the endpoints with a fresh look and room.
+// Best returns the best choice among the endpoints with a fresh probed load and room.
 func (v *View) Best() Choice {
 	best := Choice{Index: -1}
 	for i := range v.Endpoints {
@@ -51,8 +53,8 @@
 	return best
 }
 
-// surelyInTime reports whether an answer that is expected after a time will be in time,
-// also if it takes longer than most.
+// surelyInTime reports whether an answer that is expected in the given time is in time even if it
+// takes longer than most.
 func (v *View) surelyInTime(after time.Duration) bool {
 	r := &v.Request
 	return r.Objective > 0 && !r.Late && v.Now+time.Duration(worstCaseFactor*float64(after)) <= r.FirstTry+r.Objective
@@ -71,8 +73,8 @@
 	return c.cost < other.cost
 }
 
-// transferCost is what the bytes of a request and its answer cost on the way into another
-// failure domain, where an endpoint of the own one could be in time as well.
+// transferCost returns the cost of sending the request and its answer to another failure domain,
+// as the delay that would be accepted for an endpoint of the own one.
 func (v *View) transferCost(e *table.Endpoint) time.Duration {
 	if v.isNear(e) {
 		return 0
@@ -80,13 +82,13 @@
 	return time.Duration(v.Request.Kilobytes * float64(costPerKilobyte))
 }
 
-// worthwhile reports whether the request should go to an endpoint that would answer after
-// the expected time. A request that can be in time elsewhere waits for that; one that is
-// late by now takes no slot while others that could be in time find none, none beside
-// another request, which would be late as well then, nor one on a slow VM, which it would
-// hold for as long as several that are in time.
-// None goes where it would not be answered at all, nor where it takes more from the
-// others than it brings.
+// worthwhile reports whether the request should be sent to an endpoint that is expected to answer
+// in the given time. A request that can be in time elsewhere waits for that. A request that is
+// already late takes no slot while the pool is short of room for requests that could be in time,
+// none beside another request that would then be late as well, and none on a slow VM, where it
+// would use the slot for as long as several timely requests. No request is sent to an endpoint
+// that would not answer before the deadline, nor where it would slow the other requests down by
+// more than it gains.
 func (v *View) worthwhile(e *table.Endpoint, expected time.Duration) bool {
 	r := &v.Request
 	switch {
@@ -106,9 +108,9 @@
 		e.CurrentDoubt(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchangeKilobytes)
 }
 
-// WithoutLoad returns the index of an endpoint to choose when none told its load, because the
-// budget is spent or nobody answers; -1 for none. The one with the fewest own requests is
-// the best guess.
+// WithoutLoad returns the index of an endpoint to choose when no endpoint has reported its load,
+// because the probe budget is spent or no probe is answered; -1 for none. It prefers the endpoint
+// with the fewest own requests.
 func (v *View) WithoutLoad() int {
 	best, bestRank := -1, 0.0
 	for i := range v.Endpoints {
--- a/internal/core/placement/connected_test.go
+++ b/internal/core/placement/connected_test.go
@@ -8,8 +8,9 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// connectedFirst counts who of thirty endpoints alike is asked first in many choices: the first
-// six were asked a second ago, the others never.
+// connectedFirst makes many choices among thirty equal endpoints, of which the first six were
+// probed a second ago and the others never. It returns how many endpoints were chosen at all, and
+// the share of the choices that fell on the six.
 func connectedFirst(short bool) (probed int, connected float64) {
 	const choices, connectedEndpoints = 3000, 6
 	var endpoints []table.Endpoint
@@ -36,16 +37,17 @@
 	return len(probedOnce), float64(first) / choices
 }
 
-// An entry that sees twenty requests a second before thirty endpoints chose among them by
-// chance, and two of three requests opened a connection, which costs the endpoint a millisecond
-// of a slot: what it had opened before was closed again when chance came back to it. It
-// keeps to endpoints with which it has spoken lately while there is room, and tries others often
-// enough that one that has just joined gets its part.
+// Guards against new connections for most requests. An entry with twenty requests per second and
+// thirty endpoints chose among them at random; two of three requests opened a connection, which
+// costs the endpoint a millisecond of a slot, since the earlier connection was closed again when
+// the endpoint was next chosen. While there is room, the entry prefers endpoints that it has
+// contacted lately, but tries others often enough that an endpoint that has just joined gets its
+// part.
 func TestRequestsPreferConnectedEndpoints(t *testing.T) {
-	if asked, connected := connectedFirst(false); connected < 0.8 || asked < 30 {
-		t.Errorf("with room: %.2f of the choices have a connection, want 0.8; %d of 30 endpoints asked at all", connected, asked)
+	if probed, connected := connectedFirst(false); connected < 0.8 || probed < 30 {
+		t.Errorf("with room: %.2f of the choices have a connection, want 0.8; %d of 30 endpoints probed at all", connected, probed)
 	}
 	if _, connected := connectedFirst(true); connected > 0.3 {
-		t.Errorf("short of room: %.2f of the choices are those with a connection, want chance, 0.2", connected)
+		t.Errorf("short of room: %.2f of the choices have a connection, want a random choice, 0.2", connected)
 	}
 }
--- a/internal/core/placement/domain.go
+++ b/internal/core/placement/domain.go
@@ -6,19 +6,19 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// The load that this answers: uploads of tens of kilobytes arrive in a failure domain
-// with one or two endpoints for them. Whenever these are busy, or neighbours slow their
-// VMs down for a moment, the upload would go into another domain at once, although its
-// objective leaves time to wait for an endpoint nearby. On Sabra's quiet day such uploads
-// were a quarter of the bytes between domains (price 0.0239 with them, 0.0172 without).
+// Some failure domains have only one or two endpoints for uploads of tens of kilobytes. Whenever
+// these are busy, or other VMs slow theirs down for a moment, an upload would go to another domain
+// at once, although its objective leaves time to wait for an endpoint nearby. On Sabra's quiet day
+// such uploads were a quarter of the bytes between domains (price 0.0239 with them, 0.0172
+// without).
 
-// minOwnDomainWait is the least wait for an endpoint of the own failure domain that is worth
-// its looks: a request with its answer of ten kilobytes.
+// minOwnDomainWait is the shortest wait for an endpoint of the own failure domain that is worth
+// its load probes: that of a request and answer of ten kilobytes.
 const minOwnDomainWait = 20 * time.Millisecond
 
-// PrefersOwnDomain reports whether endpoints of the own failure domain alone should be
-// asked: the bytes of the request are worth the wait on the way into another one, and it
-// can be in time after the next round of looks, which follows after gap.
+// PrefersOwnDomain reports whether only endpoints of the own failure domain should be probed:
+// avoiding the transfer to another domain is worth the wait, and the request can still be in time
+// after the next probe round, which follows after gap.
 func (v *View) PrefersOwnDomain(gap time.Duration) bool {
 	r := &v.Request
 	maxWait := time.Duration(r.Kilobytes * float64(costPerKilobyte))
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// The load that this answers: all endpoints of a failure domain go down at once. Those of the own
-// domain are asked first, and each entry finds each of them out for itself, again after every short
-// while for which it leaves one alone: requests end at endpoints that are gone while others have room.
+// All endpoints of a failure domain may fail at once. Endpoints of the own domain are probed
+// first, and each entry would discover the failure of each of them separately, again after every
+// short time for which it avoids one: requests would end at endpoints that are gone while others
+// have room.
 
 const (
-	// lostFailures is how many endpoints of a failure domain that can't be reached in a row, none
-	// answering between, make it count as lost.
+	// lostFailures is how many consecutive contacts with endpoints of a failure domain must fail,
+	// with no success between them, for the domain to count as lost.
 	lostFailures = 3
-	// lostMin is for how long it counts so at first; twice as long with each further one, up
-	// to lostMax. After that the next request asks it first again.
+	// lostMin is how long a domain counts as lost at first. The time doubles with each further
+	// failure, up to lostMax. After that the next request probes the domain first again.
 	lostMin = 250 * time.Millisecond
 	lostMax = 2 * time.Second
 )
 
-// domainState is what is known of the endpoints of a pool in a failure domain.
+// domainState is what is known of a pool's endpoints in one failure domain.
 type domainState struct {
-	// failures counts contacts in a row that failed.
+	// failures counts consecutive failed contacts.
 	failures  int
 	lostUntil time.Duration
-	// busy counts looks in a row that found no easy room, the latest at busyAt.
+	// busy counts consecutive load probes that found no easy room, the latest at busyAt.
 	busy   int
 	busyAt time.Duration
 }
 
-// domainState returns what is known of a failure domain.
+// domain returns the state of a failure domain, creating it if needed.
 func (p *PoolState) domain(name string) *domainState {
 	if p.domains == nil {
 		p.domains = make(map[string]*domainState)
@@ -39,7 +40,7 @@
 	return d
 }
 
-// NoteContact takes in whether an endpoint of a failure domain could be reached.
+// NoteContact records whether an endpoint of a failure domain could be reached.
 func (p *PoolState) NoteContact(now time.Duration, name string, reached bool) {
 	d := p.domain(name)
 	if reached {
@@ -47,7 +48,7 @@
 		return
 	}
 	if now < d.lostUntil {
-		return // contacts that were begun before
+		return // the contact began before the domain counted as lost
 	}
 	if d.failures++; d.failures >= lostFailures {
 		d.lostUntil = now + min(lostMin<<min(d.failures-lostFailures, 8), lostMax)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,15 +1,14 @@
-// Package placement decides where a request goes whose endpoint is chosen by looks: whom
-// to ask for its load, which of those that answered gets the request, whether it had better
-// wait, how long it may wait and how long it will take.
+// Package placement decides where to send a request whose endpoint is chosen by load probes: which
+// endpoints to probe, which of those that answered gets the request, whether the request should
+// wait instead, how long it may wait and how long it will take.
 //
-// The load that this answers: endpoints share their VMs with others, and how long work
-// takes there changes several times a second. Whatever was reported with an earlier answer
-// is then worth little, while a question right before the request is sent costs a round
-// trip and no slot.
+// Endpoints share their VMs with others, and the service time on a VM changes several times a
+// second. A load that was reported with an earlier answer is then worth little, while a load probe
+// right before dispatch costs a round trip and no slot.
 //
-// The package is pure. Times are durations since the process started; what is learned of a
-// pool belongs to one goroutine at a time. It asks nobody and sends nothing: package core
-// runs the rounds of looks and tells how they ended.
+// The package is pure. Times are durations since the process started; the PoolState of a pool
+// belongs to one goroutine at a time. The package sends nothing itself: package core runs the
+// probe rounds and reports their results.
 package placement
 
 import (
@@ -21,63 +20,65 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// The ages up to which what an endpoint told counts.
+// The ages up to which a probed load is used.
 const (
-	// FreshFor is how old a look may be to count for a request that did not ask for it.
+	// FreshFor is the largest age of a probed load that counts for a request which did not start
+	// the probe itself.
 	FreshFor = 2 * time.Millisecond
-	// RememberedFor is for how long an earlier look says whom to ask first: the time in which
-	// the pace of a VM commonly changes.
+	// RememberedFor is how long a probed load influences which endpoints are probed first: the
+	// time in which the pace of a VM usually changes.
 	RememberedFor = 150 * time.Millisecond
-	// fullFor is for how long an endpoint without room is taken to have none: some
-	// times what a request takes there.
+	// fullFor is how long an endpoint without room is assumed to have none: several times the
+	// service time of a request.
 	fullFor = 1500 * time.Millisecond
 )
 
-// SlowPace is from when on a VM counts as slow.
+// SlowPace is the pace from which on a VM counts as slow.
 const SlowPace = 2.0
 
-// SlightDoubt is the doubt that one failure leaves after some seconds.
+// SlightDoubt is the doubt that remains some seconds after one failure.
 const SlightDoubt = 0.1
 
-// Request is a request as the choice of its endpoint sees it.
+// Request is the data of a request that the choice of its endpoint depends on.
 type Request struct {
 	Arrived, Deadline time.Duration
-	// FirstTry is when its caller tried first, as far as known.
+	// FirstTry is when the caller first tried the request, as far as known.
 	FirstTry time.Duration
-	// Objective is its latency objective from FirstTry on, 0 for none.
+	// Objective is the latency objective, counted from FirstTry; 0 for none.
 	Objective time.Duration
-	// Work is how long one of its service commonly takes at an endpoint with nothing else
-	// to do, and Kilobytes the size of one with its answer.
+	// Work is the usual time of a request of its service at an endpoint without other work, and
+	// Kilobytes the usual size of a request with its answer.
 	Work      time.Duration
 	Kilobytes float64
-	// Late says that it can't be in time any more.
+	// Late says that the request can no longer be in time.
 	Late bool
-	// Tried are the endpoints that it was sent to, Asked those looked at in the round of
-	// looks that began at Began.
+	// Tried are the endpoints that the request was sent to. Probed are those probed in the probe
+	// round that began at RoundStart.
 	Tried      balance.Set
 	Probed     []int
 	RoundStart time.Duration
-	// OwnDomainOnly says that only endpoints of the own failure domain are of use.
+	// OwnDomainOnly says that only endpoints of the own failure domain may be used.
 	OwnDomainOnly bool
-	// MaxProbes is how many endpoints are asked for it in a round at most.
+	// MaxProbes is the largest number of endpoints that are probed for the request in one probe
+	// round.
 	MaxProbes int
 }
 
-// LatestInTime is the latest start at which the request would commonly be answered within
-// its objective.
+// LatestInTime returns the latest start at which the request would usually be answered within its
+// objective.
 func (r *Request) LatestInTime() time.Duration { return r.FirstTry + r.Objective - r.Work }
 
-// View is a pool with the request to place, as an entry sees both at a moment.
+// View is a pool and the request to place, as the entry sees both at one moment.
 type View struct {
 	Now time.Duration
 	// Domain is the entry's own failure domain.
 	Domain string
 	*table.Pool
-	// Learned is what is learned of the pool.
+	// Learned is what the entry has learned about the pool.
 	Learned *PoolState
-	// SlotTime is what the requests that a full endpoint holds commonly take there.
+	// SlotTime is the usual time for which requests occupy a slot of a full endpoint.
 	SlotTime time.Duration
-	// Rand decides between endpoints that are alike.
+	// Rand decides between equal endpoints.
 	Rand    *rand.Rand
 	Request Request
 }
@@ -85,20 +86,22 @@
 // granted reports whether an endpoint may get a request now.
 func (v *View) granted(e *table.Endpoint) bool { return quota.Of(v.Now, v.Pool, e) == quota.Granted }
 
-// isNear reports whether an endpoint lies in the entry's own failure domain.
+// isNear reports whether an endpoint is in the entry's own failure domain.
 func (v *View) isNear(e *table.Endpoint) bool { return e.Domain == v.Domain }
 
-// Pace is how many times as long as usual work takes by a look.
+// Pace returns the ratio of the present service time to the usual one, by a probed load; at least
+// 1.
 func Pace(l *table.ProbedLoad) float64 { return max(1, float64(l.Pace)/100) }
 
-// doubtStep and doubtRecovery move the doubt about an endpoint: each attempt without an answer
-// of use raises it by doubtStep of what is missing to 1, each good answer lowers it.
+// doubtStep and doubtRecovery adjust the doubt about an endpoint: each attempt without a usable
+// answer raises it by doubtStep of its distance to 1, each good answer lowers it by doubtRecovery
+// of its value.
 const (
 	doubtStep     = 0.35
 	doubtRecovery = 0.25
 )
 
-// NoteOutcome takes in how an attempt at an endpoint ended.
+// NoteOutcome records how an attempt at an endpoint ended.
 func NoteOutcome(now time.Duration, e *table.Endpoint, failed bool) {
 	doubt := e.CurrentDoubt(now)
 	if failed {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// viewOf returns a view of endpoints from domain "a": a request of 130 ms with an objective
-// of 400, at time 10 s.
+// viewOf returns a view of endpoints for an entry in domain "a": a request of 130 ms with an
+// objective of 400 ms, at time 10 s.
 func viewOf(endpoints ...table.Endpoint) *View {
 	now := 10 * time.Second
 	pool := NewPoolState()
@@ -20,7 +20,8 @@
 		Request: Request{Arrived: now, FirstTry: now, Deadline: now + 1500*ms, Objective: 400 * ms, Work: 130 * ms, Kilobytes: 0.8, RoundStart: now}}
 }
 
-// endpoint is one that told its load a while ago; a negative time says that it never did.
+// endpoint returns an endpoint that reported its load the given time ago; a negative time means
+// that it never did.
 func endpoint(domain string, running, slots, pace int32, ago time.Duration) table.Endpoint {
 	e := table.Endpoint{Name: domain, Incarnation: 1, Domain: domain, Slots: slots, Listed: slots}
 	if ago >= 0 {
@@ -29,31 +30,32 @@
 	return e
 }
 
-// Endpoints with six slots are never idle, and bytes between domains are dear. Six looks a
-// request were made, a fifth of them in other domains, and one request in nine went there,
-// while the own domain had room. The own domain is asked first and used as long as it can
-// answer in time; it is left as soon as it is short by what was seen, at once.
+// Guards against needless probes and requests across failure domains, where bytes are expensive.
+// Endpoints with six slots are never idle, so that a request made six probes, a fifth of them in
+// other domains, and one request in nine was sent there while the own domain had room. The own
+// domain is probed first and used as long as it can answer in time; requests leave it at once when
+// its last reported loads show no room.
 func TestOwnDomainIsProbedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		endpoints []table.Endpoint
-		ask       string
+		probe     string
 		choose    string
 	}{
-		{"room at home, idle elsewhere", []table.Endpoint{endpoint("a", 3, 6, 100, 0), endpoint("b", 0, 6, 100, 0)}, "a", "a"},
+		{"room in the own domain, idle elsewhere", []table.Endpoint{endpoint("a", 3, 6, 100, 0), endpoint("b", 0, 6, 100, 0)}, "a", "a"},
 		{"nothing known", []table.Endpoint{endpoint("a", 0, 6, 0, -1), endpoint("b", 0, 6, 0, -1)}, "a", ""},
-		{"full at home a moment ago", []table.Endpoint{endpoint("a", 6, 6, 100, 10*ms), endpoint("b", 0, 6, 100, -1)}, "b", ""},
-		{"full at home a while ago", []table.Endpoint{endpoint("a", 6, 6, 100, 60*ms), endpoint("b", 0, 6, 100, -1)}, "a", ""},
-		{"one slot, full at home 60 ms ago", []table.Endpoint{endpoint("a", 1, 1, 100, 60*ms), endpoint("b", 0, 1, 100, -1)}, "b", ""},
-		{"slow at home", []table.Endpoint{endpoint("a", 0, 6, 500, 0), endpoint("b", 3, 6, 100, 0)}, "b", "b"},
-		{"home would be in time by luck", []table.Endpoint{endpoint("a", 0, 6, 250, 0), endpoint("b", 2, 6, 100, 0)}, "b", "b"},
-		{"nobody at home", []table.Endpoint{endpoint("b", 0, 6, 0, -1), endpoint("c", 6, 6, 100, 10*ms)}, "b", ""},
-		{"twelve slots, three quarters taken", []table.Endpoint{endpoint("a", 8, 12, 100, 0), endpoint("b", 0, 12, 100, 0)}, "a", "a"},
+		{"own domain full a moment ago", []table.Endpoint{endpoint("a", 6, 6, 100, 10*ms), endpoint("b", 0, 6, 100, -1)}, "b", ""},
+		{"own domain full a while ago", []table.Endpoint{endpoint("a", 6, 6, 100, 60*ms), endpoint("b", 0, 6, 100, -1)}, "a", ""},
+		{"one slot, own domain full 60 ms ago", []table.Endpoint{endpoint("a", 1, 1, 100, 60*ms), endpoint("b", 0, 1, 100, -1)}, "b", ""},
+		{"own domain slow", []table.Endpoint{endpoint("a", 0, 6, 500, 0), endpoint("b", 3, 6, 100, 0)}, "b", "b"},
+		{"own domain in time only by chance", []table.Endpoint{endpoint("a", 0, 6, 250, 0), endpoint("b", 2, 6, 100, 0)}, "b", "b"},
+		{"no endpoint in the own domain", []table.Endpoint{endpoint("b", 0, 6, 0, -1), endpoint("c", 6, 6, 100, 10*ms)}, "b", ""},
+		{"twelve slots, two thirds in use", []table.Endpoint{endpoint("a", 8, 12, 100, 0), endpoint("b", 0, 12, 100, 0)}, "a", "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := viewOf(c.endpoints...)
-			if i := v.NextToProbe(); i < 0 || v.Endpoints[i].Name != c.ask {
-				t.Errorf("asks %d, want %s", i, c.ask)
+			if i := v.NextToProbe(); i < 0 || v.Endpoints[i].Name != c.probe {
+				t.Errorf("probes endpoint %d first, want %s", i, c.probe)
 			}
 			got := ""
 			if best := v.Best(); best.Worthwhile {
@@ -66,9 +68,9 @@
 	}
 }
 
-// A read meets endpoints that work on other requests but have room. Only an idle one ended
-// the round of looks, so that it asked nine; now one with easy room does, which is an idle
-// one where there are two slots.
+// Guards against long probe rounds: only an idle endpoint ended a round, so that a read probed
+// nine endpoints that had room but were working on other requests. Now an endpoint with easy room
+// ends it; with two slots that is an idle endpoint.
 func TestEasyRoomEndsProbeRound(t *testing.T) {
 	for _, c := range []struct {
 		running, slots, pace int32
@@ -82,15 +84,16 @@
 		t.Run(fmt.Sprintf("%d of %d at %d", c.running, c.slots, c.pace), func(t *testing.T) {
 			e := endpoint("a", c.running, c.slots, c.pace, 0)
 			if got := viewOf(e).Perfect(&e); got != c.easy {
-				t.Errorf("ends the round: %v", got)
+				t.Errorf("ends the probe round: %v", got)
 			}
 		})
 	}
 }
 
-// On a quiet day three of four endpoints have easy room, and asking three at a time made
-// three and a half looks a request, of which two were not needed. When most are busy, one
-// at a time would take many round trips. How many are asked follows what looks find.
+// Guards against a fixed number of parallel probes. On a quiet day three of four endpoints have
+// easy room, and three probes at a time made three and a half probes per request, of which two
+// were not needed. When most endpoints are busy, one probe at a time would take many round trips.
+// The number of parallel probes follows the results of earlier ones.
 func TestBatchSizeFollowsProbeResults(t *testing.T) {
 	p := NewPoolState()
 	free, full := endpoint("a", 1, 6, 100, 0), endpoint("a", 6, 6, 100, 0)
@@ -106,20 +109,21 @@
 	}
 	for _, c := range []struct{ found, want int }{{10, 1}, {8, 1}, {5, 2}, {3, 3}, {0, 3}, {9, 1}} {
 		if got := learn(c.found); got != c.want {
-			t.Errorf("%d in ten looks find room: %d asked at a time, want %d", c.found, got, c.want)
+			t.Errorf("%d in ten probes find room: %d probed at a time, want %d", c.found, got, c.want)
 		}
 	}
 }
 
-// A burst fills every endpoint to the last slot, work takes 1.7 times as long there, and
-// so they stay full at a load that they could bear: of the same traffic 59 in 100 were in
-// time in one run and 80 in another. A slot that takes more from the requests beside it
-// than it brings is left free; where filling up gets more done, as with two slots, it goes on.
+// Guards against overfilled endpoints. A burst fills every slot of every endpoint, work takes 1.7
+// times as long there, and the endpoints stay full at a load that they could serve: of the same
+// traffic 59 in 100 requests were in time in one run and 80 in another. A slot that slows the
+// other requests down by more than it gains is left free; where full use increases the throughput,
+// as with two slots, it is used.
 func TestEndpointsAreNotOverfilled(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		running, slots int32
-		times          float64 // by which work takes longer at nearly full ones
+		times          float64 // how many times as long work takes at nearly full endpoints
 		want           bool
 	}{
 		{"six slots, one to spare", 3, 6, 1.7, true},
@@ -141,9 +145,10 @@
 	}
 }
 
-// In a peak one request in ten got a slot when it was late already, and each of these slots
-// was missing to one that came a moment later and could have been in time. A late request
-// is served while nobody in time is short.
+// Guards against late requests that use scarce slots. In a peak one request in ten got a slot when
+// it was already late, and the slot was then missing for a request that arrived a moment later and
+// could have been in time. A late request is served only while there is no shortage for timely
+// requests.
 func TestLateRequestsLeaveSlotsToTimelyRequests(t *testing.T) {
 	for _, c := range []struct {
 		ago        time.Duration
@@ -158,8 +163,9 @@
 	}
 }
 
-// An entry sees three requests a second for a service that is short for seconds. After 200
-// ms it had forgotten that others found no room, and late ones took the slots.
+// Guards against a shortage that is forgotten too soon. An entry has three requests per second for
+// a service that is short of room for seconds; after 200 ms it had forgotten that other requests
+// found no room, and late ones used the slots.
 func TestShortageLastsForSeveralArrivals(t *testing.T) {
 	for _, c := range []struct{ every, lasts time.Duration }{{10 * ms, 200 * ms}, {300 * ms, 1200 * ms}, {5 * time.Second, 2 * time.Second}} {
 		p := NewPoolState()
@@ -175,47 +181,48 @@
 	}
 }
 
-// An operator reads in the log why requests were refused: "full 0 of 26", while placement
-// took each of these endpoints for full, since one more request would have made it slower.
-// The log counts what placement counts.
+// Guards against log records that contradict placement: the reason for a refusal read "full 0 of
+// 26", while placement took each of these endpoints for full because one more request would have
+// slowed it down. Fullness counts the endpoints that placement takes for full.
 func TestFullnessMatchesPlacement(t *testing.T) {
 	v := viewOf(endpoint("a", 4, 6, 100, ms), endpoint("a", 3, 6, 100, ms), endpoint("a", 6, 6, 100, ms), endpoint("a", 6, 6, 100, 2*time.Second))
 	for range 50 {
 		v.Learned.NoteSlowdown(2*v.Request.Work, v.Request.Work)
 	}
-	live, told, full := v.Learned.Fullness(v.Now, v.Endpoints)
-	if live != 4 || told != 3 || full != 2 || !v.Crowded() {
-		t.Errorf("%d live, %d told, %d full, crowded %v", live, told, full, v.Crowded())
+	live, known, full := v.Learned.Fullness(v.Now, v.Endpoints)
+	if live != 4 || known != 3 || full != 2 || !v.Crowded() {
+		t.Errorf("%d live, %d known, %d full, crowded %v", live, known, full, v.Crowded())
 	}
 }
 
-// A burst meets endpoints with six slots of which nobody has learned yet that work takes 1.7 times as
-// long at five. Each of 57 entries filled them at its beginning to find that out, and they stayed
-// full for as long as callers pressed. One request a second tries until a few are measured; then what
-// was measured counts, also where it costs nothing.
+// Guards against entries that all fill endpoints at once to measure the slowdown. A burst met
+// endpoints with six slots before any entry had learned that work takes 1.7 times as long at five
+// requests. Each of 57 entries filled them at the start of the burst, and they stayed full for as
+// long as the load lasted. One request per fillTrialEvery tries a nearly full endpoint until there
+// are enough measurements; then the measured slowdown decides, also where it is none.
 func TestFillingIsMeasuredBeforeItIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		times float64
 		used  bool
-	}{{"it costs nothing", 1, true}, {"it costs more than it brings", 1.7, false}} {
+	}{{"no slowdown", 1, true}, {"slowdown costs more than the slot gains", 1.7, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPoolState()
 			e := endpoint("a", 4, 6, 100, 0)
 			now := 10 * time.Second
 			for tried := range enoughSlowdownSamples {
 				if p.overfills(now, &e) {
-					t.Fatalf("it is not tried after %d measurements", tried)
+					t.Fatalf("the endpoint is not tried after %d measurements", tried)
 				}
 				p.NoteFill(now)
 				if c.times > 1.5 && !p.overfills(now+fillTrialEvery/2, &e) {
-					t.Fatal("it is used before it was measured")
+					t.Fatal("the endpoint is filled before the slowdown was measured")
 				}
 				now += fillTrialEvery
 				p.NoteSlowdown(time.Duration(c.times*float64(100*ms)), 100*ms)
 			}
 			if p.overfills(now, &e) == c.used {
-				t.Errorf("used afterwards: %v, want %v (measured %.2f)", !c.used, c.used, p.Slowdown())
+				t.Errorf("filled afterwards: %v, want %v (measured slowdown %.2f)", !c.used, c.used, p.Slowdown())
 			}
 		})
 	}
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -7,55 +7,55 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// The load that this answers: a look at an endpoint of another failure domain, and what is
-// then sent there, is dear, and the own domain has somebody with room almost always. So
-// all of the own domain are asked first but those that are known to be of no use now; the
-// others are asked as soon as these are all that is left, and at once where the domain has
-// nobody.
+// Probing an endpoint of another failure domain, and sending requests there, is expensive, and the
+// own domain almost always has an endpoint with room. So all endpoints of the own domain are
+// probed first, except those that are known to be of no use now; the other domains follow when no
+// other endpoint is left, and at once where the own domain has no endpoint.
 //
-// The weights of what is known of an endpoint before it is asked; chance decides
-// between endpoints that differ by less than 1.
+// The constants weigh what is known of an endpoint before it is probed. Endpoints whose ranks
+// differ by less than 1 are ordered at random.
 const (
-	// rankFull is the rank of an endpoint whose slots are all taken.
+	// rankFull is the weight of an endpoint's occupancy: an endpoint whose slots are all in use
+	// gets all of it.
 	rankFull  = 20
 	rankPace  = 5
 	rankDoubt = 100
-	// rankRemote puts endpoints of other failure domains behind those of the own one that
-	// may have room, and rankBusy those of the own one behind them that have none, or are
-	// slow, by what they told a moment ago.
+	// rankRemote ranks endpoints of other failure domains after those of the own domain that may
+	// have room. rankBusy ranks those of the own domain after them that reported a moment ago that
+	// they have no room or are slow.
 	rankRemote  = 60
 	rankBusy    = 70
 	rankLost    = 500
 	rankAvoided = 1000
 	rankMissing = 5000
-	// rankConnected puts endpoints with which this entry has spoken lately before those that
-	// are alike but for that.
+	// rankConnected ranks endpoints that this entry has contacted lately before otherwise equal
+	// ones.
 	rankConnected = 1
 )
 
-// The load that this answers: a few requests a second at each of many entries, before many
-// endpoints with room. Chosen by chance, an endpoint comes round when its connection has been
-// closed, and every other request opens a new one.
+// Each of many entries may see only a few requests per second while many endpoints have room. If
+// the choice were random, the connection to an endpoint would be closed before the endpoint is
+// chosen again, and every other request would open a new one.
 const (
-	// connectedFor is how long after the latest answer a connection is likely to be open still.
+	// connectedFor is how long after the latest answer a connection is likely to be still open.
 	connectedFor = 8 * time.Second
-	// otherShare is how often endpoints without a connection are asked like all others, so that
-	// one that has just joined gets its part.
+	// otherShare is the share of the choices that ignore connections, so that an endpoint that has
+	// just joined gets its part.
 	otherShare = 0.125
 )
 
-// prefersConnected reports whether endpoints with a connection go first in this choice. Where
-// requests find no room they don't: each entry would find its own endpoints full.
+// prefersConnected reports whether endpoints with a connection rank first in this choice. They
+// don't where requests find no room: each entry would then find its own endpoints full.
 func (v *View) prefersConnected() bool {
 	return !v.Learned.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
 
-// busySlotTimes is for how many times the time in which an endpoint commonly frees a slot it
-// is taken to stay full.
+// busySlotTimes is the number of slot times, divided by the endpoint's slots, for which an
+// endpoint is assumed to stay full.
 const busySlotTimes = 2
 
-// NextToProbe returns the index of the endpoint to look at next, or -1: those of the own
-// failure domain first, and of these the ones that had most room when last heard of.
+// NextToProbe returns the index of the endpoint to probe next, or -1: endpoints of the own failure
+// domain first, and among these the ones that had most room by their last load.
 func (v *View) NextToProbe() int {
 	best, bestRank := -1, 0.0
 	preferConnected, leaveOwnDomain := v.prefersConnected(), v.leavesOwnDomain()
@@ -78,13 +78,13 @@
 	return best
 }
 
-// eligible reports whether the request may go to the endpoint at an index at all.
+// eligible reports whether the request may be sent to the endpoint at index i at all.
 func (v *View) eligible(i int) bool {
 	e := &v.Endpoints[i]
 	return v.granted(e) && !v.Request.Tried.Has(i) && (!v.Request.OwnDomainOnly || v.isNear(e))
 }
 
-// rank orders the endpoints to ask: a lower one goes first.
+// rank returns the rank of an endpoint for probing; the lowest rank goes first.
 func (v *View) rank(e *table.Endpoint) float64 {
 	slots := float64(max(1, e.Slots))
 	rank := v.Rand.Float64() + rankFull*float64(e.Outstanding)/slots + rankDoubt*max(0, e.CurrentDoubt(v.Now)-SlightDoubt)
@@ -110,8 +110,8 @@
 	return rank
 }
 
-// reportedBusy reports whether an endpoint told a moment ago that it would not answer in time:
-// its VM is slow, or its slots are all taken and none of them commonly frees up so soon.
+// reportedBusy reports whether an endpoint reported a moment ago that it would not answer in time:
+// its VM is slow, or all of its slots are in use and none is likely to be free yet.
 func (v *View) reportedBusy(e *table.Endpoint) bool {
 	age := v.Now - e.Probed.At
 	if !e.Probed.Seen || age >= RememberedFor {
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -11,61 +11,62 @@
 const (
 	// nearlyFull is the occupancy from which on some endpoints work more slowly.
 	nearlyFull = 0.8
-	// initialSlowdown is by how much longer work is taken to take there before it was
-	// measured, as if by initialSlowdownSamples measurements: so much that no endpoint with several
-	// slots is filled, since a peak that fills all of them at its beginning keeps them full.
-	// maxSlowdown bounds what is measured.
+	// initialSlowdown is the factor by which work is assumed to take longer at nearly full
+	// endpoints before it was measured; it counts like initialSlowdownSamples measurements. It is
+	// large enough that no endpoint with several slots is filled, since a peak that fills all of
+	// them at its beginning keeps them full. maxSlowdown bounds a measurement.
 	initialSlowdown        = 1.6
 	initialSlowdownSamples = 3
 	maxSlowdown            = 4.0
-	// Until enoughSlowdownSamples were measured, one request in fillTrialEvery is sent to an endpoint
-	// that it makes nearly full nevertheless: where that costs nothing, all slots are used
-	// from then on.
+	// Until there are enoughSlowdownSamples measurements, one request per fillTrialEvery is sent
+	// to an endpoint that it makes nearly full. Where that costs nothing, all slots are used
+	// afterwards.
 	enoughSlowdownSamples = 6
 	fillTrialEvery        = 10 * time.Second
-	// slowdownWeight is the weight of a new measurement. The first ones weigh more: while
-	// load is low few requests make an endpoint nearly full, and what that costs would be
-	// learned only when a peak has filled all of them.
+	// slowdownWeight is the weight of a new measurement. The first ones weigh more: at low load
+	// few requests make an endpoint nearly full, and the cost would otherwise be known only after
+	// a peak has filled all endpoints.
 	slowdownWeight = 0.08
-	// littleSlowdown is up to where nearly full endpoints work about as fast as others.
+	// littleSlowdown is the slowdown up to which nearly full endpoints count as about as fast as
+	// others.
 	littleSlowdown = 1.2
 )
 
-// PoolState is what an entry learns of a pool's endpoints. Make it with NewPoolState.
+// PoolState is what an entry learns about the endpoints of a pool. Create it with NewPoolState.
 type PoolState struct {
-	// slowdown is by how much longer work takes at endpoints that are nearly full, by so
-	// many measurements.
+	// slowdown is the factor by which work takes longer at nearly full endpoints, by
+	// slowdownSamples measurements.
 	slowdown        float64
 	slowdownSamples int
-	// fillTrialAt is when an endpoint may be filled next to learn what that costs.
+	// fillTrialAt is when an endpoint may next be made nearly full to measure the slowdown.
 	fillTrialAt time.Duration
-	// easyShare is the smoothed part of looks that found easy room.
+	// easyShare is the smoothed share of load probes that found easy room.
 	easyShare float64
 	// shortAt is when a request that could be in time last found no room, 0 for never.
 	shortAt time.Duration
-	// arrivedAt is when the latest request came, and gap the smoothed time between two, in
-	// nanoseconds.
+	// arrivedAt is when the latest request arrived, and gap the smoothed time between two
+	// arrivals, in nanoseconds.
 	arrivedAt time.Duration
 	gap       float64
-	// domains are the failure domains in which the latest contact failed.
+	// domains has the state of the failure domains by their names.
 	domains map[string]*domainState
 }
 
-// NewPoolState returns what is known before anything was learned.
+// NewPoolState returns the state before anything was learned.
 func NewPoolState() PoolState {
 	return PoolState{slowdown: initialSlowdown, easyShare: initialEasyShare}
 }
 
 const (
-	// maxBatch is how many endpoints are asked at a time at most.
+	// maxBatch is the largest number of endpoints that are probed at a time.
 	maxBatch = 3
-	// initialEasyShare is the part of looks taken to find easy room before any was made, and
-	// easyWeight the weight of a new one.
+	// initialEasyShare is the assumed share of load probes that find easy room before the first
+	// probe, and easyWeight the weight of one probe.
 	initialEasyShare = 0.5
 	easyWeight       = 0.05
 )
 
-// NoteProbe learns from a look at an endpoint.
+// NoteProbe records the result of a load probe of an endpoint.
 func (p *PoolState) NoteProbe(e *table.Endpoint) {
 	found := 0.0
 	if HasEasyRoom(e) {
@@ -74,18 +75,18 @@
 	p.easyShare += easyWeight * (found - p.easyShare)
 }
 
-// Batch is how many endpoints to ask at a time: as many as it commonly takes to find one
-// with easy room. A further round of looks costs a round trip, a fraction of a millisecond
-// in the own domain, and a look that was not needed costs the endpoint one.
+// Batch returns how many endpoints to probe at a time: as many as it usually takes to find one
+// with easy room. A further probe round costs a round trip, a fraction of a millisecond in the own
+// domain; an unnecessary probe costs the endpoint the work of answering it.
 func (p *PoolState) Batch() int {
 	return int(min(max(math.Round(1/max(p.easyShare, 1.0/maxBatch)), 1), maxBatch))
 }
 
-// Slowdown returns by how much longer work takes at endpoints that are nearly full.
+// Slowdown returns the factor by which work takes longer at nearly full endpoints.
 func (p *PoolState) Slowdown() float64 { return p.slowdown }
 
-// NoteSlowdown learns from an answer of an endpoint that the request made nearly full; work
-// is what it commonly takes elsewhere.
+// NoteSlowdown records the latency of a request that made its endpoint nearly full; work is the
+// usual time at other endpoints.
 func (p *PoolState) NoteSlowdown(latency, work time.Duration) {
 	if work <= 0 {
 		return
@@ -100,21 +101,23 @@
 	return load > 0 && float64(load+1) >= nearlyFull*float64(slots)
 }
 
-// MakesNearlyFull reports whether one more request makes the endpoint nearly full by what it told.
+// MakesNearlyFull reports whether one more request makes the endpoint nearly full, by its probed
+// load.
 func MakesNearlyFull(e *table.Endpoint) bool {
 	return makesNearlyFull(e.Probed.Load(), max(1, e.Probed.Slots))
 }
 
-// maxBelowNearlyFull is how many requests an endpoint holds at most without being nearly full.
+// maxBelowNearlyFull returns the largest number of requests with which an endpoint is not nearly
+// full.
 func maxBelowNearlyFull(slots int32) int32 {
 	return max(1, int32(math.Ceil(nearlyFull*float64(slots)))-1)
 }
 
-// overfills reports whether one more request would make an endpoint nearly full, where
-// nearly full ones get less done altogether than those with a slot to spare. With six slots
-// and work that takes 1.7 times as long at five and six requests, four at a time get 4 done
-// and six get 3.5. Guards against a peak of which the load alone could be borne, and that
-// goes on for as long as it lasts because every endpoint was filled at its beginning.
+// overfills reports whether one more request would make an endpoint nearly full where nearly full
+// endpoints have less throughput than those with a free slot. With six slots and work that takes
+// 1.7 times as long at five and six requests, four requests at a time complete 4 requests in the
+// time in which six complete 3.5. The rule guards against a peak whose load the endpoints could
+// serve, but which lasts because every endpoint was filled at its beginning.
 func (p *PoolState) overfills(now time.Duration, e *table.Endpoint) bool {
 	if !MakesNearlyFull(e) || p.slowdownSamples < enoughSlowdownSamples && now >= p.fillTrialAt {
 		return false
@@ -123,24 +126,24 @@
 	return float64(slots)/p.slowdown <= float64(maxBelowNearlyFull(slots))
 }
 
-// NoteFill notes that a request was sent to an endpoint that it makes nearly full.
+// NoteFill records that a request was sent to an endpoint that it makes nearly full.
 func (p *PoolState) NoteFill(now time.Duration) { p.fillTrialAt = now + fillTrialEvery }
 
-// HasEasyRoom reports whether an endpoint told that it would begin one more request at
-// once, at the usual pace, and without being nearly full then. With six slots one is
-// hardly ever idle and mostly has easy room: asked for an idle one, a request used up all
-// its looks, six on a quiet day.
+// HasEasyRoom reports whether an endpoint has easy room by its probed load: it would start one
+// more request at once, at the usual pace, and would not be nearly full afterwards. An endpoint
+// with six slots is seldom idle but usually has easy room: when probe rounds ended only at an idle
+// endpoint, a request used all its load probes, six on a quiet day.
 func HasEasyRoom(e *table.Endpoint) bool {
 	return e.HasRoom() && Pace(&e.Probed) <= 1 && !MakesNearlyFull(e)
 }
 
-// full reports whether an endpoint told that it has no room that is worth taking.
+// full reports whether an endpoint has no room that is worth using, by its probed load.
 func (p *PoolState) full(now time.Duration, e *table.Endpoint) bool {
 	return !e.HasRoom() || p.overfills(now, e)
 }
 
-// Fullness counts the endpoints that take work, those of them that told their load within
-// the last moment, and those that told then that they are full.
+// Fullness counts the endpoints that take work (live), those of them whose probed load is recent
+// enough (known), and those of them that are full.
 func (p *PoolState) Fullness(now time.Duration, endpoints []table.Endpoint) (live, known, full int) {
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -149,7 +152,7 @@
 		}
 		live++
 		if !e.Probed.Seen || now-e.Probed.At > fullFor || quota.IsLimited(e) {
-			continue // idle as it may seem, one that names a limit is no room for others
+			continue // a rate-limited endpoint may look idle but has no room for other requests
 		}
 		known++
 		if p.full(now, e) {
@@ -159,9 +162,9 @@
 	return live, known, full
 }
 
-// Crowded reports whether most endpoints of which something is known had no room when
-// last heard of. What is sent to them blindly queues up there, and all later requests,
-// which could have waited here for the first free slot, find them full.
+// Crowded reports whether most endpoints with a known load have no room. Requests that are sent to
+// them without a probe would queue there, and all later requests, which could have waited in the
+// entry for the first free slot, would find the endpoints full.
 func (v *View) Crowded() bool {
 	_, known, full := v.Learned.Fullness(v.Now, v.Endpoints)
 	return known > 0 && full*2 >= known
--- a/internal/core/placement/servicetime.go
+++ b/internal/core/placement/servicetime.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// queuedPace is the pace that a request is taken to start at which first waits at an
-	// endpoint: usual in three of four cases, five times as slow in the others, of
-	// which it would be late whatever is chosen.
+	// queuedPace is the pace assumed for a request that first waits at an endpoint: it is the
+	// usual one in three of four cases and five times as slow in the others, in which the request
+	// would be late whatever is chosen.
 	queuedPace = 1.3
-	// remainingSlotShare is what a request that waits for the first of an endpoint's slots to
-	// free up has still to wait, as a part of what requests take there, times slots:
-	// those at work have done a part already, and the longer ones are met more often.
-	// Measured: 0.4 and 0.46 of the time of a request at two slots.
+	// remainingSlotShare is how long a request that waits for the first free slot of an endpoint
+	// still has to wait, as a share of the time that requests take there, times slots: those that
+	// are running have done a part already, and a long one is more likely to be among them. With
+	// two slots the wait was 0.4 and 0.46 of the time of a request.
 	remainingSlotShare = 0.9
-	// avoidedCost is how many times its work a request may take elsewhere before an
-	// avoided endpoint is tried.
+	// avoidedCost is how many times its work a request may take elsewhere before an avoided
+	// endpoint is tried.
 	avoidedCost = 10
 )
 
-// Expected estimates when an endpoint would answer, as a duration from now. What the
-// request would cost the one beside it counts as well: a slot that slows both down is
-// worth its use only where both can bear it.
+// Expected estimates when an endpoint would answer, as a duration from now. It includes the time
+// by which the request would delay the one beside it: a slot that slows both down is worth using
+// only where both can afford it.
 func (v *View) Expected(e *table.Endpoint) time.Duration {
 	work := float64(v.Request.Work)
 	after := float64(v.ServiceTime(e))
@@ -37,10 +37,10 @@
 	return time.Duration(after)
 }
 
-// ServiceTime estimates how long an endpoint would take, by its load and pace as it told them
-// last. The pace at the start of a request holds until its end: of those that began at
-// five times the usual pace half took 4.9 times as long as usual or longer, and of those
-// that began at the usual one 99 in 100 less than 2.9 times as long.
+// ServiceTime estimates how long an endpoint would take, by the load and pace that it reported
+// last. The pace at the start of a request lasts until its end: of the requests that began at five
+// times the usual pace half took at least 4.9 times as long as usual, and of those that began at
+// the usual pace 99 in 100 took less than 2.9 times as long.
 func (v *View) ServiceTime(e *table.Endpoint) time.Duration {
 	pace := Pace(&e.Probed)
 	load, slots := e.Probed.Load(), max(1, e.Probed.Slots)
--- a/internal/core/placement/slowstart.go
+++ b/internal/core/placement/slowstart.go
@@ -6,14 +6,14 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// slowStartTime is how long an endpoint that joins a pool at work gets fewer
-// requests than it has slots for.
+// slowStartTime is how long an endpoint that joins a working pool gets fewer requests than it has
+// slots for.
 const slowStartTime = 5 * time.Second
 
-// BeginSlowStart limits a new endpoint if the others of its pool have been at work for
-// longer. It guards against a cold endpoint that looks best because it is idle:
-// it would get a full share at once and answer all of it slowly. In a pool that
-// starts as a whole nobody is limited, since there is nobody else to turn to.
+// BeginSlowStart limits a new endpoint if other endpoints of its pool have been working for
+// longer. It guards against a cold endpoint that looks best because it is idle: it would get a
+// full share at once and answer all of it slowly. In a pool that starts as a whole no endpoint is
+// limited, since there is none to use instead.
 func BeginSlowStart(now time.Duration, others []table.Endpoint, joining *table.Endpoint) {
 	for i := range others {
 		e := &others[i]
@@ -25,8 +25,8 @@
 	}
 }
 
-// AllowedSlots is how many of its slots an endpoint may be given: at first one,
-// rising in a straight line to all that the platform's list gives it.
+// AllowedSlots returns how many of its slots an endpoint may use: one at first, rising linearly to
+// all that the platform lists.
 func AllowedSlots(now time.Duration, e *table.Endpoint) int32 {
 	left := e.SlowUntil - now
 	if e.SlowUntil == 0 || left <= 0 {
@@ -36,7 +36,7 @@
 	return max(1, int32(share*float64(e.Listed)))
 }
 
-// AdvanceSlowStart gives endpoints the slots that they may have by now.
+// AdvanceSlowStart sets the slots that endpoints in slow start may use by now.
 func AdvanceSlowStart(now time.Duration, endpoints []table.Endpoint) {
 	for i := range endpoints {
 		e := &endpoints[i]
