--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -5,45 +5,44 @@
 	"slices"
 )
 
-// PassLimit bounds how long a lower priority waits. A class of waiting
-// requests that may take a slot and was passed over this often is served next.
-// With k such classes each is served at least once in PassLimit + k dispatches.
-// At 16 a lower priority gets at most a seventeenth from a busy higher one.
+// PassLimit bounds how long a lower priority waits. A class of waiting requests that may take a
+// slot is served next after it was passed over this often. With k such classes each is served at
+// least once in PassLimit + k dispatches. At 16 a lower priority gets at most a seventeenth of the
+// dispatches from a busy higher one.
 const PassLimit = 16
 
-// keptClasses is how many classes are kept although nothing waits in them.
+// keptClasses is how many classes are kept although no request waits in them.
 const keptClasses = 16
 
-// quantum is one dispatch in the virtual time of a class.
+// quantum is the virtual time of one dispatch.
 const quantum int64 = 1 << 20
 
-// class holds the waiting requests of one service at one priority. A service
-// has two classes only for a while after its priority was changed.
+// class has the waiting requests of one service at one priority. A service has two classes only
+// for a while after its priority has changed.
 //
-// Callers share a class by fair queueing. The virtual time of the class grows
-// by one turn per dispatch divided by the number of callers that wait, which
-// is the pace at which each of them should be served. A caller's flow may be
-// served once its start time is reached, and each dispatch moves the start
-// time on by a turn. A caller with a thousand requests is therefore held back
-// to its part, while callers below their part are ordered by deadline or
-// arrival as if the class had no fairness at all.
+// Callers share a class by fair queueing. The virtual time of the class grows by one quantum per
+// dispatch divided by the number of waiting callers, which is the rate at which each of them
+// should be served. A caller's flow may be served once its start time is reached, and each
+// dispatch moves the start time on by a quantum. A caller with a thousand requests is therefore
+// limited to its part, while callers below their part are ordered by deadline or arrival as if
+// there were no fair queueing.
 type class struct {
 	service     int32
 	priority    int
 	waiting     int
 	virtualTime int64
-	// passed counts the dispatches of other classes since this one was served
-	// last or began to wait.
+	// passed counts the dispatches of other classes since this one was last served or began to
+	// wait.
 	passed int
-	// ready and held are heaps of flows: those whose start time is reached, in
-	// the order of their first item, and the others by start time.
+	// ready and blocked are heaps of flows: ready has those whose start time is reached, ordered
+	// by their first item, and blocked the others, ordered by start time.
 	ready, blocked indexedHeap
 	flows          map[uint64]int32
 	first, last    int32
 	pace           pace
 }
 
-// flow holds the waiting items of one caller in a class.
+// flow has the waiting items of one caller in a class.
 type flow struct {
 	class  *class
 	caller uint64
@@ -52,7 +51,7 @@
 	items  indexedHeap
 }
 
-// classOf returns the class, making it if needed.
+// classOf returns the class, creating it if needed.
 func (q *Queue) classOf(service int32, priority int) *class {
 	if c := q.find(service, priority); c != nil {
 		return c
@@ -91,11 +90,9 @@
 	return cmp.Compare(a.service, b.service)
 }
 
-// goesBefore reports whether c is served before best. Both may take the slot,
-// and c comes later in the order of classes.
-//
-// It guards against starvation: under a lasting overload of a high priority
-// the lower ones would never be served and all their requests would expire.
+// goesBefore reports whether c is served before best. Both may take the slot, and c is later in
+// the order of classes. It guards against starvation: under a lasting overload of a high priority
+// the lower priorities would never be served and all their requests would expire.
 func (q *Queue) goesBefore(c, best *class) bool {
 	if c.overdue() || best.overdue() {
 		return c.passed > best.passed
@@ -108,8 +105,8 @@
 
 func (c *class) overdue() bool { return c.passed >= PassLimit }
 
-// Overdue reports whether the service has waited for PassLimit dispatches of
-// others. See SlotUser.
+// Overdue reports whether the service has waited for PassLimit dispatches of others; see
+// SlotUser.Overdue.
 func (q *Queue) Overdue(service int32) bool {
 	for _, c := range q.classes {
 		if c.service == service && c.waiting > 0 && c.overdue() {
@@ -119,9 +116,9 @@
 	return false
 }
 
-// countPassed notes that a request of served goes before those of the others.
-// Classes that may not take a slot are counted too: their turn comes, and the
-// rule of shares then lets them have one slot (see MayTake).
+// countPassed counts that a request of the class served goes before those of the other classes.
+// Classes that may not take a slot are counted too: once they are overdue, MayTake lets them use a
+// small part of the slots.
 func (q *Queue) countPassed(served *class) {
 	for _, c := range q.classes {
 		if c != served && c.waiting > 0 {
@@ -131,8 +128,7 @@
 	served.passed = 0
 }
 
-// head returns the item of the class that goes first; the class must not be
-// empty.
+// head returns the item of the class that is served first; the class must not be empty.
 func (q *Queue) head(c *class) int32 {
 	if c.ready.len() == 0 {
 		c.virtualTime = c.blocked.top().key
@@ -141,7 +137,7 @@
 	return q.flows[c.ready.top().ref].items.top().ref
 }
 
-// release makes the flows ready whose start time is reached.
+// release moves flows whose start time is reached to the ready heap.
 func (q *Queue) release(c *class) {
 	for c.blocked.len() > 0 && c.blocked.top().key <= c.virtualTime {
 		ref := c.blocked.top().ref
@@ -150,7 +146,7 @@
 	}
 }
 
-// enter puts a flow with items into the heap where it belongs.
+// enter adds a flow with items to the heap to which it belongs.
 func (q *Queue) enter(c *class, ref int32) {
 	f := &q.flows[ref]
 	f.ready = f.start <= c.virtualTime
@@ -170,7 +166,7 @@
 	c.blocked.remove(q.inClass, ref)
 }
 
-// charge counts one dispatch for a flow and moves the virtual time on.
+// charge counts one dispatch for a flow and advances the virtual time.
 func (q *Queue) charge(c *class, ref int32) {
 	q.leave(c, ref)
 	f := &q.flows[ref]
@@ -206,8 +202,8 @@
 	q.freeFlows = append(q.freeFlows, at)
 }
 
-// newFlow starts a flow at the present virtual time: a caller gets no credit
-// for the time in which it had nothing waiting.
+// newFlow starts a flow at the present virtual time: a caller gets no credit for the time in which
+// none of its requests waited.
 func (q *Queue) newFlow(c *class, caller uint64) int32 {
 	at := int32(len(q.flows))
 	if last := len(q.freeFlows) - 1; last >= 0 {
--- a/internal/core/queue/heap.go
+++ b/internal/core/queue/heap.go
@@ -1,11 +1,11 @@
 package queue
 
-// element is one member of an indexed heap. The smallest key comes first, and
-// equal keys are ordered by tie, so that the order never depends on chance.
+// element is one member of an indexed heap. The smallest key is first. Equal keys are ordered by
+// tie, so that the order is deterministic.
 type element struct {
 	key int64
 	tie uint64
-	// ref is the row that the element stands for.
+	// ref is the index of the row that the element represents.
 	ref int32
 }
 
@@ -16,9 +16,9 @@
 	return e.tie < o.tie
 }
 
-// indexedHeap is a binary heap from which any member can be removed. The
-// position of each member is kept by the owner in a slice indexed by ref, so
-// that several heaps can share one slice as long as a row is in one of them.
+// indexedHeap is a binary heap from which any member can be removed. The owner stores the position
+// of each member in a slice indexed by ref, so that several heaps can share one slice as long as
+// each row is in only one of them.
 type indexedHeap struct {
 	elements []element
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -1,16 +1,14 @@
-// Package queue decides which waiting request runs next on a pool of endpoints
-// and which request is refused instead of waiting.
+// Package queue decides which waiting request runs next on a pool of endpoints and which request
+// is refused instead of waiting.
 //
-// A Queue belongs to one pool and is shared by the services that use the pool.
-// The order is: higher priority first; inside a service every caller gets an
-// equal part; inside a caller the earliest deadline, the earliest arrival or
-// the latest arrival first. A service of lower priority that was passed over
-// PassLimit times is served next, so that nothing waits for good.
+// A Queue belongs to one pool and is shared by the services that use the pool. Higher priorities
+// are served first; inside a service every caller gets an equal part; inside a caller the earliest
+// deadline, the earliest arrival or the latest arrival is first. A service of lower priority that
+// was passed over PassLimit times is served next, so that no request waits indefinitely.
 //
-// The package is pure: the driver passes in the time, and the same calls in
-// the same order give the same results. A Queue must not be used by two
-// goroutines at once. Push, Take, Remove and each expiry cost O(log n); Next
-// costs O(services of the pool).
+// The package is pure: the driver passes in the time, and the same calls in the same order give
+// the same results. A Queue must not be used concurrently. Push, Take, Remove and each expiry cost
+// O(log n); Next costs O(services of the pool).
 package queue
 
 import "time"
@@ -20,37 +18,37 @@
 	// ID is unique among the items in the queue.
 	ID      uint64
 	Service int32
-	// Caller identifies who sent the request; requests whose caller is not
-	// known share one value and count as one caller.
+	// Caller identifies the sender of the request; requests whose caller is not known share one
+	// value and count as one caller.
 	Caller uint64
-	// Priority: the higher one runs first.
+	// Priority orders requests; the higher one is served first.
 	Priority int
 	// Enqueued is when the request arrived.
 	Enqueued time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Duration
-	// Work is how long an endpoint is expected to need. The item expires at
-	// Deadline - Work: started later, it would take a slot for an answer that
-	// nobody waits for. Zero if unknown.
+	// Work is the time that an endpoint is expected to need, zero if unknown. The item expires at
+	// Deadline - Work: a request that starts later uses a slot for an answer that the caller no
+	// longer waits for.
 	Work time.Duration
 }
 
-// latestStart is the last moment at which starting the item makes sense.
+// latestStart returns the latest time at which starting the item is useful.
 func (it *Item) latestStart() time.Duration { return it.Deadline - it.Work }
 
-// Limits are the bounds of the item's service, from its profile.
+// Limits are the limits of the item's service, from its profile.
 type Limits struct {
 	// QueueLimit is how many requests of the service may wait.
 	QueueLimit int
-	// CallerShare is the largest share of QueueLimit that one caller gets when
-	// it is alone. As others come, the part that one caller may still fill
-	// shrinks with the places left. 1 or more means no limit per caller.
+	// CallerShare is the largest share of QueueLimit that one caller gets when no other caller
+	// waits. As other callers arrive, the part that one caller may still fill decreases with the
+	// free places. 1 or more means no limit per caller.
 	CallerShare float64
 	// DeadlineOrder orders by deadline instead of arrival.
 	DeadlineOrder bool
-	// NewestFirst orders by arrival, the latest first, whatever DeadlineOrder says. While more
-	// is asked than can be done, the order of arrival lets each request begin at the last
-	// moment that makes sense, and all that take a little longer than most are late.
+	// NewestFirst orders by arrival with the latest first, whatever DeadlineOrder says. Under
+	// overload, the order of arrival would start each request at the last useful moment, and all
+	// that take slightly longer than most would be late.
 	NewestFirst bool
 }
 
@@ -61,9 +59,9 @@
 const (
 	// None: the request was taken into the queue.
 	None Refusal = iota
-	// Full: as many requests of the service wait as may wait.
+	// Full: the queue has as many requests of the service as its limit allows.
 	Full
-	// CallerShare: the caller already has its part of the places.
+	// CallerShare: the caller already uses its part of the places.
 	CallerShare
 	// TooLate: the request would not be answered before its deadline.
 	TooLate
@@ -88,7 +86,7 @@
 type node struct {
 	item Item
 	flow int32
-	// key orders the item inside its flow: latest start or arrival.
+	// key orders the item inside its flow: by latest start or by arrival.
 	key int64
 	// previous and next link the items of a class in the order of arrival.
 	previous, next int32
@@ -99,7 +97,7 @@
 
 // Queue is the bounded queue of one pool. Create it with New.
 type Queue struct {
-	// classes are ordered by falling priority, then by service.
+	// classes are ordered by decreasing priority, then by service.
 	classes []*class
 	nodes   []node
 	free    []int32
@@ -108,14 +106,14 @@
 	flows     []flow
 	freeFlows []int32
 
-	// inFlow and inDeadlines are the positions of nodes in the heap of their
-	// flow and in deadlines; inClass those of flows in their class.
+	// inFlow and inDeadlines have the positions of nodes in the heap of their flow and in
+	// deadlines; inClass has those of flows in their class.
 	inFlow      []int32
 	inDeadlines []int32
 	inClass     []int32
 	deadlines   indexedHeap
 
-	// expired are items that Next found expired and Expire has yet to report.
+	// expired has items that Next found expired and that Expire has not returned yet.
 	expired []Item
 }
 
@@ -124,9 +122,9 @@
 	return &Queue{byID: make(map[uint64]int32)}
 }
 
-// Push takes the item in or says why not. expectedWait is how long the item is
-// expected to wait for a slot, for example from ExpectedWait. An item whose ID
-// is already waiting is refused as Full.
+// Push adds the item or returns the reason to refuse it. expectedWait is how long the item is
+// expected to wait for a slot, for example from ExpectedWait. An item whose ID is already waiting
+// is refused as Full.
 func (q *Queue) Push(now time.Duration, it Item, lim Limits, expectedWait time.Duration) Refusal {
 	if refusal := q.check(now, &it, lim, expectedWait); refusal != None {
 		return refusal
@@ -158,11 +156,11 @@
 	return None
 }
 
-// callerMayAdd guards against one caller that fills the queue so that all
-// others are turned away as Full. It bounds a caller's places by a multiple of
-// the places that are left. With the factor share/(1-share) a caller that is
-// alone gets exactly its share of the queue, and however many greedy callers
-// come, some places stay free for the next one.
+// callerMayAdd reports whether a caller may add another item. It guards against one caller that
+// fills the queue so that all others are refused as Full. It bounds a caller's places by a
+// multiple of the free places: with the factor share/(1-share) a single caller gets exactly its
+// share of the queue, and however many greedy callers arrive, some places stay free for the next
+// one.
 func callerMayAdd(ofCaller, left int, share float64) bool {
 	if share >= 1 {
 		return true
@@ -170,7 +168,7 @@
 	return float64(ofCaller)*(1-share) < share*float64(left)
 }
 
-// count returns the waiting items of a service and those of one caller in it.
+// count returns the number of waiting items of a service and of one caller in it.
 func (q *Queue) count(service int32, caller uint64) (waiting, ofCaller int) {
 	for _, c := range q.classes {
 		if c.service != service {
@@ -184,10 +182,9 @@
 	return waiting, ofCaller
 }
 
-// Next returns the item to run next without removing it. It never returns an
-// item that has expired, which matters after a pause of the process. eligible
-// says whether a service may take a slot now; it is asked at most once for
-// each class of waiting requests.
+// Next returns the item to run next without removing it. It never returns an expired item, which
+// matters after a pause of the process. eligible reports whether a service may take a slot now; it
+// is called at most once for each class of waiting requests.
 func (q *Queue) Next(now time.Duration, eligible func(service int32) bool) (Item, bool) {
 	q.expireDue(now)
 	var best *class
@@ -205,9 +202,9 @@
 	return q.nodes[q.head(best)].item, true
 }
 
-// Take removes an item because it is dispatched. It counts for the fairness
-// between callers and services and for the pace of the queue; an item that
-// leaves for another reason goes through Remove.
+// Take removes an item that is dispatched. The dispatch counts for the fairness between callers
+// and services and for the pace of the queue; for an item that leaves for another reason use
+// Remove.
 func (q *Queue) Take(now time.Duration, id uint64) (Item, bool) {
 	ref, ok := q.byID[id]
 	if !ok {
@@ -220,8 +217,7 @@
 	return q.drop(ref), true
 }
 
-// Remove removes an item that will not be dispatched, for example because its
-// caller has gone.
+// Remove removes an item that is not dispatched, for example because its caller is gone.
 func (q *Queue) Remove(id uint64) (Item, bool) {
 	if ref, ok := q.byID[id]; ok {
 		return q.drop(ref), true
@@ -235,8 +231,8 @@
 	return Item{}, false
 }
 
-// Expire removes the items that can no longer be answered in time, appends
-// them to out and returns it. Each expired item is reported once.
+// Expire removes the items that can no longer be answered in time, appends them to out and returns
+// it. Each expired item is returned once.
 func (q *Queue) Expire(now time.Duration, out []Item) []Item {
 	q.expireDue(now)
 	out = append(out, q.expired...)
@@ -303,7 +299,7 @@
 	return int32(len(q.nodes) - 1)
 }
 
-// drop takes the item out of every structure.
+// drop removes the item from every structure.
 func (q *Queue) drop(ref int32) Item {
 	n := &q.nodes[ref]
 	it := n.item
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -20,8 +20,8 @@
 	return it
 }
 
-// One caller alone gets its share of the places; more greedy callers share the
-// rest, so that a place is left for the next one, until the queue is full.
+// Guards against a queue that one caller fills: a single caller gets its share of the places; more
+// greedy callers share the rest so that a place is left for the next one, until the queue is full.
 func TestPushRefusals(t *testing.T) {
 	q := New()
 	id := uint64(0)
@@ -46,9 +46,9 @@
 	}
 }
 
-// At month-end one auditor's script asks for 1,000 summaries at once; a second
-// auditor asks for two a moment later and sees a page that never loads. In
-// order of arrival the two would wait behind the thousand.
+// Guards against a heavy caller that delays others. At month-end one auditor's script asks for
+// 1,000 summaries at once; in order of arrival the two requests that a second auditor sends a
+// moment later would wait for all of them.
 func TestHeavyCallerDoesNotDelayOthers(t *testing.T) {
 	q := New()
 	for i := range uint64(1000) {
@@ -62,13 +62,12 @@
 		dispatchNext(q, 0)
 	}
 	if _, waits := q.Remove(2001); waits {
-		t.Error("both requests of the second caller must be among the next 5")
+		t.Error("a request of the second caller is not among the next 5 dispatched")
 	}
 }
 
-// Cooks see counts of a minute ago while urgent checks keep the pool at its
-// limit: the higher priority always has a request waiting, so in strict order
-// of priority the others would wait until they expire.
+// Guards against starvation of lower priorities: urgent checks keep the pool at its limit, and in
+// strict order of priority the requests of the other services would wait until they expire.
 func TestEveryClassIsServedWithinPassLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		priorities := rapid.SliceOfN(rapid.IntRange(0, 3), 2, 6).Draw(t, "priorities")
@@ -94,10 +93,9 @@
 	})
 }
 
-// Whatever comes and goes, also during a pause: each accepted item leaves
-// exactly once and by one way, never runs after its latest start, and never
-// before one of higher priority, or of its own caller and earlier in order,
-// unless its class was passed over for long.
+// Each accepted item leaves exactly once and in one way, also around a pause. It never runs after
+// its latest start, and never before an item of higher priority or an earlier item of its own
+// caller, unless its class was passed over for long.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
@@ -107,7 +105,7 @@
 		late := func(it Item) bool { return now >= it.Deadline-it.Work }
 		leave := func(it Item) {
 			if waiting[it.ID] != it {
-				t.Fatalf("%+v left twice or changed", it)
+				t.Fatalf("%+v left twice or was changed", it)
 			}
 			delete(waiting, it.ID)
 		}
@@ -149,7 +147,7 @@
 					}
 					same := o.Service == it.Service && o.Priority == it.Priority && o.Caller == it.Caller
 					if same && earlier || o.Priority > it.Priority && !q.Overdue(it.Service) {
-						t.Fatalf("%+v goes before %+v", it, o)
+						t.Fatalf("%+v is dispatched before %+v", it, o)
 					}
 				}
 				q.Take(now, it.ID)
@@ -181,9 +179,9 @@
 	})
 }
 
-// An overload refuses requests as too late because dispatches are slow. Once
-// it is over, the remembered pace must not refuse the next request, or nothing
-// would ever be dispatched and measured again.
+// Guards against refusals that never end: an overload refuses requests as too late because
+// dispatches are slow. After it, the stored pace must not refuse the next request, or no request
+// would be dispatched and the pace would never be measured again.
 func TestExpectedWaitForgetsOldPace(t *testing.T) {
 	q := New()
 	for i := range uint64(21) {
@@ -209,8 +207,8 @@
 	check("one ahead after the overload", 5*time.Second, 0, 5*ms)
 }
 
-// BenchmarkQueue measures one request's way through a queue of a given length
-// shared by three services and 100 callers.
+// BenchmarkQueue measures the cost of one request in a queue of a given length that three services
+// and 100 callers share.
 func BenchmarkQueue(b *testing.B) {
 	for _, length := range []uint64{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("waiting=%d", length), func(b *testing.B) {
--- a/internal/core/queue/slots.go
+++ b/internal/core/queue/slots.go
@@ -5,45 +5,44 @@
 	"time"
 )
 
-// overdueShare is the share of the slots, at least one slot, that a service
-// gets by waiting long although others have first claim.
+// overdueShare is the share of the slots, at least one slot, that an overdue service may use
+// although others have first claim to them.
 const overdueShare = 1.0 / 16
 
-// SlotUser is a service that competes for the slots of a pool. The counts are
-// over the whole pool as far as known.
+// SlotUser is a service that competes for the slots of a pool. The counts cover the whole pool as
+// far as known.
 type SlotUser struct {
-	// InUse is how many slots it uses.
+	// InUse is the number of slots that the service uses.
 	InUse int
-	// Waiting is how many of its requests wait.
+	// Waiting is the number of its requests that wait.
 	Waiting int
-	// Share is the largest share of the slots that it may hold; at least one
-	// slot is always allowed.
+	// Share is the largest share of the slots that the service may use; one slot is always
+	// allowed.
 	Share float64
-	// Priority: the higher one has first claim.
+	// Priority orders the services; the higher one has first claim.
 	Priority int
-	// Need is how many slots its traffic keeps busy on average, for example
-	// from Demand. Lower priorities leave that many free for it and some more
-	// for chance. Zero reserves nothing.
+	// Need is the average number of slots that the service's traffic keeps in use, for example
+	// from Demand. Lower priorities leave that many free for it, and some more for variation. Zero
+	// reserves nothing.
 	Need float64
-	// Overdue is set when it was passed over for long; see Queue.Overdue.
+	// Overdue says that the service was passed over for long; see Queue.Overdue.
 	Overdue bool
 }
 
 // Capacity is the state of a pool's slots.
 type Capacity struct {
 	Slots int
-	// Free is how many slots are idle as far as known.
+	// Free is the number of idle slots as far as known.
 	Free int
 }
 
-// MayTake reports whether the service me may take a slot now.
+// MayTake reports whether the service at index me may take a slot now.
 //
-// It guards against bulk work that fills all slots with long requests just
-// before urgent ones arrive, which would then wait a whole service time of the
-// bulk: a service leaves free what those of higher priority wait for and what
-// they use on average. A service that is overdue may pass these claims, but
-// only for a small part of the slots, so that it never starves and its long
-// requests never add up to the whole pool.
+// It guards against bulk work that fills all slots with long requests just before urgent ones
+// arrive, which would then wait for a whole bulk request. A service leaves the slots free that
+// services of higher priority wait for or use on average. An overdue service may ignore these
+// claims, but only for a small part of the slots, so that it never starves and its long requests
+// never fill the whole pool.
 func MayTake(users []SlotUser, me int, c Capacity) bool {
 	user := &users[me]
 	if c.Free <= 0 || user.InUse >= user.limit(c.Slots) {
@@ -65,9 +64,9 @@
 	return max(1, int(u.Share*float64(slots)))
 }
 
-// claim is how many free slots the service has first claim to. To the average
-// need comes its square root: the spread of the number in use when requests
-// arrive independently of each other.
+// claim returns the number of free slots to which the service has first claim. The square root of
+// the average need is added to it: that is the standard deviation of the number of slots in use
+// when requests arrive independently.
 func (u *SlotUser) claim(slots int) int {
 	need := 0
 	if u.Need > 0 {
@@ -82,14 +81,14 @@
 }
 
 const (
-	// demandTime is the time over which Demand averages.
+	// demandTime is the time constant of the average in Demand.
 	demandTime = 5 * time.Second
-	// minDemandTime is the shortest time that an average is taken over.
+	// minDemandTime is the shortest time over which the average is taken.
 	minDemandTime = time.Second
 )
 
-// Demand measures how many slots the traffic of a service keeps busy. The zero
-// value is ready for use.
+// Demand measures the average number of slots that the traffic of a service uses. The zero value
+// is ready for use.
 type Demand struct {
 	slots float64
 	// since is the first arrival and at the latest one.
@@ -97,7 +96,7 @@
 	started   bool
 }
 
-// Add counts a request that arrived now and will use a slot for the time work.
+// Add counts a request that arrived now and will use a slot for the duration work.
 func (d *Demand) Add(now, work time.Duration) {
 	if !d.started {
 		*d = Demand{since: now, at: now, started: true}
@@ -106,10 +105,9 @@
 	d.at = max(d.at, now)
 }
 
-// Slots returns the average number of slots in use, by Little's law the rate
-// of arrivals times the time of each, weighing recent arrivals most. Shortly
-// after the first arrival the average is over the time since then, so that an
-// entry that has just started reserves enough.
+// Slots returns the average number of slots in use: by Little's law the rate of arrivals times the
+// duration of each, with more weight on recent arrivals. Shortly after the first arrival the
+// average covers only the time since then, so that an entry that has just started reserves enough.
 func (d *Demand) Slots(now time.Duration) float64 {
 	age := max(now-d.since, minDemandTime)
 	return d.decayed(now) / (1 - math.Exp(-float64(age)/float64(demandTime)))
--- a/internal/core/queue/slots_test.go
+++ b/internal/core/queue/slots_test.go
@@ -16,13 +16,13 @@
 		{"alone in an idle pool", SlotUser{}, SlotUser{}, 12, true},
 		{"no free slot", SlotUser{}, SlotUser{}, 0, false},
 		{"at its share", SlotUser{InUse: 6}, SlotUser{}, 6, false},
-		{"urgent ones wait for the free slots", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 3, false},
-		{"more free than urgent ones wait for", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 4, true},
-		{"urgent ones at their share claim nothing", SlotUser{}, SlotUser{InUse: 3, Waiting: 9, Share: 0.25, Priority: 9}, 1, true},
+		{"urgent requests wait for the free slots", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 3, false},
+		{"more slots free than urgent requests wait for", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 4, true},
+		{"urgent service at its share claims nothing", SlotUser{}, SlotUser{InUse: 3, Waiting: 9, Share: 0.25, Priority: 9}, 1, true},
 		{"slots are kept for the average need", SlotUser{}, SlotUser{InUse: 1, Share: 1, Priority: 9, Need: 4}, 5, false},
 		{"need that is in use claims nothing", SlotUser{}, SlotUser{InUse: 6, Share: 1, Priority: 9, Need: 4}, 1, true},
 		{"overdue passes the claims", SlotUser{Overdue: true}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, true},
-		{"overdue with its one slot does not", SlotUser{Overdue: true, InUse: 1}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, false},
+		{"overdue with its one slot in use does not pass them", SlotUser{Overdue: true, InUse: 1}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, false},
 	} {
 		tt.bulk.Share, tt.bulk.Priority = 0.5, 1
 		if got := MayTake([]SlotUser{tt.urgent, tt.bulk}, 1, Capacity{Slots: 12, Free: tt.free}); got != tt.want {
@@ -31,15 +31,15 @@
 	}
 }
 
-// At night scales push photo batches of one second each; contractors' urgent
-// checks of 10 ms arrive all the time, 4 slots' worth on 12 slots, and see
-// their answers a second late: bulk had filled every idle slot, and no slot
-// came free before a batch had ended. Yet the batches must arrive.
+// Guards against urgent requests that wait for bulk work. At night scales send photo batches of
+// one second each; urgent checks of 10 ms arrive all the time and need 4 of the 12 slots. They
+// were answered a second late because bulk had filled every idle slot, and no slot became free
+// before a batch had ended. The batches must run as well.
 func TestBulkLeavesSlotsForUrgentRequests(t *testing.T) {
 	const slots, urgent, bulk = 12, 0, 1
 	work := [2]time.Duration{10 * ms, time.Second}
 	q, demand := New(), Demand{}
-	var ends [2][]time.Duration // when the slots of each service come free
+	var ends [2][]time.Duration // when the slots of each service become free
 	id, late, batches := uint64(0), 0, 0
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * ms {
 		for range 3 {
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -5,24 +5,23 @@
 const (
 	// paceWeight is the weight of the latest interval in the measured pace.
 	paceWeight = 0.2
-	// paceMemory is how long a pace is kept while nothing waits. It guards
-	// against refusing requests today for the slowness of an overload that has
-	// long passed: what is refused is never served, so it would never be
-	// measured again.
+	// paceMemory is how long a pace is kept while no request waits. It guards against refusing
+	// requests because of an overload that ended long ago: a refused request is never served, so
+	// the pace would never be measured again.
 	paceMemory = time.Second
 )
 
-// pace measures the time between dispatches of a class while requests of it
-// wait. That covers all that the entry can't see by itself: how much other
-// entries take, how slow the endpoints are, how many are ejected.
+// pace measures the time between dispatches of a class while requests of it wait. That includes
+// everything that the entry can't observe itself: the slots that other entries use, slow
+// endpoints, ejected endpoints.
 type pace struct {
 	interval float64
 	measured bool
-	// since is the last dispatch, or when requests began to wait after it.
+	// since is the latest dispatch, or the time at which requests began to wait after it.
 	since time.Duration
 }
 
-// noteFirstWaiting notes that the first request waits after none did.
+// noteFirstWaiting records that a request waits in a class where none waited before.
 func (p *pace) noteFirstWaiting(now time.Duration) {
 	if now-p.since > paceMemory {
 		p.measured = false
@@ -40,8 +39,8 @@
 	p.since = now
 }
 
-// at returns the interval to reckon with. While nothing leaves, it is at least
-// the time since the last dispatch, since the measured one is out of date.
+// at returns the interval to use in estimates. While no request is dispatched, it is at least the
+// time since the last dispatch, since the measured interval is then outdated.
 func (p *pace) at(now time.Duration, unmeasured time.Duration) float64 {
 	interval := float64(unmeasured)
 	if p.measured {
@@ -50,11 +49,10 @@
 	return max(interval, float64(now-p.since))
 }
 
-// ExpectedWait estimates how long the item would wait for a slot. idle is how
-// many slots it could use at once, and between is the expected time between
-// two dispatches as long as none was measured: the service time divided by the
-// slots that this entry can count on. An item that is first of its class has
-// no estimate above zero: it finds out and is measured.
+// ExpectedWait estimates how long the item would wait for a slot. idle is how many idle slots it
+// could use now. between is the expected time between two dispatches as long as none was measured:
+// the service time divided by the slots that this entry can expect to use. For an item that is
+// first of its class the estimate is zero: its dispatch gives the first measurement.
 func (q *Queue) ExpectedWait(now time.Duration, it Item, idle int, between time.Duration) time.Duration {
 	c := q.find(it.Service, it.Priority)
 	if c == nil || c.waiting == 0 {
@@ -67,9 +65,9 @@
 	return time.Duration(float64(max(0, ahead-idle)) * c.pace.at(now, between))
 }
 
-// Ahead returns how many waiting items are expected to go before the item:
-// those of higher or the same priority, and of its own class as many as the
-// turns of the other callers allow while those of its own caller go first.
+// Ahead returns how many waiting items are expected to be served before the item: those of higher
+// or the same priority, and of its own class those of its own caller and as many as the other
+// callers may be served meanwhile.
 func (q *Queue) Ahead(it Item) int {
 	ahead := 0
 	for _, c := range q.classes {
