--- a/internal/core/quota/limit_test.go
+++ b/internal/core/quota/limit_test.go
@@ -28,13 +28,13 @@
 		e    table.Endpoint
 		want Status
 	}{
-		{"of others", now + time.Hour, limitedAt(now, 10, false), LimitElsewhere},
-		{"its own, just named", now, limitedAt(now, 10, true), LimitSpent},
-		{"its own, earned", now + time.Second, limitedAt(now, 10, true), Granted},
-		{"its own, a fraction not earned yet", now + 2*time.Second, limitedAt(now, 0.4, true), LimitSpent},
-		{"its own, a fraction earned", now + 2501*ms, limitedAt(now, 0.4, true), Granted},
+		{"owned by others", now + time.Hour, limitedAt(now, 10, false), LimitElsewhere},
+		{"owned, just reported", now, limitedAt(now, 10, true), LimitSpent},
+		{"owned, request earned", now + time.Second, limitedAt(now, 10, true), Granted},
+		{"owned, limit below one, request not earned yet", now + 2*time.Second, limitedAt(now, 0.4, true), LimitSpent},
+		{"owned, limit below one, request earned", now + 2501*ms, limitedAt(now, 0.4, true), Granted},
 		{"no limit any more", now, limitedAt(now, 0, false), Granted},
-		{"cold besides", now, cold, ColdElsewhere},
+		{"cold as well", now, cold, ColdElsewhere},
 	} {
 		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: NewColdQuota(Warmup{PerSecond: 5})}
 		if got := Of(c.at, p, &p.Endpoints[0]); got != c.want {
@@ -43,14 +43,15 @@
 	}
 }
 
-// limitView is a fleet of entries by which an endpoint's owners are worked out.
+// limitView is one view of the fleet, from which an endpoint's owners are determined.
 type limitView struct {
 	candidates Candidates
 	offset     time.Duration
 }
 
-// Guards against an endpoint that gets more than it takes: owners by two views of the fleet that press as
-// hard as they can, with their clocks of turns apart, while the limit changes and owners take turns.
+// Guards against an endpoint that gets more requests than it accepts: entries own it by two
+// different views of the fleet and send as much as they may, while their owner periods are offset
+// and the owners change.
 func TestLimitHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rate := rapid.Float64Range(0.05, 40).Draw(rt, "rate")
@@ -104,7 +105,8 @@
 	})
 }
 
-// Guards against a limited endpoint that gets far less than it takes where all know each other.
+// Guards against a limited endpoint that gets far fewer requests than it accepts although all
+// entries know each other.
 func TestLimitedEndpointIsUsed(t *testing.T) {
 	for _, rate := range []float64{0.4, 1, 1.1, 3, 10, 40} {
 		owners, ownerRate := limitQuota(rate)
@@ -113,12 +115,12 @@
 		}
 	}
 	if owners, ownerRate := limitQuota(0); owners != 0 || ownerRate != 0 {
-		t.Error("there are owners without a limit")
+		t.Error("owners without a limit")
 	}
 }
 
-// Guards against an endpoint that gets nothing for good since the entry that owns it has no callers or is
-// down: others take their turn unless the fleet is told that the limit holds.
+// Guards against an endpoint that never gets a request because the entry that owns it has no
+// callers or is down: other entries become owners unless it is spread that the limit holds.
 func TestOwnersChangeEachPeriod(t *testing.T) {
 	var all []Entry
 	for i := range 14 {
@@ -132,7 +134,7 @@
 		now := time.Duration(k) * ownerPeriodLength
 		period, ends := OwnerPeriod(now, &e)
 		if period != uint32(k) || ends != now+ownerPeriodLength {
-			t.Fatalf("at %v turn %d until %v", now, period, ends)
+			t.Fatalf("at %v period %d until %v", now, period, ends)
 		}
 		had := 0
 		for _, o := range all {
@@ -142,14 +144,14 @@
 			}
 		}
 		if had != 1 {
-			t.Errorf("turn %d has %d owners", period, had)
+			t.Errorf("period %d has %d owners", period, had)
 		}
 	}
 	if len(owners) < 4 {
-		t.Errorf("only %d entries had their turn", len(owners))
+		t.Errorf("only %d entries became owners", len(owners))
 	}
 	e.Limit.Own = true
 	if RenewalDue(renewAfter-ms, &e) || !RenewalDue(renewAfter, &e) {
-		t.Error("the fleet is told that a limit holds still too early or too late")
+		t.Error("the renewal of a limit is due too early or too late")
 	}
 }
--- a/internal/core/quota/owners.go
+++ b/internal/core/quota/owners.go
@@ -13,27 +13,29 @@
 const (
 	// burst is how many requests an owner may send at once.
 	burst = 1.0
-	// ownersShare is the part of the bound that the owners of an endpoint have together. The rest is
-	// for entries that own it by another view of the fleet: as many again, as when a partition
-	// lasts until each side has forgotten the other, or entries join and others don't know yet.
+	// ownersShare is the part of the bound that the owners of an endpoint share. The rest is for
+	// entries that own it by another view of the fleet. These may send as much again, for example
+	// when a partition lasts until each side has forgotten the other, or when some entries don't
+	// know of new entries yet.
 	ownersShare = 0.5
-	// maxOwners is how many entries own an endpoint at most, and minOwnerRate the requests a second
-	// that are worth an owner.
+	// maxOwners is the largest number of entries that own an endpoint, and minOwnerRate the least
+	// rate in requests per second for which an owner is added.
 	maxOwners    = 3
 	minOwnerRate = 1.25
 )
 
-// Warmup is what is published of a pool's cold endpoints, and what the platform allows beyond it.
+// Warmup is the published rate of a pool's cold endpoints and what the platform allows beyond it.
 type Warmup struct {
-	// For is how long an endpoint stays cold, PerSecond the requests a second that it bears.
+	// For is how long an endpoint stays cold, PerSecond the requests per second that it can serve
+	// meanwhile.
 	For       time.Duration
 	PerSecond float64
 	// Over and Slack make the bound for any second: PerSecond x Over + Slack.
 	Over, Slack float64
 }
 
-// NewColdQuota returns what an entry may send to each cold endpoint that it owns. Its Bound is 0 where
-// nothing is published: then nothing binds.
+// NewColdQuota returns the rate at which an entry may send to each cold endpoint that it owns. Its
+// Bound is 0 if nothing is published; cold endpoints are then not limited.
 func NewColdQuota(w Warmup) table.ColdQuota {
 	if w.PerSecond <= 0 {
 		return table.ColdQuota{}
@@ -50,33 +52,35 @@
 	return s
 }
 
-// Entry is an entry that may own cold endpoints.
+// Entry is an entry that may own endpoints.
 type Entry struct {
-	// ID is its number in the division of duties, Domain its failure domain.
+	// ID identifies the entry in the assignment, Domain is its failure domain.
 	ID     uint64
 	Domain string
-	// Capacity is what its VM gives it, in thousandths of a core.
+	// Capacity is the capacity of the entry's VM in thousandths of a core.
 	Capacity uint32
 }
 
 const (
-	// ownersInDomain is how many owners of an endpoint lie in its own failure domain. The others lie
-	// elsewhere, since entries of a domain that lost power come back with its endpoints.
+	// ownersInDomain is how many owners of an endpoint are in its own failure domain. The others
+	// are in other domains, since the entries of a domain that lost power restart together with
+	// its endpoints.
 	ownersInDomain = 2
-	// strongEntries is how many of the strongest entries of a failure domain own most; each further
-	// one owns less, by its place. Callers are sent to the strongest, to more of them by their
-	// calls, which each entry counts a little differently: who owns what must not follow them.
+	// strongEntries is how many of the strongest entries of a failure domain have the full weight;
+	// each further one has less, by its rank. Callers are sent to the strongest entries, and to
+	// more of them at a higher rate of calls, which each entry counts a little differently: the
+	// owners must not depend on that count.
 	strongEntries = 8
 )
 
-// Candidates are the entries of a fleet in the order of their strength, each with its weight. Make
-// them with NewCandidates.
+// Candidates are the entries of a fleet, ordered by failure domain and capacity, each with its
+// weight. Create them with NewCandidates.
 type Candidates struct {
 	entries []Entry
 	weights []float64
 }
 
-// NewCandidates orders entries, which it keeps.
+// NewCandidates sorts entries, which it keeps, and computes their weights.
 func NewCandidates(entries []Entry) Candidates {
 	slices.SortFunc(entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
@@ -92,8 +96,9 @@
 	return c
 }
 
-// Owns reports whether the entry of number self is among so many owners of an endpoint: those that
-// rank first for its name, by their weight, which moves only what an entry that comes or goes owns.
+// Owns reports whether the entry with the ID self is one of the owners of an endpoint. The owners
+// are the entries that rank first for its name by weighted rendezvous hashing, so that an entry
+// that joins or leaves changes only the endpoints that it owns itself.
 func (c *Candidates) Owns(self uint64, name, domain string, owners int) bool {
 	near := min(owners, ownersInDomain)
 	ownIndex := slices.IndexFunc(c.entries, func(e Entry) bool { return e.ID == self })
@@ -114,7 +119,8 @@
 	return places > 0
 }
 
-// rank is that of weighted rendezvous hashing; the lowest goes first.
+// rank returns the rank of the entry at index i for the key in weighted rendezvous hashing; the
+// lowest is first.
 func (c *Candidates) rank(key uint64, i int) float64 {
 	u := (float64(assign.Score(key, c.entries[i].ID)>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / c.weights[i]
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,13 +1,14 @@
-// Package quota decides whether an endpoint may get a request now, and how many: the one place
-// for all reasons why it may get none or few, whoever chooses it.
+// Package quota decides whether an endpoint may get a request now, and how many requests an entry
+// may send to it. All reasons why an endpoint gets no or few requests are here, so that they hold
+// for every policy that chooses endpoints.
 //
-// Most reasons hold for everybody alike: an endpoint that leaves, has gone, or lies in an
-// evacuated failure domain gets nothing. A cold endpoint, started or emptied a moment ago, bears a
-// few requests a second from all entries together and crashes well above that, with the requests
-// that it holds. Each entry sees it idle and would send to it; that it is cold is known late; and
-// entries can't count together. So a few entries own each cold endpoint (see Owners) and have the
-// bound among them, and the others leave it alone while it is cold. The same holds for an endpoint
-// that names a limit of its own (limit.go).
+// Most reasons are the same for every entry: an endpoint that is leaving, gone or in an evacuated
+// failure domain gets no requests. A cold endpoint, one that was started or emptied a moment ago,
+// can serve a few requests per second from all entries together and crashes at a much higher rate,
+// losing the requests that it is running. Each entry would see it as idle and send requests to it;
+// entries learn late that it is cold, and they can't count requests together. So a few entries own
+// each cold endpoint (see Candidates.Owns) and share the bound, and the others send it nothing
+// while it is cold. The same holds for an endpoint that reports a limit of its own (limit.go).
 //
 // The package is pure. Times are durations since the process started.
 package quota
@@ -18,30 +19,30 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Status is whether an endpoint may get a request, and if not why.
+// Status says whether an endpoint may get a request, and if not, why.
 type Status uint8
 
-// The verdicts.
+// The statuses of an endpoint.
 const (
 	Granted Status = iota
-	// Leaving and Gone: its own end, which is final.
+	// Leaving and Gone: the endpoint is leaving or gone, which is final.
 	Leaving
 	Gone
-	// Evacuated: its failure domain is to get nothing until the operator takes it back.
+	// Evacuated: the operator has evacuated the endpoint's failure domain.
 	Evacuated
-	// ColdElsewhere: it is cold, and other entries send what it bears.
+	// ColdElsewhere: the endpoint is cold and owned by other entries.
 	ColdElsewhere
-	// ColdSpent: it is cold, and this entry has sent its part of what it bears.
+	// ColdSpent: the endpoint is cold, and this entry has spent its quota for it.
 	ColdSpent
-	// LimitElsewhere: it names a limit, and other entries send what it takes.
+	// LimitElsewhere: the endpoint reports a limit and is owned by other entries.
 	LimitElsewhere
-	// LimitSpent: it names a limit, and this entry has sent its part of what it takes.
+	// LimitSpent: the endpoint reports a limit, and this entry has spent its quota for it.
 	LimitSpent
 )
 
 var statusNames = [...]string{"granted", "leaving", "gone", "evacuated", "cold-elsewhere", "cold-spent", "limit-elsewhere", "limit-spent"}
 
-// String returns the verdict as the log shows it.
+// String returns the status as the log shows it.
 func (s Status) String() string { return statusNames[s] }
 
 // Of returns whether endpoint e of pool p may get a request now.
@@ -67,15 +68,15 @@
 	return Granted
 }
 
-// IsLimited reports whether the endpoint names a limit of the requests that it takes.
+// IsLimited reports whether the endpoint reports a limit on the requests that it accepts.
 func IsLimited(e *table.Endpoint) bool { return e.Limit.Rate > 0 }
 
-// IsCold reports whether the endpoint is cold, in a pool where that binds.
+// IsCold reports whether the endpoint is cold and its pool has a bound for cold endpoints.
 func IsCold(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
 	return now < e.Cold.Until && p.ColdQuota.Bound > 0
 }
 
-// Spend takes a request that is sent to e into account.
+// Spend counts a request that is sent to e.
 func Spend(now time.Duration, p *table.Pool, e *table.Endpoint) {
 	if IsCold(now, p, e) {
 		e.Cold.Tokens, e.Cold.At = tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate)-1, now
@@ -85,13 +86,14 @@
 	}
 }
 
-// tokens is how many requests this entry may send now of a part with a rate. One that was not bounded
-// for a while has all that may be saved.
+// tokens returns how many requests this entry may send now under a quota with the given rate. An
+// endpoint that was not limited for a while has the largest number that can be saved.
 func tokens(now time.Duration, q *table.OwnerQuota, rate float64) float64 {
 	return min(burst, q.Tokens+(now-q.At).Seconds()*rate)
 }
 
-// SetCold takes in how much longer the endpoint says that it stays cold; 0 says that it is warm.
+// SetCold records how much longer the endpoint stays cold by its own report; 0 means that it is
+// warm.
 func SetCold(now time.Duration, e *table.Endpoint, left time.Duration) {
 	e.Cold.Until = 0
 	if left > 0 {
@@ -99,8 +101,8 @@
 	}
 }
 
-// BecameCold notes that the endpoint is cold as far as others say, for as long as that commonly
-// takes in its pool, or until it tells more.
+// BecameCold records that the endpoint is cold by the report of others, for the usual warm-up time
+// of its pool or until the endpoint reports otherwise.
 func BecameCold(now time.Duration, p *table.Pool, e *table.Endpoint) {
 	e.Cold.Until = max(e.Cold.Until, now+p.ColdQuota.Warmup)
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -26,16 +26,16 @@
 	}{
 		{"warm", share, table.Endpoint{}, Granted},
 		{"leaving", share, table.Endpoint{State: table.EndpointLeaving}, Leaving},
-		{"gone and evacuated", share, table.Endpoint{State: table.EndpointGone, Evacuated: true}, Gone},
+		{"gone and in an evacuated domain", share, table.Endpoint{State: table.EndpointGone, Evacuated: true}, Gone},
 		{"evacuated and cold", share, table.Endpoint{Evacuated: true, Cold: own}, Evacuated},
-		{"cold, of others", share, table.Endpoint{Cold: cold}, ColdElsewhere},
-		{"cold, its own", share, table.Endpoint{Cold: own}, Granted},
-		{"cold, its own, spent", share, table.Endpoint{Cold: spent}, ColdSpent},
-		{"warm by now", share, table.Endpoint{Cold: table.Cold{Until: now}}, Granted},
-		{"cold where nothing is published", table.ColdQuota{}, table.Endpoint{Cold: cold}, Granted},
-		{"cold where one bears nothing", NewColdQuota(Warmup{PerSecond: 0.5}), table.Endpoint{Cold: own}, Granted},
+		{"cold, owned by others", share, table.Endpoint{Cold: cold}, ColdElsewhere},
+		{"cold, owned", share, table.Endpoint{Cold: own}, Granted},
+		{"cold, owned, spent", share, table.Endpoint{Cold: spent}, ColdSpent},
+		{"warm from now on", share, table.Endpoint{Cold: table.Cold{Until: now}}, Granted},
+		{"cold without a published warm-up rate", table.ColdQuota{}, table.Endpoint{Cold: cold}, Granted},
+		{"cold with a bound below one request", NewColdQuota(Warmup{PerSecond: 0.5}), table.Endpoint{Cold: own}, Granted},
 	} {
-		if c.name == "cold where one bears nothing" {
+		if c.name == "cold with a bound below one request" {
 			c.want = ColdSpent // no owner may send: Rate and Owners are 0
 			c.e.Cold.At, c.e.Cold.Tokens = now, 0
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// What the owners of an endpoint may send in any second, together, is half of the bound at most,
-// whatever an operator publishes; and as far as that allows there are several owners.
+// The owners of an endpoint together may send at most half of the bound in any second, whatever an
+// operator publishes, and there are several owners where the bound allows that.
 func TestOwnersTogetherStayWithinHalfTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Warmup{
@@ -65,19 +65,19 @@
 	})
 }
 
-// sender is an entry process before one cold endpoint.
+// sender is an entry process with one cold endpoint.
 type sender struct {
 	pool table.Pool
 	view Candidates
 	id   uint64
 }
 
-// Three hundred entries see an endpoint cold and idle, and each of them would send at once and
-// again: 17 requests reached one in a second, where it bears 16.7. Whatever the entries know of
-// each other, as long as no more than two ways of seeing the fleet are about (two sides that have
-// forgotten each other, or those who know of entries that joined and those who don't), what they
-// send together in any second stays within the bound: over starts and ends of processes, each of
-// which begins with a full allowance, and with callers that press as hard as they can.
+// Guards against a cold endpoint that gets more requests than it can serve. Three hundred entries
+// saw an endpoint cold and idle, and each of them sent requests at once: 17 reached it in a
+// second, where it can serve 16.7. The entries have at most two different views of the fleet: two
+// sides of a partition that have forgotten each other, or entries that know of new entries and
+// entries that don't. The requests of any second must stay within the bound, even when processes
+// restart, each of which begins with a full quota, and callers send as much as they can.
 func TestColdBoundHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: rapid.Float64Range(0.5, 30).Draw(rt, "rate"),
@@ -90,11 +90,11 @@
 		cut := rapid.IntRange(0, n).Draw(rt, "cut")
 		var views [2][]Entry
 		switch rapid.IntRange(0, 2).Draw(rt, "views") {
-		case 0: // all know all
+		case 0: // every entry knows all entries
 			views = [2][]Entry{all, all}
-		case 1: // two sides that have forgotten each other
+		case 1: // two sides of a partition that have forgotten each other
 			views = [2][]Entry{all[:cut], all[cut:]}
-		case 2: // some know of entries that joined
+		case 2: // only some entries know of new entries
 			views = [2][]Entry{all[:cut], all}
 		}
 		newSender := func(i int) *sender {
@@ -112,7 +112,7 @@
 				owners = append(owners, s)
 			}
 		}
-		// An entry that starts anew owns nothing until it has served for a while.
+		// An entry that restarts owns no endpoint until it has served for a while.
 		quietUntil := make([]time.Duration, len(owners))
 		var sent []time.Duration
 		for now := 10 * time.Second; now < 16*time.Second; now += 20 * ms {
@@ -138,8 +138,9 @@
 	})
 }
 
-// A failure domain comes back cold and most callers are there. Each endpoint has owners in its own
-// domain, and one elsewhere that was up all the while; what is owned is spread evenly.
+// Guards against a cold endpoint whose owners all restart with it: a failure domain restarts cold
+// and most callers are in it. Each endpoint has owners in its own domain and one in another domain
+// that stayed up; the owned endpoints are spread evenly.
 func TestOwnersAreInDomainAndOneElsewhere(t *testing.T) {
 	var all []Entry
 	for i := range 60 {
@@ -167,8 +168,8 @@
 	}
 }
 
-// Most callers are sent to the strongest entries of a failure domain. Those own most, but a weak one
-// that gets some calls owns some as well.
+// Most callers are sent to the strongest entries of a failure domain. Those own most endpoints,
+// but a weak entry that gets some calls owns some as well.
 func TestStrongEntriesOwnMost(t *testing.T) {
 	var all []Entry
 	for i := range 49 {
