--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -102,7 +102,7 @@
 	Changed(now time.Duration, p *table.Pool, deciders []string)
 	// Pick chooses an endpoint for a request that has waited in this entry's queue for the given
 	// time.
-	Pick(now time.Duration, p *table.Pool, ask Request, waited time.Duration) Choice
+	Pick(now time.Duration, p *table.Pool, req Request, waited time.Duration) Choice
 	// Dispatched is called after an attempt was sent to endpoint i; the endpoint's Outstanding
 	// already counts it.
 	Dispatched(now time.Duration, p *table.Pool, i int)
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -47,8 +47,8 @@
 			p := drawPool(t)
 			picker := newPicker(t, policy)
 			picker.Changed(testNow, p, []string{"a", "b", "c"})
-			ask := Request{Tried: Set(rapid.Uint64().Draw(t, "tried")), Trial: rapid.Bool().Draw(t, "may")}
-			c := picker.Pick(testNow, p, ask, 0)
+			req := Request{Tried: Set(rapid.Uint64().Draw(t, "tried")), Trial: rapid.Bool().Draw(t, "may")}
+			c := picker.Pick(testNow, p, req, 0)
 			if !c.OK {
 				if c.Wait <= 0 {
 					t.Fatal("neither a choice nor a time to wait")
@@ -59,13 +59,13 @@
 				t.Fatalf("index %d outside the pool of %d", c.Index, len(p.Endpoints))
 			}
 			e := &p.Endpoints[c.Index]
-			if e.State != table.EndpointLive || ask.Tried.Has(c.Index) {
-				t.Fatalf("chose %+v, tried %b", e, ask.Tried)
+			if e.State != table.EndpointLive || req.Tried.Has(c.Index) {
+				t.Fatalf("chose %+v, tried %b", e, req.Tried)
 			}
-			if !c.Trial && !usable(testNow, p, e) && requiredEligibility(testNow, p, ask.Tried) == notEjected {
+			if !c.Trial && !usable(testNow, p, e) && requiredEligibility(testNow, p, req.Tried) == notEjected {
 				t.Fatal("chose an ejected endpoint although others are not ejected")
 			}
-			if c.Trial && (!ask.Trial || e.Health.TrialAt > testNow) {
+			if c.Trial && (!req.Trial || e.Health.TrialAt > testNow) {
 				t.Fatal("chose a trial that was not due or not allowed")
 			}
 		}))
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -106,21 +106,21 @@
 func (c *claims) PeerHeard(from int, at time.Duration) { c.peers.noteHeard(from, at) }
 
 // Pick implements Picker.
-func (c *claims) Pick(now time.Duration, p *table.Pool, ask Request, waited time.Duration) Choice {
-	s, choice, done := c.begin(now, p, ask)
+func (c *claims) Pick(now time.Duration, p *table.Pool, req Request, waited time.Duration) Choice {
+	s, choice, done := c.begin(now, p, req)
 	if done {
 		c.lastIdleOnly = false
 		return choice
 	}
 	c.peers.expire(now, max(minSilence, time.Duration(silenceFactor*c.typicalService())))
-	if i, ok := c.pickIdle(now, p, ask, s, waited); ok {
-		c.lastIdleOnly = !ask.MustQueue
-		return Choice{Index: i, OK: true, IdleOnly: !ask.MustQueue}
+	if i, ok := c.pickIdle(now, p, req, s, waited); ok {
+		c.lastIdleOnly = !req.MustQueue
+		return Choice{Index: i, OK: true, IdleOnly: !req.MustQueue}
 	}
 	if idleLimit := c.idleWait(); waited < idleLimit {
 		return Choice{Wait: min(pickInterval, idleLimit-waited)}
 	}
-	if i, ok := c.pickQueue(now, p, ask, s, waited); ok {
+	if i, ok := c.pickQueue(now, p, req, s, waited); ok {
 		c.lastIdleOnly = false
 		return Choice{Index: i, OK: true}
 	}
@@ -141,16 +141,16 @@
 }
 
 // pickIdle returns the best endpoint that seems to have an idle slot.
-func (c *claims) pickIdle(now time.Duration, p *table.Pool, ask Request, s eligibility, waited time.Duration) (int, bool) {
+func (c *claims) pickIdle(now time.Duration, p *table.Pool, req Request, s eligibility, waited time.Duration) (int, bool) {
 	best, bestScore := -1, 0.0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		slots := max(1, e.Slots)
-		if e.Outstanding >= slots || !eligible(now, p, i, ask.Tried, s) {
+		if e.Outstanding >= slots || !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
-		free := float64(slots-e.Outstanding) - c.foreign(now, i, e, ask)
-		if free < minIdleShare || c.passOver(now, e, i, ask, waited) {
+		free := float64(slots-e.Outstanding) - c.foreign(now, i, e, req)
+		if free < minIdleShare || c.passOver(now, e, i, req, waited) {
 			continue
 		}
 		score := free/float64(slots) - float64(c.order.rank[i])*rankCost
@@ -166,8 +166,8 @@
 
 // foreign returns the estimate of the foreign load. Which estimate is used depends on what a wrong
 // one costs: a round trip, or a wait in the endpoint's queue.
-func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, ask Request) float64 {
-	if ask.MustQueue {
+func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, req Request) float64 {
+	if req.MustQueue {
 		return c.peers.expected(now, i, c.service(e))
 	}
 	return c.peers.foreign(now, i, c.service(e))
@@ -175,7 +175,7 @@
 
 // passOver reports whether an endpoint should not be used now: it failed a moment ago, or is so
 // slow that the request would end earlier by waiting for another endpoint.
-func (c *claims) passOver(now time.Duration, e *table.Endpoint, i int, ask Request, waited time.Duration) bool {
+func (c *claims) passOver(now time.Duration, e *table.Endpoint, i int, req Request, waited time.Duration) bool {
 	r := &c.records[i]
 	if now < r.avoidUntil {
 		return true
@@ -183,7 +183,7 @@
 	if !c.slow(e) {
 		return false
 	}
-	if ask.Trial && e.Outstanding == 0 && now >= r.retryAt {
+	if req.Trial && e.Outstanding == 0 && now >= r.retryAt {
 		return false
 	}
 	return float64(waited) < e.ServiceNanos-c.medianService
@@ -196,14 +196,14 @@
 // pickQueue returns the endpoint where a queued request is served soonest. The limit on the
 // endpoint's queue does not apply after a long wait, nor while this entry has no attempt in
 // flight: no answer would then correct a view in which every queue is full.
-func (c *claims) pickQueue(now time.Duration, p *table.Pool, ask Request, s eligibility, waited time.Duration) (int, bool) {
+func (c *claims) pickQueue(now time.Duration, p *table.Pool, req Request, s eligibility, waited time.Duration) (int, bool) {
 	limit := float64(c.cfg.QueueAtEndpoint) - minIdleShare
 	if waited > longWaitFactor*c.idleWait() || p.Outstanding() == 0 {
 		limit = math.Inf(1)
 	}
 	best, bestTime := -1, 0.0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		e, r := &p.Endpoints[i], &c.records[i]
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -83,8 +83,8 @@
 }
 
 // Pick implements Picker.
-func (q *prequal) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := q.begin(now, p, ask)
+func (q *prequal) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := q.begin(now, p, req)
 	if done {
 		return c
 	}
@@ -95,7 +95,7 @@
 	}
 	best, hot := -1, q.hotLoad()
 	for k := range q.count {
-		if !eligible(now, p, q.results[k].index, ask.Tried, s) {
+		if !eligible(now, p, q.results[k].index, req.Tried, s) {
 			continue
 		}
 		if best < 0 || q.better(&q.results[k], &q.results[best], hot) {
@@ -103,7 +103,7 @@
 		}
 	}
 	if best < 0 {
-		i, ok := q.pickRandom(now, p, ask.Tried, s, -1)
+		i, ok := q.pickRandom(now, p, req.Tried, s, -1)
 		return Choice{Index: i, OK: ok}
 	}
 	chosen := q.results[best].index
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -12,15 +12,15 @@
 type centralQueue struct{ view }
 
 // Pick implements Picker.
-func (q *centralQueue) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := q.begin(now, p, ask)
+func (q *centralQueue) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := q.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, ties := -1, 0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, ask.Tried, s) {
+		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		switch {
@@ -44,14 +44,14 @@
 type sightings struct{ view }
 
 // Pick implements Picker.
-func (g *sightings) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := g.begin(now, p, ask)
+func (g *sightings) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := g.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, bestLoad, ties := -1, 0.0, 0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		e := &p.Endpoints[i]
--- a/internal/core/balance/shares.go
+++ b/internal/core/balance/shares.go
@@ -23,18 +23,18 @@
 }
 
 // Pick implements Picker.
-func (h *shares) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := h.begin(now, p, ask)
+func (h *shares) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := h.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, tries := -1, 0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if ask.Tried.Has(i) {
+		if req.Tried.Has(i) {
 			tries++
 		}
-		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, ask.Tried, s) {
+		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		if best < 0 || h.order.rank[i] < h.order.rank[best] {
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -10,12 +10,12 @@
 type random struct{ view }
 
 // Pick implements Picker.
-func (r *random) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := r.begin(now, p, ask)
+func (r *random) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := r.begin(now, p, req)
 	if done {
 		return c
 	}
-	i, ok := r.pickRandom(now, p, ask.Tried, s, -1)
+	i, ok := r.pickRandom(now, p, req.Tried, s, -1)
 	return Choice{Index: i, OK: ok}
 }
 
@@ -26,15 +26,15 @@
 }
 
 // Pick implements Picker.
-func (r *roundRobin) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := r.begin(now, p, ask)
+func (r *roundRobin) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := r.begin(now, p, req)
 	if done {
 		return c
 	}
 	for range p.Endpoints {
 		i := r.next % len(p.Endpoints)
 		r.next++
-		if eligible(now, p, i, ask.Tried, s) {
+		if eligible(now, p, i, req.Tried, s) {
 			return Choice{Index: i, OK: true}
 		}
 	}
@@ -46,14 +46,14 @@
 type leastOutstanding struct{ view }
 
 // Pick implements Picker.
-func (l *leastOutstanding) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := l.begin(now, p, ask)
+func (l *leastOutstanding) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := l.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, bestLoad, ties := -1, 0.0, 0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		load := ownLoad(&p.Endpoints[i])
@@ -83,13 +83,13 @@
 }
 
 // Pick implements Picker.
-func (t *twoChoices) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := t.begin(now, p, ask)
+func (t *twoChoices) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := t.begin(now, p, req)
 	if done {
 		return c
 	}
-	a, _ := t.pickRandom(now, p, ask.Tried, s, -1)
-	b, ok := t.pickRandom(now, p, ask.Tried, s, a)
+	a, _ := t.pickRandom(now, p, req.Tried, s, -1)
+	b, ok := t.pickRandom(now, p, req.Tried, s, a)
 	if ok && t.load(now, &p.Endpoints[b]) < t.load(now, &p.Endpoints[a]) {
 		a = b
 	}
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -124,14 +124,14 @@
 }
 
 // trial returns an ejected endpoint whose next trial is due.
-func trial(now time.Duration, p *table.Pool, ask Request) (Choice, bool) {
-	if !ask.Trial {
+func trial(now time.Duration, p *table.Pool, req Request) (Choice, bool) {
+	if !req.Trial {
 		return Choice{}, false
 	}
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if quota.Of(now, p, e) == quota.Granted && e.Health.EjectedUntil > now && e.Health.TrialAt > 0 &&
-			now >= e.Health.TrialAt && e.Outstanding == 0 && !ask.Tried.Has(i) {
+			now >= e.Health.TrialAt && e.Outstanding == 0 && !req.Tried.Has(i) {
 			return Choice{Index: i, OK: true, Trial: true}, true
 		}
 	}
@@ -140,11 +140,11 @@
 
 // begin does the first steps of every policy. It returns the eligibility for the choice, or a
 // finished choice.
-func (v *view) begin(now time.Duration, p *table.Pool, ask Request) (eligibility, Choice, bool) {
-	if c, ok := trial(now, p, ask); ok {
+func (v *view) begin(now time.Duration, p *table.Pool, req Request) (eligibility, Choice, bool) {
+	if c, ok := trial(now, p, req); ok {
 		return notEjected, c, true
 	}
-	s := requiredEligibility(now, p, ask.Tried)
+	s := requiredEligibility(now, p, req.Tried)
 	if s == noneUsable {
 		return s, Choice{Wait: noEndpointWait}, true
 	}
