--- a/internal/core/balance/attempts.go
+++ b/internal/core/balance/attempts.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		ran := float64(now - a.started[k])
-		// An attempt that has run far too long is expected to run as long again.
+		// An attempt that runs far too long is probably a long one.
 		end = min(end, max(minRemaining*service, service-ran, ran-overdueFactor*service))
 	}
 	return end
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -168,7 +168,7 @@
 	Claims           = "claims"
 )
 
-// Default is the policy that is used unless the settings name another.
+// Default is the policy that is used unless a profile names another.
 const Default = Claims
 
 // Policies returns the names that New accepts.
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -22,7 +22,7 @@
 	// preferredBonus ranks an idle slot of a preferred endpoint before all others. rankCost
 	// decides between endpoints with the same score.
 	preferredBonus = 10
-	// longWaitFactor times its idle wait is the time after which a request queues at an endpoint
+	// longWaitFactor is the number of idle waits after which a request queues at an endpoint
 	// however full that looks.
 	longWaitFactor = 20
 	rankCost       = 1e-3
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -25,10 +25,9 @@
 	uses    int
 }
 
-// prequal keeps a small pool of load reports, each of which is used a limited number of times.
-// Among the reports that are not hot it takes the one with the lowest latency; if all are hot, the
-// one with the least load. Loads reported with ordinary answers fill the pool as well as load
-// reports of other entries.
+// prequal keeps a small pool of load reports, each of which is used a limited number of times. It
+// prefers reports that are not hot, then the least load, then the lowest latency. Loads reported
+// with ordinary answers fill the pool as well as load reports of other entries.
 type prequal struct {
 	view
 	results [probePoolSize]probeResult
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Choice is an endpoint with a fresh probed load, as a choice for a request.
+// Choice is an endpoint with a fresh probed load to which a request could be sent.
 type Choice struct {
 	// Index is the endpoint's index, -1 for none.
 	Index int
--- a/internal/core/placement/connected_test.go
+++ b/internal/core/placement/connected_test.go
@@ -37,10 +37,10 @@
 	return len(probedOnce), float64(first) / choices
 }
 
-// Guards against new connections for most requests. An entry with twenty requests per second and
-// thirty endpoints chose among them at random; two of three requests opened a connection, which
-// costs the endpoint a millisecond of a slot, since the earlier connection was closed again when
-// the endpoint was next chosen. While there is room, the entry prefers endpoints that it has
+// Guards against opening a new connection for most requests. An entry with twenty requests per
+// second and thirty endpoints chose among them at random. By the time an endpoint was chosen again
+// its connection was closed, so that two of three requests opened a new one, which costs the
+// endpoint a millisecond of a slot. While there is room, the entry prefers endpoints that it has
 // contacted lately, but tries others often enough that an endpoint that has just joined gets its
 // part.
 func TestRequestsPreferConnectedEndpoints(t *testing.T) {
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -3,9 +3,9 @@
 import "time"
 
 // All endpoints of a failure domain may fail at once. Endpoints of the own domain are probed
-// first, and each entry would discover the failure of each of them separately, again after every
-// short time for which it avoids one: requests would end at endpoints that are gone while others
-// have room.
+// first, and each entry avoids an endpoint that failed only for a short time. Without the rules
+// below, each entry would discover the failure of each endpoint separately and repeatedly, and
+// requests would be sent to endpoints that are gone while others have room.
 
 const (
 	// lostFailures is how many consecutive contacts with endpoints of a failure domain must fail,
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -20,9 +20,9 @@
 	rankFull  = 20
 	rankPace  = 5
 	rankDoubt = 100
-	// rankRemote ranks endpoints of other failure domains after those of the own domain that may
-	// have room. rankBusy ranks those of the own domain after them that reported a moment ago that
-	// they have no room or are slow.
+	// rankRemote ranks endpoints of other failure domains after endpoints of the own domain that
+	// may have room. rankBusy ranks an endpoint of the own domain even later if it reported a
+	// moment ago that it has no room or is slow.
 	rankRemote  = 60
 	rankBusy    = 70
 	rankLost    = 500
@@ -50,8 +50,8 @@
 	return !v.Learned.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
 
-// busySlotTimes is the number of slot times, divided by the endpoint's slots, for which an
-// endpoint is assumed to stay full.
+// busySlotTimes, multiplied by the time in which an endpoint usually frees a slot, is how long a
+// full endpoint is assumed to stay full.
 const busySlotTimes = 2
 
 // NextToProbe returns the index of the endpoint to probe next, or -1: endpoints of the own failure
--- a/internal/core/placement/servicetime.go
+++ b/internal/core/placement/servicetime.go
@@ -11,10 +11,10 @@
 	// usual one in three of four cases and five times as slow in the others, in which the request
 	// would be late whatever is chosen.
 	queuedPace = 1.3
-	// remainingSlotShare is how long a request that waits for the first free slot of an endpoint
-	// still has to wait, as a share of the time that requests take there, times slots: those that
-	// are running have done a part already, and a long one is more likely to be among them. With
-	// two slots the wait was 0.4 and 0.46 of the time of a request.
+	// remainingSlotShare is the time that a request waits for the first free slot of an endpoint,
+	// as a share of the time that requests take there, multiplied by the number of slots. The
+	// running requests have done a part of their work already, and a long one is more likely to be
+	// among them. With two slots the wait was 0.4 and 0.46 of the time of a request.
 	remainingSlotShare = 0.9
 	// avoidedCost is how many times its work a request may take elsewhere before an avoided
 	// endpoint is tried.
--- a/internal/core/quota/limit_test.go
+++ b/internal/core/quota/limit_test.go
@@ -120,7 +120,7 @@
 }
 
 // Guards against an endpoint that never gets a request because the entry that owns it has no
-// callers or is down: other entries become owners unless it is spread that the limit holds.
+// callers or is down: other entries become owners unless the owner spreads that the limit holds.
 func TestOwnersChangeEachPeriod(t *testing.T) {
 	var all []Entry
 	for i := range 14 {
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -26,7 +26,7 @@
 	// Foreign is the number of requests in flight or queued at the endpoint
 	// that this entry did not place.
 	Foreign int32
-	// At is when the load was as reported.
+	// At is the time that the report describes.
 	At time.Duration
 	// Seen is false until the first report.
 	Seen bool
@@ -99,7 +99,7 @@
 	// own the endpoint, as of SpreadAt, when the limit was last spread to the fleet.
 	Version, Period uint32
 	SpreadAt        time.Duration
-	// SentSince is when this entry learned of the rate.
+	// Since is when this entry learned of the rate.
 	Since time.Duration
 	// Owners is the number of entries that own the endpoint, OwnerRate the requests per second
 	// that each of them may send.
@@ -180,7 +180,7 @@
 // quota decides whether it may get a request now.
 func (e *Endpoint) TakesWork() bool { return e.State == EndpointLive && !e.Evacuated }
 
-// doubtHalfLife is the time in which a doubt decays to its half if nothing confirms it, so that an
+// doubtHalfLife is the time in which a doubt halves if no further failure confirms it, so that an
 // endpoint that failed for some seconds is tried again soon afterwards.
 const doubtHalfLife = 4 * time.Second
 
