--- a/internal/core/quota/limit.go
+++ b/internal/core/quota/limit.go
@@ -39,7 +39,7 @@
 	return e.Limit.Period + uint32(passed), e.Limit.SpreadAt + (passed+1)*ownerPeriodLength
 }
 
-// limitKey returns the key of an endpoint in an owner period for the division among entries.
+// limitKey returns the key of an endpoint in an owner period in the assignment to entries.
 func limitKey(name string, period uint32) string {
 	return name + "#" + strconv.FormatUint(uint64(period), 10)
 }
