--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -41,17 +41,17 @@
 	return p
 }
 
-func TestPickIsEligible(t *testing.T) {
+func TestPickChoosesEligibleEndpoint(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy, rapid.MakeCheck(func(t *rapid.T) {
 			p := drawPool(t)
 			picker := newPicker(t, policy)
 			picker.Changed(testNow, p, []string{"a", "b", "c"})
-			ask := Request{Tried: Set(rapid.Uint64().Draw(t, "tried")), Trial: rapid.Bool().Draw(t, "may")}
-			c := picker.Pick(testNow, p, ask, 0)
+			req := Request{Tried: Set(rapid.Uint64().Draw(t, "tried")), Trial: rapid.Bool().Draw(t, "may")}
+			c := picker.Pick(testNow, p, req, 0)
 			if !c.OK {
 				if c.Wait <= 0 {
-					t.Fatal("neither a choice nor a time to ask again")
+					t.Fatal("neither a choice nor a time to wait")
 				}
 				return
 			}
@@ -59,23 +59,23 @@
 				t.Fatalf("index %d outside the pool of %d", c.Index, len(p.Endpoints))
 			}
 			e := &p.Endpoints[c.Index]
-			if e.State != table.EndpointLive || ask.Tried.Has(c.Index) {
-				t.Fatalf("chose %+v, tried %b", e, ask.Tried)
+			if e.State != table.EndpointLive || req.Tried.Has(c.Index) {
+				t.Fatalf("chose %+v, tried %b", e, req.Tried)
 			}
-			if !c.Trial && !usable(testNow, p, e) && stands(testNow, p, ask.Tried) == ordinary {
-				t.Fatal("chose an ejected endpoint though others stand")
+			if !c.Trial && !usable(testNow, p, e) && requiredEligibility(testNow, p, req.Tried) == notEjected {
+				t.Fatal("chose an ejected endpoint although others are not ejected")
 			}
-			if c.Trial && (!ask.Trial || e.Health.TrialAt > testNow) {
-				t.Fatal("a trial that was not due or not allowed")
+			if c.Trial && (!req.Trial || e.Health.TrialAt > testNow) {
+				t.Fatal("chose a trial that was not due or not allowed")
 			}
 		}))
 	}
 }
 
-// Nobody answers any more, and all that was last heard is that every endpoint
-// has a long queue. A request that waits must go out in the end: only an answer
-// could tell that the queues are gone.
-func TestAViewOfFullEndpointsDoesNotLast(t *testing.T) {
+// Guards against requests that wait forever in the entry: no answer arrives any more, and by the
+// last reports every endpoint has a long queue. A waiting request must be sent in the end, since
+// only an answer could show that the queues are gone.
+func TestStaleFullViewDoesNotBlockRequests(t *testing.T) {
 	for _, policy := range Policies() {
 		picker, p := newPicker(t, policy), benchPool(6)
 		picker.Changed(testNow, p, []string{"a", "b", "c"})
@@ -84,15 +84,16 @@
 			for range 100 {
 				picker.LoadReported(testNow, p, i, table.ReportedLoad{Seen: true, Foreign: 50, At: testNow})
 			}
-			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Own: 20, At: testNow})
+			picker.PeerReported(testNow, p, i, PeerLoad{From: 0, Attempts: 20, At: testNow})
 		}
 		if c := picker.Pick(testNow+time.Second, p, Request{}, time.Second); !c.OK {
-			t.Errorf("%s: still waits after a second without news", policy)
+			t.Errorf("%s: the request still waits after a second without a report", policy)
 		}
 	}
 }
 
-// benchPool is a pool of the largest size that one service is expected to have.
+// benchPool returns a pool of n endpoints, each with some load; 60 is the largest size that one
+// service is expected to have.
 func benchPool(n int) *table.Pool {
 	p := &table.Pool{Endpoints: make([]table.Endpoint, n)}
 	for i := range p.Endpoints {
@@ -112,7 +113,7 @@
 				picker.Dispatched(testNow, p, c.Index)
 				picker.Answered(testNow, p, c.Index, Observation{Latency: time.Millisecond, HasLoad: true, Slots: 2})
 			}
-			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Own: 1, At: testNow})
+			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Attempts: 1, At: testNow})
 		})
 		if allocs != 0 {
 			t.Errorf("%s: %v allocations a choice", policy, allocs)
@@ -120,7 +121,7 @@
 	}
 }
 
-func TestUnknownPolicyNamesTheKnown(t *testing.T) {
+func TestUnknownPolicyIsRejected(t *testing.T) {
 	if _, err := New("fastest", Config{}, nil); err == nil {
 		t.Fatal("accepted an unknown policy")
 	}
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -8,44 +8,43 @@
 )
 
 const (
-	// leastSilence and silenceTimes bound how long a peer's counts are believed
-	// without news: several updates, and several service times, since a peer
-	// tells changes only. One that is partitioned away or has paused then stops
-	// holding slots in this entry's view.
-	leastSilence = 100 * time.Millisecond
-	silenceTimes = 4
-	// idleShare is how much of a slot must look idle to try it.
-	idleShare = 0.5
-	// askAgain is how soon a waiting request asks again without news, as the
-	// estimates fade.
-	askAgain = 2 * time.Millisecond
-	// homeBonus puts an idle slot of the own share before all others, and
-	// rankCost decides between equals.
-	homeBonus = 10
-	// longWait is after how many times its patience a request queues at an
-	// endpoint however full that looks.
-	longWait = 20
-	rankCost = 1e-3
+	// minSilence and silenceFactor (times the service time) bound how long a peer's counts are
+	// believed without an update from it. That is the time of several updates and of several
+	// service times, since a peer sends only changes. After it, a peer that is partitioned away or
+	// paused no longer uses slots in this entry's view.
+	minSilence    = 100 * time.Millisecond
+	silenceFactor = 4
+	// minIdleShare is the least part of a slot that must look idle for the slot to be tried.
+	minIdleShare = 0.5
+	// pickInterval is how long a waiting request waits for the next Pick when nothing is reported,
+	// since the estimates decay meanwhile.
+	pickInterval = 2 * time.Millisecond
+	// preferredBonus ranks an idle slot of a preferred endpoint before all others. rankCost
+	// decides between endpoints with the same score.
+	preferredBonus = 10
+	// longWaitFactor is the number of idle waits after which a request queues at an endpoint
+	// however full that looks.
+	longWaitFactor = 20
+	rankCost       = 1e-3
 )
 
-// claims keeps a request in the entry's queue until a slot looks idle, by the
-// entry's own count, its peers' counts and the reports on answers, and takes the
-// slots in an order in which the deciders meet as late as possible. The request
-// asks the endpoint to refuse rather than queue it, so that a wrong view costs
-// one round trip instead of a service time. A request that waited past its
-// patience may queue at an endpoint: it gets the next free slot there whoever
-// held it, so that no decider starves while others hand their slots on to their
-// own requests.
+// claims keeps a request in the entry's queue until a slot looks idle, by the entry's own count,
+// its peers' counts and the loads reported with answers. It takes the slots in an order that
+// differs between entries, so that they collide as late as possible. The request asks the endpoint
+// to refuse rather than queue it, so that a wrong view costs one round trip instead of a service
+// time. A request that has waited longer than the idle wait may queue at an endpoint: it gets the
+// next free slot there, whichever entry used it before. Otherwise an entry would starve while
+// others reuse their slots for their own requests.
 type claims struct {
 	view
 	order   order
 	peers   peerLoads
-	records []record
-	// reference is the pool's median service time in nanoseconds, refreshed
-	// after every medianEvery answers.
-	reference float64
-	answers   int
-	// lastIdleOnly is whether the last choice asked for an idle slot.
+	records []endpointRecord
+	// medianService is the pool's median service time in nanoseconds, updated after every
+	// medianEvery answers.
+	medianService float64
+	answers       int
+	// lastIdleOnly says whether the last choice asked for an idle slot.
 	lastIdleOnly bool
 }
 
@@ -53,8 +52,8 @@
 func (c *claims) Changed(_ time.Duration, p *table.Pool, deciders []string) {
 	c.order.rebuild(p, deciders, c.cfg.Self)
 	c.peers.reset(len(p.Endpoints), len(deciders))
-	c.records = make([]record, len(p.Endpoints))
-	c.reference = median(p)
+	c.records = make([]endpointRecord, len(p.Endpoints))
+	c.medianService = median(p)
 }
 
 // Dispatched implements Picker.
@@ -69,11 +68,10 @@
 	c.noteLoad(now, e, obs)
 	switch {
 	case obs.Failed:
-		r.failed(now)
+		r.noteFailure(now)
 		return
 	case obs.Refused:
-		// The refusal itself proves that no slot is idle, whatever load the
-		// endpoint reports.
+		// The refusal itself proves that no slot is idle, whatever load the endpoint reports.
 		c.peers.setReported(now, i, max(e.Reported.Foreign, e.Slots-e.Outstanding))
 		return
 	}
@@ -83,11 +81,11 @@
 	r.failures, r.avoidUntil = 0, 0
 	if served {
 		c.measure(e, obs.Latency)
-		r.measured(now, c.slow(e))
+		r.noteMeasurement(now, c.slow(e))
 	}
 	c.answers++
 	if c.answers%medianEvery == 0 {
-		c.reference = median(p)
+		c.medianService = median(p)
 	}
 }
 
@@ -105,59 +103,59 @@
 }
 
 // PeerHeard implements Picker.
-func (c *claims) PeerHeard(from int, at time.Duration) { c.peers.hear(from, at) }
+func (c *claims) PeerHeard(from int, at time.Duration) { c.peers.noteHeard(from, at) }
 
 // Pick implements Picker.
-func (c *claims) Pick(now time.Duration, p *table.Pool, ask Request, waited time.Duration) Choice {
-	s, choice, done := c.begin(now, p, ask)
+func (c *claims) Pick(now time.Duration, p *table.Pool, req Request, waited time.Duration) Choice {
+	s, choice, done := c.begin(now, p, req)
 	if done {
 		c.lastIdleOnly = false
 		return choice
 	}
-	c.peers.expire(now, max(leastSilence, time.Duration(silenceTimes*c.typical())))
-	if i, ok := c.idle(now, p, ask, s, waited); ok {
-		c.lastIdleOnly = !ask.MustQueue
-		return Choice{Index: i, OK: true, IdleOnly: !ask.MustQueue}
+	c.peers.expire(now, max(minSilence, time.Duration(silenceFactor*c.typicalService())))
+	if i, ok := c.pickIdle(now, p, req, s, waited); ok {
+		c.lastIdleOnly = !req.MustQueue
+		return Choice{Index: i, OK: true, IdleOnly: !req.MustQueue}
 	}
-	if patience := c.idleWait(); waited < patience {
-		return Choice{Wait: min(askAgain, patience-waited)}
+	if idleLimit := c.idleWait(); waited < idleLimit {
+		return Choice{Wait: min(pickInterval, idleLimit-waited)}
 	}
-	if i, ok := c.queueAt(now, p, ask, s, waited); ok {
+	if i, ok := c.pickQueue(now, p, req, s, waited); ok {
 		c.lastIdleOnly = false
 		return Choice{Index: i, OK: true}
 	}
-	return Choice{Wait: askAgain}
+	return Choice{Wait: pickInterval}
 }
 
-// idleWait is how long a request waits for an idle slot only.
+// idleWait returns how long a request waits only for an idle slot.
 func (c *claims) idleWait() time.Duration {
-	return time.Duration(c.cfg.IdleWait * c.typical())
+	return time.Duration(c.cfg.IdleWait * c.typicalService())
 }
 
-// typical is the pool's service time in nanoseconds, measured or assumed.
-func (c *claims) typical() float64 {
-	if c.reference > 0 {
-		return c.reference
+// typicalService returns the pool's service time in nanoseconds, measured or assumed.
+func (c *claims) typicalService() float64 {
+	if c.medianService > 0 {
+		return c.medianService
 	}
-	return float64(c.cfg.Service)
+	return float64(c.cfg.ServiceTime)
 }
 
-// idle returns the best endpoint that seems to have an idle slot.
-func (c *claims) idle(now time.Duration, p *table.Pool, ask Request, s standing, waited time.Duration) (int, bool) {
+// pickIdle returns the best endpoint that seems to have an idle slot.
+func (c *claims) pickIdle(now time.Duration, p *table.Pool, req Request, s eligibility, waited time.Duration) (int, bool) {
 	best, bestScore := -1, 0.0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		slots := max(1, e.Slots)
-		if e.Outstanding >= slots || !eligible(now, p, i, ask.Tried, s) {
+		if e.Outstanding >= slots || !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
-		free := float64(slots-e.Outstanding) - c.foreign(now, i, e, ask)
-		if free < idleShare || c.passOver(now, e, i, ask, waited) {
+		free := float64(slots-e.Outstanding) - c.foreign(now, i, e, req)
+		if free < minIdleShare || c.passOver(now, e, i, req, waited) {
 			continue
 		}
 		score := free/float64(slots) - float64(c.order.rank[i])*rankCost
-		if c.order.home[i] {
-			score += homeBonus
+		if c.order.preferred[i] {
+			score += preferredBonus
 		}
 		if best < 0 || score > bestScore {
 			best, bestScore = i, score
@@ -166,17 +164,18 @@
 	return best, best >= 0
 }
 
-// foreign is the estimate of foreign load that fits what a wrong one costs.
-func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, ask Request) float64 {
-	if ask.MustQueue {
+// foreign returns the estimate of the foreign load. Which estimate is used depends on what a wrong
+// one costs: a round trip, or a wait in the endpoint's queue.
+func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, req Request) float64 {
+	if req.MustQueue {
 		return c.peers.expected(now, i, c.service(e))
 	}
 	return c.peers.foreign(now, i, c.service(e))
 }
 
-// passOver reports whether an endpoint is better left alone: it failed a
-// moment ago, or is so slow that the request would end earlier by waiting on.
-func (c *claims) passOver(now time.Duration, e *table.Endpoint, i int, ask Request, waited time.Duration) bool {
+// passOver reports whether an endpoint should not be used now: it failed a moment ago, or is so
+// slow that the request would end earlier by waiting for another endpoint.
+func (c *claims) passOver(now time.Duration, e *table.Endpoint, i int, req Request, waited time.Duration) bool {
 	r := &c.records[i]
 	if now < r.avoidUntil {
 		return true
@@ -184,27 +183,27 @@
 	if !c.slow(e) {
 		return false
 	}
-	if ask.Trial && e.Outstanding == 0 && now >= r.retryAt {
+	if req.Trial && e.Outstanding == 0 && now >= r.retryAt {
 		return false
 	}
-	return float64(waited) < e.ServiceNanos-c.reference
+	return float64(waited) < e.ServiceNanos-c.medianService
 }
 
 func (c *claims) slow(e *table.Endpoint) bool {
-	return c.reference > 0 && e.ServiceNanos > slowFactor*c.reference
+	return c.medianService > 0 && e.ServiceNanos > slowFactor*c.medianService
 }
 
-// queueAt returns the endpoint where a queued request is served soonest. The
-// limit on the queue falls after a long wait and when this entry has nothing in
-// flight: then no answer will correct a view that shows every queue as full.
-func (c *claims) queueAt(now time.Duration, p *table.Pool, ask Request, s standing, waited time.Duration) (int, bool) {
-	limit := float64(c.cfg.QueueAtEndpoint) - idleShare
-	if waited > longWait*c.idleWait() || p.Outstanding() == 0 {
+// pickQueue returns the endpoint where a queued request is served soonest. The limit on the
+// endpoint's queue does not apply after a long wait, nor while this entry has no attempt in
+// flight: no answer would then correct a view in which every queue is full.
+func (c *claims) pickQueue(now time.Duration, p *table.Pool, req Request, s eligibility, waited time.Duration) (int, bool) {
+	limit := float64(c.cfg.QueueAtEndpoint) - minIdleShare
+	if waited > longWaitFactor*c.idleWait() || p.Outstanding() == 0 {
 		limit = math.Inf(1)
 	}
 	best, bestTime := -1, 0.0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		e, r := &p.Endpoints[i], &c.records[i]
@@ -215,8 +214,8 @@
 		if now < r.avoidUntil || ahead >= limit {
 			continue
 		}
-		// Of the foreign attempts only the number is known: the first of them
-		// ends in the mean after this part of a service time.
+		// Only the number of the foreign attempts is known: the first of them ends on average
+		// after this part of a service time.
 		end := min(r.attempts.nextEnd(now, service), service/(min(foreign, slots)+1))
 		ready := end + ahead*service/slots + service
 		if best < 0 || ready < bestTime {
--- a/internal/core/balance/order.go
+++ b/internal/core/balance/order.go
@@ -9,32 +9,31 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// order divides a pool among the deciders without a message: each has first
-// claim on an equal share of the endpoints and an order of its own among those
-// that are otherwise equal, so that two deciders seldom pick the same slot.
-// Deciders that disagree about the membership get different shares; that costs
-// collisions only.
+// order divides a pool among the deciders without a message: each entry prefers an equal share of
+// the endpoints and has its own order among endpoints that are otherwise equal, so that two
+// entries seldom choose the same slot. Entries that disagree about the membership get different
+// shares, which only causes collisions.
 type order struct {
-	// rank of each endpoint: low is taken first.
+	// rank has the rank of each endpoint; the lowest is taken first.
 	rank []int32
-	// home tells the endpoints on which this entry has first claim.
-	home []bool
+	// preferred marks the endpoints of this entry's own share.
+	preferred []bool
 }
 
 func (o *order) rebuild(p *table.Pool, deciders []string, self string) {
 	n := len(p.Endpoints)
 	o.rank = make([]int32, n)
-	o.home = make([]bool, n)
-	holders, own := slotUserOrder(p.Name, deciders, self)
+	o.preferred = make([]bool, n)
+	total, own := positionAmong(p.Name, deciders, self)
 	for position, i := range sortedBy(p, p.Name) {
-		o.home[i] = position%holders == own
+		o.preferred[i] = position%total == own
 	}
 	for position, i := range sortedBy(p, self) {
 		o.rank[i] = int32(position)
 	}
 }
 
-// sortedBy returns the indexes of the endpoints in an order that salt gives.
+// sortedBy returns the indexes of the endpoints in an order that depends on salt.
 func sortedBy(p *table.Pool, salt string) []int {
 	sorted, keys := make([]int, len(p.Endpoints)), make([]uint64, len(p.Endpoints))
 	for i := range sorted {
@@ -44,23 +43,23 @@
 	return sorted
 }
 
-// slotUserOrder returns the number of deciders and this one's place among them,
-// in an order that differs from pool to pool.
-func slotUserOrder(pool string, deciders []string, self string) (holders, own int) {
+// positionAmong returns the number of deciders and this entry's position among them, in an order
+// that differs from pool to pool.
+func positionAmong(pool string, deciders []string, self string) (total, position int) {
 	if len(deciders) == 0 {
 		return 1, 0
 	}
-	mine := xxhash.Sum64String(pool + "\x00" + self)
-	for _, d := range deciders {
-		if d != self && xxhash.Sum64String(pool+"\x00"+d) < mine {
-			own++
+	selfHash := xxhash.Sum64String(pool + "\x00" + self)
+	for _, decider := range deciders {
+		if decider != self && xxhash.Sum64String(pool+"\x00"+decider) < selfHash {
+			position++
 		}
 	}
-	holders = len(deciders)
+	total = len(deciders)
 	if !slices.Contains(deciders, self) {
-		// Callers reached an entry that is not named for the pool any more: it
-		// has no share and borrows all.
-		return holders, holders
+		// Callers reached an entry that is no longer one of the pool's deciders: it has no share
+		// of its own and uses the endpoints of the others.
+		return total, total
 	}
-	return holders, own
+	return total, position
 }
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -6,14 +6,14 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Parameters of the probe pool.
+// Parameters of the pool of load reports.
 const (
 	probePoolSize = 16
 	probeMaxAge   = 200 * time.Millisecond
-	// probeUses is how often one result may be used. More draws the load to the
+	// probeUses is how often one result may be used. More uses would direct the load to the
 	// endpoints that answered last.
 	probeUses = 1
-	// hotQuantile separates the endpoints with many requests in flight.
+	// hotQuantile is the quantile of the load above which an endpoint counts as hot.
 	hotQuantile = 0.84
 )
 
@@ -25,16 +25,16 @@
 	uses    int
 }
 
-// prequal keeps a small pool of load reports that are used up: among the
-// reports that are not hot it takes the lowest latency, else the least load.
-// Reports on ordinary answers fill the pool as well as probes do.
+// prequal keeps a small pool of load reports, each of which is used a limited number of times. It
+// prefers reports that are not hot, then the least load, then the lowest latency. Loads reported
+// with ordinary answers fill the pool as well as load reports of other entries.
 type prequal struct {
 	view
-	pool  [probePoolSize]probeResult
-	count int
+	results [probePoolSize]probeResult
+	count   int
 }
 
-// Changed implements Picker; indexes of old results are void.
+// Changed implements Picker. It drops all results, since their indexes are no longer valid.
 func (q *prequal) Changed(time.Duration, *table.Pool, []string) { q.count = 0 }
 
 // LoadReported implements Picker.
@@ -53,77 +53,77 @@
 	}
 }
 
-// put adds a result in place of an older one of the same endpoint or of the
-// oldest.
+// put adds a result. It replaces the older result of the same endpoint, or else the oldest one if
+// the pool is full.
 func (q *prequal) put(r probeResult) {
 	for k := range q.count {
-		if q.pool[k].index == r.index {
-			q.pool[k] = r
+		if q.results[k].index == r.index {
+			q.results[k] = r
 			return
 		}
 	}
 	if q.count < probePoolSize {
-		q.pool[q.count] = r
+		q.results[q.count] = r
 		q.count++
 		return
 	}
 	oldest := 0
 	for k := range q.count {
-		if q.pool[k].at < q.pool[oldest].at {
+		if q.results[k].at < q.results[oldest].at {
 			oldest = k
 		}
 	}
-	q.pool[oldest] = r
+	q.results[oldest] = r
 }
 
 func (q *prequal) remove(k int) {
 	q.count--
-	q.pool[k] = q.pool[q.count]
+	q.results[k] = q.results[q.count]
 }
 
 // Pick implements Picker.
-func (q *prequal) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := q.begin(now, p, ask)
+func (q *prequal) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := q.begin(now, p, req)
 	if done {
 		return c
 	}
 	for k := q.count - 1; k >= 0; k-- {
-		if now-q.pool[k].at > probeMaxAge {
+		if now-q.results[k].at > probeMaxAge {
 			q.remove(k)
 		}
 	}
 	best, hot := -1, q.hotLoad()
 	for k := range q.count {
-		if !eligible(now, p, q.pool[k].index, ask.Tried, s) {
+		if !eligible(now, p, q.results[k].index, req.Tried, s) {
 			continue
 		}
-		if best < 0 || q.better(&q.pool[k], &q.pool[best], hot) {
+		if best < 0 || q.better(&q.results[k], &q.results[best], hot) {
 			best = k
 		}
 	}
 	if best < 0 {
-		i, ok := q.pickRandom(now, p, ask.Tried, s, -1)
+		i, ok := q.pickRandom(now, p, req.Tried, s, -1)
 		return Choice{Index: i, OK: ok}
 	}
-	chosen := q.pool[best].index
-	q.pool[best].load++
-	q.pool[best].uses--
-	if q.pool[best].uses == 0 {
+	chosen := q.results[best].index
+	q.results[best].load++
+	q.results[best].uses--
+	if q.results[best].uses == 0 {
 		q.remove(best)
 	}
 	return Choice{Index: chosen, OK: true}
 }
 
-// hotLoad is the load at the hot quantile of the pool.
+// hotLoad returns the load at the hot quantile of the results.
 func (q *prequal) hotLoad() int32 {
 	var loads [probePoolSize]int32
 	for k := range q.count {
 		at := k
-		for at > 0 && loads[at-1] > q.pool[k].load {
+		for at > 0 && loads[at-1] > q.results[k].load {
 			loads[at] = loads[at-1]
 			at--
 		}
-		loads[at] = q.pool[k].load
+		loads[at] = q.results[k].load
 	}
 	if q.count == 0 {
 		return 0
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -6,21 +6,21 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// centralQueue sends a request only to a slot that is idle by the entry's own
-// count and lets it wait in the entry otherwise. With one entry for the whole
-// load it is one queue with perfect knowledge: the yardstick of the others.
+// centralQueue sends a request only to a slot that is idle by the entry's own count; until there
+// is one, the request waits in the entry. With one entry for the whole load it is a single queue
+// with perfect knowledge, the reference for the other policies.
 type centralQueue struct{ view }
 
 // Pick implements Picker.
-func (q *centralQueue) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := q.begin(now, p, ask)
+func (q *centralQueue) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := q.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, ties := -1, 0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, ask.Tried, s) {
+		if e.Outstanding >= max(1, e.Slots) || !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		switch {
@@ -34,24 +34,24 @@
 		}
 	}
 	if best < 0 {
-		return Choice{Wait: idleWait}
+		return Choice{Wait: noEndpointWait}
 	}
 	return Choice{Index: best, OK: true}
 }
 
-// sightings takes the endpoint with the least known load: own attempts and the
-// foreign ones of the last report, which weigh less as they age.
+// sightings takes the endpoint with the least known load: own attempts and the last reported
+// foreign load, which is weighted less as it ages.
 type sightings struct{ view }
 
 // Pick implements Picker.
-func (g *sightings) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := g.begin(now, p, ask)
+func (g *sightings) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := g.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, bestLoad, ties := -1, 0.0, 0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		e := &p.Endpoints[i]
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -10,50 +10,50 @@
 type random struct{ view }
 
 // Pick implements Picker.
-func (r *random) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := r.begin(now, p, ask)
+func (r *random) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := r.begin(now, p, req)
 	if done {
 		return c
 	}
-	i, ok := r.pickRandom(now, p, ask.Tried, s, -1)
+	i, ok := r.pickRandom(now, p, req.Tried, s, -1)
 	return Choice{Index: i, OK: ok}
 }
 
-// roundRobin takes the endpoints in turn from a random start.
+// roundRobin takes the endpoints in order, beginning at a random one.
 type roundRobin struct {
 	view
 	next int
 }
 
 // Pick implements Picker.
-func (r *roundRobin) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := r.begin(now, p, ask)
+func (r *roundRobin) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := r.begin(now, p, req)
 	if done {
 		return c
 	}
 	for range p.Endpoints {
 		i := r.next % len(p.Endpoints)
 		r.next++
-		if eligible(now, p, i, ask.Tried, s) {
+		if eligible(now, p, i, req.Tried, s) {
 			return Choice{Index: i, OK: true}
 		}
 	}
-	return Choice{Wait: idleWait}
+	return Choice{Wait: noEndpointWait}
 }
 
-// leastOutstanding picks the endpoint with the fewest own attempts per slot,
-// any one of those that tie.
+// leastOutstanding picks the endpoint with the fewest own attempts per slot, and a random one
+// among equals.
 type leastOutstanding struct{ view }
 
 // Pick implements Picker.
-func (l *leastOutstanding) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := l.begin(now, p, ask)
+func (l *leastOutstanding) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := l.begin(now, p, req)
 	if done {
 		return c
 	}
 	best, bestLoad, ties := -1, 0.0, 0
 	for i := range p.Endpoints {
-		if !eligible(now, p, i, ask.Tried, s) {
+		if !eligible(now, p, i, req.Tried, s) {
 			continue
 		}
 		load := ownLoad(&p.Endpoints[i])
@@ -70,26 +70,26 @@
 	return Choice{Index: best, OK: best >= 0}
 }
 
-// ownLoad is the entry's own attempts per slot.
+// ownLoad returns the entry's own attempts per slot.
 func ownLoad(e *table.Endpoint) float64 {
 	return float64(e.Outstanding) / float64(max(1, e.Slots))
 }
 
-// twoChoices compares two random endpoints and takes the less loaded one, by
-// own attempts alone or with reported foreign load added.
+// twoChoices compares two random endpoints and takes the less loaded one, by own attempts alone or
+// with the reported foreign load added.
 type twoChoices struct {
 	view
 	reports bool
 }
 
 // Pick implements Picker.
-func (t *twoChoices) Pick(now time.Duration, p *table.Pool, ask Request, _ time.Duration) Choice {
-	s, c, done := t.begin(now, p, ask)
+func (t *twoChoices) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := t.begin(now, p, req)
 	if done {
 		return c
 	}
-	a, _ := t.pickRandom(now, p, ask.Tried, s, -1)
-	b, ok := t.pickRandom(now, p, ask.Tried, s, a)
+	a, _ := t.pickRandom(now, p, req.Tried, s, -1)
+	b, ok := t.pickRandom(now, p, req.Tried, s, a)
 	if ok && t.load(now, &p.Endpoints[b]) < t.load(now, &p.Endpoints[a]) {
 		a = b
 	}
@@ -104,8 +104,8 @@
 	return load
 }
 
-// foreign is the sighted foreign load, weighing less as it ages: after one
-// service time about half of what was seen has ended.
+// foreign returns the reported foreign load, which is weighted less as it ages: after one service
+// time about half of the reported attempts have ended.
 func (v *view) foreign(now time.Duration, e *table.Endpoint) float64 {
 	if !e.Reported.Seen {
 		return 0
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// serviceWeight is the weight of a new measurement in ServiceNanos.
+	// serviceWeight is the weight of a new measurement in Endpoint.ServiceNanos.
 	serviceWeight = 0.1
-	// largestSample bounds a measurement by a multiple of the present value, so
-	// that a few very long requests don't make a slow endpoint.
-	largestSample = 4
-	// idleWait is how long to wait when no endpoint may be used at all.
-	idleWait = 5 * time.Millisecond
+	// maxSampleFactor bounds a measurement to a multiple of the present value, so that a few very
+	// long requests don't make an endpoint look slow.
+	maxSampleFactor = 4
+	// noEndpointWait is how long to wait when no endpoint may be used at all.
+	noEndpointWait = 5 * time.Millisecond
 )
 
-// view is what the policies share: eligibility, and the upkeep of the fields of
-// table.Endpoint that this package owns (Reported, ServiceNanos).
+// view is the part that all policies share: which endpoints are eligible, and the update of the
+// fields of table.Endpoint that this package owns (Reported, ServiceNanos).
 type view struct {
 	cfg Config
 	rng *rand.Rand
@@ -40,14 +40,14 @@
 func (v *view) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
 	e := &p.Endpoints[i]
 	v.noteLoad(now, e, obs)
-	// A refusal or failure is quick; counting it as service time would make an
-	// endpoint that turns everything away look fast.
+	// A refusal or failure is quick; counting it as service time would make an endpoint that
+	// refuses everything look fast.
 	if !obs.Refused && !obs.Failed {
 		v.measure(e, obs.Latency)
 	}
 }
 
-// noteLoad takes in the load that an answer reported.
+// noteLoad records the load that an answer reported.
 func (v *view) noteLoad(now time.Duration, e *table.Endpoint, obs Observation) {
 	if !obs.HasLoad {
 		return
@@ -62,97 +62,97 @@
 	}
 }
 
-// measure takes in a service time.
+// measure records a service time.
 func (v *view) measure(e *table.Endpoint, latency time.Duration) {
 	if e.ServiceNanos == 0 {
 		e.ServiceNanos = float64(latency)
 		return
 	}
-	sample := min(float64(latency), largestSample*e.ServiceNanos)
+	sample := min(float64(latency), maxSampleFactor*e.ServiceNanos)
 	e.ServiceNanos += serviceWeight * (sample - e.ServiceNanos)
 }
 
-// service is the endpoint's service time in nanoseconds, or an assumed one.
+// service returns the endpoint's service time in nanoseconds, or the assumed one.
 func (v *view) service(e *table.Endpoint) float64 {
 	if e.ServiceNanos > 0 {
 		return e.ServiceNanos
 	}
-	return float64(v.cfg.Service)
+	return float64(v.cfg.ServiceTime)
 }
 
-// usable reports whether ordinary work may go to e.
+// usable reports whether e may get a request and is not ejected.
 func usable(now time.Duration, p *table.Pool, e *table.Endpoint) bool {
 	return quota.Of(now, p, e) == quota.Granted && now >= e.Health.EjectedUntil
 }
 
-// standing says how far eligibility must be relaxed for a choice to exist.
-type standing uint8
+// eligibility says which endpoints may be chosen, depending on what the pool has to offer.
+type eligibility uint8
 
 const (
-	// ordinary: live and not ejected.
-	ordinary standing = iota
-	// relaxed: live, though ejected. Used when every live endpoint is ejected:
-	// then the view is wrong or nothing is lost by trying.
-	relaxed
-	// nowhere: no endpoint may be used.
-	nowhere
+	// notEjected allows the endpoints that may get a request and are not ejected.
+	notEjected eligibility = iota
+	// ejectedToo allows ejected endpoints as well. It applies when every endpoint that may get a
+	// request is ejected: then either this entry's view is wrong or nothing is lost by trying.
+	ejectedToo
+	// noneUsable says that no endpoint may be used.
+	noneUsable
 )
 
-// stands returns the standing that endpoints must have for this request.
-func stands(now time.Duration, p *table.Pool, tried Set) standing {
-	found := nowhere
+// requiredEligibility returns which endpoints may be chosen for this request.
+func requiredEligibility(now time.Duration, p *table.Pool, tried Set) eligibility {
+	found := noneUsable
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if quota.Of(now, p, e) != quota.Granted || tried.Has(i) {
 			continue
 		}
 		if now >= e.Health.EjectedUntil {
-			return ordinary
+			return notEjected
 		}
-		found = relaxed
+		found = ejectedToo
 	}
 	return found
 }
 
-// eligible reports whether endpoint i may get the request under the standing.
-func eligible(now time.Duration, p *table.Pool, i int, tried Set, s standing) bool {
+// eligible reports whether endpoint i may get the request under the eligibility s.
+func eligible(now time.Duration, p *table.Pool, i int, tried Set, s eligibility) bool {
 	e := &p.Endpoints[i]
 	if quota.Of(now, p, e) != quota.Granted || tried.Has(i) {
 		return false
 	}
-	return s == relaxed || now >= e.Health.EjectedUntil
+	return s == ejectedToo || now >= e.Health.EjectedUntil
 }
 
 // trial returns an ejected endpoint whose next trial is due.
-func trial(now time.Duration, p *table.Pool, ask Request) (Choice, bool) {
-	if !ask.Trial {
+func trial(now time.Duration, p *table.Pool, req Request) (Choice, bool) {
+	if !req.Trial {
 		return Choice{}, false
 	}
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if quota.Of(now, p, e) == quota.Granted && e.Health.EjectedUntil > now && e.Health.TrialAt > 0 &&
-			now >= e.Health.TrialAt && e.Outstanding == 0 && !ask.Tried.Has(i) {
+			now >= e.Health.TrialAt && e.Outstanding == 0 && !req.Tried.Has(i) {
 			return Choice{Index: i, OK: true, Trial: true}, true
 		}
 	}
 	return Choice{}, false
 }
 
-// begin does what every policy does first. It returns the standing to choose
-// under, or a finished choice.
-func (v *view) begin(now time.Duration, p *table.Pool, ask Request) (standing, Choice, bool) {
-	if c, ok := trial(now, p, ask); ok {
-		return ordinary, c, true
+// begin does the first steps of every policy. It returns the eligibility for the choice, or a
+// finished choice.
+func (v *view) begin(now time.Duration, p *table.Pool, req Request) (eligibility, Choice, bool) {
+	if c, ok := trial(now, p, req); ok {
+		return notEjected, c, true
 	}
-	s := stands(now, p, ask.Tried)
-	if s == nowhere {
-		return s, Choice{Wait: idleWait}, true
+	s := requiredEligibility(now, p, req.Tried)
+	if s == noneUsable {
+		return s, Choice{Wait: noEndpointWait}, true
 	}
 	return s, Choice{}, false
 }
 
 // pickRandom returns a random eligible endpoint other than not.
-func (v *view) pickRandom(now time.Duration, p *table.Pool, tried Set, s standing, not int) (int, bool) {
+func (v *view) pickRandom(now time.Duration, p *table.Pool, tried Set, s eligibility, not int) (int, bool) {
 	count, chosen := 0, -1
 	for i := range p.Endpoints {
 		if i == not || !eligible(now, p, i, tried, s) {
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -10,19 +10,19 @@
 
 const ms = time.Millisecond
 
-var roomy = Limits{QueueLimit: 20000, CallerShare: 1, DeadlineOrder: true}
+var roomyLimits = Limits{QueueLimit: 20000, CallerShare: 1, DeadlineOrder: true}
 
 func anyService(int32) bool { return true }
 
-func run(q *Queue, now time.Duration) Item {
+func dispatchNext(q *Queue, now time.Duration) Item {
 	it, _ := q.Next(now, anyService)
 	q.Take(now, it.ID)
 	return it
 }
 
-// One caller alone gets its share of the places; more greedy callers share the
-// rest, so that a place is left for the next one, until the queue is full.
-func TestRefusals(t *testing.T) {
+// Guards against a queue that one caller fills: a single caller gets its share of the places; more
+// greedy callers share the rest so that a place is left for the next one, until the queue is full.
+func TestPushRefusals(t *testing.T) {
 	q := New()
 	id := uint64(0)
 	push := func(caller uint64, deadline time.Duration) Refusal {
@@ -46,43 +46,42 @@
 	}
 }
 
-// At month-end one auditor's script asks for 1,000 summaries at once; a second
-// auditor asks for two a moment later and sees a page that never loads. In
-// order of arrival the two would wait behind the thousand.
-func TestHeavyCallerDoesNotHoldBackOthers(t *testing.T) {
+// Guards against a heavy caller that delays others. At month-end one auditor's script asks for
+// 1,000 summaries at once; in order of arrival the two requests that a second auditor sends a
+// moment later would wait for all of them.
+func TestHeavyCallerDoesNotDelayOthers(t *testing.T) {
 	q := New()
 	for i := range uint64(1000) {
-		q.Push(0, Item{ID: i, Caller: 1, Deadline: time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: i, Caller: 1, Deadline: time.Hour}, roomyLimits, 0)
 	}
-	run(q, 0)
+	dispatchNext(q, 0)
 	for i := range uint64(2) {
-		q.Push(0, Item{ID: 2000 + i, Caller: 2, Deadline: 2 * time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: 2000 + i, Caller: 2, Deadline: 2 * time.Hour}, roomyLimits, 0)
 	}
 	for range 5 {
-		run(q, 0)
+		dispatchNext(q, 0)
 	}
 	if _, waits := q.Remove(2001); waits {
-		t.Error("both requests of the second caller must be among the next 5")
+		t.Error("a request of the second caller is not among the next 5 dispatched")
 	}
 }
 
-// Cooks see counts of a minute ago while urgent checks keep the pool at its
-// limit: the higher priority always has a request waiting, so in strict order
-// of priority the others would wait until they expire.
-func TestEveryClassIsServedWithinTheBound(t *testing.T) {
+// Guards against starvation of lower priorities: urgent checks keep the pool at its limit, and in
+// strict order of priority the requests of the other services would wait until they expire.
+func TestEveryClassIsServedWithinPassLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		priorities := rapid.SliceOfN(rapid.IntRange(0, 3), 2, 6).Draw(t, "priorities")
 		q := New()
 		push := func(n, service int) {
 			it := Item{ID: uint64(n), Service: int32(service), Priority: priorities[service], Deadline: time.Hour}
-			q.Push(0, it, roomy, 0)
+			q.Push(0, it, roomyLimits, 0)
 		}
 		for service := range priorities {
 			push(1000+service, service)
 		}
 		last := make([]int, len(priorities))
 		for n := 1; n <= 300; n++ {
-			served := run(q, 0).Service
+			served := dispatchNext(q, 0).Service
 			last[served] = n
 			push(n, int(served))
 			for service, at := range last {
@@ -94,10 +93,9 @@
 	})
 }
 
-// Whatever comes and goes, also during a pause: each accepted item leaves
-// exactly once and by one way, never runs after its latest start, and never
-// before one of higher priority, or of its own caller and earlier in order,
-// unless its class was passed over for long.
+// Each accepted item leaves exactly once and in one way, also around a pause. It never runs after
+// its latest start, and never before an item of higher priority or an earlier item of its own
+// caller, unless its class was passed over for long.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
@@ -107,7 +105,7 @@
 		late := func(it Item) bool { return now >= it.Deadline-it.Work }
 		leave := func(it Item) {
 			if waiting[it.ID] != it {
-				t.Fatalf("%+v left twice or changed", it)
+				t.Fatalf("%+v left twice or was changed", it)
 			}
 			delete(waiting, it.ID)
 		}
@@ -149,7 +147,7 @@
 					}
 					same := o.Service == it.Service && o.Priority == it.Priority && o.Caller == it.Caller
 					if same && earlier || o.Priority > it.Priority && !q.Overdue(it.Service) {
-						t.Fatalf("%+v goes before %+v", it, o)
+						t.Fatalf("%+v is dispatched before %+v", it, o)
 					}
 				}
 				q.Take(now, it.ID)
@@ -181,13 +179,13 @@
 	})
 }
 
-// An overload refuses requests as too late because dispatches are slow. Once
-// it is over, the remembered pace must not refuse the next request, or nothing
-// would ever be dispatched and measured again.
-func TestExpectedWaitFollowsThePaceAndForgetsIt(t *testing.T) {
+// Guards against refusals that never end: an overload refuses requests as too late because
+// dispatches are slow. After it, the stored pace must not refuse the next request, or no request
+// would be dispatched and the pace would never be measured again.
+func TestExpectedWaitForgetsOldPace(t *testing.T) {
 	q := New()
 	for i := range uint64(21) {
-		q.Push(0, Item{ID: i, Caller: i, Deadline: time.Hour}, roomy, 0)
+		q.Push(0, Item{ID: i, Caller: i, Deadline: time.Hour}, roomyLimits, 0)
 	}
 	check := func(when string, now time.Duration, idle int, want time.Duration) {
 		t.Helper()
@@ -197,29 +195,29 @@
 	}
 	check("20 ahead at 5 ms", 0, 1, 100*ms)
 	for n := range time.Duration(10) {
-		run(q, (n+1)*100*ms)
+		dispatchNext(q, (n+1)*100*ms)
 	}
 	check("11 ahead at 100 ms as measured", 1000*ms, 0, 1100*ms)
 	check("11 ahead, none left for 2 s", 3000*ms, 0, 22*time.Second)
 	for q.Len() > 0 {
-		run(q, 3*time.Second)
+		dispatchNext(q, 3*time.Second)
 	}
 	check("none ahead", 5*time.Second, 0, 0)
-	q.Push(5*time.Second, Item{ID: 200, Deadline: time.Hour}, roomy, 0)
+	q.Push(5*time.Second, Item{ID: 200, Deadline: time.Hour}, roomyLimits, 0)
 	check("one ahead after the overload", 5*time.Second, 0, 5*ms)
 }
 
-// BenchmarkQueue measures one request's way through a queue of a given length
-// shared by three services and 100 callers.
+// BenchmarkQueue measures the cost of one request in a queue of a given length that three services
+// and 100 callers share.
 func BenchmarkQueue(b *testing.B) {
 	for _, length := range []uint64{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("waiting=%d", length), func(b *testing.B) {
 			q, id := New(), uint64(0)
 			for b.ReportAllocs(); id < length || b.Loop(); id++ {
 				q.Push(0, Item{ID: id, Service: int32(id % 3), Caller: id * 7919 % 100, Priority: int(id % 3),
-					Deadline: time.Hour + time.Duration(id*104729%1000)}, roomy, 0)
+					Deadline: time.Hour + time.Duration(id*104729%1000)}, roomyLimits, 0)
 				if id >= length {
-					run(q, 0)
+					dispatchNext(q, 0)
 				}
 			}
 		})
