--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -13,7 +13,7 @@
 func (c *Core) Admit(service string) Admission {
 	sv, ok := c.services[service]
 	if !ok {
-		return Admission{Service: service, Reason: c.unknown()}
+		return Admission{Service: service, Reason: c.unknownServiceReason()}
 	}
 	return admissionOf(sv)
 }
@@ -21,11 +21,11 @@
 // AdmitRoute is Admit for a request that names its service by host and path.
 func (c *Core) AdmitRoute(host, path string) Admission {
 	if c.snapshot == nil || c.snapshot.Routes() == nil {
-		return Admission{Reason: c.unknown()}
+		return Admission{Reason: c.unknownServiceReason()}
 	}
 	r, ok := c.snapshot.Routes().Find(host, path)
 	if !ok {
-		return Admission{Reason: c.unknown()}
+		return Admission{Reason: c.unknownServiceReason()}
 	}
 	name := r.Name
 	if s := c.splits[r.Name]; s != nil {
@@ -52,9 +52,9 @@
 	return Admission{Service: sv.name, MaxBody: sv.policy.MaxBodyBytes, row: sv.index + 1, pool: sv.pool, policy: sv.policy}
 }
 
-// unknown tells a service that isn't published from an entry that knows no profiles yet, or that
+// unknownServiceReason tells a service that isn't published from an entry that knows no profiles yet, or that
 // knows of later ones which may have it.
-func (c *Core) unknown() Reason {
+func (c *Core) unknownServiceReason() Reason {
 	t := c.fleet.profiles
 	switch {
 	case c.snapshot == nil:
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// serviceWeight is the weight of a new sample in the smoothed service time.
-const serviceWeight = 0.05
+// sampleWeight is the weight of a new sample in the smoothed service time.
+const sampleWeight = 0.05
 
 // Head feeds the head of an endpoint's answer. The core answers with
 // StepCommit or StepDiscard for the attempt.
@@ -48,7 +48,7 @@
 		return
 	}
 	a.load = h.Load
-	a.headAfter = now - a.sentAt
+	a.headLatency = now - a.sentAt
 	if h.Misdirected {
 		e.AvoidUntil = now + misdirectedPause
 		return
@@ -98,17 +98,17 @@
 func (c *Core) commit(r *request, h Head, out *Actions) {
 	r.committed = h.Attempt
 	outcome := OutcomeDone
-	if !r.mayRunTwice && doubtful(h.Status) {
+	if !r.mayRunTwice && ambiguousStatus(h.Status) {
 		outcome = OutcomeUnknown
 	}
 	out.request(Directive{ID: h.ID, Step: StepCommit, Attempt: h.Attempt, Outcome: outcome})
 	c.cancelOthers(r, h.Attempt, out)
 }
 
-// doubtful says that an answer of this status does not tell whether the
+// ambiguousStatus says that an answer of this status does not tell whether the
 // request was run: it may come from a machine in front of the application or
 // from an application that gave up half way.
-func doubtful(status int) bool {
+func ambiguousStatus(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -131,21 +131,21 @@
 	if r.phase == phaseFinished {
 		c.forgetIfEnded(r)
 	} else {
-		c.afterEnd(now, r, a, e, out)
+		c.continueAfterEnd(now, r, a, e, out)
 	}
 	if !a.forward {
 		c.drainPool(now, r.pool, out)
 	}
 }
 
-// afterEnd decides how an unfinished request goes on.
-func (c *Core) afterEnd(now time.Duration, r *request, a *attempt, e End, out *Actions) {
+// continueAfterEnd decides how an unfinished request goes on.
+func (c *Core) continueAfterEnd(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	if a.forward {
-		c.afterForward(now, r, e, out)
+		c.forwardEnded(now, r, e, out)
 		return
 	}
 	if r.committed == e.Attempt {
-		c.afterCommitted(now, r, a, e, out)
+		c.finishCommitted(now, r, a, e, out)
 		return
 	}
 	if e.Kind != EndNotWritten && e.Kind != EndNotRun {
@@ -157,10 +157,10 @@
 	c.retryOrFail(now, r, a, e, out)
 }
 
-// afterCommitted ends a request whose answer was being passed on.
-func (c *Core) afterCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
+// finishCommitted ends a request whose answer was being passed on.
+func (c *Core) finishCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	r.status, r.outcome = a.status, OutcomeUnknown
-	if e.Kind == EndComplete && !(doubtful(a.status) && !r.mayRunTwice) {
+	if e.Kind == EndComplete && !(ambiguousStatus(a.status) && !r.mayRunTwice) {
 		c.counters.Done++
 		r.outcome = OutcomeDone
 		if a.status < http.StatusInternalServerError {
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -39,35 +39,35 @@
 	return choices, answer.TTL, true
 }
 
-// nearEnough is how many entries of a caller's own failure domain make it needless
+// enoughNearby is how many entries of a caller's own failure domain make it needless
 // to name others.
-const nearEnough = 2
+const enoughNearby = 2
 
 // How many entries of a failure domain are named to callers. Each entry that serves opens its
 // own connections to endpoints and learns of their load by its own requests; hundreds that see a
-// few requests a second each know little and open one for nearly each request. namedLeast is
+// few requests a second each know little and open one for nearly each request. minNamedEntries is
 // enough that several are left when half of them are lost at once. More are named as far as the
 // domain's calls need them: callsPerCore is what an entry carries on small VMs, where a call
-// with its looks and wake-ups takes up to two milliseconds of a core, and roomFor leaves room for
+// with its looks and wake-ups takes up to two milliseconds of a core, and peakHeadroom leaves room for
 // peaks, for callers who repeat, and for collecting garbage on a sixth of a core.
 const (
-	namedLeast   = 8
-	callsPerCore = 500
-	roomFor      = 5
+	minNamedEntries = 8
+	callsPerCore    = 500
+	peakHeadroom    = 5
 )
 
-// settling is how long an entry that has begun to serve may not know all others yet, and
+// settlingTime is how long an entry that has begun to serve may not know all others yet, and
 // settlingTTL how long callers keep its answers meanwhile. Guards against callers that
 // ask right after all entries were started again: they would go to the one that answered,
 // which knew nobody else, for seconds. The links of a fleet open within half a second.
 const (
-	settling    = 1500 * time.Millisecond
-	settlingTTL = 500 * time.Millisecond
+	settlingTime = 1500 * time.Millisecond
+	settlingTTL  = 500 * time.Millisecond
 )
 
 // AnswersTTL is how long callers may keep an answer which entries to use.
 func (c *Core) AnswersTTL(now time.Duration) time.Duration {
-	if c.state == message.EntryStarting || now < c.servesSince+settling {
+	if c.state == message.EntryStarting || now < c.servesSince+settlingTime {
 		return min(c.cfg.AnswersTTL, settlingTTL)
 	}
 	return c.cfg.AnswersTTL
@@ -80,34 +80,34 @@
 // itself also while it is suspected of nothing but silence around it.
 func (c *Core) EntriesNear(domain string, most int) []string {
 	var near, far []*member.Entry
-	var quiet []string
+	var suspected []string
 	for i := range c.fleet.entries {
 		e := &c.fleet.entries[i]
 		switch {
 		case !c.mayBeNamed(e):
 		case e.Suspected:
-			quiet = append(quiet, e.VM.Address)
+			suspected = append(suspected, e.VM.Address)
 		case e.VM.Domain == domain:
 			near = append(near, e)
 		default:
 			far = append(far, e)
 		}
 	}
-	named := c.strongest(near)
-	if len(near) < nearEnough {
-		named = append(named, c.strongest(far)...)
+	named := c.strongestEntries(near)
+	if len(near) < enoughNearby {
+		named = append(named, c.strongestEntries(far)...)
 	}
 	if len(named) == 0 {
-		named = quiet
+		named = suspected
 	}
 	return named[:min(most, len(named))]
 }
 
-// strongest returns the addresses of the entries that callers are sent to, of some that could
+// strongestEntries returns the addresses of the entries that callers are sent to, of some that could
 // serve them: those with most capacity, as many as it takes for the weakest of them to bear an
 // even part of all calls, since callers choose evenly. All entries that answer callers name the
 // same.
-func (c *Core) strongest(entries []*member.Entry) []string {
+func (c *Core) strongestEntries(entries []*member.Entry) []string {
 	calls := 0.0
 	for _, e := range entries {
 		calls += c.rateOf(e)
@@ -118,8 +118,8 @@
 	var named []string
 	for i, e := range entries {
 		named = append(named, e.VM.Address)
-		part := roomFor * calls / float64(i+1)
-		if i+1 >= namedLeast && part <= callsPerCore*float64(c.capacityOf(e))/1000 {
+		share := peakHeadroom * calls / float64(i+1)
+		if i+1 >= minNamedEntries && share <= callsPerCore*float64(c.capacityOf(e))/1000 {
 			break
 		}
 	}
--- a/internal/core/caps_test.go
+++ b/internal/core/caps_test.go
@@ -58,7 +58,7 @@
 	if t.Logf("all records take %d bytes, their marks %d", len(data), 5*len(c.fleet.gossip.Marks(nil))); err != nil || len(data) > 1<<20 {
 		t.Errorf("all records take %d bytes, %v", len(data), err)
 	}
-	if got := len(c.EntriesNear("d1", 64)); got != namedLeast {
+	if got := len(c.EntriesNear("d1", 64)); got != minNamedEntries {
 		t.Errorf("%d entries are named", got)
 	}
 }
--- a/internal/core/change_test.go
+++ b/internal/core/change_test.go
@@ -23,7 +23,7 @@
 // booked several times: the queue of the old pool still held the request, and
 // what went to the new pool was never taken out of it.
 func TestServiceMovesToAnotherPoolWhileRequestsWait(t *testing.T) {
-	r := settled(t, 1, "waste/w1", "counts/c1", "counts/c2", "counts/c3")
+	r := newServingCluster(t, 1, "waste/w1", "counts/c1", "counts/c2", "counts/c3")
 	n := r.nodes[0]
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 300 * ms} }
 	for caller := range uint64(5) {
@@ -52,7 +52,7 @@
 // idle: the request at the head of the queue had tried them all, and nothing
 // passes the head.
 func TestRequestThatTriedAllEndpointsHoldsUpNobody(t *testing.T) {
-	r := settled(t, 1, "counts/c1", "counts/c2")
+	r := newServingCluster(t, 1, "counts/c1", "counts/c2")
 	n := r.nodes[0]
 	for range 50 { // earn retries
 		r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
@@ -79,7 +79,7 @@
 // same endpoints all evening. The calendar had switched the policies without
 // dividing the work anew.
 func TestCloseDividesTheWorkAnew(t *testing.T) {
-	r := settled(t, 6, "waste/w1")
+	r := newServingCluster(t, 6, "waste/w1")
 	r.down = func(*node) bool { return true }
 	before := len(r.nodes[0].pools["waste"].deciders)
 	r.wall = r.wall.Add(6 * time.Hour)
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -193,7 +193,7 @@
 	var out Actions
 	event(r.now-n.started, &out)
 	for _, d := range out.Requests {
-		r.direct(n, d)
+		r.carryOut(n, d)
 	}
 	for _, u := range out.Updates {
 		r.post(lag, n, func() { r.update(n, u) })
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -92,7 +92,7 @@
 // all that it hears.
 func (c *Core) remember(now time.Duration) {
 	f := &c.fleet
-	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settling {
+	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settlingTime {
 		f.settled = f.gossip.RecordsAgree()
 	}
 	if f.rememberedAt == f.version {
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -86,11 +86,11 @@
 	y := newEntryHarness(t, idle(2, "d0")...)
 	y.warming(2)
 	y.endpoint("d0-1").coldUntil = y.now + 30*sec
-	for y.now < y.servesSince+settling-200*ms {
+	for y.now < y.servesSince+settlingTime-200*ms {
 		y.press(20*ms, 20*ms)
 	}
 	if n := y.mostInASecond("d0-1"); n > 0 {
-		t.Errorf("it got %d within %v of the start", n, settling)
+		t.Errorf("it got %d within %v of the start", n, settlingTime)
 	}
 	y.press(20*ms, 2*sec)
 	if n := y.mostInASecond("d0-1"); n == 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -220,7 +220,7 @@
 	c.applyCalendar(now, out)
 	c.expireQueues(now, out)
 	c.expireJoined(now, out)
-	c.hedgeDue(now, out)
+	c.sendDueHedges(now, out)
 	c.expireLoadProbes(now, out)
 	c.startDelayedRounds(now, out)
 	c.superviseDue(now, out)
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -53,7 +53,7 @@
 	case request.Content == 0:
 	case end.Kind == EndComplete && a.status < http.StatusInternalServerError:
 		c.noteCompleted(now, request, out)
-	case !end.Broke || e.State != table.EndpointLive || len(c.broken) >= brokenMost:
+	case !end.ConnBroken || e.State != table.EndpointLive || len(c.broken) >= brokenMost:
 	default:
 		c.broken = append(c.broken, brokenAttempt{request: request, pool: r.pool, endpoint: e.Name, incarnation: e.Incarnation,
 			address: e.Address, began: a.sentAt, at: now})
@@ -76,7 +76,7 @@
 			}
 		}
 		out.Probes = append(out.Probes, Probe{Pool: b.pool.Name, Endpoint: b.endpoint, Incarnation: b.incarnation, Address: b.address,
-			Path: b.pool.probePath, Broken: true, At: now, Wait: crashProbeGap})
+			Path: b.pool.probePath, CrashProbe: true, At: now, Wait: crashProbeGap})
 	}
 }
 
@@ -90,8 +90,8 @@
 // brokenProbeEnd takes in what the endpoint of broken attempts answered. One at whose address
 // another endpoint, or another incarnation, answers has ended as well.
 func (c *Core) brokenProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
-	crashed := end.Refused || end.Misdirected || end.Seen != 0 && end.Seen != end.Probe.Incarnation
-	if !crashed && !end.OK && !end.Unwell {
+	crashed := end.Refused || end.Misdirected || end.Incarnation != 0 && end.Incarnation != end.Probe.Incarnation
+	if !crashed && !end.OK && !end.Unhealthy {
 		return // it is asked again
 	}
 	var crashes []quarantine.Crash
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -25,7 +25,7 @@
 	b := y.endpoint(d.Endpoint)
 	b.running, b.dead = max(0, b.running-1), crashed
 	y.do(func(out *Actions) {
-		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, Broke: true, Replayable: true, Cause: "connection ended"}, out)
+		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, ConnBroken: true, Replayable: true, Cause: "connection ended"}, out)
 	})
 }
 
@@ -176,7 +176,7 @@
 	y.do(func(out *Actions) { y.ProbeEnd(y.now, ProbeEnd{Probe: earlier, OK: true}, out) })
 	later := y.probes[len(y.probes)-1]
 	y.do(func(out *Actions) {
-		y.ProbeEnd(y.now, ProbeEnd{Probe: later, OK: true, Seen: later.Incarnation + 1}, out)
+		y.ProbeEnd(y.now, ProbeEnd{Probe: later, OK: true, Incarnation: later.Incarnation + 1}, out)
 	})
 	if got := y.quarantine.Crashes(quarantine.Request{Content: 7, Caller: 1}); len(got) != 1 {
 		t.Errorf("crashes under the second request: %+v", got)
@@ -216,7 +216,7 @@
 		endpoints = append(endpoints, fmt.Sprint("c", i+1))
 		listed = append(listed, "counts/"+endpoints[i])
 	}
-	r = settled(t, entries, listed...)
+	r = newServingCluster(t, entries, listed...)
 	dead := map[string]bool{}
 	r.endpoint = func(name string, a Arrival) reaction {
 		switch {
@@ -224,7 +224,7 @@
 			return reaction{end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true}
 		case a.Content == 7:
 			dead[name] = true
-			return reaction{after: 30 * ms, end: End{Kind: EndLost, Broke: true}}
+			return reaction{after: 30 * ms, end: End{Kind: EndLost, ConnBroken: true}}
 		}
 		return reaction{after: 5 * ms}
 	}
@@ -320,7 +320,7 @@
 		endpoints = append(endpoints, "counts/"+name)
 		crashAt[name] = time.Duration(i+1) * every
 	}
-	r := settled(t, 4, endpoints...)
+	r := newServingCluster(t, 4, endpoints...)
 	began := r.now
 	untilCrash := func(name string) time.Duration { return crashAt[name] - (r.now - began) }
 	r.refuses = func(name string) bool { left := untilCrash(name); return left <= 0 && left > -down }
@@ -329,7 +329,7 @@
 		case r.refuses(name):
 			return reaction{end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true}
 		case left > 0 && left <= work:
-			return reaction{after: left, end: End{Kind: EndLost, Broke: true}}
+			return reaction{after: left, end: End{Kind: EndLost, ConnBroken: true}}
 		}
 		return reaction{after: work}
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -30,12 +30,12 @@
 		c.dispatch(now, r, balance.Choice{Index: i}, hedge, out)
 		return true
 	}
-	ask := c.balanceRequest(r)
-	choice := p.picker.Pick(now, &p.Pool, ask, now-r.arrived)
+	req := c.balanceRequest(r)
+	choice := p.picker.Pick(now, &p.Pool, req, now-r.arrived)
 	if !choice.OK {
 		return false
 	}
-	choice.IdleOnly = choice.IdleOnly && !ask.MustQueue // not every policy heeds it
+	choice.IdleOnly = choice.IdleOnly && !req.MustQueue // not every policy heeds it
 	c.dispatch(now, r, choice, hedge, out)
 	return true
 }
@@ -140,22 +140,22 @@
 	p := r.pool
 	index := choice.Index
 	e := &p.Endpoints[index]
-	view, told := c.placementView(now, r), e.Probed.Seen && now-e.Probed.At < placement.Remembered
+	view, loadKnown := c.placementView(now, r), e.Probed.Seen && now-e.Probed.At < placement.Remembered
 	r.phase = phaseActive
 	r.dispatches++
 	r.attempts[r.dispatches] = attempt{
-		live:        true,
-		hedge:       hedge,
-		idleOnly:    choice.IdleOnly,
-		alone:       told && placement.HasEasyRoom(e),
-		fills:       told && placement.Fills(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
-		index:       index,
-		incarnation: e.Incarnation,
-		sentAt:      now,
-		endpoint:    e.Name,
-		probedLoad:  e.Probed,
-		limit:       e.Limit.Rate,
-		due:         view.ServiceTime(e),
+		live:             true,
+		hedge:            hedge,
+		idleOnly:         choice.IdleOnly,
+		hadEasyRoom:      loadKnown && placement.HasEasyRoom(e),
+		fillsEndpoint:    loadKnown && placement.Fills(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
+		index:            index,
+		incarnation:      e.Incarnation,
+		sentAt:           now,
+		endpoint:         e.Name,
+		probedLoad:       e.Probed,
+		limit:            e.Limit.Rate,
+		expectedDuration: view.ServiceTime(e),
 	}
 	if placement.Fills(e) {
 		p.learned.NoteFill(now)
@@ -168,7 +168,7 @@
 	p.picker.Dispatched(now, &p.Pool, index)
 	c.counters.Dispatched++
 	if r.dispatches == 1 {
-		c.noteHedge(now, r)
+		c.scheduleHedge(now, r)
 	}
 	out.request(Directive{
 		ID:       r.arrival.ID,
@@ -264,12 +264,12 @@
 }
 
 // hedgeDue is a request that is hedged if it is still unanswered at a time.
-type hedgeDue struct {
+type pendingHedge struct {
 	id RequestID
 	at time.Duration
 }
 
-func (c *Core) noteHedge(now time.Duration, r *request) {
+func (c *Core) scheduleHedge(now time.Duration, r *request) {
 	if c.usesLoadProbes(r) {
 		c.superviseLater(now, r)
 		return
@@ -278,12 +278,12 @@
 		return
 	}
 	sv := r.service
-	sv.hedges = append(sv.hedges, hedgeDue{id: r.arrival.ID, at: now + r.policy.HedgeAfter})
+	sv.hedges = append(sv.hedges, pendingHedge{id: r.arrival.ID, at: now + r.policy.HedgeAfter})
 }
 
 // hedgeDue sends a second attempt for harmless requests that are late, as far
 // as the retry budget allows.
-func (c *Core) hedgeDue(now time.Duration, out *Actions) {
+func (c *Core) sendDueHedges(now time.Duration, out *Actions) {
 	for _, sv := range c.serviceRows {
 		n := 0
 		for n < len(sv.hedges) && sv.hedges[n].at <= now {
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -47,32 +47,32 @@
 			if drains && name != "straggler" && name != "fails fast" {
 				continue
 			}
-			r := settled(t, 2, sixCounts...)
+			r := newServingCluster(t, 2, sixCounts...)
 			r.bad(reaction{})
-			r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 			r.tick = 2 * ms
 			r.bad(re, "c2")
 			if drains {
 				r.list(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 			}
-			r.traffic(Arrival{Service: "counts"}, 2*ms, 5*sec)
+			r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 5*sec)
 			clear(r.written)
-			all := r.traffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
+			all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
 			if share := float64(r.written["c2"]) / float64(len(all)); share > 0.05 {
 				t.Errorf("%s, another drains %v: gets %.0f %% of the requests", name, drains, 100*share)
 			}
 			if slots := r.nodes[0].pools["counts"].Slots(); slots > 12 {
 				t.Errorf("%s: the watching budget is a share of %d slots, there are 12", name, slots)
 			}
-			if done := count(all, OutcomeDone); done < len(all)*99/100 {
+			if done := countReplies(all, OutcomeDone); done < len(all)*99/100 {
 				t.Errorf("%s, another drains %v: only %d of %d reads were answered", name, drains, done, len(all))
 			}
 			r.bad(reaction{})
 			r.tick = 20 * ms
-			r.traffic(Arrival{Service: "counts"}, 20*ms, 70*sec)
+			r.sendTraffic(Arrival{Service: "counts"}, 20*ms, 70*sec)
 			clear(r.written)
 			r.tick = ms
-			all = r.traffic(Arrival{Service: "counts"}, ms, 2*sec) // every slot is needed
+			all = r.sendTraffic(Arrival{Service: "counts"}, ms, 2*sec) // every slot is needed
 			if share := float64(r.written["c2"]) / float64(len(all)); share < 0.05 {
 				t.Errorf("%s, another drains %v: gets only %.0f %% of the requests after it works again", name, drains, 100*share)
 			}
@@ -85,11 +85,11 @@
 // idle slot, with status 503, and was left alone for up to a second as one that
 // fails. Now its slots come free, and it gets requests within 50 ms.
 func TestBusyEndpointIsUsedOnceItsSlotsComeFree(t *testing.T) {
-	r := settled(t, 1, sixCounts...)
+	r := newServingCluster(t, 1, sixCounts...)
 	n := r.nodes[0]
 	r.tick = 2 * ms
 	r.bad(reaction{})
-	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 	free, first := r.now+3*sec, time.Duration(0)
 	r.endpoint = func(name string, a Arrival) reaction {
 		switch {
@@ -100,7 +100,7 @@
 		}
 		return reaction{after: 18 * ms}
 	}
-	r.traffic(Arrival{Service: "counts"}, 2*ms, 4*sec)
+	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 4*sec)
 	if first == 0 || first-free > 50*ms {
 		t.Errorf("the endpoint got its first request after %v", first-free)
 	}
@@ -138,19 +138,19 @@
 			r.tick = 2 * ms
 			r.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
 			r.bad(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
-			r.traffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
+			r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
 			clear(r.written)
 			re := reactions[name]
 			re.after = min(re.after, 5*ms)
 			r.bad(re, sixNames...)
-			all := r.traffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
-			if ratio := float64(r.total("c")) / float64(len(all)); ratio >= 1.1 {
+			all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
+			if ratio := float64(r.totalWritten("c")) / float64(len(all)); ratio >= 1.1 {
 				t.Errorf("%s, %s: %.2f arrivals at the endpoints per request", policy, name, ratio)
 			}
 			r.bad(reaction{after: 18 * ms}, sixNames...)
 			r.run(sec)
-			all = r.traffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
-			if done := count(all, OutcomeDone); done < len(all) {
+			all = r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
+			if done := countReplies(all, OutcomeDone); done < len(all) {
 				t.Errorf("%s, %s: %d of %d requests were answered after the endpoints work again", policy, name, done, len(all))
 			}
 		}
@@ -164,10 +164,10 @@
 // to check the endpoint's other connections, and the endpoint stays in use,
 // also while another endpoint really is a straggler.
 func TestSilentConnectionIsNotTheEndpointsFault(t *testing.T) {
-	r := settled(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
+	r := newServingCluster(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
 	n := r.nodes[0]
 	r.bad(reaction{})
-	r.traffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
+	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
 	first := slices.MaxFunc(sixNames, func(a, b string) int { return r.written[a] - r.written[b] })
 	slow := "c1"
 	if first == slow {
@@ -184,11 +184,11 @@
 		return reaction{after: 10 * ms}
 	}
 	booking := r.sendRequest(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true})
-	all := r.traffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
-	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || r.total("w") != 1 {
-		t.Errorf("booking: told %+v, sent %d times", got, r.total("w"))
+	all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
+	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || r.totalWritten("w") != 1 {
+		t.Errorf("booking: told %+v, sent %d times", got, r.totalWritten("w"))
 	}
-	if done := count(all, OutcomeDone); done != len(all) {
+	if done := countReplies(all, OutcomeDone); done != len(all) {
 		t.Errorf("%d of %d reads were answered", done, len(all))
 	}
 	if !slices.Contains(n.suspects, addressOf(first)) || slices.Contains(n.suspects, addressOf(slow)) {
@@ -196,8 +196,8 @@
 	}
 	r.run(2 * sec)
 	clear(r.written)
-	r.traffic(Arrival{Service: "counts"}, 2*ms, sec)
-	if r.written[first] < 25 || n.noted("endpoint "+first+" ejected") {
+	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, sec)
+	if r.written[first] < 25 || n.hasNote("endpoint "+first+" ejected") {
 		t.Errorf("%s got %d of 500 requests afterwards", first, r.written[first])
 	}
 }
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -142,8 +142,8 @@
 	ConnSilent bool
 	// BodyFailed says that the caller's own request broke off or is unusable.
 	BodyFailed bool
-	// Broke says that the endpoint's connection ended before its answer was whole.
-	Broke bool
+	// ConnBroken says that the endpoint's connection ended before its answer was whole.
+	ConnBroken bool
 	// DialFailed says that no connection could be opened.
 	DialFailed bool
 	// Cause names what went wrong, for the log; "" if nothing did.
@@ -239,8 +239,8 @@
 	Round   uint32
 	// Wait bounds the wait for the answer; 0 leaves the bound to the driver.
 	Wait time.Duration
-	// Broken says that it asks whether an endpoint that broke its connections has crashed.
-	Broken bool
+	// CrashProbe says that it asks whether an endpoint that broke its connections has crashed.
+	CrashProbe bool
 	// At is when such a question was asked.
 	At time.Duration
 }
@@ -252,12 +252,12 @@
 	Load    Load
 	Latency time.Duration
 	// Draining and Seen are what the endpoint says of itself.
-	Draining bool
-	Seen     uint64
+	Draining    bool
+	Incarnation uint64
 	// Refused: the address refuses connections; no process listens.
 	Refused bool
-	// Unwell: the endpoint answers that it should get no work now.
-	Unwell bool
+	// Unhealthy: the endpoint answers that it should get no work now.
+	Unhealthy bool
 	// Misdirected: another endpoint answers at the address.
 	Misdirected bool
 }
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -67,7 +67,7 @@
 		{name: "links take messages and lose them", lost: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := settled(t, 6, "counts/c1", "counts/c2")
+			r := newServingCluster(t, 6, "counts/c1", "counts/c2")
 			r.down = func(*node) bool { return true }
 			var evidence, latest time.Duration
 			lost := map[string]bool{}
@@ -127,7 +127,7 @@
 // the other one, although no success has paid for a second try: the first sent
 // nothing.
 func TestWorkIsNotSentToAnEndpointThatDrainsMeanwhile(t *testing.T) {
-	r := settled(t, 1, "waste/w1", "waste/w2")
+	r := newServingCluster(t, 1, "waste/w1", "waste/w2")
 	n := r.nodes[0]
 	r.dial = func() time.Duration { return 4 * sec }
 	id := r.sendRequest(n, Arrival{Service: "waste", HasKey: true, Key: r.key(n)})
@@ -153,7 +153,7 @@
 // that no reader does, one read and the hops of news.
 func TestProfileIsInForceEverywhereWithinSeconds(t *testing.T) {
 	for only := -1; only < 15; only++ {
-		r := settled(t, 15, "counts/c1")
+		r := newServingCluster(t, 15, "counts/c1")
 		r.down = func(n *node) bool { return only >= 0 && n != r.nodes[only] }
 		r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 		limit := 2 * sec
@@ -172,7 +172,7 @@
 // also at an entry that is replaced meanwhile and has only peers to ask. Half
 // way a replica comes back with an older document, which changes nothing.
 func TestCloseBeginsAndEndsWithoutTheService(t *testing.T) {
-	r := settled(t, 4, "counts/c1")
+	r := newServingCluster(t, 4, "counts/c1")
 	r.republish(2, "queue_limit = 96", "queue_limit = 200")
 	r.until(5*sec, atRevision(2))
 	old := r.docs[published.ProfilesValue]
@@ -212,7 +212,7 @@
 		if n.dead {
 			continue
 		}
-		if !atRevision(2)(n) || !n.noted("ignored an older revision") || !n.noted("refused another text under the revision") || !n.noted("format") {
+		if !atRevision(2)(n) || !n.hasNote("ignored an older revision") || !n.hasNote("refused another text under the revision") || !n.hasNote("format") {
 			t.Errorf("%s: revision %d, notes %v", n.hello.Name, n.InForce(old.Name).Revision, n.notes)
 		}
 	}
@@ -229,7 +229,7 @@
 // heartbeat, a fetch) all entries have the profile, hear each other and name
 // all of them to callers.
 func TestPartitionHealsByItself(t *testing.T) {
-	r := settled(t, 6, "counts/c1", "counts/c2")
+	r := newServingCluster(t, 6, "counts/c1", "counts/c2")
 	r.cut = separatesHalves
 	r.down = func(n *node) bool { return separatesHalves(n, r.nodes[0]) }
 	r.run(10 * sec)
@@ -280,7 +280,7 @@
 // and name it no more; it goes on serving. Two seconds after the loss ends it
 // is named again.
 func TestAsymmetricLoss(t *testing.T) {
-	r := settled(t, 3, "counts/c1")
+	r := newServingCluster(t, 3, "counts/c1")
 	deaf := r.nodes[0]
 	r.cut = func(from, _ *node) bool { return from == deaf }
 	named := func(want bool) func(n *node) bool {
@@ -304,7 +304,7 @@
 // it serves. Its peers would send no callers there until yet another VM changes:
 // the change of state was not carried into the lists made from the table.
 func TestFreshEntryIsNamedAsSoonAsItServes(t *testing.T) {
-	r := settled(t, 2, "counts/c1")
+	r := newServingCluster(t, 2, "counts/c1")
 	n := r.nodes[0]
 	fresh := message.Hello{Name: "entry-2", Incarnation: 77, Region: "r", Domain: "d2", CallerAddress: "10.0.0.3:80", PeerAddress: "10.0.0.3:81"}
 	r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, fresh, out) })
@@ -325,7 +325,7 @@
 // from a peer a heartbeat later. A caller that makes revisions up costs a few
 // calls of the service and not one per request.
 func TestCallerWithLaterRevision(t *testing.T) {
-	r := settled(t, 3, "counts/c1")
+	r := newServingCluster(t, 3, "counts/c1")
 	n := r.nodes[0]
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 	out := r.do(n, func(now time.Duration, out *Actions) {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -16,16 +16,16 @@
 // With two, one of them may stop or fail meanwhile.
 const successorCount = 2
 
-// joinedMeanwhile is how many entries may have joined since a hand-over and rank
+// extraSuccessors is how many entries may have joined since a hand-over and rank
 // before those that took it. They are asked as well.
-const joinedMeanwhile = 2
+const extraSuccessors = 2
 
-// partBytes is about how much one part of a hand-over holds. Kept answers may be
+// handoverPartBytes is about how much one part of a hand-over holds. Kept answers may be
 // large, and a message that is too large for a link loses the whole hand-over.
-const partBytes = 64 << 10
+const handoverPartBytes = 64 << 10
 
-// recordBytes is about what a record takes beside its answer.
-const recordBytes = 128
+// recordOverhead is about what a record takes beside its answer.
+const recordOverhead = 128
 
 // SealKeys ends the making of new keys here. Requests with new keys are
 // refused as not run; those that run go on, and their number is returned.
@@ -64,12 +64,12 @@
 }
 
 // partLength returns how many of the records one part takes: up to size, or up
-// to partBytes, but at least one.
+// to handoverPartBytes, but at least one.
 func partLength(records []idem.Record, size int) int {
 	total := 0
 	for i := range records[:min(size, len(records))] {
-		total += recordBytes + answerBytes(records[i].Answer)
-		if total > partBytes && i > 0 {
+		total += recordOverhead + answerBytes(records[i].Answer)
+		if total > handoverPartBytes && i > 0 {
 			return i
 		}
 	}
@@ -109,7 +109,7 @@
 // enough; they are asked for first later on.
 func (c *Core) SuccessorAddresses(home uint64) []string {
 	var out []string
-	for _, incarnation := range c.successorsOf(home, successorCount+joinedMeanwhile, member.Entry.Usable) {
+	for _, incarnation := range c.successorsOf(home, successorCount+extraSuccessors, member.Entry.Usable) {
 		address, ok := c.peerAddressOf(incarnation)
 		if ok && address != "" && incarnation != c.cfg.Self.Incarnation {
 			out = append(out, address)
@@ -127,19 +127,19 @@
 // successorsOf returns the entries that answer for the keys of a home, by
 // rendezvous hashing over those that fit, so that all entries agree without a
 // word and few homes move when entries change.
-func (c *Core) successorsOf(home uint64, n int, fits func(member.Entry) bool) []uint64 {
+func (c *Core) successorsOf(home uint64, n int, eligible func(member.Entry) bool) []uint64 {
 	type scored struct{ incarnation, score uint64 }
 	key := assign.Key("successor", strconv.FormatUint(home, 16))
-	var best []scored
+	var ranked []scored
 	for i := range c.fleet.entries {
 		e := &c.fleet.entries[i]
-		if e.VM.Incarnation != home && fits(*e) {
-			best = append(best, scored{e.VM.Incarnation, assign.Score(key, assignID(e.VM.Name))})
+		if e.VM.Incarnation != home && eligible(*e) {
+			ranked = append(ranked, scored{e.VM.Incarnation, assign.Score(key, assignID(e.VM.Name))})
 		}
 	}
-	slices.SortFunc(best, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
+	slices.SortFunc(ranked, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	var out []uint64
-	for _, s := range best[:min(n, len(best))] {
+	for _, s := range ranked[:min(n, len(ranked))] {
 		out = append(out, s.incarnation)
 	}
 	return out
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -91,7 +91,7 @@
 	if !ok {
 		return
 	}
-	if end.Probe.Broken {
+	if end.Probe.CrashProbe {
 		c.brokenProbeEnd(now, end, out)
 		return
 	}
@@ -116,7 +116,7 @@
 		foreign := max(0, end.Load.InFlight+end.Load.Queued-int(e.Outstanding))
 		e.Reported = table.ReportedLoad{Foreign: int32(foreign), At: now, Seen: true}
 	}
-	c.evidenceFromAnswer(now, e, end.Draining, end.Seen, out)
+	c.evidenceFromAnswer(now, e, end.Draining, end.Incarnation, out)
 	c.drainPool(now, p, out)
 }
 
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -21,12 +21,12 @@
 		}
 		return true
 	}
-	v := c.keys.Begin(now, r.arrival.Key, r.arrival.Caller, r.arrival.Digest)
-	return c.applyDecision(now, r, v, out)
+	decision := c.keys.Begin(now, r.arrival.Key, r.arrival.Caller, r.arrival.Digest)
+	return c.applyDecision(now, r, decision, out)
 }
 
-func (c *Core) applyDecision(now time.Duration, r *request, v idem.Decision, out *Actions) bool {
-	switch v.Kind {
+func (c *Core) applyDecision(now time.Duration, r *request, decision idem.Decision, out *Actions) bool {
+	switch decision.Kind {
 	case idem.Run:
 		r.keyed = true
 		return true
@@ -35,11 +35,11 @@
 		c.waiters[r.arrival.Key] = append(c.waiters[r.arrival.Key], r.arrival.ID)
 		c.joined = append(c.joined, r.arrival.ID)
 	case idem.Replay:
-		c.replay(r, v.Answer, out)
+		c.replay(r, decision.Answer, out)
 	case idem.NotHome:
-		c.forwardHome(now, r, v.Home, out)
+		c.forwardHome(now, r, decision.Home, out)
 	default:
-		c.replyDecision(now, r, v.Kind, out)
+		c.replyDecision(now, r, decision.Kind, out)
 	}
 	return false
 }
@@ -57,16 +57,16 @@
 	idem.Spent:          {OutcomeNotRun, ReasonKeySpent},
 	idem.Sealed:         {OutcomeNotRun, ReasonStopping},
 	idem.Full:           {OutcomeNotRun, ReasonKeyTableFull},
-	idem.SealedNotRun:   {OutcomeNotRun, ReasonHomeGoneNotRun},
+	idem.SealedNotRun:   {OutcomeNotRun, ReasonHomeStopped},
 	idem.HomeUnknown:    {OutcomeUnknown, ReasonHomeLost},
 }
 
 func (c *Core) replyDecision(now time.Duration, r *request, kind idem.DecisionKind, out *Actions) {
-	told := decisionReplies[kind]
-	c.counters.Refused[told.reason]++
-	c.countOutcome(told.outcome)
-	after := c.retryAfter(now, r, told.reason)
-	out.request(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: told.outcome, Reason: told.reason, RetryAfter: after})
+	answer := decisionReplies[kind]
+	c.counters.Refused[answer.reason]++
+	c.countOutcome(answer.outcome)
+	after := c.retryAfter(now, r, answer.reason)
+	out.request(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: answer.outcome, Reason: answer.reason, RetryAfter: after})
 	c.finish(r, out)
 }
 
@@ -131,13 +131,13 @@
 // nextKeyOwner returns the address of the first entry that may know a key of home
 // and was not asked yet for r.
 func (c *Core) nextKeyOwner(r *request, home uint64) (string, bool) {
-	holders := append([]uint64{home}, c.successorsOf(home, successorCount+joinedMeanwhile, mayAdopt)...)
-	for _, incarnation := range holders {
+	candidates := append([]uint64{home}, c.successorsOf(home, successorCount+extraSuccessors, mayAdopt)...)
+	for _, incarnation := range candidates {
 		address, known := c.fleet.callerAddressOf(incarnation)
-		if !known || incarnation == c.cfg.Self.Incarnation || slices.Contains(r.asked, incarnation) {
+		if !known || incarnation == c.cfg.Self.Incarnation || slices.Contains(r.forwardedTo, incarnation) {
 			continue
 		}
-		r.asked = append(r.asked, incarnation)
+		r.forwardedTo = append(r.forwardedTo, incarnation)
 		return address, true
 	}
 	return "", false
@@ -149,10 +149,10 @@
 	return r.phase == phaseForwarded && r.committed == 0 && !h.HomeLost
 }
 
-// afterForward goes on after a request was sent on to another entry. Whatever
+// forwardEnded goes on after a request was sent on to another entry. Whatever
 // went wrong on the way, an earlier try with the same key may have run there:
 // the only true statement is "unknown".
-func (c *Core) afterForward(now time.Duration, r *request, e End, out *Actions) {
+func (c *Core) forwardEnded(now time.Duration, r *request, e End, out *Actions) {
 	home := r.arrival.Key.Home
 	switch {
 	case r.committed == e.Attempt && e.Kind == EndComplete:
@@ -209,14 +209,14 @@
 			kept = append(kept, id)
 			continue
 		}
-		c.leaveWaiters(r)
+		c.removeWaiter(r)
 		c.reply(r, OutcomeUnknown, ReasonDeadline, minRetryAfter, out)
 		c.finish(r, out)
 	}
 	c.joined = kept
 }
 
-func (c *Core) leaveWaiters(r *request) {
+func (c *Core) removeWaiter(r *request) {
 	ids := c.waiters[r.arrival.Key]
 	ids = slices.DeleteFunc(ids, func(id RequestID) bool { return id == r.arrival.ID })
 	if len(ids) == 0 {
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("%s names others (-entry-000 +it):\n%s", e.hello.Name, diff)
 		}
 	}
-	if len(named) != namedLeast {
+	if len(named) != minNamedEntries {
 		t.Fatalf("%d are named: %v", len(named), named)
 	}
 	byAddress := map[string]*largeEntry{}
@@ -84,7 +84,7 @@
 	for _, e := range f.vms {
 		again := e.EntriesNear("d0", 64)
 		dead := slices.ContainsFunc(again, func(address string) bool { return byAddress[address].dead })
-		if !e.dead && (len(again) != namedLeast || dead) {
+		if !e.dead && (len(again) != minNamedEntries || dead) {
 			t.Errorf("%s names %v, with the dead: %v", e.hello.Name, again, dead)
 		}
 	}
@@ -92,7 +92,7 @@
 	for _, address := range asked.EntriesNear("d0", 64) {
 		asked.fleet.peers[byAddress[address].hello.Incarnation].update.Rate = 300
 	}
-	if got := len(asked.EntriesNear("d0", 64)); got <= namedLeast {
+	if got := len(asked.EntriesNear("d0", 64)); got <= minNamedEntries {
 		t.Errorf("%d are named for 2,400 calls a second", got)
 	}
 }
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -7,7 +7,7 @@
 // its read did not run although two endpoints are idle: another attempt was paid from
 // what successes had earned, and this entry had none yet.
 func TestRefusalOfALeavingEndpointNeedsNoBudget(t *testing.T) {
-	r := settled(t, 1, "counts/c1", "counts/c2", "counts/c3")
+	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3")
 	n := r.nodes[0]
 	refusals := 0
 	r.endpoint = func(name string, _ Arrival) reaction {
--- a/internal/core/lifetime_test.go
+++ b/internal/core/lifetime_test.go
@@ -14,9 +14,9 @@
 // gets work again although its name was known to leave, begins slowly, and neither the
 // doubt about its predecessor nor a peer's late news of it touches it.
 func TestEndpointStartsAgainUnderItsName(t *testing.T) {
-	r := settled(t, 2, "counts/c1#5", "counts/c2#5")
+	r := newServingCluster(t, 2, "counts/c1#5", "counts/c2#5")
 	r.bad(reaction{})
-	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 	n := r.nodes[0]
 	p := n.pools["counts"]
 	before := &p.Endpoints[p.find("c1", 5)]
@@ -26,7 +26,7 @@
 	r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, leaving) })
 	r.run(sec) // the other entry is told
 	clear(r.written)
-	r.traffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
+	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
 	if r.written["c1"] > 0 {
 		t.Fatalf("the leaving one got %d requests", r.written["c1"])
 	}
@@ -44,7 +44,7 @@
 		r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, late) })
 	}
 	clear(r.written)
-	r.traffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
+	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
 	if r.written["c1"] == 0 {
 		t.Errorf("the new one gets nothing: %+v", *e)
 	}
@@ -55,7 +55,7 @@
 // one before it, so the caller of a booking must not be told that it was not run, and the
 // new one holds nothing of it.
 func TestAttemptBelongsToTheLifetimeBeforeTheRestart(t *testing.T) {
-	r := settled(t, 1, "counts/c1#5")
+	r := newServingCluster(t, 1, "counts/c1#5")
 	n := r.nodes[0]
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 3 * sec, end: End{Kind: EndLost}} }
 	id := r.sendRequest(n, Arrival{Service: "counts"})
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -108,7 +108,7 @@
 // Guards against entries that don't hear of a limit, or hear of it before they know the endpoint, and against
 // older news that takes the place of later.
 func TestLimitIsToldToTheFleet(t *testing.T) {
-	r := settled(t, 3, "counts/c1", "counts/c2")
+	r := newServingCluster(t, 3, "counts/c1", "counts/c2")
 	limitOf := func(n *node, name string) float64 {
 		ref, there := n.fleet.rows[name]
 		if !there {
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -152,11 +152,11 @@
 
 // loadProbeEnd takes in what an endpoint answered.
 func (c *Core) loadProbeEnd(now time.Duration, p *pool, e *table.Endpoint, end ProbeEnd, out *Actions) {
-	p.learned.NoteContact(now, e.Domain, end.OK || end.Unwell || end.Misdirected)
+	p.learned.NoteContact(now, e.Domain, end.OK || end.Unhealthy || end.Misdirected)
 	switch {
 	case end.Misdirected:
 		e.AvoidUntil = now + misdirectedPause
-	case !end.OK || end.Unwell:
+	case !end.OK || end.Unhealthy:
 		e.AvoidUntil = max(e.AvoidUntil, now+unwellPause)
 	case end.Load.Known:
 		p.loadless = 0
@@ -181,7 +181,7 @@
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
 	view := c.placementView(now, r)
-	perfect := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unwell && view.Perfect(e)
+	perfect := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unhealthy && view.Perfect(e)
 	switch {
 	case perfect && c.dispatchProbed(now, r, i, out):
 	case r.probeRound.pending == 0:
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -21,7 +21,7 @@
 	e.Outstanding--
 	p.probeAgainAt = now // a slot may be free
 	if o, ok := healthOutcome(a, end); ok {
-		c.noteEnd(now, r, e, o, end)
+		c.recordOutcome(now, r, e, o, end)
 	}
 	c.noteBroken(now, r, a, e, end, out)
 	p.picker.Answered(now, &p.Pool, a.index, observationOf(now, a, e, end))
@@ -31,7 +31,7 @@
 	if end.ConnSilent {
 		out.SuspectAddresses = append(out.SuspectAddresses, e.Address)
 	}
-	if o, ok := healthOutcome(a, end); ok && !refusedBusy(a, end) {
+	if o, ok := healthOutcome(a, end); ok && !refusedWhileBusy(a, end) {
 		health.Observe(now, e, health.Observation{
 			Outcome:  o,
 			Sent:     a.sentAt,
@@ -42,18 +42,18 @@
 	}
 	if end.Kind == EndComplete && a.status < http.StatusInternalServerError {
 		r.service.typical.Observe(a.latency(now))
-		if a.alone {
+		if a.hadEasyRoom {
 			r.service.work.Observe(a.latency(now))
 		}
-		if a.fills {
+		if a.fillsEndpoint {
 			p.learned.NoteSharing(a.latency(now), r.service.work.Typical())
 		}
 		p.noteServiceTime(now - a.sentAt)
 	}
 }
 
-// noteEnd takes in for the choice by looks how an attempt ended.
-func (c *Core) noteEnd(now time.Duration, r *request, e *table.Endpoint, o health.Outcome, end End) {
+// recordOutcome takes in for the choice by looks how an attempt ended.
+func (c *Core) recordOutcome(now time.Duration, r *request, e *table.Endpoint, o health.Outcome, end End) {
 	failed := o != health.Answered && o != health.RefusedNotRun && o != health.ConnSilent
 	placement.NoteOutcome(now, e, failed)
 	if o == health.ConnectFailed && end.DialFailed {
@@ -83,12 +83,12 @@
 		Queued:   a.load.Queued,
 		Slots:    min(a.load.Slots, int(placement.AllowedSlots(now, e))),
 		Refused:  end.Kind == EndNotRun,
-		Failed:   unusable(a, end) && !refusedBusy(a, end),
+		Failed:   attemptFailed(a, end) && !refusedWhileBusy(a, end),
 	}
 }
 
-// unusable says that an attempt brought no answer of use.
-func unusable(a *attempt, end End) bool {
+// attemptFailed says that an attempt brought no answer of use.
+func attemptFailed(a *attempt, end End) bool {
 	switch end.Kind {
 	case EndLost, EndTruncated, EndNotWritten:
 		return true
@@ -96,30 +96,30 @@
 	return a.status >= http.StatusInternalServerError
 }
 
-// refusedBusy says that an endpoint refused what it was asked to refuse, and
+// refusedWhileBusy says that an endpoint refused what it was asked to refuse, and
 // was as busy as that takes.
-func refusedBusy(a *attempt, end End) bool {
-	return refusedIdle(a, end) && a.load.busy()
+func refusedWhileBusy(a *attempt, end End) bool {
+	return refusedIdleOnly(a, end) && a.load.noIdleSlot()
 }
 
-// refusedIdle says that an endpoint did what it was asked: it refused a request
+// refusedIdleOnly says that an endpoint did what it was asked: it refused a request
 // for which it had no idle slot.
-func refusedIdle(a *attempt, end End) bool {
+func refusedIdleOnly(a *attempt, end End) bool {
 	return a.idleOnly && end.Kind == EndNotRun
 }
 
-// busy says that no slot is idle by an endpoint's own report, or that there is
+// noIdleSlot says that no slot is idle by an endpoint's own report, or that there is
 // none. An endpoint that turns everything away reports idle slots: its refusals
 // must count although it was asked for an idle slot only, or it would never be
 // ejected and each request would ask it first.
-func (l Load) busy() bool { return !l.Known || l.InFlight+l.Queued >= l.Slots }
+func (l Load) noIdleSlot() bool { return !l.Known || l.InFlight+l.Queued >= l.Slots }
 
 // latency is the time to the head of the answer, or to the failure. The time
 // that a caller takes to receive an answer must not count: a slow caller would
 // make its endpoint look slow.
 func (a *attempt) latency(now time.Duration) time.Duration {
-	if a.headAfter > 0 {
-		return a.headAfter
+	if a.headLatency > 0 {
+		return a.headLatency
 	}
 	return now - a.sentAt
 }
@@ -129,7 +129,7 @@
 		p.serviceNanos = float64(took)
 		return
 	}
-	p.serviceNanos += serviceWeight * (float64(took) - p.serviceNanos)
+	p.serviceNanos += sampleWeight * (float64(took) - p.serviceNanos)
 }
 
 // healthOutcome says what an attempt's end tells of the endpoint, if anything.
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -23,11 +23,11 @@
 	"bad body":    {after: 10 * ms, end: End{Kind: EndLost, BodyFailed: true}},
 }
 
-// scripted lets the attempts of one request meet these reactions in turn, and
+// runScript lets the attempts of one request meet these reactions in turn, and
 // every later one be answered. It returns what the caller was told and how
 // often the request was sent.
-func scripted(t *testing.T, a Arrival, script string) (reply, int) {
-	r := settled(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
+func runScript(t *testing.T, a Arrival, script string) (reply, int) {
+	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
 	n := r.nodes[0]
 	for range 100 {
@@ -68,7 +68,7 @@
 // each case lets the attempts of one request end in different ways. Only when
 // every attempt provably did not run is the caller told "not run", and only
 // what does no harm twice, or provably did not run, is sent again.
-func TestWeakestStatementCounts(t *testing.T) {
+func TestOutcomeIsWeakestOfAllAttempts(t *testing.T) {
 	once, photo, scan := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Safe: true}
 	read, urgent, hedged := Arrival{Service: "counts"}, Arrival{Service: "checks"}, Arrival{Service: "hedged"}
 	nested, again := Arrival{Service: "counts", Depth: 1}, Arrival{Service: "counts", CallerAttempt: 2}
@@ -117,7 +117,7 @@
 		{"no hedge below another call", nestedHedge, "slow", OutcomeDone, ReasonNone, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got, sent := scripted(t, tt.request, tt.script)
+			got, sent := runScript(t, tt.request, tt.script)
 			if got.Outcome != tt.outcome || got.Reason != tt.reason || sent != tt.sent {
 				t.Errorf("told %v (%v) after %d attempts, want %v (%v) after %d", got.Outcome, got.Reason, sent, tt.outcome, tt.reason, tt.sent)
 			}
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -31,12 +31,12 @@
 func TestWakesUpWithAnOldPicture(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
 		for _, more := range []bool{false, true} {
-			r := settled(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
+			r := newServingCluster(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
 			n := r.nodes[0]
 			r.endpoint = func(string, Arrival) reaction {
 				return reaction{after: 100 * ms, head: Head{Load: Load{Known: true, InFlight: 2, Slots: 2}}}
 			}
-			r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
+			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
 			r.dial = func() time.Duration { return 5 * sec } // decided, and not yet written
 			var bookings, reads []RequestID
 			for range 6 {
@@ -64,7 +64,7 @@
 				}
 			}
 			r.run(sec)
-			if r.total("c")+r.total("w") != 0 || r.written["s1"] != 1 {
+			if r.totalWritten("c")+r.totalWritten("w") != 0 || r.written["s1"] != 1 {
 				t.Errorf("written after waking: %v", r.written)
 			}
 			for _, id := range append(bookings, reads...) {
@@ -75,14 +75,14 @@
 			if got := n.replies[batch]; got.Outcome != OutcomeDone {
 				t.Errorf("a batch with time left was told %+v", got)
 			}
-			if e := &n.pools["waste"].Endpoints[0]; e.Reported.Seen && e.Reported.At < woke || !n.noted("pause") {
+			if e := &n.pools["waste"].Endpoints[0]; e.Reported.Seen && e.Reported.At < woke || !n.hasNote("pause") {
 				t.Error("what was seen before the pause is still believed")
 			}
 			r.run(2 * sec)
 			if more && (n.state("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
 				t.Errorf("c6 is %v, revision %d", n.state("c6"), n.InForce(published.ProfilesValue).Revision)
 			}
-			r.traffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
+			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
 			if n.counters.Ejections != 0 || n.UsableEntries() != 3 {
 				t.Errorf("%d ejections, %d usable entries", n.counters.Ejections, n.UsableEntries())
 			}
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// slots gives every endpoint two slots and a queue of its own; work returns how
+// simulateSlots gives every endpoint two slots and a queue of its own; work returns how
 // long a request takes.
-func (r *clusterHarness) slots(work func(a Arrival) time.Duration) {
+func (r *clusterHarness) simulateSlots(work func(a Arrival) time.Duration) {
 	free := map[string]*[2]time.Duration{}
 	r.endpoint = func(name string, a Arrival) reaction {
 		f := free[name]
@@ -36,10 +36,10 @@
 // served, also while one of the two endpoints drains.
 func TestOneCallerCannotTakeTheQueue(t *testing.T) {
 	for _, drains := range []bool{false, true} {
-		r := settled(t, 1, "counts/c1", "counts/c2")
+		r := newServingCluster(t, 1, "counts/c1", "counts/c2")
 		n := r.nodes[0]
-		r.slots(func(Arrival) time.Duration { return 25 * ms })
-		r.traffic(Arrival{Service: "counts"}, 50*ms, sec)
+		r.simulateSlots(func(Arrival) time.Duration { return 25 * ms })
+		r.sendTraffic(Arrival{Service: "counts"}, 50*ms, sec)
 		if drains {
 			r.list(2, "counts/c1", "counts/c2,leaving")
 			r.run(200 * ms)
@@ -63,8 +63,8 @@
 		for caller := range uint64(8) {
 			others = append(others, r.sendRequest(n, Arrival{Service: "counts", Caller: 100 + caller}))
 		}
-		hasty := r.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
-		if got := n.replies[hasty]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
+		shortDeadline := r.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
+		if got := n.replies[shortDeadline]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
 			t.Errorf("a request that can't be answered in time was told %+v", got)
 		}
 		r.run(sec)
@@ -91,9 +91,9 @@
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4", "shared/s5", "shared/s6"},
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4"},
 	} {
-		r := settled(t, 3, endpoints...)
+		r := newServingCluster(t, 3, endpoints...)
 		r.tick = 5 * ms
-		r.slots(func(a Arrival) time.Duration {
+		r.simulateSlots(func(a Arrival) time.Duration {
 			if a.Service == "photos" {
 				return sec
 			}
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// loadProbesEarned is how many times its looks a request earns: those for the first
+// loadProbeEarnFactor is how many times its looks a request earns: those for the first
 // choice, and as many for a second look when there was no room, or after it.
-const loadProbesEarned = 2
+const loadProbeEarnFactor = 2
 
 // The load that this answers: more requests than endpoints can answer within the
 // latency objective, for seconds. Whoever can still be answered in time goes first;
@@ -13,11 +13,11 @@
 // late ones, which are the oldest, take the slots, and everybody is late. Among those who can
 // be in time the newest goes first: it has time left if it takes longer than most.
 const (
-	// lateWait is how long a request that is late by now waits for a slot that nobody
+	// lateWaitShare is how long a request that is late by now waits for a slot that nobody
 	// else wants, as a share of its latency objective.
-	lateWait = 0.5
-	// lateMost bounds that wait as a share of the time that the request has left.
-	lateMost = 0.2
+	lateWaitShare = 0.5
+	// lateMaxShare bounds that wait as a share of the time that the request has left.
+	lateMaxShare = 0.2
 	// inTimeRank is what lifts those who can be in time above all others.
 	inTimeRank = 100
 	// plainWait is the share of its time for which a request without an objective
@@ -38,8 +38,8 @@
 	}
 	if !r.late {
 		r.late = true
-		wait := time.Duration(lateWait * float64(r.policy.Objective))
-		r.lateUntil = now + min(wait, time.Duration(lateMost*float64(r.deadline-now)))
+		wait := time.Duration(lateWaitShare * float64(r.policy.Objective))
+		r.lateUntil = now + min(wait, time.Duration(lateMaxShare*float64(r.deadline-now)))
 	}
 	return max(r.lateUntil, now+time.Millisecond), r.policy.Priority
 }
@@ -79,10 +79,10 @@
 	return time.Duration(p.learned.Sharing() * sum / slots)
 }
 
-// ageOf estimates how long ago the caller first tried: most callers of a service
+// estimateAge estimates how long ago the caller first tried: most callers of a service
 // begin with the same patience, and a later try has less of it left. The patience is
 // a running median, since a few callers wait for far longer than the others.
-func (sv *service) ageOf(left time.Duration) time.Duration {
+func (sv *service) estimateAge(left time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
@@ -95,10 +95,10 @@
 // ebb; where endpoints turned the request away although they have room, there is no queue
 // to wait for, and it is only time for others to come between.
 const (
-	retryLeast = 150 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	soonLeast  = 5 * time.Millisecond
-	soonMost   = 40 * time.Millisecond
+	retryLeast      = 150 * time.Millisecond
+	retryMost       = 500 * time.Millisecond
+	shortRetryLeast = 5 * time.Millisecond
+	shortRetryMost  = 40 * time.Millisecond
 )
 
 // retryDelay is when a caller that found no room should try again.
@@ -107,7 +107,7 @@
 // retryDelayAfter is when the caller of a refused request should try again.
 func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
 	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
-		return c.randomBetween(soonLeast, soonMost)
+		return c.randomBetween(shortRetryLeast, shortRetryMost)
 	}
 	return c.retryDelay()
 }
@@ -123,5 +123,5 @@
 		sv.kilobytes = kilobytes
 		return
 	}
-	sv.kilobytes += serviceWeight * (kilobytes - sv.kilobytes)
+	sv.kilobytes += sampleWeight * (kilobytes - sv.kilobytes)
 }
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -10,7 +10,7 @@
 // time out. They notice by a glance within 0.7 s and say so at once; others take over.
 // The rest of 2 s is for that.
 func TestReadersFallSilent(t *testing.T) {
-	r := settled(t, 15, "counts/c1")
+	r := newServingCluster(t, 15, "counts/c1")
 	silent := map[*node]bool{}
 	for _, n := range r.nodes {
 		if n.Reader() {
@@ -47,7 +47,7 @@
 // further ones come a moment later.
 func TestFewTakeOverFromSilentReaders(t *testing.T) {
 	for _, alsoSilent := range []bool{false, true} {
-		r := settled(t, 60, "counts/c1")
+		r := newServingCluster(t, 60, "counts/c1")
 		r.run(5 * sec)
 		silent := map[*node]bool{}
 		for _, n := range r.nodes {
@@ -89,7 +89,7 @@
 // others read it too, one after the other, until an assigned entry has noticed: a store that
 // just came back gets the reads of a whole fleet, at the moment at which it can bear them least.
 func TestOnlyFewReadAPlatformThatComesBack(t *testing.T) {
-	r := settled(t, 60, "counts/c1")
+	r := newServingCluster(t, 60, "counts/c1")
 	r.run(5 * sec)
 	assigned := map[*node]bool{}
 	for _, n := range r.nodes {
@@ -135,7 +135,7 @@
 func TestGlancesAtASilentPlatformDoNotGrowWithTheFleet(t *testing.T) {
 	const usual, next, together = 400 * ms, 24, 20.0
 	for _, entries := range []int{6, 15, 60} {
-		r := settled(t, entries, "counts/c1")
+		r := newServingCluster(t, entries, "counts/c1")
 		rate, spread := 0.0, 0
 		for _, n := range r.nodes {
 			n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
@@ -160,7 +160,7 @@
 // they had said last, that some of them read the platform, held for good: it served by the old
 // profile until its slow check, a minute or two later.
 func TestEntryAloneWithThePlatformReadsSoon(t *testing.T) {
-	r := settled(t, 60, "counts/c1")
+	r := newServingCluster(t, 60, "counts/c1")
 	var alone *node
 	for _, n := range r.nodes {
 		n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
--- a/internal/core/reason.go
+++ b/internal/core/reason.go
@@ -32,7 +32,7 @@
 	ReasonKeyUnknown
 	ReasonHomeLost
 	ReasonHomeUnreachable
-	ReasonHomeGoneNotRun
+	ReasonHomeStopped
 	ReasonStopping
 	ReasonTooDeep
 	ReasonBodyTooLarge
@@ -74,7 +74,7 @@
 	ReasonKeyUnknown:      {"key-unknown", http.StatusConflict, "check in the application whether the request was run; tealhall will not run it again"},
 	ReasonHomeLost:        {"home-lost", http.StatusConflict, "check in the application whether the request was run; the entry that may have run it is lost"},
 	ReasonHomeUnreachable: {"home-unreachable", http.StatusGatewayTimeout, "ask again with the same key after Retry-After"},
-	ReasonHomeGoneNotRun:  {"home-stopped", http.StatusServiceUnavailable, "ask again with a new key; the entry that could run this one has stopped"},
+	ReasonHomeStopped:     {"home-stopped", http.StatusServiceUnavailable, "ask again with a new key; the entry that could run this one has stopped"},
 	ReasonStopping:        {"stopping", http.StatusServiceUnavailable, "use another entry; this one is leaving"},
 	ReasonTooDeep:         {"too-deep", http.StatusLoopDetected, "break the cycle of calls; a call may be nested in at most 6 others"},
 	ReasonBodyTooLarge:    {"body-too-large", http.StatusRequestEntityTooLarge, "send a smaller body or raise max_body in the profile"},
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -55,18 +55,18 @@
 	hedge    bool
 	forward  bool
 	idleOnly bool
-	// alone says that the endpoint had easy room by its last load probe, fills
+	// hadEasyRoom says that the endpoint had easy room by its last load probe, fills
 	// that it was nearly full with this one.
-	alone, fills bool
-	index        int
-	incarnation  uint64
-	sentAt       time.Duration
-	// due is how long the attempt was expected to take when it was sent.
-	due time.Duration
-	// status, load and headAfter are what the head of the answer said.
-	status    int
-	load      Load
-	headAfter time.Duration
+	hadEasyRoom, fillsEndpoint bool
+	index                      int
+	incarnation                uint64
+	sentAt                     time.Duration
+	// expectedDuration is how long the attempt was expected to take when it was sent.
+	expectedDuration time.Duration
+	// status, load and headLatency are what the head of the answer said.
+	status      int
+	load        Load
+	headLatency time.Duration
 	// endpoint is its name, probedLoad and limit what it had told; end, cause and took are how the attempt
 	// ended, for the log.
 	endpoint   string
@@ -105,8 +105,8 @@
 	idleRefusals int
 	// unsent counts the dispatches that never left this entry.
 	unsent int
-	// asked are the entries to which the request was sent on for its key.
-	asked []uint64
+	// forwardedTo are the entries to which the request was sent on for its key.
+	forwardedTo []uint64
 	// tried are the endpoints that the request was dispatched to.
 	tried balance.Set
 	// lastReason is why the latest attempt failed.
@@ -156,7 +156,7 @@
 	r := c.newRequest(now, a, sv)
 	r.pool.repeats.Request(now)
 	r.pool.learned.NoteArrival(now)
-	r.pool.loadProbes.Request(loadProbesEarned * r.policy.LoadProbes)
+	r.pool.loadProbes.Request(loadProbeEarnFactor * r.policy.LoadProbes)
 	if !c.admitKey(now, r, out) {
 		return
 	}
@@ -172,7 +172,7 @@
 		return ReasonStopping
 	}
 	if c.serviceOf(a) == nil {
-		return c.unknown()
+		return c.unknownServiceReason()
 	}
 	if a.Depth > maxDepth {
 		return ReasonTooDeep
@@ -187,7 +187,7 @@
 }
 
 func (c *Core) newRequest(now time.Duration, a Arrival, sv *service) *request {
-	r := c.takeRow()
+	r := c.allocRequest()
 	policy, pool := sv.policy, sv.pool
 	if a.Admission.row > 0 {
 		policy, pool = a.Admission.policy, a.Admission.pool
@@ -208,7 +208,7 @@
 		replayable:  a.Replayable,
 		weakest:     OutcomeNotRun,
 	}
-	r.age = sv.ageOf(a.Timeout)
+	r.age = sv.estimateAge(a.Timeout)
 	c.requests[a.ID] = r
 	return r
 }
@@ -228,7 +228,7 @@
 	}
 }
 
-func (c *Core) takeRow() *request {
+func (c *Core) allocRequest() *request {
 	n := len(c.free)
 	if n == 0 {
 		return new(request)
@@ -354,7 +354,7 @@
 	}
 	p := r.pool
 	if r.phase == phaseJoined {
-		c.leaveWaiters(r)
+		c.removeWaiter(r)
 	}
 	c.now, r.callerGone, r.outcome = now, true, r.weakest
 	if r.live() > 0 {
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -21,22 +21,22 @@
 		c.fail(now, r, ReasonQuarantined, out)
 		return
 	}
-	if e.BodyFailed || !provablyNotRun && !r.mayRunTwice || e.Broke && c.isSuspect(now, r) {
+	if e.BodyFailed || !provablyNotRun && !r.mayRunTwice || e.ConnBroken && c.isSuspect(now, r) {
 		c.fail(now, r, r.lastReason, out)
 		return
 	}
-	if refusedIdle(a, e) && r.replayable {
+	if refusedIdleOnly(a, e) && r.replayable {
 		r.idleRefusals++
 		r.service.idle.TrySpend(now)
 		c.placeAgain(now, r, out)
 		return
 	}
-	if unsent(r, e) {
+	if neverSent(r, e) {
 		r.unsent++
 		c.placeAgain(now, r, out)
 		return
 	}
-	if refusedLeaving(r, a, e) {
+	if refusedWhileLeaving(r, a, e) {
 		c.counters.Retried++
 		c.placeAgain(now, r, out)
 		return
@@ -49,20 +49,20 @@
 	c.placeAgain(now, r, out)
 }
 
-// unsent says that an attempt never left this entry: its endpoint left meanwhile, or all
+// neverSent says that an attempt never left this entry: its endpoint left meanwhile, or all
 // connections to it were in use. Another one needs no budget, since no endpoint has seen
 // the first. Guards against an entry that is short of processor time, whose connections
 // come free late, and that would refuse requests while endpoints wait for work.
-func unsent(r *request, e End) bool {
+func neverSent(r *request, e End) bool {
 	return e.Kind == EndNotWritten && !e.DialFailed && !e.BodyFailed && r.replayable && int(r.dispatches) < MaxAttempts
 }
 
-// refusedLeaving says that an endpoint refused an attempt because it leaves. It gets no further
+// refusedWhileLeaving says that an endpoint refused an attempt because it leaves. It gets no further
 // requests, so at most those that were on their way are sent again, and no budget is needed to
 // bound them. Guards against an entry that has just started, whose budget is empty, and that
 // would refuse its first requests while other endpoints are idle. Where the fleet bounds
 // repeats, that bound counts all of them.
-func refusedLeaving(r *request, a *attempt, e End) bool {
+func refusedWhileLeaving(r *request, a *attempt, e End) bool {
 	return e.Kind == EndNotRun && r.pool.repeats == nil && r.replayable &&
 		!r.pool.takesWork(a) && int(r.dispatches) < MaxAttempts
 }
@@ -119,18 +119,18 @@
 // budget is earned by successes, of which a process that has just started has none, so
 // that its first requests to a failing endpoint would fail with it.
 func (c *Core) spendRepeat(now time.Duration, r *request) bool {
-	paid := false
+	spent := false
 	switch {
 	case r.policy.RetryBudget == 0:
 	case r.pool.repeats != nil:
-		paid = r.pool.repeats.TrySpend(now, r.repeatRank(now))
+		spent = r.pool.repeats.TrySpend(now, r.repeatRank(now))
 	default:
-		paid = r.service.retry.TrySpend(now)
+		spent = r.service.retry.TrySpend(now)
 	}
-	if !paid {
+	if !spent {
 		c.counters.RetriesDenied++
 	}
-	return paid
+	return spent
 }
 
 // repeatRank is the rank of a request where the fleet's repeats are scarce: by its priority,
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -46,7 +46,7 @@
 	// typical is how long its answers commonly take on the pool.
 	typical health.Typical
 	// hedges are the requests that may still be hedged, oldest first.
-	hedges []hedgeDue
+	hedges []pendingHedge
 	// work is how long its requests take at endpoints that were idle.
 	work placement.Median
 	// kilobytes is a smoothed size of a request with its answer.
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -154,7 +154,7 @@
 	switch got.body {
 	case "":
 		return fmt.Sprintf("told %v (%v): %s\n", got.Outcome, got.Reason, got.Reason.Remedy())
-	case body(n.arrivals[s.requests]):
+	case requestText(n.arrivals[s.requests]):
 		return fmt.Sprintf("told %v with its own answer\n", got.Outcome)
 	}
 	return "told another request's answer: " + got.body + "\n"
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -11,9 +11,9 @@
 // were told "endpoint-lost" although idle endpoints stood by.
 func TestEveryReadOnSilentConnectionsIsSentAgain(t *testing.T) {
 	const dead = 12
-	r := settled(t, 1, sixCounts...)
+	r := newServingCluster(t, 1, sixCounts...)
 	r.bad(reaction{})
-	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
+	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
 	lost := map[string]bool{}
 	r.endpoint = func(_ string, a Arrival) reaction {
 		if body := fmt.Sprint(a.ID); !lost[body] && len(lost) < dead {
@@ -22,12 +22,12 @@
 		}
 		return reaction{after: 10 * ms}
 	}
-	all := r.traffic(Arrival{Service: "counts"}, 5*ms, 200*ms)
+	all := r.sendTraffic(Arrival{Service: "counts"}, 5*ms, 200*ms)
 	r.run(2 * sec)
 	if len(lost) < dead {
 		t.Fatalf("%d reads met silent connections", len(lost))
 	}
-	if done := count(all, OutcomeDone); done != len(all) {
+	if done := countReplies(all, OutcomeDone); done != len(all) {
 		t.Errorf("%d of %d reads were answered", done, len(all))
 	}
 }
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -10,7 +10,7 @@
 // slow. It gets one at a time at first and its full share after the slow start;
 // a pool that starts as a whole limits nobody.
 func TestNewEndpointStartsSlowly(t *testing.T) {
-	r := settled(t, 1, "counts/c1", "counts/c2")
+	r := newServingCluster(t, 1, "counts/c1", "counts/c2")
 	p := r.nodes[0].pools["counts"]
 	if p.Slots() != 4 {
 		t.Fatalf("a pool that starts as a whole has %d slots, want 4", p.Slots())
@@ -25,12 +25,12 @@
 		}
 		return reaction{after: 30 * ms, head: Head{Load: Load{Known: true, Slots: 2}}}
 	}
-	r.traffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
+	r.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
 	if most != 1 || p.Slots() != 5 {
 		t.Errorf("the new endpoint had up to %d requests at a time and %d slots in all, want 1 and 5", most, p.Slots())
 	}
 	r.run(slowStart)
-	r.traffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
+	r.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
 	if most != 2 || p.Slots() != 6 {
 		t.Errorf("after the slow start it had up to %d and %d slots in all, want 2 and 6", most, p.Slots())
 	}
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -33,7 +33,7 @@
 	}
 	r.run(r.tick)
 	for _, n := range r.nodes {
-		if !n.noted("ready") {
+		if !n.hasNote("ready") {
 			_, why := n.ReadyReason(r.now)
 			t.Errorf("%s does not serve yet: %s", n.hello.Name, why)
 		}
@@ -45,7 +45,7 @@
 // 1,400. It waits a quarter of a second for a peer's word, and asks that peer at once.
 func TestEntryThatStartsAsksPeersFirst(t *testing.T) {
 	start := func(meets bool) (fetches []FetchFrom) {
-		r := settled(t, 2, "counts/c1")
+		r := newServingCluster(t, 2, "counts/c1")
 		r.config = func(cfg *Config) { cfg.StartLeave = 250 * ms }
 		peer := r.nodes[0].greeting()
 		n := r.start(2)
@@ -139,7 +139,7 @@
 	if ttl := n.AnswersTTL(0); ttl > 500*ms {
 		t.Errorf("%v before it serves", ttl)
 	}
-	if r.until(10*sec, func(n *node) bool { return n.noted("ready") }) >= 10*sec {
+	if r.until(10*sec, func(n *node) bool { return n.hasNote("ready") }) >= 10*sec {
 		t.Fatal("never ready")
 	}
 	if ttl := n.AnswersTTL(r.now); ttl > 500*ms {
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -12,19 +12,19 @@
 // answer within the latency objective still. It is paid from the same budgets as
 // retries.
 const (
-	// overdueAfter is after how many times the typical work an attempt is looked
-	// after, and overdueStep the time between two looks, in the same unit.
-	overdueAfter = 1.3
-	overdueStep  = 0.5
-	// decisionTime is how long before the latest moment a second attempt is decided on:
+	// firstCheckAfter is after how many times the typical work an attempt is looked
+	// after, and checkInterval the time between two looks, in the same unit.
+	firstCheckAfter = 1.3
+	checkInterval   = 0.5
+	// decisionLead is how long before the latest moment a second attempt is decided on:
 	// a look and a tick.
-	decisionTime = 10 * time.Millisecond
+	decisionLead = 10 * time.Millisecond
 	// maxChecks bounds the looks after one request.
 	maxChecks = 5
-	// leastLeft is what an attempt that is due has left at least, and longOverdue after
+	// minRemaining is what an attempt that is due has left at least, and longOverdueFactor after
 	// how many times what it was expected to take it is taken to need as long again.
-	leastLeft   = 0.3
-	longOverdue = 2.0
+	minRemaining      = 0.3
+	longOverdueFactor = 2.0
 )
 
 // supervisedAttempt is a request whose attempt is looked after at a time.
@@ -39,14 +39,14 @@
 	if !r.mayRunTwice || !r.replayable || r.nested() || r.policy.MaxAttempts < 2 || r.policy.RetryBudget == 0 {
 		return
 	}
-	c.supervised = append(c.supervised, supervisedAttempt{id: r.arrival.ID, at: r.nextCheck(now, overdueAfter)})
+	c.supervised = append(c.supervised, supervisedAttempt{id: r.arrival.ID, at: r.nextCheck(now, firstCheckAfter)})
 }
 
 // nextCheck returns when to look after the attempt: after so many times the typical
 // work, and in any case right before a second attempt would be too late.
-func (r *request) nextCheck(now time.Duration, works float64) time.Duration {
-	next := now + time.Duration(works*float64(r.typicalWork()))
-	if last := r.latestInTime() - decisionTime; now < last && last < next {
+func (r *request) nextCheck(now time.Duration, factor float64) time.Duration {
+	next := now + time.Duration(factor*float64(r.typicalWork()))
+	if last := r.latestInTime() - decisionLead; now < last && last < next {
 		return last
 	}
 	return next
@@ -67,7 +67,7 @@
 		}
 		due = append(due, w.id)
 		if w.checks++; w.checks < maxChecks {
-			w.at = r.nextCheck(now, overdueStep)
+			w.at = r.nextCheck(now, checkInterval)
 			kept = append(kept, w)
 		}
 	}
@@ -143,11 +143,11 @@
 		return true
 	}
 	elapsed := now - a.sentAt
-	told := e.Probed.Seen && e.Probed.At >= r.probeRound.began
+	loadKnown := e.Probed.Seen && e.Probed.At >= r.probeRound.began
 	switch {
-	case now >= r.latestInTime()-decisionTime && now <= r.latestInTime()+decisionTime:
+	case now >= r.latestInTime()-decisionLead && now <= r.latestInTime()+decisionLead:
 		return true // the last moment at which a second attempt can be in time
-	case !told:
+	case !loadKnown:
 		// Silence counts only where it was asked: the bound on looks may have denied that.
 		return slices.Contains(r.probeRound.asked, a.index)
 	case e.Probed.Load() == 0:
@@ -155,9 +155,9 @@
 	}
 	// What the endpoint tells of its pace now says nothing of a request that began at
 	// another: it counts what was expected then.
-	left := max(a.due-elapsed, time.Duration(leastLeft*float64(a.due)))
-	if elapsed > time.Duration(longOverdue*float64(a.due)) {
-		left = elapsed
+	remaining := max(a.expectedDuration-elapsed, time.Duration(minRemaining*float64(a.expectedDuration)))
+	if elapsed > time.Duration(longOverdueFactor*float64(a.expectedDuration)) {
+		remaining = elapsed
 	}
-	return left > expected
+	return remaining > expected
 }
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -11,7 +11,7 @@
 // its deadline, while an idle endpoint could answer within the objective. A second
 // attempt goes out in time, never for a request that may run only once, and not to an
 // endpoint that is at work.
-func TestSecondAttempt(t *testing.T) {
+func TestSecondAttemptForSlowOrLostRequest(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kind   route.Kind
@@ -30,13 +30,13 @@
 		}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			boxes := idle(4, "d0")
-			y := newEntryHarness(t, boxes...)
+			endpoints := idle(4, "d0")
+			y := newEntryHarness(t, endpoints...)
 			y.learn(12)
 			id := y.sendRequest(c.kind, 3*sec)
 			y.run(20 * ms)
 			first := y.endpoint(y.open[id][1].Endpoint)
-			others := slices.DeleteFunc(slices.Clone(boxes), func(b *simEndpoint) bool { return b == first })
+			others := slices.DeleteFunc(slices.Clone(endpoints), func(b *simEndpoint) bool { return b == first })
 			c.happen(first, others)
 			y.run(320 * ms)
 			if len(y.sent) != c.want || c.want == 2 && y.sent[1] == first.name {
@@ -49,7 +49,7 @@
 // An entry has just started, and the first endpoint that it sends a read to loses it.
 // A budget that successes earn is empty then; the read would fail although an idle
 // endpoint stands by and the fleet is far within its bound.
-func TestFirstRequestsOfAProcessAreRepeated(t *testing.T) {
+func TestFirstRequestsOfNewEntryAreRepeated(t *testing.T) {
 	y := newEntryHarness(t, idle(3, "d0")...)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
@@ -63,9 +63,9 @@
 
 // Many requests take longer than usual, and the bound on looks is used up: the endpoint at
 // work on one of them is not asked. That it has told nothing is no sign that it is silent.
-func TestNotAskedIsNotSilent(t *testing.T) {
-	boxes := idle(3, "d0")
-	y := newEntryHarness(t, boxes...)
+func TestUnprobedEndpointIsNotSilent(t *testing.T) {
+	endpoints := idle(3, "d0")
+	y := newEntryHarness(t, endpoints...)
 	y.learn(12)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(120 * ms)
@@ -84,8 +84,8 @@
 // at the pace at which it began, so that a second attempt for it would only take a slot.
 // One that began at a slow pace, unseen, is overdue at twice its time.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
-	boxes := idle(3, "d0")
-	y := newEntryHarness(t, boxes...)
+	endpoints := idle(3, "d0")
+	y := newEntryHarness(t, endpoints...)
 	y.learn(12)
 	y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -63,43 +63,43 @@
 	Cause string `json:"cause,omitempty"`
 }
 
-// endNames are the names of the ends of attempts in the log.
-var endNames = [...]string{
+// attemptEndNames are the names of the ends of attempts in the log.
+var attemptEndNames = [...]string{
 	0: "running", EndComplete: "complete", EndNotWritten: "not-written", EndNotRun: "not-run", EndDiscarded: "discarded",
 	EndLost: "lost", EndTruncated: "truncated", EndCancelled: "cancelled", EndCallerGone: "caller-gone",
 }
 
 // String returns the name of k in the log.
 func (k EndKind) String() string {
-	if int(k) < len(endNames) {
-		return endNames[k]
+	if int(k) < len(attemptEndNames) {
+		return attemptEndNames[k]
 	}
 	return "unknown"
 }
 
-// sampledIn is one in how many requests that went well is told. All entries tell the
+// sampleOneIn is one in how many requests that went well is told. All entries tell the
 // same requests.
-const sampledIn = 64
+const sampleOneIn = 64
 
 // traceRequest appends the story of a request that ends, if it is worth a line.
 func (c *Core) traceRequest(r *request, out *Actions) {
 	took := c.now - r.arrived
 	bad := r.outcome != OutcomeDone || r.status >= 500 || r.policy.Objective > 0 && took > r.policy.Objective
-	ordinary := !bad && xxhash.Sum64String(r.arrival.Name)%sampledIn == 0 && r.arrival.Name != ""
-	if !bad && !ordinary {
+	sampled := !bad && xxhash.Sum64String(r.arrival.Name)%sampleOneIn == 0 && r.arrival.Name != ""
+	if !bad && !sampled {
 		return
 	}
-	s := RequestTrace{
+	trace := RequestTrace{
 		Name: r.arrival.Name, Service: r.service.name, Content: r.arrival.Content, Revision: c.fleet.profiles.InForce().Revision,
 		Outcome: r.outcome, Reason: r.reason, Status: r.status, RetryAfter: r.retryAfter, CallerGone: r.callerGone,
-		CallerAge: r.age, Took: took, Objective: r.policy.Objective, LoadProbes: r.loadProbes, NoRoom: r.noRoom, Late: r.late, Sampled: ordinary,
+		CallerAge: r.age, Took: took, Objective: r.policy.Objective, LoadProbes: r.loadProbes, NoRoom: r.noRoom, Late: r.late, Sampled: sampled,
 	}
-	s.Endpoints, _, s.Full = r.pool.learned.Fullness(c.now, r.pool.Endpoints)
-	s.Queued = r.pool.queue.Len()
+	trace.Endpoints, _, trace.Full = r.pool.learned.Fullness(c.now, r.pool.Endpoints)
+	trace.Queued = r.pool.queue.Len()
 	for i := Attempt(1); i <= r.dispatches; i++ {
-		s.Attempts = append(s.Attempts, c.traceAttempt(r, &r.attempts[i]))
+		trace.Attempts = append(trace.Attempts, c.traceAttempt(r, &r.attempts[i]))
 	}
-	out.Traces = append(out.Traces, s)
+	out.Traces = append(out.Traces, trace)
 }
 
 func (c *Core) traceAttempt(r *request, a *attempt) AttemptTrace {
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -13,8 +13,8 @@
 	return slices.DeleteFunc(slices.Clone(y.traces), func(s RequestTrace) bool { return s.Name != name })
 }
 
-// askNamed is ask with a name, by which the log finds the request.
-func (y *entryHarness) askNamed(kind route.Kind, left time.Duration, name string) RequestID {
+// sendNamed is ask with a name, by which the log finds the request.
+func (y *entryHarness) sendNamed(kind route.Kind, left time.Duration, name string) RequestID {
 	y.name = name
 	defer func() { y.name = "" }()
 	return y.sendRequest(kind, left)
@@ -23,15 +23,15 @@
 // A user complains about one request, and all that is left is its line in the log. For
 // each of the three kinds of failure that docs/OPERATIONS.md explains, what it tells the
 // engineer to look at has to be there.
-func TestStoriesExplainFailures(t *testing.T) {
+func TestTracesExplainFailures(t *testing.T) {
 	t.Run("refused though endpoints were free", func(t *testing.T) {
-		boxes := idle(3, "d0")
-		y := newEntryHarness(t, boxes...)
+		endpoints := idle(3, "d0")
+		y := newEntryHarness(t, endpoints...)
 		y.learn(8)
-		for _, b := range boxes {
+		for _, b := range endpoints {
 			b.running, b.waiting = 2, 4
 		}
-		id := y.askNamed(route.Idempotent, 3*sec, "refused")
+		id := y.sendNamed(route.Idempotent, 3*sec, "refused")
 		y.run(700 * ms)
 		got := tracesOf(y, id, "refused")
 		if len(got) != 1 || got[0].Outcome != OutcomeNotRun || got[0].Reason != ReasonTooLate || got[0].NoRoom == 0 ||
@@ -43,7 +43,7 @@
 	t.Run("answered 502", func(t *testing.T) {
 		y := newEntryHarness(t, idle(3, "d0")...)
 		y.learn(8)
-		id := y.askNamed(route.NonIdempotent, 3*sec, "lost")
+		id := y.sendNamed(route.NonIdempotent, 3*sec, "lost")
 		y.run(20 * ms)
 		endpoint := y.open[id][1].Endpoint
 		y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
@@ -54,11 +54,11 @@
 		}
 	})
 	t.Run("late", func(t *testing.T) {
-		boxes := idle(1, "d0")
-		y := newEntryHarness(t, boxes...)
+		endpoints := idle(1, "d0")
+		y := newEntryHarness(t, endpoints...)
 		y.learn(8)
-		boxes[0].running = 1
-		id := y.askNamed(route.NonIdempotent, 3*sec, "late")
+		endpoints[0].running = 1
+		id := y.sendNamed(route.NonIdempotent, 3*sec, "late")
 		y.run(650 * ms)
 		y.answer(id, 1, 200)
 		got := tracesOf(y, id, "late")
@@ -70,24 +70,24 @@
 }
 
 // Of the requests that went well only a sample is told, the same ones on every entry.
-func TestOrdinaryRequestsAreSampled(t *testing.T) {
+func TestSuccessfulRequestsAreSampled(t *testing.T) {
 	y := newEntryHarness(t, idle(2, "d0")...)
 	y.learn(8)
-	told := map[string]bool{}
+	traced := map[string]bool{}
 	for i := range 400 {
 		name := time.Duration(i).String()
-		id := y.askNamed(route.Idempotent, 3*sec, name)
+		id := y.sendNamed(route.Idempotent, 3*sec, name)
 		y.run(30 * ms)
 		y.answer(id, 1, 200)
 		if got := tracesOf(y, id, name); len(got) == 1 {
-			told[name] = got[0].Sampled
+			traced[name] = got[0].Sampled
 		}
 	}
-	if len(told) == 0 || len(told) > 20 {
-		t.Errorf("%d of 400 told", len(told))
+	if len(traced) == 0 || len(traced) > 20 {
+		t.Errorf("%d of 400 told", len(traced))
 	}
-	for name, ordinary := range told {
-		if !ordinary {
+	for name, sampled := range traced {
+		if !sampled {
 			t.Errorf("%s is told as a failure", name)
 		}
 	}
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -23,13 +23,13 @@
 	return a.ID
 }
 
-// body names a request in the words of its caller.
-func body(a Arrival) string {
+// requestText names a request in the words of its caller.
+func requestText(a Arrival) string {
 	return fmt.Sprintf("%s caller %d digest %x key %v", a.Service, a.Caller, a.Digest[:16], a.Key)
 }
 
-// direct carries out one step of a request.
-func (r *clusterHarness) direct(n *node, d Directive) {
+// carryOut carries out one step of a request.
+func (r *clusterHarness) carryOut(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
 	answer := reply{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
 	switch d.Step {
@@ -75,9 +75,9 @@
 	re := r.endpoint(name, a)
 	r.written[name]++
 	if !re.ignores && !re.head.NotRun && re.end.Kind != EndNotWritten {
-		r.ran[body(a)]++
+		r.ran[requestText(a)]++
 	}
-	r.post(re.after, n, func() { r.answer(n, t, re, body(a)) })
+	r.post(re.after, n, func() { r.answer(n, t, re, requestText(a)) })
 }
 
 // answer brings back what an endpoint answered.
@@ -139,14 +139,14 @@
 			if !r.reaches(home, n) {
 				return
 			}
-			r.post(0, n, func() { r.relayed(n, t, answer) })
+			r.post(0, n, func() { r.relayReply(n, t, answer) })
 		}
 		r.sendRequest(home, a)
 	})
 }
 
-// relayed passes on another entry's answer as it is.
-func (r *clusterHarness) relayed(n *node, t tried, answer reply) {
+// relayReply passes on another entry's answer as it is.
+func (r *clusterHarness) relayReply(n *node, t tried, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -162,8 +162,8 @@
 	r.end(n, t, end)
 }
 
-// settled starts a fleet and runs it until all entries serve.
-func settled(t testing.TB, entries int, endpoints ...string) *clusterHarness {
+// newServingCluster starts a fleet and runs it until all entries serve.
+func newServingCluster(t testing.TB, entries int, endpoints ...string) *clusterHarness {
 	t.Helper()
 	r := newClusterHarness(t, entries)
 	r.list(1, endpoints...)
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// noted says whether an entry's audit trail has a change.
-func (n *node) noted(text string) bool {
+// hasNote says whether an entry's audit trail has a change.
+func (n *node) hasNote(text string) bool {
 	for _, note := range n.notes {
 		if strings.Contains(note.Subject+" "+note.Action+" "+note.Why, text) {
 			return true
@@ -205,9 +205,9 @@
 	return key
 }
 
-// traffic sends requests to the entries in turn while time passes, and returns
+// sendTraffic sends requests to the entries in turn while time passes, and returns
 // what became of them.
-func (r *clusterHarness) traffic(a Arrival, every, d time.Duration) (sent []reply) {
+func (r *clusterHarness) sendTraffic(a Arrival, every, d time.Duration) (sent []reply) {
 	type request struct {
 		n  *node
 		id RequestID
@@ -225,8 +225,8 @@
 	return sent
 }
 
-// count returns how many callers were told an outcome.
-func count(all []reply, o Outcome) (n int) {
+// countReplies returns how many callers were told an outcome.
+func countReplies(all []reply, o Outcome) (n int) {
 	for _, a := range all {
 		if a.Outcome == o && a.at > 0 {
 			n++
@@ -235,8 +235,8 @@
 	return n
 }
 
-// total adds up what was written to endpoints whose name begins with prefix.
-func (r *clusterHarness) total(prefix string) (n int) {
+// totalWritten adds up what was written to endpoints whose name begins with prefix.
+func (r *clusterHarness) totalWritten(prefix string) (n int) {
 	for name, written := range r.written {
 		if strings.HasPrefix(name, prefix) {
 			n += written
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -10,7 +10,7 @@
 // A slot beside another request costs both most of their objective at endpoints that
 // slow down when they are full. The pool learns that from its answers, and a request
 // that would be late there waits for an idle endpoint.
-func TestSharingIsLearned(t *testing.T) {
+func TestSlotSharingCostIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
@@ -20,11 +20,11 @@
 		{"sharing costs much", 380 * ms, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			boxes := idle(1, "d0")
-			y := newEntryHarness(t, boxes...)
+			endpoints := idle(1, "d0")
+			y := newEntryHarness(t, endpoints...)
 			y.learn(8)
 			for range 40 {
-				boxes[0].running = 1
+				endpoints[0].running = 1
 				id := y.sendRequest(route.Idempotent, 3*sec)
 				y.run(20 * ms)
 				if len(y.open[id]) == 0 {
@@ -33,7 +33,7 @@
 				y.run(c.took)
 				y.answer(id, 1, 200)
 			}
-			boxes[0].running = 1
+			endpoints[0].running = 1
 			id := y.sendRequest(route.Idempotent, 3*sec)
 			y.run(20 * ms)
 			if got := len(y.open[id]) > 0; got != c.wants {
@@ -47,7 +47,7 @@
 // sent there takes five times as long until its end, although the VM recovers within 150
 // ms: it is late, and the slot is lost for five others. A request that can be in time, and
 // one that can't any more, wait until the VM is as fast as usual.
-func TestPaceAtTheStartHolds(t *testing.T) {
+func TestRequestWaitsForSlowVMToRecover(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
 		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
 		y := newEntryHarness(t, idle, full)
@@ -71,8 +71,8 @@
 // believes that a slot is free in a moment; it waits there behind a long one and is late.
 // It waits in the entry instead, and takes the slot that frees up first anywhere.
 func TestNoWaitBehindLongRequests(t *testing.T) {
-	boxes := idle(2, "d0")
-	y := newEntryHarness(t, boxes...)
+	endpoints := idle(2, "d0")
+	y := newEntryHarness(t, endpoints...)
 	y.learn(12)
 	for range 12 {
 		id := y.sendRequest(route.NonIdempotent, 3*sec)
@@ -80,7 +80,7 @@
 		y.answer(id, 1, 200)
 	}
 	y.sent = nil
-	for _, b := range boxes {
+	for _, b := range endpoints {
 		b.running = 2
 	}
 	short := y.sendRequest(route.Idempotent, 3*sec)
@@ -88,9 +88,9 @@
 	if len(y.sent) != 0 {
 		t.Fatalf("sent to a full endpoint: %v", y.sent)
 	}
-	boxes[1].running = 0
+	endpoints[1].running = 0
 	y.run(60 * ms)
-	if d := y.open[short][1]; d.Endpoint != boxes[1].name {
+	if d := y.open[short][1]; d.Endpoint != endpoints[1].name {
 		t.Errorf("the free slot was not used: %+v", y.told[short])
 	}
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -117,7 +117,7 @@
 	end := core.End{ID: d.ID, Attempt: d.Attempt, Kind: core.EndLost, Replayable: !x.body.Streamed(), Cause: failure.String()}
 	switch failure {
 	case forward.Died:
-		end.Broke = true
+		end.ConnBroken = true
 	case forward.RefusedDial, forward.DialTimeout, forward.DialFailed:
 		end.DialFailed = true
 	case forward.Silent:
--- a/internal/entry/pass.go
+++ b/internal/entry/pass.go
@@ -53,7 +53,7 @@
 	case core.EndCallerGone:
 		x.ending = goneCaller
 	}
-	x.entry.engine.end(core.End{ID: x.id, Attempt: c.attempt, Kind: end, Broke: end == core.EndTruncated, Replayable: !x.body.Streamed(), Answer: answer,
+	x.entry.engine.end(core.End{ID: x.id, Attempt: c.attempt, Kind: end, ConnBroken: end == core.EndTruncated, Replayable: !x.body.Streamed(), Answer: answer,
 		Bytes: max(x.body.Length(), 0) + size})
 }
 
