--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -8,8 +8,7 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// Admit says what a request for a service of that name may be, before its body
-// is read.
+// Admit returns the admission of a request that names its service, before its body is read.
 func (c *Core) Admit(service string) Admission {
 	sv, ok := c.services[service]
 	if !ok {
@@ -18,7 +17,7 @@
 	return admissionOf(sv)
 }
 
-// AdmitRoute is Admit for a request that names its service by host and path.
+// AdmitRoute returns the admission of a request whose service follows from its host and path.
 func (c *Core) AdmitRoute(host, path string) Admission {
 	if c.snapshot == nil || c.snapshot.Routes() == nil {
 		return Admission{Reason: c.unknownServiceReason()}
@@ -34,8 +33,8 @@
 	return admissionOf(c.services[name])
 }
 
-// MayRepeat reports whether a request may run twice by the kind of its route, or of
-// the service that it names where there are no routes.
+// MayRepeat reports whether a request may run twice, by the kind of its route or, without routes,
+// by the kind of the service that it names.
 func (c *Core) MayRepeat(service, host, path string) bool {
 	if !c.Routed() {
 		sv, ok := c.services[service]
@@ -45,15 +44,15 @@
 	return ok && r.Kind == route.Idempotent
 }
 
-// Routed reports whether the services in force are those of routes.
+// Routed reports whether the services in force come from published routes.
 func (c *Core) Routed() bool { return c.snapshot != nil && c.snapshot.Routes() != nil }
 
 func admissionOf(sv *service) Admission {
 	return Admission{Service: sv.name, MaxBody: sv.policy.MaxBodyBytes, row: sv.index + 1, pool: sv.pool, policy: sv.policy}
 }
 
-// unknownServiceReason tells a service that isn't published from an entry that knows no profiles yet, or that
-// knows of later ones which may have it.
+// unknownServiceReason returns why a service is not known: it is not published, this entry has no
+// profiles yet, or the entry knows of a later revision that may contain the service.
 func (c *Core) unknownServiceReason() Reason {
 	t := c.fleet.profiles
 	switch {
@@ -65,10 +64,9 @@
 	return ReasonUnknownService
 }
 
-// split deals the requests of a route to its parts by smooth weighted round
-// robin: over any run of requests each part's share differs from its weight's by
-// less than one request. Entries begin at random places, so that their
-// differences cancel out.
+// split distributes the requests of a route over its parts by smooth weighted round robin: over any
+// run of requests, each part's count differs from its weighted share by less than one request.
+// Entries start at random positions, so that their deviations cancel out.
 type split struct {
 	parts []splitPart
 	total int
@@ -80,8 +78,7 @@
 	current int
 }
 
-// splitsOf makes the splits of a snapshot. One that did not change goes on where
-// it was.
+// splitsOf returns the splits of a snapshot. An unchanged split continues at its current position.
 func splitsOf(s *profile.Snapshot, old map[string]*split, rng *rand.Rand) map[string]*split {
 	splits := make(map[string]*split)
 	if s.Routes() == nil {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,11 +8,11 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// sampleWeight is the weight of a new sample in the smoothed service time.
+// sampleWeight is the weight of a new sample in the smoothed service time and request size.
 const sampleWeight = 0.05
 
-// Head feeds the head of an endpoint's answer. The core answers with
-// StepCommit or StepDiscard for the attempt.
+// Head processes the head of an endpoint's answer. It appends StepCommit or StepDiscard for the
+// attempt.
 func (c *Core) Head(now time.Duration, h Head, out *Actions) {
 	c.now = now
 	r, a := c.attemptOf(h.ID, h.Attempt)
@@ -31,7 +31,7 @@
 	out.request(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
 }
 
-// attemptOf returns the row of a live attempt, or nil.
+// attemptOf returns a running attempt and its request, or nil.
 func (c *Core) attemptOf(id RequestID, n Attempt) (*request, *attempt) {
 	r, ok := c.requests[id]
 	if !ok || n == 0 || n > r.dispatches || !r.attempts[n].live {
@@ -40,7 +40,7 @@
 	return r, &r.attempts[n]
 }
 
-// observeHead learns from an answer what it says of the endpoint.
+// observeHead records what the head of an answer reports about the endpoint.
 func (c *Core) observeHead(now time.Duration, r *request, a *attempt, h Head, out *Actions) {
 	p := r.pool
 	e := p.endpointAt(a.index, a.incarnation)
@@ -62,7 +62,8 @@
 	c.evidenceFromAnswer(now, e, h.Draining, h.Incarnation, out)
 }
 
-// evidenceFromAnswer turns what an endpoint says of itself into evidence.
+// evidenceFromAnswer turns the incarnation and the draining state that an endpoint reports into
+// evidence.
 func (c *Core) evidenceFromAnswer(now time.Duration, e *table.Endpoint, draining bool, incarnation uint64, out *Actions) {
 	name, known := e.Name, e.Incarnation
 	if changes := c.fleet.members.Answered(now, name, incarnation); len(changes) > 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// useAnswer decides whether the caller gets this answer.
+// useAnswer decides whether to pass this answer on to the caller.
 func (c *Core) useAnswer(now time.Duration, r *request, a *attempt, h Head) bool {
 	if a.forward {
 		return c.useForwarded(r, h)
@@ -94,7 +95,7 @@
 	return !a.repeatSpent
 }
 
-// commit makes an attempt's answer the caller's answer.
+// commit passes an attempt's answer on to the caller and cancels the other attempts.
 func (c *Core) commit(r *request, h Head, out *Actions) {
 	r.committed = h.Attempt
 	outcome := OutcomeDone
@@ -105,9 +106,8 @@
 	c.cancelOthers(r, h.Attempt, out)
 }
 
-// ambiguousStatus says that an answer of this status does not tell whether the
-// request was run: it may come from a machine in front of the application or
-// from an application that gave up half way.
+// ambiguousStatus reports whether an answer with this status leaves open if the request was run: it
+// may come from a proxy in front of the application or from an application that gave up half way.
 func ambiguousStatus(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -116,7 +116,7 @@
 	return false
 }
 
-// End feeds the end of an attempt.
+// End processes the end of an attempt.
 func (c *Core) End(now time.Duration, e End, out *Actions) {
 	c.now = now
 	r, a := c.attemptOf(e.ID, e.Attempt)
@@ -138,7 +138,7 @@
 	}
 }
 
-// continueAfterEnd decides how an unfinished request goes on.
+// continueAfterEnd decides how an unfinished request continues after one of its attempts ended.
 func (c *Core) continueAfterEnd(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	if a.forward {
 		c.forwardEnded(now, r, e, out)
@@ -157,7 +157,7 @@
 	c.retryOrFail(now, r, a, e, out)
 }
 
-// finishCommitted ends a request whose answer was being passed on.
+// finishCommitted ends a request whose answer was being passed on to the caller.
 func (c *Core) finishCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	r.status, r.outcome = a.status, OutcomeUnknown
 	if e.Kind == EndComplete && !(ambiguousStatus(a.status) && !r.mayRunTwice) {
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -12,16 +12,16 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// EntryChoice is one entry in the answer to a caller.
+// EntryChoice is one entry in the answer to a caller that asks for entries.
 type EntryChoice struct {
 	directory.Choice
 	Name string
-	// KeyPrefix starts the idempotency keys whose home is the entry.
+	// KeyPrefix is the prefix of idempotency keys whose home is the entry.
 	KeyPrefix string
 }
 
-// EntriesFor answers a caller that asks which entries to use for a service.
-// known is false if no such service is published.
+// EntriesFor returns the entries that a caller should use for a service. known is false if no such
+// service is published.
 func (c *Core) EntriesFor(now time.Duration, req directory.Request) (choices []EntryChoice, ttl time.Duration, known bool) {
 	sv, ok := c.services[req.Service]
 	if !ok {
@@ -39,33 +39,34 @@
 	return choices, answer.TTL, true
 }
 
-// enoughNearby is how many entries of a caller's own failure domain make it needless
-// to name others.
+// enoughNearby is how many entries in a caller's own failure domain make it unnecessary to name
+// others.
 const enoughNearby = 2
 
-// How many entries of a failure domain are named to callers. Each entry that serves opens its
-// own connections to endpoints and learns of their load by its own requests; hundreds that see a
-// few requests a second each know little and open one for nearly each request. minNamedEntries is
-// enough that several are left when half of them are lost at once. More are named as far as the
-// domain's calls need them: callsPerCore is what an entry carries on small VMs, where a call
-// with its looks and wake-ups takes up to two milliseconds of a core, and peakHeadroom leaves room for
-// peaks, for callers who repeat, and for collecting garbage on a sixth of a core.
+// These constants bound how many entries of a failure domain are named to callers. Each serving
+// entry opens its own connections to endpoints and learns their load from its own requests;
+// hundreds of entries with a few requests per second each know little and open a connection for
+// nearly every request. minNamedEntries is enough for several to remain when half of them are lost
+// at once. More are named as the domain's calls require: callsPerCore is what an entry handles on
+// small VMs, where a call with its load probes and wake-ups takes up to two milliseconds of a core,
+// and peakHeadroom leaves capacity for peaks, for callers that repeat, and for garbage collection
+// on a sixth of a core.
 const (
 	minNamedEntries = 8
 	callsPerCore    = 500
 	peakHeadroom    = 5
 )
 
-// settlingTime is how long an entry that has begun to serve may not know all others yet, and
-// settlingTTL how long callers keep its answers meanwhile. Guards against callers that
-// ask right after all entries were started again: they would go to the one that answered,
-// which knew nobody else, for seconds. The links of a fleet open within half a second.
+// settlingTime is how long an entry that has started to serve may not know all other entries, and
+// settlingTTL how long callers keep its answers meanwhile. They guard against callers that ask
+// right after all entries were restarted: the callers would use only the entry that answered, which
+// knew no other, for seconds. The links of a fleet open within half a second.
 const (
 	settlingTime = 1500 * time.Millisecond
 	settlingTTL  = 500 * time.Millisecond
 )
 
-// AnswersTTL is how long callers may keep an answer which entries to use.
+// AnswersTTL returns how long callers may keep an answer about which entries to use.
 func (c *Core) AnswersTTL(now time.Duration) time.Duration {
 	if c.state == message.EntryStarting || now < c.servesSince+settlingTime {
 		return min(c.cfg.AnswersTTL, settlingTTL)
@@ -73,11 +74,11 @@
 	return c.cfg.AnswersTTL
 }
 
-// EntriesNear returns the addresses of up to most entries that live, are ready and
-// not leaving, for a caller of a failure domain. It names the strongest of the caller's own
-// domain, and others only where that has hardly any: an entry in another domain
-// would bring the caller's requests to endpoints there. An entry that is alone names
-// itself also while it is suspected of nothing but silence around it.
+// EntriesNear returns the addresses of up to most entries that are live, ready and not leaving, for
+// a caller in a failure domain. It names the strongest entries of the caller's own domain, and
+// others only if that domain has hardly any: an entry in another domain would send the caller's
+// requests to endpoints there. If all serving entries are suspected, as when this entry hears from
+// no peer, it names the suspected ones.
 func (c *Core) EntriesNear(domain string, most int) []string {
 	var near, far []*member.Entry
 	var suspected []string
@@ -103,10 +104,10 @@
 	return named[:min(most, len(named))]
 }
 
-// strongestEntries returns the addresses of the entries that callers are sent to, of some that could
-// serve them: those with most capacity, as many as it takes for the weakest of them to bear an
-// even part of all calls, since callers choose evenly. All entries that answer callers name the
-// same.
+// strongestEntries returns the addresses of the entries that callers should use, out of entries
+// that could serve them: those with most capacity, as many as needed for the weakest of them to
+// handle an equal share of all calls, since callers choose evenly. All entries that answer callers
+// name the same ones.
 func (c *Core) strongestEntries(entries []*member.Entry) []string {
 	calls := 0.0
 	for _, e := range entries {
@@ -126,7 +127,7 @@
 	return named
 }
 
-// rateOf returns the calls per second of an entry as it told them.
+// rateOf returns the calls per second that an entry last reported.
 func (c *Core) rateOf(e *member.Entry) float64 {
 	if e.VM.Incarnation == c.cfg.Self.Incarnation {
 		return float64(c.fleet.rate)
@@ -137,7 +138,7 @@
 	return 0
 }
 
-// capacityOf returns what an entry's VM gives it, in thousandths of a core.
+// capacityOf returns the capacity of an entry's VM in thousandths of a core.
 func (c *Core) capacityOf(e *member.Entry) uint32 {
 	if r := c.fleet.gossip.Latest(e.VM.Name); r != nil {
 		return r.Capacity
@@ -145,7 +146,7 @@
 	return 0
 }
 
-// mayBeNamed reports whether an entry serves callers as far as is known.
+// mayBeNamed reports whether an entry is known to serve callers.
 func (c *Core) mayBeNamed(e *member.Entry) bool {
 	if e.VM.Incarnation == c.cfg.Self.Incarnation {
 		return c.state == message.EntryServing
@@ -154,7 +155,7 @@
 	return heard && p.update.State == message.EntryServing && e.State == message.EntryServing && e.VM.State != published.Leaving
 }
 
-// directoryView lists the entries with what is known of their state and load.
+// directoryView lists the entries with their known state and load.
 func (c *Core) directoryView(sv *service) directory.View {
 	f := &c.fleet
 	view := directory.View{
@@ -180,14 +181,14 @@
 			row.Epoch, row.Load = p.update.Epoch, c.loadOf(float64(p.update.Rate))
 			row.Leaving = row.Leaving || p.update.State != message.EntryServing
 		} else {
-			continue // never heard: its epoch is not known, so no key could be made for it
+			continue // its epoch is unknown before its first message, so no key could be made for it
 		}
 		view.Entries = append(view.Entries, row)
 	}
 	return view
 }
 
-// loadOf is the share of an entry's capacity that a call rate uses.
+// loadOf returns the share of an entry's capacity that a call rate uses.
 func (c *Core) loadOf(rate float64) float64 {
 	return rate / c.cfg.CallsPerSecond
 }
@@ -203,11 +204,11 @@
 	return ""
 }
 
-// State returns the state that this entry tells its peers.
+// State returns the state that this entry reports to its peers.
 func (c *Core) State() message.EntryState { return c.state }
 
-// Leave begins a planned stop: callers are no longer sent here and peers are
-// told. Requests are served as before.
+// Leave begins a planned stop: callers are no longer sent here, and peers are notified. Requests
+// are still served.
 func (c *Core) Leave(now time.Duration, why string, out *Actions) {
 	if c.state >= message.EntryLeaving {
 		return
@@ -224,8 +225,8 @@
 	c.composeUpdates(now, out)
 }
 
-// UsableEntries returns how many entries can be given to callers: they serve,
-// and this one has heard them.
+// UsableEntries returns how many entries can be named to callers: those that serve and, except for
+// this entry, that this entry has heard from.
 func (c *Core) UsableEntries() int {
 	n := 0
 	for i := range c.fleet.entries {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -11,8 +11,8 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// tryDispatch sends r to an endpoint now if its service may take a slot and
-// the policy knows a place to go.
+// tryDispatch sends r to an endpoint now if its service may use another slot and the policy finds
+// an endpoint.
 func (c *Core) tryDispatch(now time.Duration, r *request, hedge bool, out *Actions) bool {
 	if int(r.dispatches) >= MaxAttempts {
 		return false
@@ -35,12 +35,12 @@
 	if !choice.OK {
 		return false
 	}
-	choice.IdleOnly = choice.IdleOnly && !req.MustQueue // not every policy heeds it
+	choice.IdleOnly = choice.IdleOnly && !req.MustQueue // some policies ignore MustQueue
 	c.dispatch(now, r, choice, hedge, out)
 	return true
 }
 
-// balanceRequest describes r to the choice policy.
+// balanceRequest describes r to the balancing policy.
 func (c *Core) balanceRequest(r *request) balance.Request {
 	return balance.Request{
 		Tried:       r.tried,
@@ -50,20 +50,19 @@
 	}
 }
 
-// mayTryIdleOnly says whether an endpoint may be asked to refuse r rather than
-// queue it. A refusal costs a round trip and an arrival at the endpoint.
+// mayTryIdleOnly reports whether an endpoint may be asked to refuse r rather than queue it. A
+// refusal costs a round trip and counts as an arrival at the endpoint.
 func (c *Core) mayTryIdleOnly(r *request) bool {
 	return r.replayable && r.idleRefusals < maxIdleRefusals && r.service.idle.Level() >= 1
 }
 
-// mayBeTrial says whether a request may be spent on an endpoint that was bad:
-// only a first try that is harmless to repeat.
+// mayBeTrial reports whether r may be sent to an ejected endpoint as a trial: only the first
+// attempt of a request that may run twice.
 func (r *request) mayBeTrial() bool {
 	return r.mayRunTwice && r.replayable && r.dispatches == 0
 }
 
-// trialEndpoint returns an ejected endpoint that is due for a trial by a real
-// request, or -1.
+// trialEndpoint returns the index of an ejected endpoint that is due for a trial with r, or -1.
 func (c *Core) trialEndpoint(now time.Duration, r *request) int {
 	if !r.mayBeTrial() {
 		return -1
@@ -78,7 +77,7 @@
 	return -1
 }
 
-// mayTakeSlot applies the shares of the services that use the same endpoints.
+// mayTakeSlot applies the slot shares of the services that use the same endpoints.
 func (c *Core) mayTakeSlot(now time.Duration, p *pool, sv *service) bool {
 	if len(p.services) < 2 {
 		return true
@@ -104,9 +103,9 @@
 	return p.withinShare(p.slotUsers, me, &capacity) && queue.MayTake(p.slotUsers, me, capacity)
 }
 
-// capacity counts the pool's slots and those that look idle: not taken by this
-// entry and not seen taken by others within the last service time. An endpoint that
-// names a limit counts for the request that it may get now.
+// capacity counts the pool's slots and those that look idle: neither used by this entry nor
+// reported in use by others within the last service time. An endpoint with a rate limit counts as
+// one free slot if it may get a request now.
 func (p *pool) capacity(now time.Duration) queue.Capacity {
 	var c queue.Capacity
 	for i := range p.Endpoints {
@@ -130,12 +129,12 @@
 	return c
 }
 
-// dispatchTo sends an attempt to the endpoint at an index.
+// dispatchTo sends an attempt to the endpoint at index.
 func (c *Core) dispatchTo(now time.Duration, r *request, index int, hedge bool, out *Actions) {
 	c.dispatch(now, r, balance.Choice{Index: index}, hedge, out)
 }
 
-// dispatch records an attempt and directs the driver to send it.
+// dispatch records an attempt and tells the driver to send it.
 func (c *Core) dispatch(now time.Duration, r *request, choice balance.Choice, hedge bool, out *Actions) {
 	p := r.pool
 	index := choice.Index
@@ -182,11 +181,10 @@
 	})
 }
 
-// MaySend is asked by the driver right before the first byte of an attempt is
-// written. It is false for a request that was answered, cancelled or whose
-// deadline passed meanwhile, or that may not be sent any more: a process that slept between the decision and the
-// write must not send what its caller no longer waits for or was told is not
-// run. It is false as well when the endpoint leaves by now. After false the
+// MaySend is called by the driver right before it writes the first byte of an attempt. It returns
+// false if the request was answered, cancelled or quarantined meanwhile, if its deadline passed, or
+// if its endpoint is leaving. A process that was suspended between the decision and the write must
+// not send a request that its caller has given up or that was reported as not run. After false the
 // driver reports EndNotWritten.
 func (c *Core) MaySend(now time.Duration, id RequestID, n Attempt) bool {
 	r, ok := c.requests[id]
@@ -211,14 +209,14 @@
 	return e != nil && e.TakesWork()
 }
 
-// drainQueues dispatches what waits in any pool.
+// drainQueues dispatches waiting requests in all pools.
 func (c *Core) drainQueues(now time.Duration, out *Actions) {
 	for _, p := range c.poolRows {
 		c.drainPool(now, p, out)
 	}
 }
 
-// drainPool dispatches waiting requests until the policy says to wait.
+// drainPool dispatches waiting requests of a pool until no more can be sent now.
 func (c *Core) drainPool(now time.Duration, p *pool, out *Actions) {
 	for p.queue.Len() > 0 {
 		if c.waitsForLoadProbe(now, p) {
@@ -241,7 +239,8 @@
 	}
 }
 
-// dispatchQueued moves the head of the queue to an endpoint.
+// dispatchQueued sends r, the request that the queue chose next, to an endpoint. It returns false
+// if no endpoint can take it now.
 func (c *Core) dispatchQueued(now time.Duration, r *request, out *Actions) bool {
 	if now >= r.deadline {
 		c.fail(now, r, ReasonDeadline, out)
@@ -263,12 +262,14 @@
 	return true
 }
 
-// hedgeDue is a request that is hedged if it is still unanswered at a time.
+// pendingHedge is a request that gets a hedge if it is still unanswered at a time.
 type pendingHedge struct {
 	id RequestID
 	at time.Duration
 }
 
+// scheduleHedge notes when r is due for a hedge, or for supervision if its service uses load
+// probes.
 func (c *Core) scheduleHedge(now time.Duration, r *request) {
 	if c.usesLoadProbes(r) {
 		c.superviseLater(now, r)
@@ -281,8 +282,8 @@
 	sv.hedges = append(sv.hedges, pendingHedge{id: r.arrival.ID, at: now + r.policy.HedgeAfter})
 }
 
-// hedgeDue sends a second attempt for harmless requests that are late, as far
-// as the retry budget allows.
+// sendDueHedges sends a second attempt for requests that are late and may run twice, as far as the
+// retry budget allows.
 func (c *Core) sendDueHedges(now time.Duration, out *Actions) {
 	for _, sv := range c.serviceRows {
 		n := 0
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -8,22 +8,21 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// RequestID identifies a caller's request inside one entry incarnation. The
-// driver chooses it; it is never reused.
+// RequestID identifies a caller's request within one entry incarnation. The driver chooses it and
+// never reuses it.
 type RequestID uint64
 
 // Attempt numbers the dispatches of one request, from 1.
 type Attempt uint8
 
-// Arrival is a caller's request as the driver read it. The body stays with the
-// driver.
+// Arrival is a caller's request as the driver read it. The body stays with the driver.
 type Arrival struct {
 	ID      RequestID
 	Service string
-	// Name is how the caller names the request, for the log.
+	// Name is the caller's name for the request, for the log.
 	Name string
-	// Content is the same for requests with the same host, method, target and body, whoever sends
-	// them; 0 if not known.
+	// Content is the same for requests with the same host, method, target and body, from any
+	// caller; 0 if not known.
 	Content uint64
 	// Caller is a hash of the caller's identity, for fairness and to bind keys.
 	Caller uint64
@@ -33,28 +32,28 @@
 	Key    idem.Key
 	HasKey bool
 	Digest idem.Digest
-	// Safe says that the method is idempotent by its definition (GET, PUT ...).
+	// Safe is set if the method is idempotent by its definition (GET, PUT ...).
 	Safe bool
-	// Replayable says that the driver can send the body more than once.
+	// Replayable is set if the driver can send the body more than once.
 	Replayable bool
-	// Timeout is what the caller still allows; 0 if it named no deadline.
+	// Timeout is the time that the caller still allows; 0 if it named no deadline.
 	Timeout time.Duration
-	// CallerAttempt is 1 for a first try and higher when the caller, itself an
-	// endpoint of another service, carries the attempt count of its own call.
+	// CallerAttempt is 1 for a first try. It is higher if the caller, itself an endpoint of another
+	// service, is running a repeated attempt of its own call.
 	CallerAttempt int
-	// Depth is how many calls this one is nested in.
+	// Depth is the number of calls that this one is nested in.
 	Depth int
-	// Forwarded says that another entry sent the request on to the home of its key.
+	// Forwarded is set if another entry forwarded the request to the home of its key.
 	Forwarded bool
 	// Revision is the latest revision of the profiles that the caller has seen.
 	Revision uint64
-	// Admission is what Admit or AdmitRoute said of the request. Without one the
-	// request is for Service as it is published when it arrives.
+	// Admission is the result of Admit or AdmitRoute for the request. Without one, the request is
+	// for Service as it is published on arrival.
 	Admission Admission
 }
 
-// Admission is what a core says of a request before its body is read. It keeps
-// the request with the service that was in force when its head arrived.
+// Admission is the core's decision on a request before its body is read. It binds the request to
+// the service that was in force when its head arrived.
 type Admission struct {
 	// Service is the name of the service.
 	Service string
@@ -62,8 +61,8 @@
 	MaxBody int64
 	// Reason is why the request is refused, ReasonNone if it is not.
 	Reason Reason
-	// row is the index of the service's row plus one, 0 for none; pool and policy are
-	// those that were in force.
+	// row is the index of the service's row plus one, 0 for none; pool and policy are those in
+	// force at that time.
 	row    int32
 	pool   *pool
 	policy *profile.Policy
@@ -75,20 +74,19 @@
 	Attempt Attempt
 	Status  int
 	Load    Load
-	// NotRun says that the endpoint stated explicitly that it did not run the request.
+	// NotRun is set if the endpoint stated explicitly that it did not run the request.
 	NotRun bool
-	// Draining says that the endpoint announced that it leaves.
+	// Draining is set if the endpoint announced that it is leaving.
 	Draining bool
-	// Incarnation is what the endpoint says of itself; 0 if it said nothing.
+	// Incarnation is the incarnation that the endpoint reports; 0 if it reports none.
 	Incarnation uint64
-	// Misdirected says that another endpoint answered than was expected at the
-	// address; NotRun is set as well.
+	// Misdirected is set if another endpoint than expected answered at the address; NotRun is set
+	// as well.
 	Misdirected bool
-	// Unusable says that the answer claims success without the endpoint's proof of
-	// it. The request may have run.
+	// Unusable is set if the answer claims success without the endpoint's proof of it. The request
+	// may have run.
 	Unusable bool
-	// HomeLost says that the entry to which the request was sent on knows
-	// nothing of its key.
+	// HomeLost is set if the entry to which the request was forwarded does not know its key.
 	HomeLost bool
 }
 
@@ -98,13 +96,14 @@
 	InFlight int
 	Queued   int
 	Slots    int
-	// Pace is how long work takes there at this moment, in percent of the usual; 0
-	// if the endpoint did not say.
+	// Pace is how long work takes at the endpoint at this moment, in percent of the usual time; 0
+	// if not reported.
 	Pace int
-	// Cold is how much longer the endpoint stays cold, 0 for a warm one. Only looks tell.
+	// Cold is how much longer the endpoint stays cold, 0 for a warm one. Only answers to load
+	// probes contain it.
 	Cold time.Duration
-	// RateLimit is how many requests a second the endpoint takes from all entries together, 0 if it
-	// names no limit. It is told also where Known is false.
+	// RateLimit is how many requests per second the endpoint accepts from all entries together, 0
+	// if it reports no limit. It may be set also if Known is false.
 	RateLimit float64
 }
 
@@ -136,31 +135,31 @@
 	ID      RequestID
 	Attempt Attempt
 	Kind    EndKind
-	// TimedOut says that the attempt ran into its deadline.
+	// TimedOut is set if the attempt ran into its deadline.
 	TimedOut bool
-	// ConnSilent says that the connection and not the endpoint is suspected.
+	// ConnSilent is set if the connection rather than the endpoint is suspected.
 	ConnSilent bool
-	// BodyFailed says that the caller's own request broke off or is unusable.
+	// BodyFailed is set if the caller's own request broke off or is unusable.
 	BodyFailed bool
-	// ConnBroken says that the endpoint's connection ended before its answer was whole.
+	// ConnBroken is set if the endpoint's connection ended before its answer was complete.
 	ConnBroken bool
-	// DialFailed says that no connection could be opened.
+	// DialFailed is set if no connection could be opened.
 	DialFailed bool
-	// Cause names what went wrong, for the log; "" if nothing did.
+	// Cause names the fault, for the log; "" if there was none.
 	Cause string
-	// Bytes is the size of the request's body with that of the answer, where the
-	// answer was passed on whole.
+	// Bytes is the size of the request's body and the answer's, if the answer was passed on
+	// completely.
 	Bytes int64
-	// Replayable says that the body can still be sent whole.
+	// Replayable is set if the body can still be sent completely.
 	Replayable bool
 	// Answer is the captured answer of a request with a key, or nil.
 	Answer *idem.Answer
 }
 
-// Outcome is the statement that tealhall makes about a request.
+// Outcome is what tealhall states about whether a request was run.
 type Outcome uint8
 
-// The outcomes. With several attempts the weakest statement of all counts.
+// The outcomes. With several attempts, the weakest outcome of all counts.
 const (
 	// OutcomeDone: an endpoint answered and this is its answer.
 	OutcomeDone Outcome = iota + 1
@@ -193,13 +192,13 @@
 	StepForward
 	// StepCommit: pass the answer of Attempt on to the caller.
 	StepCommit
-	// StepDiscard: drop the answer of Attempt unread; report EndDiscarded or EndNotRun.
+	// StepDiscard: drop the answer of Attempt unread and report EndDiscarded or EndNotRun.
 	StepDiscard
 	// StepCancel: cancel Attempt; its end is reported but changes nothing for the caller.
 	StepCancel
 	// StepReply: give the caller tealhall's own final answer (Outcome, Reason).
 	StepReply
-	// StepReplay: give the caller the kept Answer.
+	// StepReplay: give the caller the stored Answer.
 	StepReplay
 )
 
@@ -208,40 +207,40 @@
 	ID      RequestID
 	Step    Step
 	Attempt Attempt
-	// Address is where to send the request, IP:port, and Endpoint the name of the
-	// endpoint that is expected there.
+	// Address is the IP:port to send the request to, and Endpoint the name of the endpoint expected
+	// there.
 	Address  string
 	Endpoint string
-	// Once says that the attempt must not be sent twice by any layer below and
-	// needs a connection that is known to be alive.
+	// Once is set if no layer below may send the attempt twice and it needs a connection that is
+	// known to be alive.
 	Once bool
 	// IdleOnly asks the endpoint to refuse the request rather than queue it.
 	IdleOnly bool
-	// Deadline is when the attempt must have ended.
+	// Deadline is the time by which the attempt must have ended.
 	Deadline time.Duration
 	Outcome  Outcome
 	Reason   Reason
-	// RetryAfter is when the caller may come back; 0 if it need not wait.
+	// RetryAfter is the delay after which the caller may try again; 0 if it need not wait.
 	RetryAfter time.Duration
 	Answer     *idem.Answer
 }
 
-// Probe asks the driver for one probe of an endpoint. With a Request it is a look
-// on behalf of that request.
+// Probe asks the driver for one probe of an endpoint. With a Request it is a load probe on behalf
+// of that request.
 type Probe struct {
 	Pool        string
 	Endpoint    string
 	Incarnation uint64
 	Address     string
-	// Path is where the endpoint tells its load; empty for that of the contract.
+	// Path is the path at which the endpoint reports its load; empty for the path of the contract.
 	Path    string
 	Request RequestID
 	Round   uint32
 	// Wait bounds the wait for the answer; 0 leaves the bound to the driver.
 	Wait time.Duration
-	// CrashProbe says that it asks whether an endpoint that broke its connections has crashed.
+	// CrashProbe is set if the probe asks whether an endpoint whose connections broke has crashed.
 	CrashProbe bool
-	// At is when such a question was asked.
+	// At is when a crash probe was requested.
 	At time.Duration
 }
 
@@ -251,20 +250,20 @@
 	OK      bool
 	Load    Load
 	Latency time.Duration
-	// Draining and Seen are what the endpoint says of itself.
+	// Draining and Incarnation are what the endpoint reports about itself.
 	Draining    bool
 	Incarnation uint64
-	// Refused: the address refuses connections; no process listens.
+	// Refused is set if the address refuses connections: no process listens there.
 	Refused bool
-	// Unhealthy: the endpoint answers that it should get no work now.
+	// Unhealthy is set if the endpoint answers that it should get no work now.
 	Unhealthy bool
-	// Misdirected: another endpoint answers at the address.
+	// Misdirected is set if another endpoint answers at the address.
 	Misdirected bool
 }
 
 // Outgoing is an update for one peer.
 type Outgoing struct {
-	// To is the peer's incarnation. The driver reports with UpdateDone.
+	// To is the peer's incarnation. The driver reports the result with UpdateDone.
 	To      uint64
 	Address string
 	Update  message.Update
@@ -276,15 +275,15 @@
 	// Source is assign.Platform or the incarnation of the peer at Address.
 	Source  uint64
 	Address string
-	// After: only a later revision is of use.
+	// After is a revision; only a later one is needed.
 	After uint64
-	// Planned fetches are ended with FetchDone.
+	// Planned is set for fetches whose end the driver reports with FetchDone.
 	Planned bool
 }
 
 // Note is a change for the audit trail.
 type Note struct {
-	// Actor is who caused the change; "" stands for the entry itself.
+	// Actor is who caused the change; "" is the entry itself.
 	Actor    string
 	Subject  string
 	Action   string
@@ -294,23 +293,23 @@
 	Why      string
 }
 
-// Actions collects what the driver must do after an event. The driver owns it,
-// passes it to every call and empties it with Reset; the core only appends.
+// Actions collects what the driver must do after an event. The driver owns it, passes it to every
+// call and empties it with Reset; the core only appends.
 type Actions struct {
 	Requests []Directive
 	Probes   []Probe
 	Updates  []Outgoing
 	Fetches  []FetchFrom
 	Notes    []Note
-	// Traces are requests that ended and are worth a line in the log.
+	// Traces are the traces of ended requests, for the log.
 	Traces []RequestTrace
-	// DropAddresses: connections to these addresses are no longer wanted.
+	// DropAddresses are addresses whose connections are no longer needed.
 	DropAddresses []string
-	// SuspectAddresses: idle connections to these addresses may be dead.
+	// SuspectAddresses are addresses to which idle connections may be dead.
 	SuspectAddresses []string
 }
 
-// Reset empties a without giving up its memory.
+// Reset empties a and keeps its memory.
 func (a *Actions) Reset() {
 	clear(a.Requests)
 	a.Requests = a.Requests[:0]
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -12,30 +12,30 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// successorCount is how many entries answer for the keys of one that stopped.
-// With two, one of them may stop or fail meanwhile.
+// successorCount is how many entries answer for the keys of a stopped entry. With two, one of them
+// may stop or fail meanwhile.
 const successorCount = 2
 
-// extraSuccessors is how many entries may have joined since a hand-over and rank
-// before those that took it. They are asked as well.
+// extraSuccessors is how many entries may have joined since a hand-over and rank before those that
+// accepted it. They are asked as well.
 const extraSuccessors = 2
 
-// handoverPartBytes is about how much one part of a hand-over holds. Kept answers may be
-// large, and a message that is too large for a link loses the whole hand-over.
+// handoverPartBytes is the approximate size of one part of a hand-over. Stored answers may be
+// large, and a message that is too large for a link would lose the whole hand-over.
 const handoverPartBytes = 64 << 10
 
-// recordOverhead is about what a record takes beside its answer.
+// recordOverhead is the approximate size of a record without its answer.
 const recordOverhead = 128
 
-// SealKeys ends the making of new keys here. Requests with new keys are
-// refused as not run; those that run go on, and their number is returned.
+// SealKeys stops this entry from accepting new keys. Requests with new keys are refused as not run;
+// requests that are running continue, and their number is returned.
 func (c *Core) SealKeys(now time.Duration) (running int) {
 	c.keys.Seal(now)
 	return c.keys.Running()
 }
 
-// Handover returns this entry's sealed table and what it adopted from others,
-// in parts of at most size records.
+// Handover returns this entry's sealed key table and the tables that it adopted, in parts of at
+// most size records.
 func (c *Core) Handover(size int) []message.Handover {
 	parts := handoverParts(c.cfg.Self.Incarnation, c.keys.Oldest(), c.keys.Export(), size)
 	for _, a := range c.keys.ExportAdopted() {
@@ -48,8 +48,8 @@
 	return parts
 }
 
-// handoverParts splits a table. An empty one is a part too: it proves that no
-// key of its home ran.
+// handoverParts splits a key table. An empty table still makes one part, which proves that no key
+// of its home ran.
 func handoverParts(home uint64, oldest uint32, records []idem.Record, size int) []message.Handover {
 	total := len(records)
 	var parts []message.Handover
@@ -63,8 +63,8 @@
 	}
 }
 
-// partLength returns how many of the records one part takes: up to size, or up
-// to handoverPartBytes, but at least one.
+// partLength returns how many of the records fit into one part: up to size, or up to
+// handoverPartBytes, but at least one.
 func partLength(records []idem.Record, size int) int {
 	total := 0
 	for i := range records[:min(size, len(records))] {
@@ -76,6 +76,7 @@
 	return min(size, len(records))
 }
 
+// answerBytes returns the size of a stored answer.
 func answerBytes(a *idem.Answer) int {
 	if a == nil {
 		return 0
@@ -87,8 +88,8 @@
 	return total
 }
 
-// Adopt takes over a part of the keys of an entry that stopped. It reports
-// false when this entry leaves itself: it may have handed over already.
+// Adopt takes over a part of the key table of a stopping entry. It returns false if this entry is
+// leaving, since it may have handed over its keys already.
 func (c *Core) Adopt(now time.Duration, part *message.Handover, out *Actions) bool {
 	if c.state >= message.EntryLeaving {
 		return false
@@ -99,14 +100,14 @@
 		Subject: "idempotency keys",
 		Action:  "adopted",
 		To:      strconv.Itoa(len(part.Records)) + " of " + strconv.Itoa(part.Total) + " keys",
-		Why:     "the entry that ran them stops",
+		Why:     "the entry that ran them is stopping",
 	})
 	return true
 }
 
-// SuccessorAddresses returns the peer addresses of the entries that may take
-// over the keys of a home, best first. The first successorCount that accept are
-// enough; they are asked for first later on.
+// SuccessorAddresses returns the peer addresses of the entries that may take over the keys of a
+// home, in order of rank. The first successorCount entries that accept are enough, and later on
+// they are the first to be asked.
 func (c *Core) SuccessorAddresses(home uint64) []string {
 	var out []string
 	for _, incarnation := range c.successorsOf(home, successorCount+extraSuccessors, member.Entry.Usable) {
@@ -118,15 +119,15 @@
 	return out
 }
 
-// mayAdopt reports whether an entry may hold keys that were handed over to it. One
-// that leaves answers for them until it has handed them on.
+// mayAdopt reports whether an entry may have keys that were handed over to it. A leaving entry
+// answers for them until it has handed them on.
 func mayAdopt(e member.Entry) bool {
 	return !e.Suspected && (e.State == message.EntryServing || e.State == message.EntryLeaving)
 }
 
-// successorsOf returns the entries that answer for the keys of a home, by
-// rendezvous hashing over those that fit, so that all entries agree without a
-// word and few homes move when entries change.
+// successorsOf returns the entries that answer for the keys of a home, chosen by rendezvous hashing
+// over the eligible entries. All entries compute the same result without communication, and few
+// homes move when entries change.
 func (c *Core) successorsOf(home uint64, n int, eligible func(member.Entry) bool) []uint64 {
 	type scored struct{ incarnation, score uint64 }
 	key := assign.Key("successor", strconv.FormatUint(home, 16))
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// admitKey applies the idempotency key of a request. It returns false when the
-// request was answered, joined to a running one or sent on to its key's home.
+// admitKey applies the idempotency key of a request. It returns false if the request was answered,
+// joined to a running one or forwarded to its key's home.
 func (c *Core) admitKey(now time.Duration, r *request, out *Actions) bool {
 	if r.policy.Kind == profile.Read || r.policy.Kind == profile.Urgent {
 		return true
@@ -25,6 +25,8 @@
 	return c.applyDecision(now, r, decision, out)
 }
 
+// applyDecision carries out what the key table decided on a request. It returns true if the request
+// is to run here.
 func (c *Core) applyDecision(now time.Duration, r *request, decision idem.Decision, out *Actions) bool {
 	switch decision.Kind {
 	case idem.Run:
@@ -44,7 +46,8 @@
 	return false
 }
 
-// decisionReplies says what a caller is told for verdicts that end the request.
+// decisionReplies maps decisions that end the request to the outcome and reason that the caller
+// gets.
 var decisionReplies = map[idem.DecisionKind]struct {
 	outcome Outcome
 	reason  Reason
@@ -81,6 +84,7 @@
 	}
 }
 
+// replay answers a request with the stored answer of the earlier request with its key.
 func (c *Core) replay(r *request, answer *idem.Answer, out *Actions) {
 	c.counters.Replayed++
 	c.counters.Done++
@@ -88,10 +92,9 @@
 	c.finish(r, out)
 }
 
-// forwardHome sends a request on to the entry that alone may run its key, or to
-// a successor that may hold its table. A request that another entry sent on is
-// not sent on again: two entries that disagree about a home must not pass it to
-// and fro.
+// forwardHome forwards a request to the home of its key, the only entry that may run it, or to a
+// successor that may have the home's key table. A request that another entry forwarded is not
+// forwarded again: two entries that disagree about a home must not send it back and forth.
 func (c *Core) forwardHome(now time.Duration, r *request, home uint64, out *Actions) {
 	if !r.arrival.Forwarded && c.forwardNext(now, r, home, out) {
 		return
@@ -100,11 +103,10 @@
 	c.finish(r, out)
 }
 
-// forwardNext sends r on to the next entry that may know its key: the home, then
-// its successors one after the other. It is safe to ask any number of them, also
-// after an answer was lost, because only the home ever runs the key. Asking one
-// would not do: a home that stops refuses connections before its peers know, and
-// an entry that joined since may rank before those that hold the table.
+// forwardNext forwards r to the next entry that may know its key: the home, then its successors in
+// order. It is safe to ask any number of them, also after an answer was lost, because only the home
+// ever runs the key. Asking one is not enough: a stopping home refuses connections before its peers
+// know of the stop, and an entry that joined since may rank before those that have the key table.
 func (c *Core) forwardNext(now time.Duration, r *request, home uint64, out *Actions) bool {
 	if int(r.dispatches) >= MaxAttempts || !r.replayable || now >= r.deadline {
 		return false
@@ -128,8 +130,8 @@
 	return true
 }
 
-// nextKeyOwner returns the address of the first entry that may know a key of home
-// and was not asked yet for r.
+// nextKeyOwner returns the address of the first entry that may know a key of home and was not asked
+// yet for r.
 func (c *Core) nextKeyOwner(r *request, home uint64) (string, bool) {
 	candidates := append([]uint64{home}, c.successorsOf(home, successorCount+extraSuccessors, mayAdopt)...)
 	for _, incarnation := range candidates {
@@ -143,15 +145,14 @@
 	return "", false
 }
 
-// useForwarded decides whether the caller gets the answer of another entry. One
-// that knows nothing of the key is passed over for those that may.
+// useForwarded decides whether to pass on the answer of another entry. An answer that the key is
+// not known there is dropped, and the next candidate is asked.
 func (c *Core) useForwarded(r *request, h Head) bool {
 	return r.phase == phaseForwarded && r.committed == 0 && !h.HomeLost
 }
 
-// forwardEnded goes on after a request was sent on to another entry. Whatever
-// went wrong on the way, an earlier try with the same key may have run there:
-// the only true statement is "unknown".
+// forwardEnded continues after a request was forwarded to another entry. If the forwarding failed,
+// an earlier try with the same key may have run there, so the outcome is "unknown".
 func (c *Core) forwardEnded(now time.Duration, r *request, e End, out *Actions) {
 	home := r.arrival.Key.Home
 	switch {
@@ -169,8 +170,7 @@
 	c.finish(r, out)
 }
 
-// settleKey records the result of a keyed request and answers those that
-// joined it.
+// settleKey records the outcome of a keyed request and answers the requests that joined it.
 func (c *Core) settleKey(now time.Duration, r *request, outcome Outcome, answer *idem.Answer, out *Actions) {
 	if !r.keyed {
 		return
@@ -188,16 +188,16 @@
 	c.answerWaiters(now, r.arrival.Key, out)
 }
 
-// releaseKey ends a key whose request was not run. The key is spent: it never
-// runs, so that "not run" stays true.
+// releaseKey ends a key whose request was not run. The key is marked as spent and never runs, so
+// that "not run" stays true.
 func (c *Core) releaseKey(now time.Duration, r *request, out *Actions) {
 	c.keys.Release(r.arrival.Key)
 	r.keyed = false
 	c.answerWaiters(now, r.arrival.Key, out)
 }
 
-// expireJoined answers requests that waited for a running one beyond their own
-// deadline. The running one may have run, so "unknown" is all that is true.
+// expireJoined answers requests that waited for a running one until their own deadline. The running
+// one may have run, so the outcome is "unknown".
 func (c *Core) expireJoined(now time.Duration, out *Actions) {
 	kept := c.joined[:0]
 	for _, id := range c.joined {
@@ -216,6 +216,7 @@
 	c.joined = kept
 }
 
+// removeWaiter removes r from the requests that wait for its key.
 func (c *Core) removeWaiter(r *request) {
 	ids := c.waiters[r.arrival.Key]
 	ids = slices.DeleteFunc(ids, func(id RequestID) bool { return id == r.arrival.ID })
@@ -226,7 +227,8 @@
 	c.waiters[r.arrival.Key] = ids
 }
 
-// answerWaiters lets the requests that joined a key see what became of it.
+// answerWaiters applies the key again for the requests that joined it, now that the running request
+// has ended.
 func (c *Core) answerWaiters(now time.Duration, key idem.Key, out *Actions) {
 	ids := c.waiters[key]
 	if len(ids) == 0 {
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -10,7 +10,8 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// settleAttempt returns the slot and tells the health system.
+// settleAttempt frees the slot of an ended attempt and records its result for health, balancing and
+// latency estimates.
 func (c *Core) settleAttempt(now time.Duration, r *request, a *attempt, end End, out *Actions) {
 	p := r.pool
 	r.service.inUse--
@@ -19,7 +20,7 @@
 		return
 	}
 	e.Outstanding--
-	p.probeAgainAt = now // a slot may be free
+	p.probeAgainAt = now // a slot may have become free
 	if o, ok := healthOutcome(a, end); ok {
 		c.recordOutcome(now, r, e, o, end)
 	}
@@ -52,7 +53,8 @@
 	}
 }
 
-// recordOutcome takes in for the choice by looks how an attempt ended.
+// recordOutcome records the end of an attempt for placement, which chooses endpoints by load
+// probes.
 func (c *Core) recordOutcome(now time.Duration, r *request, e *table.Endpoint, o health.Outcome, end End) {
 	failed := o != health.Answered && o != health.RefusedNotRun && o != health.ConnSilent
 	placement.NoteOutcome(now, e, failed)
@@ -67,14 +69,13 @@
 	}
 }
 
-// observationOf is what the choice policy learns from an attempt. An endpoint may
-// report fewer slots than the platform lists and never more: a wrong report
-// would draw the pool's traffic, and raise the watching budget, which is a share
-// of the slots.
+// observationOf returns what the balancing policy learns from an attempt. An endpoint may report
+// fewer slots than the platform lists but never more: a wrong report would attract the pool's
+// traffic and raise the budget for health probes, which is a share of the slots.
 //
-// A refusal that was asked for is no failure. Its status is 503 like that of a
-// failing endpoint, and the policy leaves those alone for up to a second: under
-// load most of the pool would be passed over while its slots come free.
+// A refusal of an idle-only request is not a failure. Its status is 503 like that of a failing
+// endpoint, and the policy avoids failing endpoints for up to a second: under load it would skip
+// most of the pool while slots become free.
 func observationOf(now time.Duration, a *attempt, e *table.Endpoint, end End) balance.Observation {
 	return balance.Observation{
 		Latency:  a.latency(now),
@@ -87,7 +88,7 @@
 	}
 }
 
-// attemptFailed says that an attempt brought no answer of use.
+// attemptFailed reports whether an attempt ended without a usable answer.
 func attemptFailed(a *attempt, end End) bool {
 	switch end.Kind {
 	case EndLost, EndTruncated, EndNotWritten:
@@ -96,27 +97,24 @@
 	return a.status >= http.StatusInternalServerError
 }
 
-// refusedWhileBusy says that an endpoint refused what it was asked to refuse, and
-// was as busy as that takes.
+// refusedWhileBusy reports whether an endpoint refused an idle-only request and indeed had no idle
+// slot.
 func refusedWhileBusy(a *attempt, end End) bool {
 	return refusedIdleOnly(a, end) && a.load.noIdleSlot()
 }
 
-// refusedIdleOnly says that an endpoint did what it was asked: it refused a request
-// for which it had no idle slot.
+// refusedIdleOnly reports whether an endpoint refused a request that was sent as idle-only.
 func refusedIdleOnly(a *attempt, end End) bool {
 	return a.idleOnly && end.Kind == EndNotRun
 }
 
-// noIdleSlot says that no slot is idle by an endpoint's own report, or that there is
-// none. An endpoint that turns everything away reports idle slots: its refusals
-// must count although it was asked for an idle slot only, or it would never be
-// ejected and each request would ask it first.
+// noIdleSlot reports whether an endpoint has no idle slot by its own report, or sent no report. An
+// endpoint that refuses everything may report idle slots: its refusals of idle-only requests must
+// then count as failures, or it would never be ejected and each request would try it first.
 func (l Load) noIdleSlot() bool { return !l.Known || l.InFlight+l.Queued >= l.Slots }
 
-// latency is the time to the head of the answer, or to the failure. The time
-// that a caller takes to receive an answer must not count: a slow caller would
-// make its endpoint look slow.
+// latency is the time to the head of the answer, or to the failure. The time in which the caller
+// receives the answer is left out: a slow caller would make its endpoint look slow.
 func (a *attempt) latency(now time.Duration) time.Duration {
 	if a.headLatency > 0 {
 		return a.headLatency
@@ -132,7 +130,7 @@
 	p.serviceNanos += sampleWeight * (float64(took) - p.serviceNanos)
 }
 
-// healthOutcome says what an attempt's end tells of the endpoint, if anything.
+// healthOutcome returns what the end of an attempt says about the endpoint's health, if anything.
 func healthOutcome(a *attempt, end End) (health.Outcome, bool) {
 	switch end.Kind {
 	case EndComplete, EndDiscarded:
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// loadProbeEarnFactor is how many times its looks a request earns: those for the first
-// choice, and as many for a second look when there was no room, or after it.
+// loadProbeEarnFactor multiplies the load probes that a request adds to the budget: one part pays
+// for the first choice, the other for a second round when there was no room, or for supervision.
 const loadProbeEarnFactor = 2
 
-// The load that this answers: more requests than endpoints can answer within the
-// latency objective, for seconds. Whoever can still be answered in time goes first;
-// one that can't any more waits behind all of those for a while, since a late answer
-// is worth something, and is then told when to come back. Without the two ranks the
-// late ones, which are the oldest, take the slots, and everybody is late. Among those who can
-// be in time the newest goes first: it has time left if it takes longer than most.
+// Queue waits handle overload: for seconds, more requests arrive than endpoints can answer within
+// the latency objective. Requests that can still be answered in time go first, the newest of them
+// ahead, because it has time left if it takes longer than usual. Late requests wait behind all of
+// these for a while, since a late answer still has some value, and are then refused with a
+// Retry-After. Without the two ranks, the late requests, which are the oldest, would use the slots
+// and make every request late.
 const (
-	// lateWaitShare is how long a request that is late by now waits for a slot that nobody
-	// else wants, as a share of its latency objective.
+	// lateWaitShare is how long a late request waits for a slot that no other request needs, as a
+	// share of its latency objective.
 	lateWaitShare = 0.5
-	// lateMaxShare bounds that wait as a share of the time that the request has left.
+	// lateMaxShare bounds that wait as a share of the time left until the request's deadline.
 	lateMaxShare = 0.2
-	// inTimeRank is what lifts those who can be in time above all others.
+	// inTimeRank is added to the priority of requests that can be in time, which puts them before
+	// all late ones.
 	inTimeRank = 100
-	// plainWait is the share of its time for which a request without an objective
-	// waits.
+	// plainWait is the share of its time until the deadline for which a request without a latency
+	// objective waits.
 	plainWait = 0.3
 )
 
-// queueUntil returns until when a request waits in the entry for an endpoint with room,
-// and with which rank. A wait that ended as late as the request's deadline would keep
-// its caller from trying elsewhere.
+// queueUntil returns until when a request waits in the entry for an endpoint with room, and with
+// which rank. The wait ends before the request's deadline, so that its caller can still try another
+// entry.
 func (c *Core) queueUntil(now time.Duration, r *request) (until time.Duration, rank int) {
 	r.queuedOnce = true
 	if r.policy.Objective == 0 {
@@ -44,16 +45,16 @@
 	return max(r.lateUntil, now+time.Millisecond), r.policy.Priority
 }
 
-// latestInTime is the latest start at which r would commonly be answered within its
-// latency objective, counted from its caller's first try.
+// latestInTime is the latest start at which r is typically answered within its latency objective,
+// counted from the caller's first try.
 func (r *request) latestInTime() time.Duration {
 	placed := r.placementRequest()
 	return placed.LatestInTime()
 }
 
-// typicalWork is how long a request of the service commonly takes at an endpoint
-// that has nothing else to do. Latencies at busy ones must not count: under load they
-// grow, and everything would be taken to be late already.
+// typicalWork is how long a request of the service typically takes at an endpoint without other
+// work. Latencies at busy endpoints are left out: they grow under load, and all requests would
+// count as late.
 func (r *request) typicalWork() time.Duration {
 	if t := r.service.work.Typical(); t > 0 {
 		return t
@@ -64,8 +65,9 @@
 	return time.Duration(r.pool.serviceNanos)
 }
 
-// slotTime is what the requests that a full endpoint of the pool holds commonly take there,
-// those of all its services, in which long ones are met as often as they are long.
+// slotTime is how long a request typically occupies a slot of a full endpoint. It is averaged over
+// the services of the pool by the slots that each uses, since longer requests use slots for a
+// larger part of the time.
 func (p *pool) slotTime(now time.Duration) time.Duration {
 	sum, slots := 0.0, 0.0
 	for _, sv := range p.services {
@@ -79,9 +81,9 @@
 	return time.Duration(p.learned.Sharing() * sum / slots)
 }
 
-// estimateAge estimates how long ago the caller first tried: most callers of a service
-// begin with the same patience, and a later try has less of it left. The patience is
-// a running median, since a few callers wait for far longer than the others.
+// estimateAge estimates how long ago the caller first tried: most callers of a service start with
+// the same timeout, and a later try has less of it left. The typical timeout is a running median,
+// since a few callers wait far longer than the others.
 func (sv *service) estimateAge(left time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
@@ -90,10 +92,10 @@
 	return max(0, sv.callerTimeout.Typical()-left)
 }
 
-// Retry-After of a refusal: a random time within bounds, so that those who were refused
-// together don't return together. After a refusal under load it is time for the peak to
-// ebb; where endpoints turned the request away although they have room, there is no queue
-// to wait for, and it is only time for others to come between.
+// Retry-After of a refusal is random within these bounds, so that callers who were refused together
+// do not return together. After a refusal under load, the bounds give the peak time to pass. If
+// endpoints refused the request although they have room, there is no queue to wait for, and the
+// shorter bounds only let other requests come between.
 const (
 	retryLeast      = 150 * time.Millisecond
 	retryMost       = 500 * time.Millisecond
@@ -101,10 +103,10 @@
 	shortRetryMost  = 40 * time.Millisecond
 )
 
-// retryDelay is when a caller that found no room should try again.
+// retryDelay returns when a caller whose request found no room should try again.
 func (c *Core) retryDelay() time.Duration { return c.randomBetween(retryLeast, retryMost) }
 
-// retryDelayAfter is when the caller of a refused request should try again.
+// retryDelayAfter returns when the caller of a refused request should try again.
 func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
 	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
 		return c.randomBetween(shortRetryLeast, shortRetryMost)
@@ -116,7 +118,7 @@
 	return least + time.Duration(c.rng.Int64N(int64(most-least)))
 }
 
-// noteSize takes in the size of a request and its answer in bytes.
+// noteSize adds the size of a request and its answer, in bytes, to the service's smoothed size.
 func (sv *service) noteSize(bytes int64) {
 	kilobytes := float64(bytes) / 1024
 	if sv.kilobytes == 0 {
--- a/internal/core/reason.go
+++ b/internal/core/reason.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Reason says why tealhall itself answered a caller.
+// Reason says why tealhall answered a caller itself, instead of an endpoint.
 type Reason uint8
 
 // The reasons. Each has a name, a status and a remedy for the caller.
@@ -85,8 +85,8 @@
 // String returns the reason's name as callers see it.
 func (r Reason) String() string { return reasonTexts[r].name }
 
-// Status returns the HTTP status that goes with the reason.
+// Status returns the HTTP status that belongs to the reason.
 func (r Reason) Status() int { return reasonTexts[r].status }
 
-// Remedy returns what the caller can do.
+// Remedy returns what the caller can do about it.
 func (r Reason) Remedy() string { return reasonTexts[r].remedy }
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -9,10 +9,9 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// refuseAdmission answers a request that is not taken in. With an idempotency key
-// it may be a later try of a request that has run: then "not run" would be
-// false. Only a key that is new at its home is provably not run, and it is
-// spent so that this stays true.
+// refuseAdmission answers a request that is refused at admission. A request with an idempotency key
+// may be a later try of one that has run, so that "not run" could be false. Only a key that is new
+// at its home has provably not run, and the key is marked as spent so that this stays true.
 func (c *Core) refuseAdmission(now time.Duration, a *Arrival, reason Reason, out *Actions) {
 	outcome := OutcomeNotRun
 	if a.HasKey {
@@ -26,7 +25,7 @@
 	c.counters.Refused[reason]++
 	after := refusedAdmissionRetry
 	if reason == ReasonStarting || reason == ReasonBehind {
-		after = c.retryDelay() // it takes a fraction of a second to get what is missing
+		after = c.retryDelay() // the missing profiles arrive within a fraction of a second
 	}
 	if reason == ReasonQuarantined {
 		after = c.quarantineLeft(now, a.identity())
@@ -34,8 +33,8 @@
 	out.request(Directive{ID: a.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
 }
 
-// fail ends a request with tealhall's own answer. The outcome is the weakest
-// statement of all its attempts: only if none may have run is it "not run".
+// fail ends a request with tealhall's own answer. The outcome is the weakest of all its attempts:
+// it is "not run" only if no attempt may have run.
 func (c *Core) fail(now time.Duration, r *request, reason Reason, out *Actions) {
 	outcome := r.weakest
 	if r.live() > 0 {
@@ -61,12 +60,12 @@
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
-	// refusedAdmissionRetry goes with refusals of the entry as a whole.
+	// refusedAdmissionRetry is the Retry-After of refusals that concern the whole entry.
 	refusedAdmissionRetry = time.Second
 )
 
-// retryAfter tells a caller when it makes sense to come back: after the queue
-// as it stands has been worked off.
+// retryAfter returns when the caller should try again: after the expected wait in the current
+// queue.
 func (c *Core) retryAfter(now time.Duration, r *request, reason Reason) time.Duration {
 	switch reason.Status() {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests:
@@ -84,13 +83,13 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// quarantineLeft is when a request in quarantine may run again.
+// quarantineLeft returns how long a request stays in quarantine, within the bounds of Retry-After.
 func (c *Core) quarantineLeft(now time.Duration, request quarantine.Request) time.Duration {
 	return min(max(c.quarantine.Until(request)-now, minRetryAfter), maxRetryAfter)
 }
 
-// finish marks a request as answered. Attempts that are still out are
-// cancelled; the row stays until they ended.
+// finish marks a request as answered and cancels its running attempts. The request is kept until
+// these have ended.
 func (c *Core) finish(r *request, out *Actions) {
 	if r.phase == phaseFinished {
 		return
@@ -105,7 +104,7 @@
 	c.forgetIfEnded(r)
 }
 
-// cancelOthers cancels every live attempt but keep.
+// cancelOthers cancels every running attempt except keep; 0 cancels all.
 func (c *Core) cancelOthers(r *request, keep Attempt, out *Actions) {
 	for i := Attempt(1); i <= r.dispatches; i++ {
 		if i != keep && r.attempts[i].live {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -11,41 +11,41 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// MaxAttempts bounds the dispatches of one request, whatever a profile says.
+// MaxAttempts bounds the dispatches of one request, whatever its profile allows.
 const MaxAttempts = 8
 
 const (
-	// maxIdleRefusals is how often one request may be refused by endpoints that
-	// were asked to take it only into an idle slot.
+	// maxIdleRefusals is how often one request may be refused by endpoints that were asked to
+	// accept it only into an idle slot.
 	maxIdleRefusals = 3
-	// idleRefusalShare bounds these refusals to a share of the requests that
-	// succeed, so that a service whose endpoints refuse everything sees no
-	// more than its requests.
+	// idleRefusalShare bounds these refusals to a share of the requests that succeed, so that a
+	// service whose endpoints refuse everything gets no extra attempts.
 	idleRefusalShare = 1.0
-	// silentShare and silentCap bound the attempts that follow one whose connection went
-	// silent: one for each request that succeeded before, and as many saved up as an entry
-	// commonly keeps idle connections for a service. Guards against a network that forgets
-	// all of them at once. Each takes a read with it before it is known to be dead, and the
-	// budget that keeps retries from adding load to an overload pays for five: the other
-	// reads would be told "endpoint-lost". What nobody has acknowledged adds no such load.
+	// silentShare and silentCap bound the attempts that follow one whose connection went silent:
+	// one for each request that succeeded before, saved up to the number of idle connections that
+	// an entry usually keeps for a service. They guard against a network that drops the state of
+	// all connections at once: each dead connection fails one read before it is detected, and the
+	// retry budget, which keeps retries from adding load to an overload, covers only five; the
+	// other reads would fail with "endpoint-lost". An attempt that no endpoint has acknowledged
+	// adds no such load.
 	silentShare = 1.0
 	silentCap   = 64
 )
 
-// phase is where a request stands.
+// phase is the state of a request.
 type phase uint8
 
 const (
 	phaseQueued phase = iota + 1
-	// phaseActive: at least one attempt is out, or about to be.
+	// phaseActive: at least one attempt is running or about to start.
 	phaseActive
-	// phaseProbing: endpoints are asked for their load before one is chosen.
+	// phaseProbing: load probes are under way before an endpoint is chosen.
 	phaseProbing
 	// phaseJoined: another request with the same key is running.
 	phaseJoined
-	// phaseForwarded: another entry, the home of the key, has it.
+	// phaseForwarded: the request was forwarded to another entry, the home of its key.
 	phaseForwarded
-	// phaseFinished: the caller has its answer; attempts may still have to end.
+	// phaseFinished: the caller has its answer; some attempts may still be running.
 	phaseFinished
 )
 
@@ -55,27 +55,27 @@
 	hedge    bool
 	forward  bool
 	idleOnly bool
-	// hadEasyRoom says that the endpoint had easy room by its last load probe, fills
-	// that it was nearly full with this one.
+	// hadEasyRoom is set if the endpoint had easy room by its last load probe, fillsEndpoint if
+	// this attempt nearly filled it.
 	hadEasyRoom, fillsEndpoint bool
 	index                      int
 	incarnation                uint64
 	sentAt                     time.Duration
 	// expectedDuration is how long the attempt was expected to take when it was sent.
 	expectedDuration time.Duration
-	// status, load and headLatency are what the head of the answer said.
+	// status, load and headLatency come from the head of the answer.
 	status      int
 	load        Load
 	headLatency time.Duration
-	// endpoint is its name, probedLoad and limit what it had told; end, cause and took are how the attempt
-	// ended, for the log.
+	// endpoint is the endpoint's name, probedLoad and limit the load and rate limit that it had
+	// reported; end, cause and took describe the end of the attempt, for the request trace.
 	endpoint   string
 	probedLoad table.ProbedLoad
 	limit      float64
 	end        EndKind
 	cause      string
 	took       time.Duration
-	// repeatSpent is set when the retry after this attempt was already paid for.
+	// repeatSpent is set when the budget for the retry after this attempt was already spent.
 	repeatSpent bool
 }
 
@@ -83,53 +83,55 @@
 type request struct {
 	arrival Arrival
 	service *service
-	// pool is the one that the service used when the request arrived. Its
-	// queue and its endpoints' rows hold the request, so it stays although a
-	// new profile moves the service to another pool meanwhile.
+	// pool is the pool that the service used when the request arrived. Its queue and its endpoints
+	// refer to the request, so it stays although a new profile moves the service to another pool
+	// meanwhile.
 	pool     *pool
 	policy   *profile.Policy
 	phase    phase
 	arrived  time.Duration
 	deadline time.Duration
-	// mayRunTwice says that running it twice does no harm.
+	// mayRunTwice is set if running the request twice does no harm.
 	mayRunTwice bool
-	// keyed says that the idempotency table holds it as running here.
+	// keyed is set while the idempotency table lists the request's key as running here.
 	keyed      bool
 	replayable bool
-	// weakest is the weakest statement that any ended attempt allows.
+	// weakest is the weakest outcome among the ended attempts.
 	weakest    Outcome
 	committed  Attempt
 	attempts   [MaxAttempts + 1]attempt
 	dispatches Attempt
-	// idleRefusals counts the dispatches that only an idle slot was to take.
+	// idleRefusals counts the idle-only attempts that endpoints refused.
 	idleRefusals int
-	// unsent counts the dispatches that never left this entry.
+	// unsent counts the attempts that never left this entry.
 	unsent int
-	// forwardedTo are the entries to which the request was sent on for its key.
+	// forwardedTo are the entries to which the request was forwarded for its key.
 	forwardedTo []uint64
 	// tried are the endpoints that the request was dispatched to.
 	tried balance.Set
 	// lastReason is why the latest attempt failed.
 	lastReason Reason
-	// probeRound is the round of load probes that is under way, or was last.
+	// probeRound is the current round of load probes, or the latest one.
 	probeRound loadProbeRound
 	// age is how long before its arrival the caller first tried, as far as known.
 	age time.Duration
-	// late says that it can't be answered in time any more; it waits until lateUntil.
+	// late is set when the request can no longer be answered in time; it then waits until
+	// lateUntil.
 	late      bool
 	lateUntil time.Duration
-	// loadProbes counts the endpoints asked, noRoom how often there was no room; the rest is
-	// how the request ended, for the log.
+	// loadProbes counts the endpoints probed, noRoom how often there was no room. The following
+	// fields describe the end of the request, for the request trace.
 	loadProbes, noRoom int
 	outcome            Outcome
 	reason             Reason
 	retryAfter         time.Duration
 	status             int
 	callerGone         bool
-	// queuedOnce says that the request has waited in the pool's queue.
+	// queuedOnce is set when the request has waited in the pool's queue.
 	queuedOnce bool
 }
 
+// live returns the number of running attempts.
 func (r *request) live() int {
 	n := 0
 	for i := Attempt(1); i <= r.dispatches; i++ {
@@ -140,8 +142,7 @@
 	return n
 }
 
-// Arrive feeds a caller's request. The core answers at once or later with
-// directives for it.
+// Arrive processes a caller's request. The core answers with directives for it, at once or later.
 func (c *Core) Arrive(now time.Duration, a Arrival, out *Actions) {
 	c.now = now
 	c.counters.Arrived++
@@ -163,7 +164,8 @@
 	c.place(now, r, out)
 }
 
-// admissionRefusal checks what needs no state of the request's own.
+// admissionRefusal returns why a request is refused at admission, or ReasonNone. It checks only
+// what needs no state of the request itself.
 func (c *Core) admissionRefusal(a *Arrival) Reason {
 	if c.snapshot == nil {
 		return ReasonStarting
@@ -213,10 +215,9 @@
 	return r
 }
 
-// safeToRunTwice says whether a request may be sent to a second endpoint
-// although the first may have run it. Reads and urgent checks are declared
-// harmless by the kind in the profile; a bulk upload only if its method is
-// idempotent by definition; a once-only request never.
+// safeToRunTwice reports whether a request may be sent to a second endpoint although the first may
+// have run it. The profile declares reads and urgent checks safe by their kind; a bulk upload is
+// safe only if its method is idempotent by definition; a once-only request never is.
 func safeToRunTwice(kind profile.Kind, safe bool) bool {
 	switch kind {
 	case profile.Read, profile.Urgent:
@@ -228,6 +229,7 @@
 	}
 }
 
+// allocRequest returns a request that is free for reuse, or a new one.
 func (c *Core) allocRequest() *request {
 	n := len(c.free)
 	if n == 0 {
@@ -252,7 +254,7 @@
 	c.drainPool(now, p, out)
 }
 
-// serviceOf returns the service that a request is for, or nil.
+// serviceOf returns the service of a request, or nil.
 func (c *Core) serviceOf(a *Arrival) *service {
 	if row := int(a.Admission.row); row > 0 && row <= len(c.serviceRows) {
 		return c.serviceRows[row-1]
@@ -260,6 +262,7 @@
 	return c.services[a.Service]
 }
 
+// hasLive reports whether any endpoint of the pool takes work.
 func (p *pool) hasLive() bool {
 	for i := range p.Endpoints {
 		if p.Endpoints[i].TakesWork() {
@@ -301,7 +304,7 @@
 	default:
 		c.counters.Queued++
 		r.phase = phaseQueued
-		// While it waits, endpoints that refused it may become idle.
+		// Endpoints that refused the request may become idle while it waits.
 		r.tried = 0
 	}
 }
@@ -313,7 +316,7 @@
 	return p.queue.ExpectedWait(now, item, capacity.Free, between)
 }
 
-// expireQueues answers requests whose deadline passed while they waited.
+// expireQueues handles requests whose wait in a queue is over.
 func (c *Core) expireQueues(now time.Duration, out *Actions) {
 	var expired []queue.Item
 	for _, p := range c.poolRows {
@@ -326,8 +329,8 @@
 	}
 }
 
-// waitExpired handles a request that has waited for as long as it may. One that is late
-// by now waits on behind the others.
+// waitExpired handles a request whose wait in the queue is over. If it has just become late, it
+// keeps waiting behind the requests that can be in time.
 func (c *Core) waitExpired(now time.Duration, r *request, out *Actions) {
 	switch {
 	case now >= r.deadline:
@@ -339,11 +342,10 @@
 	}
 }
 
-// CallerGone says that the caller of a request closed its connection. Work
-// that nobody waits for is cancelled. A request with an idempotency key runs
-// on: its caller will ask for the result, and cancelling it would turn a known
-// result into an unknown one. CallerGone reports whether the request runs on;
-// if not, the driver gets no further directive for it.
+// CallerGone is called when the caller of a request has closed its connection. The request is
+// cancelled, unless it has an idempotency key and is running: the caller will ask for the result,
+// and cancelling would turn a known result into an unknown one. CallerGone reports whether the
+// request runs on; if not, the driver gets no further directive for it.
 func (c *Core) CallerGone(now time.Duration, id RequestID, out *Actions) (runsOn bool) {
 	r, ok := c.requests[id]
 	if !ok || r.phase == phaseFinished {
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/core/budget"
 )
 
-// retryOrFail tries again where that is allowed, else answers the caller.
+// retryOrFail sends another attempt if that is allowed, and otherwise answers the caller.
 func (c *Core) retryOrFail(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	provablyNotRun := e.Kind == EndNotWritten || e.Kind == EndNotRun
 	r.lastReason = failureReason(e)
@@ -49,25 +49,25 @@
 	c.placeAgain(now, r, out)
 }
 
-// neverSent says that an attempt never left this entry: its endpoint left meanwhile, or all
-// connections to it were in use. Another one needs no budget, since no endpoint has seen
-// the first. Guards against an entry that is short of processor time, whose connections
-// come free late, and that would refuse requests while endpoints wait for work.
+// neverSent reports whether an attempt never left this entry: its endpoint left meanwhile, or all
+// connections to it were in use. The next attempt needs no budget, since no endpoint has seen this
+// one. This guards against an entry that is short of processor time: its connections become free
+// late, and it would refuse requests while endpoints are idle.
 func neverSent(r *request, e End) bool {
 	return e.Kind == EndNotWritten && !e.DialFailed && !e.BodyFailed && r.replayable && int(r.dispatches) < MaxAttempts
 }
 
-// refusedWhileLeaving says that an endpoint refused an attempt because it leaves. It gets no further
-// requests, so at most those that were on their way are sent again, and no budget is needed to
-// bound them. Guards against an entry that has just started, whose budget is empty, and that
-// would refuse its first requests while other endpoints are idle. Where the fleet bounds
+// refusedWhileLeaving reports whether an endpoint refused an attempt because it is leaving. The
+// endpoint gets no further requests, so at most those already under way are sent again, and no
+// budget is needed to bound them. This guards against an entry that has just started: its budget is
+// empty, and it would refuse its first requests while other endpoints are idle. If the fleet bounds
 // repeats, that bound counts all of them.
 func refusedWhileLeaving(r *request, a *attempt, e End) bool {
 	return e.Kind == EndNotRun && r.pool.repeats == nil && r.replayable &&
 		!r.pool.takesWork(a) && int(r.dispatches) < MaxAttempts
 }
 
-// placeAgain dispatches a request anew or lets it wait.
+// placeAgain dispatches a request again or puts it into the queue.
 func (c *Core) placeAgain(now time.Duration, r *request, out *Actions) {
 	if c.tryDispatch(now, r, false, out) {
 		return
@@ -75,6 +75,7 @@
 	c.enqueue(now, r, out)
 }
 
+// failureReason returns the reason that the caller gets if no attempt follows.
 func failureReason(e End) Reason {
 	switch {
 	case e.BodyFailed:
@@ -90,13 +91,12 @@
 	}
 }
 
-// mayRetry says whether one more attempt is allowed, and pays for it.
+// mayRetry reports whether one more attempt is allowed, and spends the budget for it.
 //
-// Calls of services nest up to maxDepth deep. If each level tried again, one
-// failing endpoint at the bottom would see the attempts of all levels
-// multiplied. So a failure that may have run is tried again only for the
-// outermost call, and not at all below a call that is itself a second try. The
-// same holds for hedges.
+// Calls of services nest up to maxDepth deep. If each level retried, one failing endpoint at the
+// bottom would get the product of the attempts of all levels. Therefore an attempt that may have
+// run is retried only for the outermost call, and not at all below a call that is itself a second
+// try. The same holds for hedges.
 func (c *Core) mayRetry(now time.Duration, r *request, provablyNotRun, connSilent bool) bool {
 	tries := int(r.dispatches) - r.idleRefusals - r.unsent
 	if tries >= r.policy.MaxAttempts || int(r.dispatches) >= MaxAttempts {
@@ -114,10 +114,10 @@
 	return c.spendRepeat(now, r)
 }
 
-// spendRepeat takes one more attempt from the budget that bounds repeats. Where the fleet
-// has a bound of its own, it counts alone: it follows the requests, while the service's
-// budget is earned by successes, of which a process that has just started has none, so
-// that its first requests to a failing endpoint would fail with it.
+// spendRepeat takes one more attempt from the budget that bounds repeats. If the fleet has a bound,
+// only that bound counts: it grows with the requests, while the service's budget is earned by
+// successes. An entry that has just started has no successes, so its first requests to a failing
+// endpoint would fail.
 func (c *Core) spendRepeat(now time.Duration, r *request) bool {
 	spent := false
 	switch {
@@ -133,8 +133,8 @@
 	return spent
 }
 
-// repeatRank is the rank of a request where the fleet's repeats are scarce: by its priority,
-// and behind all others what can't be in time any more.
+// repeatRank is the rank of a request when the fleet's repeats are scarce: by its priority, with
+// late requests behind all others.
 func (r *request) repeatRank(now time.Duration) int {
 	if r.policy.Objective > 0 && now > r.latestInTime() {
 		return budget.Ranks - 1
@@ -142,7 +142,7 @@
 	return budget.Ranks - 2 - r.policy.Priority
 }
 
-// maySpendRepeat reports whether spendRepeat would, without spending anything.
+// maySpendRepeat reports whether spendRepeat would succeed, without spending anything.
 func (c *Core) maySpendRepeat(now time.Duration, r *request) bool {
 	if r.pool.repeats != nil {
 		return r.policy.RetryBudget > 0 && r.pool.repeats.May(now, r.repeatRank(now))
@@ -150,8 +150,7 @@
 	return r.service.retry.Level() >= 1
 }
 
-// nested says that the request is part of another one, which may itself be
-// tried again.
+// nested reports whether the request is part of another one, which may itself be retried.
 func (r *request) nested() bool {
 	return r.arrival.Depth > 0 || r.arrival.CallerAttempt > 1
 }
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -7,34 +7,34 @@
 	"github.com/tealhall/tealhall/internal/core/placement"
 )
 
-// A request that may run twice is looked after once it has been sent: an endpoint that
-// lost it, or went silent, shows in a look at it, and an idle endpoint elsewhere can
-// answer within the latency objective still. It is paid from the same budgets as
-// retries.
+// A request that may run twice is supervised once it has been sent: a load probe shows if its
+// endpoint lost it or went silent, and an idle endpoint elsewhere can still answer within the
+// latency objective. Supervision uses the same budgets as retries.
 const (
-	// firstCheckAfter is after how many times the typical work an attempt is looked
-	// after, and checkInterval the time between two looks, in the same unit.
+	// firstCheckAfter is when an attempt is first checked, and checkInterval the time between two
+	// checks, both in multiples of the typical work.
 	firstCheckAfter = 1.3
 	checkInterval   = 0.5
-	// decisionLead is how long before the latest moment a second attempt is decided on:
-	// a look and a tick.
+	// decisionLead is how long before the latest useful moment a second attempt is decided on: the
+	// time of a load probe and a tick.
 	decisionLead = 10 * time.Millisecond
-	// maxChecks bounds the looks after one request.
+	// maxChecks bounds the checks of one request.
 	maxChecks = 5
-	// minRemaining is what an attempt that is due has left at least, and longOverdueFactor after
-	// how many times what it was expected to take it is taken to need as long again.
+	// minRemaining is the least time that a running attempt is assumed to need still, as a share of
+	// its expected duration. After longOverdueFactor times that duration it is assumed to need as
+	// long again as it has taken.
 	minRemaining      = 0.3
 	longOverdueFactor = 2.0
 )
 
-// supervisedAttempt is a request whose attempt is looked after at a time.
+// supervisedAttempt is a request whose attempt is checked at a time.
 type supervisedAttempt struct {
 	id     RequestID
 	at     time.Duration
 	checks int
 }
 
-// superviseLater notes a request that may get a second attempt.
+// superviseLater schedules supervision for a request that may get a second attempt.
 func (c *Core) superviseLater(now time.Duration, r *request) {
 	if !r.mayRunTwice || !r.replayable || r.nested() || r.policy.MaxAttempts < 2 || r.policy.RetryBudget == 0 {
 		return
@@ -42,8 +42,8 @@
 	c.supervised = append(c.supervised, supervisedAttempt{id: r.arrival.ID, at: r.nextCheck(now, firstCheckAfter)})
 }
 
-// nextCheck returns when to look after the attempt: after so many times the typical
-// work, and in any case right before a second attempt would be too late.
+// nextCheck returns when to check the attempt: after factor times the typical work, or right before
+// a second attempt would be too late if that comes first.
 func (r *request) nextCheck(now time.Duration, factor float64) time.Duration {
 	next := now + time.Duration(factor*float64(r.typicalWork()))
 	if last := r.latestInTime() - decisionLead; now < last && last < next {
@@ -52,7 +52,7 @@
 	return next
 }
 
-// superviseDue looks after the attempts that are due.
+// superviseDue checks the attempts that are due.
 func (c *Core) superviseDue(now time.Duration, out *Actions) {
 	kept := c.supervised[:0]
 	due := c.dueAttempts[:0]
@@ -79,7 +79,7 @@
 	}
 }
 
-// supervise asks the endpoint at work, and others that could take over.
+// supervise probes the endpoint that runs r and other endpoints that could take over.
 func (c *Core) supervise(now time.Duration, r *request, out *Actions) {
 	if r.probeRound.active || r.live() != 1 || !c.maySpendRepeat(now, r) || c.isSuspect(now, r) {
 		return
@@ -91,7 +91,7 @@
 	c.startLoadProbes(now, r, true, out)
 }
 
-// probeRunning asks the endpoint at work on r, together with the first others.
+// probeRunning probes the endpoint that runs r, together with the first other endpoints.
 func (c *Core) probeRunning(now time.Duration, r *request, out *Actions) {
 	a := &r.attempts[1]
 	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.live(), c.fleet.ownShare) {
@@ -99,9 +99,9 @@
 	}
 }
 
-// secondProbeEnd goes on after a look for a second attempt. It is not decided on before the
-// endpoint at work has answered, whatever others tell: most attempts that take longer
-// than usual end by themselves, and an idle endpoint is no reason to send them twice.
+// secondProbeEnd continues after a load probe for a second attempt. It decides only after the
+// endpoint that runs the request has answered, whatever other endpoints report: most attempts that
+// take longer than usual end by themselves, and an idle endpoint is no reason to send them twice.
 func (c *Core) secondProbeEnd(now time.Duration, r *request, out *Actions) {
 	switch {
 	case r.probeRound.pending > 0:
@@ -112,8 +112,8 @@
 	}
 }
 
-// secondSettled reports whether the looks so far decide on a second attempt: none is
-// needed, or an idle endpoint was found.
+// secondSettled reports whether the load probes so far decide on a second attempt: none is needed,
+// or an idle endpoint was found.
 func (c *Core) secondSettled(now time.Duration, r *request) bool {
 	best := c.bestChoice(now, r)
 	if best.Index < 0 {
@@ -122,9 +122,9 @@
 	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.After)
 }
 
-// decideSecond sends a second attempt if the first looks lost or slow and an idle
-// endpoint would answer earlier. One that is at work is left alone: where all are,
-// second attempts would take the slots of first ones.
+// decideSecond sends a second attempt if the first looks lost or slow and an idle endpoint would
+// answer earlier. Endpoints that have work get no second attempt: where all have work, second
+// attempts would take slots from first ones.
 func (c *Core) decideSecond(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
 		c.endProbeRound(r)
@@ -135,7 +135,8 @@
 	}
 }
 
-// overdue judges the running attempt by what its endpoint says now.
+// overdue reports whether a second attempt, expected to take expected, would end before the running
+// one, judged by the latest report of the endpoint that runs it.
 func (c *Core) overdue(now time.Duration, r *request, expected time.Duration) bool {
 	a := &r.attempts[1]
 	e := r.pool.endpointAt(a.index, a.incarnation)
@@ -146,15 +147,16 @@
 	loadKnown := e.Probed.Seen && e.Probed.At >= r.probeRound.began
 	switch {
 	case now >= r.latestInTime()-decisionLead && now <= r.latestInTime()+decisionLead:
-		return true // the last moment at which a second attempt can be in time
+		return true // the last moment at which a second attempt can still be in time
 	case !loadKnown:
-		// Silence counts only where it was asked: the bound on looks may have denied that.
+		// Silence counts only if the endpoint was probed: the bound on load probes may have denied
+		// the probe.
 		return slices.Contains(r.probeRound.asked, a.index)
 	case e.Probed.Load() == 0:
-		return true // it holds no request: this one was lost
+		return true // the endpoint has no request, so it lost this one
 	}
-	// What the endpoint tells of its pace now says nothing of a request that began at
-	// another: it counts what was expected then.
+	// The pace that the endpoint reports now does not apply to a request that began at another
+	// pace: the duration expected at the start counts.
 	remaining := max(a.expectedDuration-elapsed, time.Duration(minRemaining*float64(a.expectedDuration)))
 	if elapsed > time.Duration(longOverdueFactor*float64(a.expectedDuration)) {
 		remaining = elapsed
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -6,64 +6,65 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RequestTrace is what became of one request, for the log: the decisions that touched it with
-// what they went by. It is told once, when the request ends, so that a request that
-// failed can be explained without a line for each that went well.
+// RequestTrace is the log record of one request: the decisions on it and the values that they were
+// based on. It is written once, when the request ends, so that a failed request can be explained
+// without a line for each successful one.
 type RequestTrace struct {
-	// Name is the caller's name for the request, Service what it was for.
+	// Name is the caller's name for the request, Service the service that it asked for.
 	Name, Service string
 	// Content is the same for requests with the same host, method, target and body.
 	Content uint64
-	// Revision is that of the routes or profiles in force.
+	// Revision is the revision of the routes or profiles in force.
 	Revision uint64
 	Outcome  Outcome
 	Reason   Reason
-	// Status is that of the endpoint's answer that was passed on, 0 for none.
+	// Status is the status of the endpoint's answer that was passed on, 0 for none.
 	Status     int
 	RetryAfter time.Duration
-	// CallerGone says that the caller left before its answer.
+	// CallerGone is set if the caller left before its answer.
 	CallerGone bool
 	// CallerAge is how long before its arrival the caller first tried, as far as known.
 	CallerAge time.Duration
-	// Took is the time from its arrival, Objective what it should have been.
+	// Took is the time from the request's arrival to its end, Objective its latency objective.
 	Took, Objective time.Duration
-	// LoadProbes counts the endpoints asked for it, NoRoom how often it found no room.
+	// LoadProbes counts the endpoints probed for the request, NoRoom how often no endpoint had
+	// room.
 	LoadProbes, NoRoom int
-	// Late says that it could not be in time any more before it was sent.
+	// Late is set if the request could no longer be in time before it was sent.
 	Late bool
-	// Endpoints counts the endpoints of its pool that take work, Full those of them
-	// that had no room when last heard of just before the end, and Queued the requests
-	// that wait in this entry for any of them.
+	// Endpoints counts the endpoints of its pool that take work, Full those of them that had no
+	// room by the newest load known at the end, and Queued the requests that wait in this entry for
+	// the pool.
 	Endpoints, Full, Queued int
 	Attempts                []AttemptTrace
-	// Sampled says that it went well and is told as a sample.
+	// Sampled is set if the request went well and is traced as a sample.
 	Sampled bool
 }
 
 // AttemptTrace is one attempt of a request.
 type AttemptTrace struct {
 	Endpoint string `json:"endpoint"`
-	// AtMillis is when it was sent, TookMillis how long it took, from the request's
-	// arrival and in milliseconds.
+	// AtMillis is when it was sent, counted from the request's arrival, TookMillis how long it
+	// took, both in milliseconds.
 	AtMillis   int64 `json:"at_ms"`
 	TookMillis int64 `json:"took_ms"`
-	// Running, Waiting and Pace are what the endpoint told before, AgeMillis how old
-	// that was.
+	// Running, Waiting and Pace are the load that the endpoint reported before, AgeMillis the age
+	// of that report.
 	Running   int32 `json:"running"`
 	Waiting   int32 `json:"waiting"`
 	Pace      int32 `json:"pace"`
 	AgeMillis int64 `json:"look_age_ms"`
-	// Limit is the rate limit that it had named, in requests a second; 0 for none.
+	// Limit is the rate limit that the endpoint had reported, in requests per second; 0 for none.
 	Limit float64 `json:"limit,omitempty"`
-	// Second says that it went out beside an earlier one.
+	// Second is set if it was sent while an earlier attempt was running.
 	Second bool `json:"second,omitempty"`
 	Status int  `json:"status,omitempty"`
-	// End is how it ended, "running" if it had not; Cause names what went wrong.
+	// End is how it ended, "running" if it had not; Cause names the fault, if any.
 	End   string `json:"end"`
 	Cause string `json:"cause,omitempty"`
 }
 
-// attemptEndNames are the names of the ends of attempts in the log.
+// attemptEndNames are the names of attempt ends in the log.
 var attemptEndNames = [...]string{
 	0: "running", EndComplete: "complete", EndNotWritten: "not-written", EndNotRun: "not-run", EndDiscarded: "discarded",
 	EndLost: "lost", EndTruncated: "truncated", EndCancelled: "cancelled", EndCallerGone: "caller-gone",
@@ -77,11 +78,12 @@
 	return "unknown"
 }
 
-// sampleOneIn is one in how many requests that went well is told. All entries tell the
-// same requests.
+// sampleOneIn is the sampling rate of requests that went well: one in so many is traced. All
+// entries sample the same requests.
 const sampleOneIn = 64
 
-// traceRequest appends the story of a request that ends, if it is worth a line.
+// traceRequest appends the trace of a request that ends, if the request failed, was late or is
+// sampled.
 func (c *Core) traceRequest(r *request, out *Actions) {
 	took := c.now - r.arrived
 	bad := r.outcome != OutcomeDone || r.status >= 500 || r.policy.Objective > 0 && took > r.policy.Objective
