--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -77,8 +77,8 @@
 // EntriesNear returns the addresses of up to most entries that are live, ready and not leaving, for
 // a caller in a failure domain. It names the strongest entries of the caller's own domain, and
 // others only if that domain has hardly any: an entry in another domain would send the caller's
-// requests to endpoints there. If all serving entries are suspected, as when this entry hears from
-// no peer, it names the suspected ones.
+// requests to endpoints there. If all of these entries are suspected, it names the suspected ones,
+// so that an entry that is alone still names itself.
 func (c *Core) EntriesNear(domain string, most int) []string {
 	var near, far []*member.Entry
 	var suspected []string
@@ -225,8 +225,8 @@
 	c.composeUpdates(now, out)
 }
 
-// UsableEntries returns how many entries can be named to callers: those that serve and, except for
-// this entry, that this entry has heard from.
+// UsableEntries returns how many entries can be named to callers: this entry, if it serves, and the
+// serving entries that it has heard from.
 func (c *Core) UsableEntries() int {
 	n := 0
 	for i := range c.fleet.entries {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -105,7 +105,7 @@
 
 // capacity counts the pool's slots and those that look idle: neither used by this entry nor
 // reported in use by others within the last service time. An endpoint with a rate limit counts as
-// one free slot if it may get a request now.
+// one free slot if it may get a request now, and as none otherwise.
 func (p *pool) capacity(now time.Duration) queue.Capacity {
 	var c queue.Capacity
 	for i := range p.Endpoints {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -100,7 +100,7 @@
 		Subject: "idempotency keys",
 		Action:  "adopted",
 		To:      strconv.Itoa(len(part.Records)) + " of " + strconv.Itoa(part.Total) + " keys",
-		Why:     "the entry that ran them is stopping",
+		Why:     "the entry that ran them stops",
 	})
 	return true
 }
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -16,7 +16,7 @@
 	*clusterHarness
 	t    *rapid.T
 	cuts map[[2]string]bool
-	// asked are the requests of callers, by entry and number.
+	// sent are the requests of callers, by entry and number.
 	sent []sentRequest
 }
 
@@ -28,6 +28,7 @@
 
 func (m *faultModel) draw(label string, n int) int { return rapid.IntRange(0, n-1).Draw(m.t, label) }
 
+// running returns the entries that are not dead.
 func (m *faultModel) running() []*node {
 	return slices.DeleteFunc(slices.Clone(m.nodes), func(n *node) bool { return n.dead })
 }
@@ -37,7 +38,7 @@
 	return up[m.draw("entry", len(up))]
 }
 
-// react draws what an endpoint, or the way to it, does with a request.
+// react draws how an endpoint, or the connection to it, reacts to a request.
 func (m *faultModel) react(string, Arrival) reaction {
 	re := reaction{after: time.Duration(1+m.draw("time", 40)) * 25 * ms}
 	switch m.draw("endpoint", 12) {
@@ -61,8 +62,8 @@
 	return re
 }
 
-// send lets a caller send a request: a new one, one that it sent before, or
-// another one under a key that was used before.
+// send sends a caller's request: a new one, one that was sent before, or another one with a key
+// that was used before.
 func (m *faultModel) send() {
 	n := m.anyEntry()
 	if n.asleep {
@@ -94,7 +95,7 @@
 	m.sent = append(m.sent, sentRequest{n, id, n.arrivals[id]})
 }
 
-// injectFault lets something fail or be mended.
+// injectFault injects or ends a fault.
 func (m *faultModel) injectFault() {
 	n := m.anyEntry()
 	switch m.draw("fault", 8) {
@@ -116,13 +117,14 @@
 			m.do(last.n, func(now time.Duration, out *Actions) { last.n.CallerGone(now, last.id, out) })
 		}
 	case 7:
-		if len(m.underWay) > 0 { // an older message is overtaken
+		if len(m.underWay) > 0 { // a message is delayed until newer ones overtake it
 			l := &m.underWay[m.draw("message", len(m.underWay))]
 			l.at = max(l.at, m.now) + time.Duration(m.draw("late", 30))*100*ms
 		}
 	}
 }
 
+// replace starts a new process for the entry of n.
 func (m *faultModel) replace(n *node) {
 	for i, name := range []string{"entry-0", "entry-1", "entry-2"} {
 		if n.hello.Name == name {
@@ -131,8 +133,8 @@
 	}
 }
 
-// stop is a planned stop that may be cut short at any point, and whose parts of
-// the hand-over may be lost, late or doubled.
+// stop is a planned stop that may be cut short at any point, and whose hand-over parts may be lost,
+// late or doubled.
 func (m *faultModel) stop(n *node) {
 	if n.asleep {
 		return
@@ -156,7 +158,7 @@
 	m.replace(n)
 }
 
-// checkReplies compares what callers were told with what endpoints ran.
+// checkReplies compares the replies that callers got with the requests that endpoints ran.
 func (m *faultModel) checkReplies() {
 	runs := map[idem.Key]int{}
 	seen := map[string]bool{}
@@ -167,11 +169,11 @@
 		case got.twice:
 			m.t.Fatalf("%s was answered twice", text)
 		case answered && got.Outcome == OutcomeNotRun && m.ran[text] > 0:
-			m.t.Fatalf("%s: told not run (%v by %s), and it ran", text, got.Reason, q.n.hello.Name)
+			m.t.Fatalf("%s: reported as not run (%v by %s), but it ran", text, got.Reason, q.n.hello.Name)
 		case answered && got.Outcome == OutcomeDone && got.body != "" && got.body != text:
 			m.t.Fatalf("%s got the answer of %s", text, got.body)
 		case answered && got.Outcome == OutcomeDone && m.ran[text] == 0:
-			m.t.Fatalf("%s: told done, and it never ran", text)
+			m.t.Fatalf("%s: reported as done, but it never ran", text)
 		}
 		if q.a.HasKey && !seen[text] {
 			seen[text] = true
@@ -183,11 +185,10 @@
 	}
 }
 
-// Stewards send waste entries through any entry and send them again when an
-// answer is late, while entries sleep, crash, stop as planned, lose each other
-// and forget old keys, and endpoints refuse, break off or say nothing. Whatever
-// the order: no key runs twice, nobody is told "not run" or "done" of what was
-// otherwise, and nobody gets another request's answer.
+// Callers send requests through any entry and send them again when an answer is late. Meanwhile
+// entries sleep, crash, stop as planned, lose contact with each other and forget old keys, and
+// endpoints refuse, break off or do not answer. Whatever the order: no key runs twice, no request
+// is wrongly reported as "not run" or "done", and no caller gets another request's answer.
 func TestOutcomesHoldThroughFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &faultModel{clusterHarness: newClusterHarness(t, 0), t: rt, cuts: map[[2]string]bool{}}
@@ -224,13 +225,13 @@
 		for _, q := range m.sent {
 			if _, answered := q.n.replies[q.id]; !answered && !q.n.dead {
 				if _, there := q.n.requests[q.id]; there {
-					rt.Fatalf("%s still waits", requestText(q.a))
+					rt.Fatalf("%s is still waiting for a reply", requestText(q.a))
 				}
 			}
 		}
 		for _, n := range m.running() {
 			if n.InFlight() > 0 || len(n.waiters) > 0 || n.keys.Running() > 0 {
-				rt.Fatalf("%s: %d requests, %d keys awaited, %d running", n.hello.Name, n.InFlight(), len(n.waiters), n.keys.Running())
+				rt.Fatalf("%s: %d requests in flight, %d keys with waiters, %d keys running", n.hello.Name, n.InFlight(), len(n.waiters), n.keys.Running())
 			}
 		}
 	})
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// reactions names what an endpoint, or the way to it, can do with a request.
+// reactions lists what an endpoint, or the connection to it, can do with a request.
 var reactions = map[string]reaction{
 	"answers":     {after: 10 * ms},
 	"answers 500": {after: 10 * ms, head: Head{Status: 500}},
@@ -23,9 +23,8 @@
 	"bad body":    {after: 10 * ms, end: End{Kind: EndLost, BodyFailed: true}},
 }
 
-// runScript lets the attempts of one request meet these reactions in turn, and
-// every later one be answered. It returns what the caller was told and how
-// often the request was sent.
+// runScript gives the attempts of one request these reactions in order and answers every later
+// attempt. It returns the caller's reply and the number of attempts.
 func runScript(t *testing.T, a Arrival, script string) (reply, int) {
 	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
@@ -42,7 +41,7 @@
 		}
 		re, known := reactions[steps[sent-1]]
 		if !known {
-			t.Fatalf("no reaction %q", steps[sent-1])
+			t.Fatalf("unknown reaction %q", steps[sent-1])
 		}
 		return re
 	}
@@ -56,18 +55,18 @@
 	r.run(12 * sec)
 	got, answered := n.replies[id]
 	if !answered || got.twice || n.InFlight() != 0 {
-		t.Errorf("answered %v, twice %v, %d requests held", answered, got.twice, n.InFlight())
+		t.Errorf("answered %v, twice %v, %d requests still in flight", answered, got.twice, n.InFlight())
 	}
 	return got, sent
 }
 
-// unreplayable marks a request whose body can be sent once only.
+// unreplayable marks a request whose body can be sent only once.
 const unreplayable = 255
 
-// A caller must know what became of its request when endpoints fail under it:
-// each case lets the attempts of one request end in different ways. Only when
-// every attempt provably did not run is the caller told "not run", and only
-// what does no harm twice, or provably did not run, is sent again.
+// Guards against a wrong outcome or an unsafe repeat when attempts fail: each case ends the
+// attempts of one request in different ways. The outcome is "not run" only if every attempt
+// provably did not run, and only requests that may run twice, or provably did not run, are sent
+// again.
 func TestOutcomeIsWeakestOfAllAttempts(t *testing.T) {
 	once, photo, scan := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Safe: true}
 	read, urgent, hedged := Arrival{Service: "counts"}, Arrival{Service: "checks"}, Arrival{Service: "hedged"}
@@ -89,37 +88,37 @@
 		{"a read is sent again after an error", read, "answers 500", OutcomeDone, ReasonNone, 2},
 		{"the last error of a read is its answer", read, "answers 500, answers 500, answers 500", OutcomeDone, ReasonNone, 3},
 		{"an error among refusals is unknown", read, "answers 500, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
-		{"a read without an answer", read, "never", OutcomeUnknown, ReasonDeadline, 1},
+		{"a read gets no answer", read, "never", OutcomeUnknown, ReasonDeadline, 1},
 		{"a body that can't be sent again", unsafeBody, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
 		{"a broken body is not sent again", read, "bad body", OutcomeUnknown, ReasonBodyBroken, 1},
-		{"a silent connection is not the end of a read", read, "silent, silent", OutcomeDone, ReasonNone, 3},
+		{"a read is sent again after silent connections", read, "silent, silent", OutcomeDone, ReasonNone, 3},
 		{"a booking that was lost is unknown", once, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
 		{"a booking on a silent connection is unknown", once, "silent", OutcomeUnknown, ReasonEndpointLost, 1},
 		{"a booking that was refused goes elsewhere", once, "refuses, not dialled", OutcomeDone, ReasonNone, 3},
 		{"a booking that was refused and then lost", once, "refuses, lost", OutcomeUnknown, ReasonEndpointLost, 2},
 		{"a booking refused by all did not run", once, "refuses, not sent, refuses, refuses", OutcomeNotRun, ReasonEndpointsRefuse, 4},
-		{"what never left the entry costs no try", once, "not sent, not sent, refuses, not sent, refuses", OutcomeDone, ReasonNone, 6},
-		{"what can't leave the entry did not run", read, strings.Repeat("not sent, ", 7) + "not sent", OutcomeNotRun, ReasonNoEndpoint, 8},
+		{"attempts that never left the entry cost no try", once, "not sent, not sent, refuses, not sent, refuses", OutcomeDone, ReasonNone, 6},
+		{"a read that can't leave the entry did not run", read, strings.Repeat("not sent, ", 7) + "not sent", OutcomeNotRun, ReasonNoEndpoint, 8},
 		{"an error is the answer to a booking", once, "answers 500", OutcomeDone, ReasonNone, 1},
-		{"a plain 503 is no proof", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
-		{"a plain 503 after a refusal neither", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
+		{"a plain 503 does not prove that a booking did not run", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
+		{"a plain 503 after a refusal does not prove that a booking did not run", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
 		{"a batch that was lost is unknown", photo, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
 		{"an idempotent upload is sent again", scan, "lost", OutcomeDone, ReasonNone, 2},
 		{"a batch that was refused goes elsewhere", photo, "refuses", OutcomeDone, ReasonNone, 2},
 		{"an urgent check is sent again", urgent, "lost, answers 503", OutcomeDone, ReasonNone, 3},
-		{"below another call, what may have run is not sent again", nested, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
-		{"below another call, a refusal goes elsewhere", nested, "refuses", OutcomeDone, ReasonNone, 2},
-		{"below a second try, an error is the answer", again, "answers 500", OutcomeDone, ReasonNone, 1},
+		{"a nested call that may have run is not sent again", nested, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
+		{"a nested call that was refused goes elsewhere", nested, "refuses", OutcomeDone, ReasonNone, 2},
+		{"an error is the answer to a call below a second try", again, "answers 500", OutcomeDone, ReasonNone, 1},
 		{"a hedge wins", hedged, "slow, answers", OutcomeDone, ReasonNone, 2},
 		{"a hedge loses", hedged, "slow, never", OutcomeDone, ReasonNone, 2},
 		{"a hedge fails and the first try answers", hedged, "slow, answers 500", OutcomeDone, ReasonNone, 2},
 		{"a hedge is refused after the first try was lost", hedged, "slowly lost, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
-		{"no hedge below another call", nestedHedge, "slow", OutcomeDone, ReasonNone, 1},
+		{"a nested call gets no hedge", nestedHedge, "slow", OutcomeDone, ReasonNone, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			got, sent := runScript(t, tt.request, tt.script)
 			if got.Outcome != tt.outcome || got.Reason != tt.reason || sent != tt.sent {
-				t.Errorf("told %v (%v) after %d attempts, want %v (%v) after %d", got.Outcome, got.Reason, sent, tt.outcome, tt.reason, tt.sent)
+				t.Errorf("outcome %v (%v) after %d attempts, want %v (%v) after %d", got.Outcome, got.Reason, sent, tt.outcome, tt.reason, tt.sent)
 			}
 		})
 	}
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -7,8 +7,9 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// shareInTime asks for half as much again as the boxes can do, for a time, and returns the share
-// of the requests that were answered within their objective. How long work takes varies.
+// shareInTime sends 1.5 times the requests that the endpoints can run, for some seconds, and
+// returns the share of them that were answered within their objective. The work of a request
+// varies.
 func shareInTime(t *testing.T) float64 {
 	y := newEntryHarness(t, idle(3, "d0")...)
 	works := []time.Duration{70 * ms, 130 * ms, 100 * ms, 85 * ms, 115 * ms}
@@ -28,12 +29,12 @@
 	return 1 - float64(len(y.traces))/requests
 }
 
-// For some seconds callers ask for half as much again as endpoints can do. The entry serves
-// whoever has waited for longest, so each request begins at the last moment at which it is
-// commonly in time, and half of them take a little longer: two in three could be served well,
-// and most of these are late. Whoever came last has time left for that.
+// For some seconds callers send 1.5 times the requests that the endpoints can run. If the entry
+// served the longest waiting request first, each request would begin at the last moment at which it
+// is typically in time, and half of them take a little longer: two in three could be served in
+// time, but most of these would be late. The newest requests have time left for that.
 func TestOverloadedEntryAnswersMostInTime(t *testing.T) {
 	if share := shareInTime(t); share < 0.6 {
-		t.Errorf("in time: %.2f of what was asked, want 0.6 where 0.67 can be served", share)
+		t.Errorf("%.2f of the requests were answered in time, want 0.6 where 0.67 is possible", share)
 	}
 }
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simulateSlots gives every endpoint two slots and a queue of its own; work returns how
-// long a request takes.
+// simulateSlots gives every endpoint two slots and a queue of its own; work returns how long a
+// request takes.
 func (r *clusterHarness) simulateSlots(work func(a Arrival) time.Duration) {
 	free := map[string]*[2]time.Duration{}
 	r.endpoint = func(name string, a Arrival) reaction {
@@ -30,10 +30,9 @@
 	}
 }
 
-// At month-end one auditor pulls two hundred summaries at once, and nobody else
-// would get a place in the queue. What can't wait is refused in the same
-// moment, as not run and with a time to come back; the other auditors are all
-// served, also while one of the two endpoints drains.
+// At month-end one auditor requests two hundred summaries at once and would fill the queue.
+// Requests above its share are refused at once, as not run and with a Retry-After; the other
+// auditors are all served, also while one of the two endpoints drains.
 func TestOneCallerCannotTakeTheQueue(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		r := newServingCluster(t, 1, "counts/c1", "counts/c2")
@@ -53,11 +52,11 @@
 			}
 			refused[got.Reason]++
 			if got.Outcome != OutcomeNotRun || got.after < minRetryAfter || got.Reason.Status()/100 == 2 {
-				t.Fatalf("refused with %+v", got)
+				t.Fatalf("wrong refusal: %+v", got)
 			}
 		}
 		if refused[ReasonCallerShare] < 150 {
-			t.Errorf("one caller: refused %v of 200", refused)
+			t.Errorf("one caller: refusals by reason %v of 200 requests", refused)
 		}
 		var others []RequestID
 		for caller := range uint64(8) {
@@ -65,12 +64,12 @@
 		}
 		shortDeadline := r.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
 		if got := n.replies[shortDeadline]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
-			t.Errorf("a request that can't be answered in time was told %+v", got)
+			t.Errorf("a request that can't be answered in time got %+v", got)
 		}
 		r.run(sec)
 		for _, id := range others {
 			if got := n.replies[id]; got.Outcome != OutcomeDone {
-				t.Errorf("another auditor was told %+v", got)
+				t.Errorf("another auditor got %+v", got)
 			}
 		}
 		for text, times := range r.ran {
@@ -81,11 +80,9 @@
 	}
 }
 
-// At night scales push photo batches of a second each through every entry, and
-// contractors in unfinished halls see their urgent checks wait for whole
-// batches. Bulk must leave slots to urgent traffic, as measured by the time of
-// the checks, and yet every batch must arrive. Alone, and while two endpoints
-// of six are gone.
+// At night scales send photo batches of a second each through every entry, and urgent checks would
+// wait for whole batches. Bulk requests must leave slots to urgent ones, as measured by the latency
+// of the checks, and every batch must still be answered. Runs with all six endpoints and with four.
 func TestBulkLeavesSlotsToUrgentChecks(t *testing.T) {
 	for _, endpoints := range [][]string{
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4", "shared/s5", "shared/s6"},
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -8,9 +8,8 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// All endpoints are full for a second. Whatever is sent there queues up, so that a
-// request that comes when a slot is free finds a queue in front of it, and everybody is
-// late for long after. Requests wait in the entry, and the first free slot is used at
+// All endpoints are full for a second. Requests sent there would queue up and delay later requests
+// long after slots become free. They wait in the entry instead, and the first free slot is used at
 // once.
 func TestFullEndpointsGetNoQueue(t *testing.T) {
 	endpoints := idle(3, "d0")
@@ -23,7 +22,7 @@
 		y.run(10 * ms)
 	}
 	if len(y.sent) > 0 {
-		t.Fatalf("sent to full endpoints: %v", y.sent)
+		t.Fatalf("requests were sent to full endpoints: %v", y.sent)
 	}
 	endpoints[1].running, endpoints[1].waiting = 0, 0
 	y.run(100 * ms)
@@ -31,13 +30,13 @@
 		t.Fatalf("a free slot was not used: %v", y.sent)
 	}
 	if y.told[ids[0]].Reason != ReasonNone {
-		t.Errorf("the first was refused: %v", y.told[ids[0]].Reason)
+		t.Errorf("the first request was refused: %v", y.told[ids[0]].Reason)
 	}
 }
 
-// Endpoints stay full. A caller that is kept until its deadline can't go elsewhere, and
-// one that comes back at once makes it worse: it is told early, that it has not run and
-// when to come back, and callers who were refused together come back apart.
+// Endpoints stay full. A caller that waits until its deadline can't use another entry, and one that
+// returns at once adds to the load. Such requests are refused early, as not run and with a
+// Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
 	endpoints := idle(3, "d0")
 	y := newEntryHarness(t, endpoints...)
@@ -58,15 +57,15 @@
 		delays[d.RetryAfter] = true
 	}
 	if len(delays) < 3 {
-		t.Errorf("callers are told the same times: %v", delays)
+		t.Errorf("too few different Retry-After values: %v", delays)
 	}
 	if len(y.sent) != 0 {
-		t.Errorf("sent to %v", y.sent)
+		t.Errorf("requests were sent to full endpoints: %v", y.sent)
 	}
 }
 
-// A caller comes back after a refusal and can't be answered in time any more. While
-// others still can, its request takes no slot from them, though it is the oldest.
+// A caller returns after a refusal, too late to be answered in time. Its request must not take a
+// slot from a request that can still be in time, although it is older.
 func TestInTimeRequestsGoBeforeLateOnes(t *testing.T) {
 	endpoints := idle(2, "d0")
 	y := newEntryHarness(t, endpoints...)
@@ -79,27 +78,27 @@
 	endpoints[0].running, endpoints[0].waiting = 1, 0
 	y.run(80 * ms)
 	if len(y.open[inTime]) == 0 {
-		t.Error("the one in time was not sent")
+		t.Error("the request that can be in time was not sent")
 	}
 	if len(y.open[late]) > 0 {
-		t.Error("the late one went first")
+		t.Error("the late request was sent first")
 	}
 }
 
-// Endpoints turn half of what they get away while they tell that they are idle. Callers
-// were told to come back after 150 to 500 ms, as if there were a queue to wait for, and most
-// of those that were answered then were late. They are told to come back at once, and apart;
-// where endpoints are full, the load has to ebb first.
+// Endpoints refuse half of their requests while they report idle slots. Callers got a Retry-After
+// of 150 to 500 ms, as if there were a queue to wait for, and most of those that were answered then
+// were late. They now get a short, random delay; where endpoints are full, the longer delay gives
+// the load time to fall.
 func TestRetryDelayDependsOnEndpointLoad(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		running int
 		most    time.Duration
-	}{{"they have room", 0, shortRetryMost}, {"they are full", 2, retryMost}} {
+	}{{"endpoints with room", 0, shortRetryMost}, {"full endpoints", 2, retryMost}} {
 		endpoints := idle(4, "d0")
 		y := newEntryHarness(t, endpoints...)
 		y.learn(12)
-		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // used up
+		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // an exhausted budget
 		delays := map[time.Duration]bool{}
 		for range 8 {
 			id := y.sendRequest(route.NonIdempotent, 3*sec)
@@ -121,12 +120,12 @@
 			setLoad(endpoints, 0, 0)
 		}
 		if len(delays) < 4 {
-			t.Errorf("%s: told the same times %v", c.name, delays)
+			t.Errorf("%s: too few different Retry-After values: %v", c.name, delays)
 		}
 	}
 }
 
-// setLoad lets all endpoints tell the same load.
+// setLoad sets the load that all endpoints report.
 func setLoad(endpoints []*simEndpoint, running, waiting int) {
 	for _, b := range endpoints {
 		b.running, b.waiting = running, waiting
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// overdue reports whether a second attempt, expected to take expected, would end before the running
-// one, judged by the latest report of the endpoint that runs it.
+// overdue reports whether the running attempt would end later than a second attempt that takes the
+// expected time, judged by the latest report of the endpoint that runs it.
 func (c *Core) overdue(now time.Duration, r *request, expected time.Duration) bool {
 	a := &r.attempts[1]
 	e := r.pool.endpointAt(a.index, a.incarnation)
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -7,10 +7,10 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// An endpoint loses a read, or its VM turns slow under way. The caller would wait until
-// its deadline, while an idle endpoint could answer within the objective. A second
-// attempt goes out in time, never for a request that may run only once, and not to an
-// endpoint that is at work.
+// An endpoint loses a read, or its VM becomes slow while the read runs. The caller would wait until
+// its deadline although an idle endpoint could answer within the objective. A second attempt goes
+// out in time, but never for a request that may run only once, and not to an endpoint that has
+// other work.
 func TestSecondAttemptForSlowOrLostRequest(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -21,8 +21,8 @@
 		{"the VM turned slow", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 2},
 		{"the request was lost", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.running = 0 }, 2},
 		{"the endpoint went silent", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.silent = true }, 2},
-		{"a booking runs once", route.NonIdempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 1},
-		{"nobody is idle", route.Idempotent, func(first *simEndpoint, others []*simEndpoint) {
+		{"a request that may run only once", route.NonIdempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 1},
+		{"no endpoint is idle", route.Idempotent, func(first *simEndpoint, others []*simEndpoint) {
 			first.pace = 500
 			for _, b := range others {
 				b.running = 1
@@ -40,15 +40,15 @@
 			c.happen(first, others)
 			y.run(320 * ms)
 			if len(y.sent) != c.want || c.want == 2 && y.sent[1] == first.name {
-				t.Errorf("sent to %v, want %d attempts", y.sent, c.want)
+				t.Errorf("attempts sent to %v, want %d attempts", y.sent, c.want)
 			}
 		})
 	}
 }
 
-// An entry has just started, and the first endpoint that it sends a read to loses it.
-// A budget that successes earn is empty then; the read would fail although an idle
-// endpoint stands by and the fleet is far within its bound.
+// An entry has just started, and the first endpoint that it sends a read to loses it. A budget that
+// is earned by successes is empty at that time, and the read would fail although an idle endpoint
+// is available and the fleet is far below its bound of repeats.
 func TestFirstRequestsOfNewEntryAreRepeated(t *testing.T) {
 	y := newEntryHarness(t, idle(3, "d0")...)
 	id := y.sendRequest(route.Idempotent, 3*sec)
@@ -57,12 +57,12 @@
 	delete(y.open[id], 1)
 	y.run(20 * ms)
 	if len(y.open[id]) != 1 {
-		t.Errorf("not repeated: %+v", y.told[id])
+		t.Errorf("the request was not repeated: %+v", y.told[id])
 	}
 }
 
-// Many requests take longer than usual, and the bound on looks is used up: the endpoint at
-// work on one of them is not asked. That it has told nothing is no sign that it is silent.
+// Many requests take longer than usual and the bound on load probes is reached, so the endpoint
+// that runs one of them is not probed. Its lack of a report must not count as silence.
 func TestUnprobedEndpointIsNotSilent(t *testing.T) {
 	endpoints := idle(3, "d0")
 	y := newEntryHarness(t, endpoints...)
@@ -72,17 +72,17 @@
 	r := y.requests[id]
 	r.probeRound = loadProbeRound{began: y.now, second: true, active: true}
 	if y.overdue(y.now, r, 100*ms) {
-		t.Error("overdue though it was not asked")
+		t.Error("the attempt is overdue although its endpoint was not probed")
 	}
 	r.probeRound.asked = append(r.probeRound.asked, r.attempts[1].index)
 	if !y.overdue(y.now, r, 100*ms) {
-		t.Error("not overdue though it was asked and is silent")
+		t.Error("the attempt is not overdue although its endpoint was probed and is silent")
 	}
 }
 
-// The VM of an endpoint turns slow after a request has begun there. The request goes on
-// at the pace at which it began, so that a second attempt for it would only take a slot.
-// One that began at a slow pace, unseen, is overdue at twice its time.
+// The VM of an endpoint becomes slow after a request has started there. The request continues at
+// the pace at which it started, so a second attempt would only take a slot. A request that started
+// at a slow pace that no load probe showed is overdue at twice its expected duration.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
 	endpoints := idle(3, "d0")
 	y := newEntryHarness(t, endpoints...)
@@ -92,10 +92,10 @@
 	y.endpoint(y.sent[0]).pace = 500
 	y.run(130 * ms)
 	if len(y.sent) != 1 {
-		t.Errorf("a second attempt at 1.5 times the usual work: %v", y.sent)
+		t.Errorf("a second attempt was sent at 1.5 times the usual work: %v", y.sent)
 	}
 	y.run(100 * ms)
 	if len(y.sent) != 2 {
-		t.Errorf("no second attempt at 2.5 times the usual work: %v", y.sent)
+		t.Errorf("no second attempt was sent at 2.5 times the usual work: %v", y.sent)
 	}
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -8,21 +8,20 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// tracesOf runs a scenario on an entry harness and returns the lines of one request.
+// tracesOf returns the traces of the request with a name.
 func tracesOf(y *entryHarness, id RequestID, name string) []RequestTrace {
 	return slices.DeleteFunc(slices.Clone(y.traces), func(s RequestTrace) bool { return s.Name != name })
 }
 
-// sendNamed is ask with a name, by which the log finds the request.
+// sendNamed is sendRequest with a name, by which the log identifies the request.
 func (y *entryHarness) sendNamed(kind route.Kind, left time.Duration, name string) RequestID {
 	y.name = name
 	defer func() { y.name = "" }()
 	return y.sendRequest(kind, left)
 }
 
-// A user complains about one request, and all that is left is its line in the log. For
-// each of the three kinds of failure that docs/OPERATIONS.md explains, what it tells the
-// engineer to look at has to be there.
+// An engineer has only the trace of a request to explain its failure. For each of the three kinds
+// of failure that docs/OPERATIONS.md explains, the trace must contain the values that it refers to.
 func TestTracesExplainFailures(t *testing.T) {
 	t.Run("refused though endpoints were free", func(t *testing.T) {
 		endpoints := idle(3, "d0")
@@ -69,7 +68,7 @@
 	})
 }
 
-// Of the requests that went well only a sample is told, the same ones on every entry.
+// Only a sample of the successful requests is traced, the same requests on every entry.
 func TestSuccessfulRequestsAreSampled(t *testing.T) {
 	y := newEntryHarness(t, idle(2, "d0")...)
 	y.learn(8)
@@ -84,11 +83,11 @@
 		}
 	}
 	if len(traced) == 0 || len(traced) > 20 {
-		t.Errorf("%d of 400 told", len(traced))
+		t.Errorf("%d of 400 requests were traced, want 1 to 20", len(traced))
 	}
 	for name, sampled := range traced {
 		if !sampled {
-			t.Errorf("%s is told as a failure", name)
+			t.Errorf("%s is traced as a failure", name)
 		}
 	}
 }
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -16,14 +16,14 @@
 	r.nextID++
 	a.ID, a.Replayable = r.nextID, true
 	if !a.HasKey {
-		binary.LittleEndian.PutUint64(a.Digest[8:], uint64(r.nextID)) // so that each one is told apart
+		binary.LittleEndian.PutUint64(a.Digest[8:], uint64(r.nextID)) // makes each request distinct
 	}
 	n.arrivals[a.ID] = a
 	r.do(n, func(now time.Duration, out *Actions) { n.Arrive(now, a, out) })
 	return a.ID
 }
 
-// requestText names a request in the words of its caller.
+// requestText identifies a request by the values that its caller gave.
 func requestText(a Arrival) string {
 	return fmt.Sprintf("%s caller %d digest %x key %v", a.Service, a.Caller, a.Digest[:16], a.Key)
 }
@@ -51,7 +51,8 @@
 	}
 }
 
-// recordReply gives a caller its answer, or the entry that sent the request on.
+// recordReply records the reply to a caller and passes it to the entry that forwarded the request,
+// if any.
 func (r *clusterHarness) recordReply(n *node, id RequestID, a reply) {
 	a.at = r.now
 	_, a.twice = n.replies[id]
@@ -61,7 +62,7 @@
 	}
 }
 
-// write is the moment before the first byte of an attempt is sent.
+// write runs at the moment before the first byte of an attempt is sent.
 func (r *clusterHarness) write(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
 	if _, open := n.open[t]; !open {
@@ -80,7 +81,7 @@
 	r.post(re.after, n, func() { r.answer(n, t, re, requestText(a)) })
 }
 
-// answer brings back what an endpoint answered.
+// answer delivers an endpoint's answer to an entry.
 func (r *clusterHarness) answer(n *node, t tried, re reaction, text string) {
 	if _, open := n.open[t]; !open {
 		return
@@ -113,6 +114,7 @@
 	r.end(n, t, end)
 }
 
+// end reports the end of an attempt to an entry.
 func (r *clusterHarness) end(n *node, t tried, e End) {
 	if _, open := n.open[t]; !open {
 		return
@@ -123,7 +125,7 @@
 	r.do(n, func(now time.Duration, out *Actions) { n.End(now, e, out) })
 }
 
-// forward sends a request on to another entry and brings its answer back.
+// forward sends a request to another entry and returns that entry's answer.
 func (r *clusterHarness) forward(n *node, d Directive) {
 	t := tried{d.ID, d.Attempt}
 	home := r.at(d.Address)
@@ -145,7 +147,7 @@
 	})
 }
 
-// relayReply passes on another entry's answer as it is.
+// relayReply passes on another entry's answer unchanged.
 func (r *clusterHarness) relayReply(n *node, t tried, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
@@ -187,7 +189,7 @@
 	return nil
 }
 
-// hasNote says whether an entry's audit trail has a change.
+// hasNote reports whether an entry's audit trail contains a change.
 func (n *node) hasNote(text string) bool {
 	for _, note := range n.notes {
 		if strings.Contains(note.Subject+" "+note.Action+" "+note.Why, text) {
@@ -205,8 +207,7 @@
 	return key
 }
 
-// sendTraffic sends requests to the entries in turn while time passes, and returns
-// what became of them.
+// sendTraffic sends requests to the entries in turn while time passes, and returns the replies.
 func (r *clusterHarness) sendTraffic(a Arrival, every, d time.Duration) (sent []reply) {
 	type request struct {
 		n  *node
@@ -225,7 +226,7 @@
 	return sent
 }
 
-// countReplies returns how many callers were told an outcome.
+// countReplies returns how many replies have an outcome.
 func countReplies(all []reply, o Outcome) (n int) {
 	for _, a := range all {
 		if a.Outcome == o && a.at > 0 {
@@ -235,7 +236,7 @@
 	return n
 }
 
-// totalWritten adds up what was written to endpoints whose name begins with prefix.
+// totalWritten returns how many attempts were written to endpoints whose name begins with prefix.
 func (r *clusterHarness) totalWritten(prefix string) (n int) {
 	for name, written := range r.written {
 		if strings.HasPrefix(name, prefix) {
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -7,9 +7,9 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// A slot beside another request costs both most of their objective at endpoints that
-// slow down when they are full. The pool learns that from its answers, and a request
-// that would be late there waits for an idle endpoint.
+// At endpoints that slow down when they are full, two requests that share an endpoint both lose
+// most of their objective. The pool learns that from answers, and a request that would be late
+// there waits for an idle endpoint.
 func TestSlotSharingCostIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -37,16 +37,16 @@
 			id := y.sendRequest(route.Idempotent, 3*sec)
 			y.run(20 * ms)
 			if got := len(y.open[id]) > 0; got != c.wants {
-				t.Errorf("sent beside another: %v, want %v (sharing %.2f)", got, c.wants, y.pools["p"].learned.Sharing())
+				t.Errorf("sent to an endpoint with another request: %v, want %v (sharing factor %.2f)", got, c.wants, y.pools["p"].learned.Sharing())
 			}
 		})
 	}
 }
 
-// The only idle endpoint runs on a VM that is five times as slow at this moment. What is
-// sent there takes five times as long until its end, although the VM recovers within 150
-// ms: it is late, and the slot is lost for five others. A request that can be in time, and
-// one that can't any more, wait until the VM is as fast as usual.
+// The only idle endpoint is on a VM that is five times as slow at this moment. A request sent there
+// takes five times as long until its end, although the VM recovers within 150 ms: it is late, and
+// five other requests lose the slot. A request that can be in time and one that can't both wait
+// until the VM is as fast as usual.
 func TestRequestWaitsForSlowVMToRecover(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
 		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
@@ -56,20 +56,20 @@
 		id := y.sendRequest(route.Idempotent, left)
 		y.run(70 * ms)
 		if len(y.sent) != 0 {
-			t.Errorf("with %v left sent to %v", left, y.sent)
+			t.Errorf("request with %v left was sent to %v", left, y.sent)
 		}
 		idle.pace = 100
 		y.run(70 * ms)
 		if d, open := y.open[id][1]; !open || d.Endpoint != "idle" {
-			t.Errorf("with %v left not sent once the VM was well: %+v", left, y.told[id])
+			t.Errorf("request with %v left was not sent after the VM recovered: %+v", left, y.told[id])
 		}
 	}
 }
 
-// Requests of two services share endpoints; one kind takes four times as long as the
-// other. Both slots of an endpoint are taken. A short request that goes by its own time
-// believes that a slot is free in a moment; it waits there behind a long one and is late.
-// It waits in the entry instead, and takes the slot that frees up first anywhere.
+// Requests of two services share endpoints; those of one take four times as long. Both slots of an
+// endpoint are in use. If a short request went by its own duration, it would expect a free slot
+// soon, wait at the endpoint behind a long request and be late. It waits in the entry instead and
+// takes the first slot that becomes free at any endpoint.
 func TestNoWaitBehindLongRequests(t *testing.T) {
 	endpoints := idle(2, "d0")
 	y := newEntryHarness(t, endpoints...)
@@ -86,7 +86,7 @@
 	short := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(50 * ms)
 	if len(y.sent) != 0 {
-		t.Fatalf("sent to a full endpoint: %v", y.sent)
+		t.Fatalf("the request was sent to a full endpoint: %v", y.sent)
 	}
 	endpoints[1].running = 0
 	y.run(60 * ms)
