--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -106,8 +106,9 @@
 	c.cancelOthers(r, h.Attempt, out)
 }
 
-// ambiguousStatus reports whether an answer with this status leaves open if the request was run: it
-// may come from a proxy in front of the application or from an application that gave up half way.
+// ambiguousStatus reports whether an answer with this status does not show if the request was run:
+// it may come from a proxy in front of the application or from an application that gave up half
+// way.
 func ambiguousStatus(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -145,8 +145,8 @@
 	return "", false
 }
 
-// useForwarded decides whether to pass on the answer of another entry. An answer that the key is
-// not known there is dropped, and the next candidate is asked.
+// useForwarded decides whether to pass on the answer of another entry. If that entry does not know
+// the key, its answer is dropped and the next candidate is asked.
 func (c *Core) useForwarded(r *request, h Head) bool {
 	return r.phase == phaseForwarded && r.committed == 0 && !h.HomeLost
 }
