--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,11 +8,11 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// serviceWeight is the weight of a new sample in the smoothed service time.
-const serviceWeight = 0.05
+// sampleWeight is the weight of a new sample in the smoothed service time and request size.
+const sampleWeight = 0.05
 
-// Head feeds the head of an endpoint's answer. The core answers with
-// StepCommit or StepDiscard for the attempt.
+// Head processes the head of an endpoint's answer. It appends StepCommit or StepDiscard for the
+// attempt.
 func (c *Core) Head(now time.Duration, h Head, out *Actions) {
 	c.now = now
 	r, a := c.attemptOf(h.ID, h.Attempt)
@@ -31,7 +31,7 @@
 	out.request(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
 }
 
-// attemptOf returns the row of a live attempt, or nil.
+// attemptOf returns a running attempt and its request, or nil.
 func (c *Core) attemptOf(id RequestID, n Attempt) (*request, *attempt) {
 	r, ok := c.requests[id]
 	if !ok || n == 0 || n > r.dispatches || !r.attempts[n].live {
@@ -40,7 +40,7 @@
 	return r, &r.attempts[n]
 }
 
-// observeHead learns from an answer what it says of the endpoint.
+// observeHead records what the head of an answer reports about the endpoint.
 func (c *Core) observeHead(now time.Duration, r *request, a *attempt, h Head, out *Actions) {
 	p := r.pool
 	e := p.endpointAt(a.index, a.incarnation)
@@ -48,7 +48,7 @@
 		return
 	}
 	a.load = h.Load
-	a.headAfter = now - a.sentAt
+	a.headLatency = now - a.sentAt
 	if h.Misdirected {
 		e.AvoidUntil = now + misdirectedPause
 		return
@@ -62,7 +62,8 @@
 	c.evidenceFromAnswer(now, e, h.Draining, h.Incarnation, out)
 }
 
-// evidenceFromAnswer turns what an endpoint says of itself into evidence.
+// evidenceFromAnswer turns the incarnation and the draining state that an endpoint reports into
+// evidence.
 func (c *Core) evidenceFromAnswer(now time.Duration, e *table.Endpoint, draining bool, incarnation uint64, out *Actions) {
 	name, known := e.Name, e.Incarnation
 	if changes := c.fleet.members.Answered(now, name, incarnation); len(changes) > 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// useAnswer decides whether the caller gets this answer.
+// useAnswer decides whether to pass this answer on to the caller.
 func (c *Core) useAnswer(now time.Duration, r *request, a *attempt, h Head) bool {
 	if a.forward {
 		return c.useForwarded(r, h)
@@ -94,21 +95,21 @@
 	return !a.repeatSpent
 }
 
-// commit makes an attempt's answer the caller's answer.
+// commit passes an attempt's answer on to the caller and cancels the other attempts.
 func (c *Core) commit(r *request, h Head, out *Actions) {
 	r.committed = h.Attempt
 	outcome := OutcomeDone
-	if !r.mayRunTwice && doubtful(h.Status) {
+	if !r.mayRunTwice && ambiguousStatus(h.Status) {
 		outcome = OutcomeUnknown
 	}
 	out.request(Directive{ID: h.ID, Step: StepCommit, Attempt: h.Attempt, Outcome: outcome})
 	c.cancelOthers(r, h.Attempt, out)
 }
 
-// doubtful says that an answer of this status does not tell whether the
-// request was run: it may come from a machine in front of the application or
-// from an application that gave up half way.
-func doubtful(status int) bool {
+// ambiguousStatus reports whether an answer with this status does not show if the request was run:
+// it may come from a proxy in front of the application or from an application that gave up half
+// way.
+func ambiguousStatus(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -116,7 +117,7 @@
 	return false
 }
 
-// End feeds the end of an attempt.
+// End processes the end of an attempt.
 func (c *Core) End(now time.Duration, e End, out *Actions) {
 	c.now = now
 	r, a := c.attemptOf(e.ID, e.Attempt)
@@ -131,21 +132,21 @@
 	if r.phase == phaseFinished {
 		c.forgetIfEnded(r)
 	} else {
-		c.afterEnd(now, r, a, e, out)
+		c.continueAfterEnd(now, r, a, e, out)
 	}
 	if !a.forward {
 		c.drainPool(now, r.pool, out)
 	}
 }
 
-// afterEnd decides how an unfinished request goes on.
-func (c *Core) afterEnd(now time.Duration, r *request, a *attempt, e End, out *Actions) {
+// continueAfterEnd decides how an unfinished request continues after one of its attempts ended.
+func (c *Core) continueAfterEnd(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	if a.forward {
-		c.afterForward(now, r, e, out)
+		c.forwardEnded(now, r, e, out)
 		return
 	}
 	if r.committed == e.Attempt {
-		c.afterCommitted(now, r, a, e, out)
+		c.finishCommitted(now, r, a, e, out)
 		return
 	}
 	if e.Kind != EndNotWritten && e.Kind != EndNotRun {
@@ -157,10 +158,10 @@
 	c.retryOrFail(now, r, a, e, out)
 }
 
-// afterCommitted ends a request whose answer was being passed on.
-func (c *Core) afterCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
+// finishCommitted ends a request whose answer was being passed on to the caller.
+func (c *Core) finishCommitted(now time.Duration, r *request, a *attempt, e End, out *Actions) {
 	r.status, r.outcome = a.status, OutcomeUnknown
-	if e.Kind == EndComplete && !(doubtful(a.status) && !r.mayRunTwice) {
+	if e.Kind == EndComplete && !(ambiguousStatus(a.status) && !r.mayRunTwice) {
 		c.counters.Done++
 		r.outcome = OutcomeDone
 		if a.status < http.StatusInternalServerError {
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -10,7 +10,8 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// settleAttempt returns the slot and tells the health system.
+// settleAttempt frees the slot of an ended attempt and records its result for health, balancing and
+// latency estimates.
 func (c *Core) settleAttempt(now time.Duration, r *request, a *attempt, end End, out *Actions) {
 	p := r.pool
 	r.service.inUse--
@@ -19,9 +20,9 @@
 		return
 	}
 	e.Outstanding--
-	p.probeAgainAt = now // a slot may be free
+	p.probeAgainAt = now // a slot may have become free
 	if o, ok := healthOutcome(a, end); ok {
-		c.noteEnd(now, r, e, o, end)
+		c.recordOutcome(now, r, e, o, end)
 	}
 	c.noteBroken(now, r, a, e, end, out)
 	p.picker.Answered(now, &p.Pool, a.index, observationOf(now, a, e, end))
@@ -31,7 +32,7 @@
 	if end.ConnSilent {
 		out.SuspectAddresses = append(out.SuspectAddresses, e.Address)
 	}
-	if o, ok := healthOutcome(a, end); ok && !refusedBusy(a, end) {
+	if o, ok := healthOutcome(a, end); ok && !refusedWhileBusy(a, end) {
 		health.Observe(now, e, health.Observation{
 			Outcome:  o,
 			Sent:     a.sentAt,
@@ -42,18 +43,19 @@
 	}
 	if end.Kind == EndComplete && a.status < http.StatusInternalServerError {
 		r.service.typical.Observe(a.latency(now))
-		if a.alone {
+		if a.hadEasyRoom {
 			r.service.work.Observe(a.latency(now))
 		}
-		if a.fills {
+		if a.fillsEndpoint {
 			p.learned.NoteSlowdown(a.latency(now), r.service.work.Typical())
 		}
 		p.noteServiceTime(now - a.sentAt)
 	}
 }
 
-// noteEnd takes in for the choice by looks how an attempt ended.
-func (c *Core) noteEnd(now time.Duration, r *request, e *table.Endpoint, o health.Outcome, end End) {
+// recordOutcome records the end of an attempt for placement, which chooses endpoints by load
+// probes.
+func (c *Core) recordOutcome(now time.Duration, r *request, e *table.Endpoint, o health.Outcome, end End) {
 	failed := o != health.Answered && o != health.RefusedNotRun && o != health.ConnSilent
 	placement.NoteOutcome(now, e, failed)
 	if o == health.ConnectFailed && end.DialFailed {
@@ -67,14 +69,13 @@
 	}
 }
 
-// observationOf is what the choice policy learns from an attempt. An endpoint may
-// report fewer slots than the platform lists and never more: a wrong report
-// would draw the pool's traffic, and raise the watching budget, which is a share
-// of the slots.
+// observationOf returns what the balancing policy learns from an attempt. An endpoint may report
+// fewer slots than the platform lists but never more: a wrong report would attract the pool's
+// traffic and raise the budget for health probes, which is a share of the slots.
 //
-// A refusal that was asked for is no failure. Its status is 503 like that of a
-// failing endpoint, and the policy leaves those alone for up to a second: under
-// load most of the pool would be passed over while its slots come free.
+// A refusal of an idle-only request is not a failure. Its status is 503 like that of a failing
+// endpoint, and the policy avoids failing endpoints for up to a second: under load it would skip
+// most of the pool while slots become free.
 func observationOf(now time.Duration, a *attempt, e *table.Endpoint, end End) balance.Observation {
 	return balance.Observation{
 		Latency:  a.latency(now),
@@ -83,12 +84,12 @@
 		Queued:   a.load.Queued,
 		Slots:    min(a.load.Slots, int(placement.AllowedSlots(now, e))),
 		Refused:  end.Kind == EndNotRun,
-		Failed:   unusable(a, end) && !refusedBusy(a, end),
+		Failed:   attemptFailed(a, end) && !refusedWhileBusy(a, end),
 	}
 }
 
-// unusable says that an attempt brought no answer of use.
-func unusable(a *attempt, end End) bool {
+// attemptFailed reports whether an attempt ended without a usable answer.
+func attemptFailed(a *attempt, end End) bool {
 	switch end.Kind {
 	case EndLost, EndTruncated, EndNotWritten:
 		return true
@@ -96,30 +97,27 @@
 	return a.status >= http.StatusInternalServerError
 }
 
-// refusedBusy says that an endpoint refused what it was asked to refuse, and
-// was as busy as that takes.
-func refusedBusy(a *attempt, end End) bool {
-	return refusedIdle(a, end) && a.load.busy()
+// refusedWhileBusy reports whether an endpoint refused an idle-only request and indeed had no idle
+// slot.
+func refusedWhileBusy(a *attempt, end End) bool {
+	return refusedIdleOnly(a, end) && a.load.noIdleSlot()
 }
 
-// refusedIdle says that an endpoint did what it was asked: it refused a request
-// for which it had no idle slot.
-func refusedIdle(a *attempt, end End) bool {
+// refusedIdleOnly reports whether an endpoint refused a request that was sent as idle-only.
+func refusedIdleOnly(a *attempt, end End) bool {
 	return a.idleOnly && end.Kind == EndNotRun
 }
 
-// busy says that no slot is idle by an endpoint's own report, or that there is
-// none. An endpoint that turns everything away reports idle slots: its refusals
-// must count although it was asked for an idle slot only, or it would never be
-// ejected and each request would ask it first.
-func (l Load) busy() bool { return !l.Known || l.InFlight+l.Queued >= l.Slots }
+// noIdleSlot reports whether an endpoint has no idle slot by its own report, or sent no report. An
+// endpoint that refuses everything may report idle slots: its refusals of idle-only requests must
+// then count as failures, or it would never be ejected and each request would try it first.
+func (l Load) noIdleSlot() bool { return !l.Known || l.InFlight+l.Queued >= l.Slots }
 
-// latency is the time to the head of the answer, or to the failure. The time
-// that a caller takes to receive an answer must not count: a slow caller would
-// make its endpoint look slow.
+// latency is the time to the head of the answer, or to the failure. The time in which the caller
+// receives the answer is left out: a slow caller would make its endpoint look slow.
 func (a *attempt) latency(now time.Duration) time.Duration {
-	if a.headAfter > 0 {
-		return a.headAfter
+	if a.headLatency > 0 {
+		return a.headLatency
 	}
 	return now - a.sentAt
 }
@@ -129,10 +127,10 @@
 		p.serviceNanos = float64(took)
 		return
 	}
-	p.serviceNanos += serviceWeight * (float64(took) - p.serviceNanos)
+	p.serviceNanos += sampleWeight * (float64(took) - p.serviceNanos)
 }
 
-// healthOutcome says what an attempt's end tells of the endpoint, if anything.
+// healthOutcome returns what the end of an attempt says about the endpoint's health, if anything.
 func healthOutcome(a *attempt, end End) (health.Outcome, bool) {
 	switch end.Kind {
 	case EndComplete, EndDiscarded:
--- a/internal/core/reason.go
+++ b/internal/core/reason.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Reason says why tealhall itself answered a caller.
+// Reason says why tealhall answered a caller itself, instead of an endpoint.
 type Reason uint8
 
 // The reasons. Each has a name, a status and a remedy for the caller.
@@ -32,7 +32,7 @@
 	ReasonKeyUnknown
 	ReasonHomeLost
 	ReasonHomeUnreachable
-	ReasonHomeGoneNotRun
+	ReasonHomeStopped
 	ReasonStopping
 	ReasonTooDeep
 	ReasonBodyTooLarge
@@ -74,7 +74,7 @@
 	ReasonKeyUnknown:      {"key-unknown", http.StatusConflict, "check in the application whether the request was run; tealhall will not run it again"},
 	ReasonHomeLost:        {"home-lost", http.StatusConflict, "check in the application whether the request was run; the entry that may have run it is lost"},
 	ReasonHomeUnreachable: {"home-unreachable", http.StatusGatewayTimeout, "ask again with the same key after Retry-After"},
-	ReasonHomeGoneNotRun:  {"home-stopped", http.StatusServiceUnavailable, "ask again with a new key; the entry that could run this one has stopped"},
+	ReasonHomeStopped:     {"home-stopped", http.StatusServiceUnavailable, "ask again with a new key; the entry that could run this one has stopped"},
 	ReasonStopping:        {"stopping", http.StatusServiceUnavailable, "use another entry; this one is leaving"},
 	ReasonTooDeep:         {"too-deep", http.StatusLoopDetected, "break the cycle of calls; a call may be nested in at most 6 others"},
 	ReasonBodyTooLarge:    {"body-too-large", http.StatusRequestEntityTooLarge, "send a smaller body or raise max_body in the profile"},
@@ -85,8 +85,8 @@
 // String returns the reason's name as callers see it.
 func (r Reason) String() string { return reasonTexts[r].name }
 
-// Status returns the HTTP status that goes with the reason.
+// Status returns the HTTP status that belongs to the reason.
 func (r Reason) Status() int { return reasonTexts[r].status }
 
-// Remedy returns what the caller can do.
+// Remedy returns what the caller can do about it.
 func (r Reason) Remedy() string { return reasonTexts[r].remedy }
