--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -165,8 +165,8 @@
 		r.outcome = OutcomeDone
 		if a.status < http.StatusInternalServerError {
 			r.service.retry.Earn()
-			r.service.idle.Earn()
-			r.service.silent.Earn()
+			r.service.idleRetry.Earn()
+			r.service.silentRetry.Earn()
 		}
 		c.settleKey(now, r, OutcomeDone, e.Answer, out)
 	} else {
--- a/internal/core/caps_test.go
+++ b/internal/core/bounds_test.go
@@ -13,7 +13,7 @@
 // A fleet has grown to 1,000 entries before 2,000 endpoints, all of which are replaced within
 // minutes. With bounds of 256 peers and 1,024 pieces of evidence nearly half of 472 entries heard
 // nothing from an entry, and the oldest pieces went unheard. Nothing is left out at this size.
-func TestNothingIsLeftOutAtAThousandEntries(t *testing.T) {
+func TestThousandEntriesFitAllBounds(t *testing.T) {
 	const entries, endpoints = 1000, 2000
 	self := message.Hello{Name: "entry-0", Incarnation: 1, Region: "r", Domain: "d0", CallerAddress: "10.0.0.0:80", PeerAddress: "10.0.0.0:81"}
 	c := New(DefaultConfig(self), rand.New(rand.NewPCG(1, 1)))
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -66,15 +66,15 @@
 			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfID, e.Name, e.Domain, p.ColdShare.Owners)
 		}
 		if quota.IsLimited(e) {
-			turn, ends := quota.OwnerPeriod(now, e)
-			quota.SetOwner(now, e, o.settled && candidates.OwnsLimited(c.fleet.selfID, e, turn))
+			period, ends := quota.OwnerPeriod(now, e)
+			quota.SetOwner(now, e, o.settled && candidates.OwnsLimited(c.fleet.selfID, e, period))
 			o.periodEnds = min(o.periodEnds, ends)
 		}
 	}
 }
 
-// remembered is an entry as it counts for who owns cold endpoints.
-type remembered struct {
+// rememberedEntry is an entry as it counts for who owns cold endpoints.
+type rememberedEntry struct {
 	quota.Entry
 	at time.Duration
 }
@@ -84,13 +84,13 @@
 // owners; what one that has gone for good owned is nobody's for so long.
 const rememberFor = 10 * time.Minute
 
-// remember notes the entries that are known, and settles once this entry knows what others do.
+// rememberEntries notes the entries that are known, and settles once this entry knows what others do.
 //
 // Guards against an entry that has just begun to serve and takes itself for the owner of everything
 // since it knows few others, as all entries of a failure domain would that comes back with its
 // endpoints: it owns nothing until it has served for a while and then held the same records as
 // all that it hears.
-func (c *Core) remember(now time.Duration) {
+func (c *Core) rememberEntries(now time.Duration) {
 	f := &c.fleet
 	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settling {
 		f.settled = f.gossip.RecordsAgree()
@@ -102,13 +102,13 @@
 	for i := range f.entries {
 		e := &f.entries[i]
 		id := assignID(e.VM.Name)
-		next := remembered{quota.Entry{ID: id, Domain: e.VM.Domain, Capacity: c.capacityOf(e)}, now}
+		next := rememberedEntry{quota.Entry{ID: id, Domain: e.VM.Domain, Capacity: c.capacityOf(e)}, now}
 		if next.Capacity == 0 {
 			next.Capacity = f.remembered[id].Capacity
 		}
 		f.remembered[id] = next
 	}
-	maps.DeleteFunc(f.remembered, func(_ uint64, r remembered) bool { return now-r.at > rememberFor })
+	maps.DeleteFunc(f.remembered, func(_ uint64, r rememberedEntry) bool { return now-r.at > rememberFor })
 }
 
 // coldCandidates are the entries among which cold endpoints are divided.
--- a/internal/core/coldfleet_test.go
+++ b/internal/core/coldfleet_test.go
@@ -8,21 +8,21 @@
 	"github.com/tealhall/tealhall/internal/core/quota"
 )
 
-var share = quota.NewColdQuota(quota.Warmup{For: 3 * sec, PerSecond: 5.8, Over: 1.5, Slack: 8})
+var coldQuota = quota.NewColdQuota(quota.Warmup{For: 3 * sec, PerSecond: 5.8, Over: 1.5, Slack: 8})
 
-// coldWatch counts, as time passes, what the entries of a fleet take to be theirs of endpoints that
+// ownerStats counts, as time passes, what the entries of a fleet take to be theirs of endpoints that
 // are cold.
-type coldWatch struct {
+type ownerStats struct {
 	*largeFleet
 	names []string
-	// most is the largest number of owners that an endpoint had at a time, least the smallest
+	// maxOwners is the largest number of owners that an endpoint had at a time, least the smallest
 	// part of all endpoints that had any.
-	most  int
-	least float64
+	maxOwners     int
+	minOwnedShare float64
 }
 
-// watch lets time pass. Each entry sees a few calls a second, more in some failure domains.
-func (w *coldWatch) watch(d time.Duration) {
+// observe lets time pass. Each entry sees a few calls a second, more in some failure domains.
+func (w *ownerStats) observe(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.run(100 * ms)
 		owners := make([]int, len(w.names))
@@ -36,19 +36,19 @@
 			}
 			candidates := e.coldCandidates()
 			for i, name := range w.names {
-				if candidates.Owns(e.fleet.selfID, name, fmt.Sprint("d", i%5), share.Owners) {
+				if candidates.Owns(e.fleet.selfID, name, fmt.Sprint("d", i%5), coldQuota.Owners) {
 					owners[i]++
 				}
 			}
 		}
 		owned := 0
 		for _, n := range owners {
-			w.most = max(w.most, n)
+			w.maxOwners = max(w.maxOwners, n)
 			if n > 0 {
 				owned++
 			}
 		}
-		w.least = min(w.least, float64(owned)/float64(len(owners)))
+		w.minOwnedShare = min(w.minOwnedShare, float64(owned)/float64(len(owners)))
 	}
 }
 
@@ -57,12 +57,12 @@
 // that last until each side has forgotten the other, the loss and return of most entries, a failure
 // domain that stops and others that join, the entries that take an endpoint for theirs may never
 // send more together than it bears.
-func TestOwnersOfColdEndpointsStayWithinTheBound(t *testing.T) {
+func TestColdEndpointOwnersStayWithinBound(t *testing.T) {
 	t.Parallel()
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			w := &coldWatch{largeFleet: newLargeFleet(t, n), least: 1}
+			w := &ownerStats{largeFleet: newLargeFleet(t, n), minOwnedShare: 1}
 			for i := range 30 {
 				w.names = append(w.names, fmt.Sprint("cold-", i))
 			}
@@ -71,23 +71,23 @@
 			if n < 100 {
 				w.run(65 * sec) // each half forgets the other
 			}
-			w.watch(4 * sec)
+			w.observe(4 * sec)
 			w.cut = func(int, int) bool { return false }
-			w.watch(4 * sec)
+			w.observe(4 * sec)
 			w.killMany()
-			w.watch(5 * sec)
+			w.observe(5 * sec)
 			for range max(1, n/10) {
 				vm := len(w.vms)
 				w.vms = append(w.vms, nil)
 				w.start(vm)
 			}
-			w.watch(5 * sec)
-			t.Logf("at most %d owners, at least %.2f of all endpoints with some", w.most, w.least)
-			if sent := float64(w.most) * (share.Rate + 1); sent > share.Bound {
-				t.Errorf("%d owners may send %.1f in a second, %.1f are borne", w.most, sent, share.Bound)
+			w.observe(5 * sec)
+			t.Logf("at most %d owners, at least %.2f of all endpoints with some", w.maxOwners, w.minOwnedShare)
+			if sent := float64(w.maxOwners) * (coldQuota.Rate + 1); sent > coldQuota.Bound {
+				t.Errorf("%d owners may send %.1f in a second, %.1f are borne", w.maxOwners, sent, coldQuota.Bound)
 			}
-			if w.least < 0.5 {
-				t.Errorf("only %.2f of all cold endpoints have an owner", w.least)
+			if w.minOwnedShare < 0.5 {
+				t.Errorf("only %.2f of all cold endpoints have an owner", w.minOwnedShare)
 			}
 		})
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -237,13 +237,13 @@
 		c.nextHealth = now + healthPeriod
 		c.sweepHealth(now, out)
 		for _, p := range c.poolRows {
-			p.forgetOldTimes(now)
+			p.forgetOldServiceTimes(now)
 			placement.RiseFromSlowStart(now, p.Endpoints)
 		}
 	}
 	if now >= c.nextProbe {
 		c.nextProbe = now + probePeriod
-		c.probeDue(now, out)
+		c.startHealthProbes(now, out)
 	}
 	if c.fleet.divided != c.fleet.version && now-c.fleet.dividedAt >= divideEvery {
 		c.announceDeciders(now)
@@ -267,7 +267,7 @@
 	}
 	c.counters.Pauses++
 	for _, p := range c.poolRows {
-		p.forgetBeliefs(now, gap)
+		p.resetAfterPause(now, gap)
 	}
 	c.fleet.members.Pause(now, gap)
 	c.fleet.profiles.Pause(now, gap)
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -17,8 +17,8 @@
 // that are too many or idle. Its endpoint is asked at once whether it takes connections; one that
 // refuses them has crashed, and the whole fleet is told under which request (package quarantine).
 const (
-	// brokenMost bounds the attempts whose endpoint is still to be asked.
-	brokenMost = 256
+	// maxBroken bounds the attempts whose endpoint is still to be asked.
+	maxBroken = 256
 	// crashProbeGap is the time between two questions to an endpoint that says nothing, crashProbeFor how long
 	// it is asked. One that is cut off or has lost power says nothing for longer.
 	crashProbeGap = 200 * time.Millisecond
@@ -42,18 +42,18 @@
 	incarnation uint64
 	address     string
 	began, at   time.Duration
-	// askAt is when the endpoint is asked next.
-	askAt time.Duration
+	// probeAt is when the endpoint is asked next.
+	probeAt time.Duration
 }
 
-// noteBroken takes in the end of an attempt.
-func (c *Core) noteBroken(now time.Duration, r *request, a *attempt, e *table.Endpoint, end End, out *Actions) {
+// noteAttemptEnd takes in the end of an attempt.
+func (c *Core) noteAttemptEnd(now time.Duration, r *request, a *attempt, e *table.Endpoint, end End, out *Actions) {
 	request := r.identity()
 	switch {
 	case request.Content == 0:
 	case end.Kind == EndComplete && a.status < http.StatusInternalServerError:
 		c.noteCompleted(now, request, out)
-	case !end.Broke || e.State != table.EndpointLive || len(c.broken) >= brokenMost:
+	case !end.Broke || e.State != table.EndpointLive || len(c.broken) >= maxBroken:
 	default:
 		c.broken = append(c.broken, brokenAttempt{request: request, pool: r.pool, endpoint: e.Name, incarnation: e.Incarnation,
 			address: e.Address, began: a.sentAt, at: now})
@@ -67,12 +67,12 @@
 	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool { return now-b.at >= crashProbeFor })
 	for i := range c.broken {
 		b := &c.broken[i]
-		if now < b.askAt || !c.mayProbeBroken(now, b.pool) {
+		if now < b.probeAt || !c.spendCrashProbe(now, b.pool) {
 			continue
 		}
 		for j := range c.broken {
 			if o := &c.broken[j]; o.endpoint == b.endpoint && o.incarnation == b.incarnation {
-				o.askAt = now + crashProbeGap
+				o.probeAt = now + crashProbeGap
 			}
 		}
 		out.Probes = append(out.Probes, Probe{Pool: b.pool.Name, Endpoint: b.endpoint, Incarnation: b.incarnation, Address: b.address,
@@ -80,9 +80,9 @@
 	}
 }
 
-func (c *Core) mayProbeBroken(now time.Duration, p *pool) bool {
+func (c *Core) spendCrashProbe(now time.Duration, p *pool) bool {
 	if p.usesLoadProbes() {
-		return p.loadProbes.TrySpend(now, p.live(), c.fleet.ownShare)
+		return p.loadProbes.TrySpend(now, p.countLive(), c.fleet.ownShare)
 	}
 	return p.healthProbes.TrySpend(now, p.Slots())
 }
@@ -105,7 +105,7 @@
 		return true
 	})
 	for _, crash := range crashes {
-		c.takeRequestEvidence(now, []message.Evidence{crashEvidence(now, &crash)}, out)
+		c.processRequestEvidence(now, []message.Evidence{crashEvidence(now, &crash)}, out)
 		c.unspreadCrashes = append(c.unspreadCrashes, unspreadCrash{crash, crash.At + spreadAfter})
 	}
 	if len(crashes) > 0 {
@@ -123,11 +123,11 @@
 func (c *Core) spreadCrashes(now time.Duration) {
 	var evidence []message.Evidence
 	c.unspreadCrashes = slices.DeleteFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
-		standing := c.quarantine.Crashes(u.Request)
+		crashes := c.quarantine.Crashes(u.Request)
 		switch {
-		case len(standing) == 0:
+		case len(crashes) == 0:
 			return true
-		case len(standing) == 1 && now < u.due:
+		case len(crashes) == 1 && now < u.due:
 			return false
 		}
 		evidence = append(evidence, crashEvidence(now, &u.Crash))
@@ -152,7 +152,7 @@
 	if slices.ContainsFunc(crashes, c.isSpread) {
 		c.fleet.gossip.Spread(now, evidence)
 	}
-	c.takeRequestEvidence(now, evidence, out)
+	c.processRequestEvidence(now, evidence, out)
 }
 
 // isSpread reports whether the fleet was told of a crash, or told this entry.
@@ -170,10 +170,10 @@
 	return h.Sum32()
 }
 
-// takeRequestEvidence takes in what is told of requests, by this entry or others, and refuses those
+// processRequestEvidence takes in what is told of requests, by this entry or others, and refuses those
 // that wait here and may not be sent any more.
-func (c *Core) takeRequestEvidence(now time.Duration, evidence []message.Evidence, out *Actions) {
-	news := false
+func (c *Core) processRequestEvidence(now time.Duration, evidence []message.Evidence, out *Actions) {
+	changed := false
 	for i := range evidence {
 		e := &evidence[i]
 		if !e.Kind.OfRequest() {
@@ -182,26 +182,26 @@
 		before := c.quarantine.Quarantined(now, nil)
 		if c.applyRequestEvidence(now, e) {
 			c.auditVerdicts(now, before, e, out)
-			news = true
+			changed = true
 		}
 	}
-	if news && c.quarantine.Active() {
+	if changed && c.quarantine.Active() {
 		c.refuseQuarantined(now, out)
 	}
 }
 
-func (c *Core) applyRequestEvidence(now time.Duration, e *message.Evidence) (news bool) {
+func (c *Core) applyRequestEvidence(now time.Duration, e *message.Evidence) (changed bool) {
 	at := now - time.Duration(e.AgeMillis)*time.Millisecond
 	request := quarantine.Request{Content: e.Content, Caller: e.Caller}
 	if e.Kind == message.EvidenceCompleted {
 		return c.quarantine.Completed(now, at, request)
 	}
 	began := at - time.Duration(e.RanMillis)*time.Millisecond
-	news = c.quarantine.Crashed(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
-	if news {
+	changed = c.quarantine.Crashed(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
+	if changed {
 		c.counters.Crashes++
 	}
-	return news
+	return changed
 }
 
 // auditVerdicts notes for the audit trail which requests went into quarantine or left it.
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -10,201 +10,201 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// askContent feeds a read of a content and returns its number.
-func (y *entryHarness) askContent(content uint64) RequestID {
-	return y.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
+// sendContent feeds a read of a content and returns its number.
+func (h *entryHarness) sendContent(content uint64) RequestID {
+	return h.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
 }
 
-// breakOff ends the attempt of a request by the end of its connection; its endpoint has crashed, or not.
-func (y *entryHarness) breakOff(id RequestID, n Attempt, crashed bool) {
-	d, ok := y.open[id][n]
+// breakConnection ends the attempt of a request by the end of its connection; its endpoint has crashed, or not.
+func (h *entryHarness) breakConnection(id RequestID, n Attempt, crashed bool) {
+	d, ok := h.open[id][n]
 	if !ok {
-		y.Fatalf("request %d has no attempt %d", id, n)
+		h.Fatalf("request %d has no attempt %d", id, n)
 	}
-	delete(y.open[id], n)
-	b := y.endpoint(d.Endpoint)
-	b.running, b.dead = max(0, b.running-1), crashed
-	y.do(func(out *Actions) {
-		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, Broke: true, Replayable: true, Cause: "connection ended"}, out)
+	delete(h.open[id], n)
+	ep := h.endpoint(d.Endpoint)
+	ep.running, ep.dead = max(0, ep.running-1), crashed
+	h.do(func(out *Actions) {
+		h.End(h.now, End{ID: id, Attempt: n, Kind: EndLost, Broke: true, Replayable: true, Cause: "connection ended"}, out)
 	})
 }
 
-// crashes has three endpoints crash under a content.
-func (y *entryHarness) crashes(content uint64) {
-	y.Helper()
+// crashThree has three endpoints crash under a content.
+func (h *entryHarness) crashThree(content uint64) {
+	h.Helper()
 	for range 3 {
-		id := y.askContent(content)
-		y.run(50 * ms)
-		y.breakOff(id, 1, true)
-		y.run(20 * ms)
-		for n := range y.open[id] { // the repeat after the first crash
-			y.answerNothing(id, n)
+		id := h.sendContent(content)
+		h.run(50 * ms)
+		h.breakConnection(id, 1, true)
+		h.run(20 * ms)
+		for n := range h.open[id] { // the repeat after the first crash
+			h.timeOut(id, n)
 		}
-		y.run(20 * ms)
+		h.run(20 * ms)
 	}
 }
 
-// answerNothing ends an attempt of which nothing is known.
-func (y *entryHarness) answerNothing(id RequestID, n Attempt) {
-	y.endpoint(y.open[id][n].Endpoint).running--
-	delete(y.open[id], n)
-	y.do(func(out *Actions) {
-		y.End(y.now, End{ID: id, Attempt: n, Kind: EndLost, TimedOut: true, Replayable: true}, out)
+// timeOut ends an attempt of which nothing is known.
+func (h *entryHarness) timeOut(id RequestID, n Attempt) {
+	h.endpoint(h.open[id][n].Endpoint).running--
+	delete(h.open[id], n)
+	h.do(func(out *Actions) {
+		h.End(h.now, End{ID: id, Attempt: n, Kind: EndLost, TimedOut: true, Replayable: true}, out)
 	})
 }
 
 // Guards against a request that goes on to the next endpoint after it has crashed three: at its next
 // arrival, from the queue, and right before it is written.
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
-	y.crashes(7)
-	before := len(y.sent)
-	id := y.askContent(7)
-	y.run(100 * ms)
-	if got := y.told[id]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined || got.RetryAfter < minRetryAfter {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
+	h.crashThree(7)
+	before := len(h.sent)
+	id := h.sendContent(7)
+	h.run(100 * ms)
+	if got := h.replies[id]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined || got.RetryAfter < minRetryAfter {
 		t.Errorf("told %v (%v), come back after %v", got.Outcome, got.Reason, got.RetryAfter)
 	}
-	other := y.askContent(8)
-	y.run(20 * ms)
-	if sent := len(y.sent) - before; sent != 1 || y.open[other] == nil {
+	other := h.sendContent(8)
+	h.run(20 * ms)
+	if sent := len(h.sent) - before; sent != 1 || h.open[other] == nil {
 		t.Errorf("%d requests were sent, want the other one", sent)
 	}
 }
 
 // Guards against a request that waits in a queue, or for its connection, while others of the same content
 // crash endpoints, and goes on then.
-func TestRequestsThatWaitAreQuarantined(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
-	dialled := y.askContent(7)
-	y.run(20 * ms)
-	y.crashes(7)
-	if y.MaySend(y.now, dialled, 1) {
+func TestWaitingRequestsAreQuarantined(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
+	dialled := h.sendContent(7)
+	h.run(20 * ms)
+	h.crashThree(7)
+	if h.MaySend(h.now, dialled, 1) {
 		t.Error("what has no byte written yet may be sent")
 	}
-	y.do(func(out *Actions) {
-		y.End(y.now, End{ID: dialled, Attempt: 1, Kind: EndNotWritten, Replayable: true}, out)
+	h.do(func(out *Actions) {
+		h.End(h.now, End{ID: dialled, Attempt: 1, Kind: EndNotWritten, Replayable: true}, out)
 	})
-	if got := y.told[dialled]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
+	if got := h.replies[dialled]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
 		t.Errorf("one that was not written: told %v (%v)", got.Outcome, got.Reason)
 	}
 
-	y = newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
+	h = newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
 	var first [3]RequestID
 	for i := range first {
-		first[i] = y.askContent(7)
-		y.run(20 * ms)
-		y.breakOff(first[i], 1, true)
+		first[i] = h.sendContent(7)
+		h.run(20 * ms)
+		h.breakConnection(first[i], 1, true)
 		if i < 2 {
-			y.run(20 * ms)
-			for n := range y.open[first[i]] {
-				y.answerNothing(first[i], n)
+			h.run(20 * ms)
+			for n := range h.open[first[i]] {
+				h.timeOut(first[i], n)
 			}
 			continue
 		}
-		for _, b := range y.endpoints { // the crash of the third is not known yet
-			b.running, b.waiting = 2, 4
+		for _, ep := range h.endpoints { // the crash of the third is not known yet
+			ep.running, ep.waiting = 2, 4
 		}
 	}
-	waits := y.askContent(7)
-	y.do(func(out *Actions) { y.Tick(y.now, time.Unix(0, 0), out) })
-	y.run(100 * ms)
-	if got := y.told[waits]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
+	waiting := h.sendContent(7)
+	h.do(func(out *Actions) { h.Tick(h.now, time.Unix(0, 0), out) })
+	h.run(100 * ms)
+	if got := h.replies[waiting]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
 		t.Errorf("one that waited: told %v (%v)", got.Outcome, got.Reason)
 	}
 }
 
 // Guards against endpoints that are crashed by repeats of this entry's own: after one crash under the
 // same request, a request that loses its endpoint isn't sent to another.
-func TestSuspectIsNotRepeated(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
-	first := y.askContent(7)
-	y.run(50 * ms)
-	y.breakOff(first, 1, true)
-	y.run(20 * ms)
-	if len(y.open[first]) != 1 {
+func TestSuspectedRequestIsNotRepeated(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
+	first := h.sendContent(7)
+	h.run(50 * ms)
+	h.breakConnection(first, 1, true)
+	h.run(20 * ms)
+	if len(h.open[first]) != 1 {
 		t.Error("a request whose endpoint crashed for the first time isn't repeated")
 	}
-	y.breakOff(first, 2, true)
-	second := y.askContent(7)
-	y.run(50 * ms)
-	y.breakOff(second, 1, true)
-	y.run(50 * ms)
-	if got := y.told[second]; len(y.open[second]) != 0 || got.Reason != ReasonEndpointLost || got.Outcome != OutcomeUnknown {
-		t.Errorf("%d attempts, told %v (%v)", len(y.open[second]), got.Outcome, got.Reason)
+	h.breakConnection(first, 2, true)
+	second := h.sendContent(7)
+	h.run(50 * ms)
+	h.breakConnection(second, 1, true)
+	h.run(50 * ms)
+	if got := h.replies[second]; len(h.open[second]) != 0 || got.Reason != ReasonEndpointLost || got.Outcome != OutcomeUnknown {
+		t.Errorf("%d attempts, told %v (%v)", len(h.open[second]), got.Outcome, got.Reason)
 	}
 }
 
 // Guards against quarantine for what is no crash: endpoints that reset connections, endpoints that say
 // nothing, and endpoints that had announced that they leave.
-func TestOnlyCrashesCount(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
+func TestOnlyCrashesLeadToQuarantine(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
 	for i := range 20 {
-		id := y.askContent(7)
-		y.run(20 * ms)
-		d := y.open[id][1]
-		b := y.endpoint(d.Endpoint)
-		b.silent = i%2 == 0
-		y.breakOff(id, 1, false)
-		y.run(50 * ms)
-		for n := range y.open[id] {
-			y.answerNothing(id, n)
+		id := h.sendContent(7)
+		h.run(20 * ms)
+		d := h.open[id][1]
+		ep := h.endpoint(d.Endpoint)
+		ep.silent = i%2 == 0
+		h.breakConnection(id, 1, false)
+		h.run(50 * ms)
+		for n := range h.open[id] {
+			h.timeOut(id, n)
 		}
-		y.run(3 * sec)
-		b.silent = false
+		h.run(3 * sec)
+		ep.silent = false
 	}
-	if y.quarantine.Suspects() != 0 || len(y.broken) != 0 {
-		t.Errorf("%d suspects, %d attempts whose endpoint is still asked", y.quarantine.Suspects(), len(y.broken))
+	if h.quarantine.Suspects() != 0 || len(h.broken) != 0 {
+		t.Errorf("%d suspects, %d attempts whose endpoint is still asked", h.quarantine.Suspects(), len(h.broken))
 	}
 }
 
 // Guards against a crash that is missed since its endpoint had answered a question from before; and one
 // whose endpoint is back at once, as another process at the same address.
-func TestEarlierAnswersSayNothingOfALaterCrash(t *testing.T) {
-	y := newEntryHarness(t, idle(1, "d0")...)
-	y.learn(8)
-	first, second := y.askContent(8), y.askContent(7)
-	y.run(20 * ms)
-	y.breakOff(first, 1, false)
-	earlier := y.probes[len(y.probes)-1]
-	y.now += ms
-	y.breakOff(second, 1, false)
-	y.do(func(out *Actions) { y.ProbeEnd(y.now, ProbeEnd{Probe: earlier, OK: true}, out) })
-	later := y.probes[len(y.probes)-1]
-	y.do(func(out *Actions) {
-		y.ProbeEnd(y.now, ProbeEnd{Probe: later, OK: true, Seen: later.Incarnation + 1}, out)
+func TestEarlierProbeDoesNotHideLaterCrash(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
+	h.learnServiceTime(8)
+	first, second := h.sendContent(8), h.sendContent(7)
+	h.run(20 * ms)
+	h.breakConnection(first, 1, false)
+	earlier := h.probes[len(h.probes)-1]
+	h.now += ms
+	h.breakConnection(second, 1, false)
+	h.do(func(out *Actions) { h.ProbeEnd(h.now, ProbeEnd{Probe: earlier, OK: true}, out) })
+	later := h.probes[len(h.probes)-1]
+	h.do(func(out *Actions) {
+		h.ProbeEnd(h.now, ProbeEnd{Probe: later, OK: true, Seen: later.Incarnation + 1}, out)
 	})
-	if got := y.quarantine.Crashes(quarantine.Request{Content: 7, Caller: 1}); len(got) != 1 {
+	if got := h.quarantine.Crashes(quarantine.Request{Content: 7, Caller: 1}); len(got) != 1 {
 		t.Errorf("crashes under the second request: %+v", got)
 	}
-	if got := y.quarantine.Crashes(quarantine.Request{Content: 8, Caller: 1}); len(got) != 0 {
+	if got := h.quarantine.Crashes(quarantine.Request{Content: 8, Caller: 1}); len(got) != 0 {
 		t.Errorf("crashes under the first request: %+v", got)
 	}
 }
 
 // Guards against a request that stays suspect, or in quarantine, although it runs.
-func TestRunThatCompletesEndsSuspicion(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
-	long := y.askContent(7)
-	y.run(20 * ms)
-	y.crashes(7)
-	y.answer(long, 1, 200)
-	y.run(20 * ms)
-	id := y.askContent(7)
-	y.run(20 * ms)
-	if len(y.open[id]) != 1 {
-		t.Errorf("told %+v", y.told[id])
-	}
-	y.answer(id, 1, 200)
-	if y.quarantine.Suspects() != 0 {
+func TestCompletedRunEndsSuspicion(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
+	long := h.sendContent(7)
+	h.run(20 * ms)
+	h.crashThree(7)
+	h.answer(long, 1, 200)
+	h.run(20 * ms)
+	id := h.sendContent(7)
+	h.run(20 * ms)
+	if len(h.open[id]) != 1 {
+		t.Errorf("told %+v", h.replies[id])
+	}
+	h.answer(id, 1, 200)
+	if h.quarantine.Suspects() != 0 {
 		t.Error("it is suspected still")
 	}
-	if got := y.sendRequest(route.Idempotent, 3*sec); got == 0 {
+	if got := h.sendRequest(route.Idempotent, 3*sec); got == 0 {
 		t.Error("nothing is taken in")
 	}
 }
@@ -234,7 +234,7 @@
 
 // Guards against a request that is new at each entry, and to one that has just started: it comes at
 // every entry in turn, and once more at one that was replaced after the quarantine began.
-func TestFleetKnowsWhatIsQuarantined(t *testing.T) {
+func TestQuarantineSpreadsToFleet(t *testing.T) {
 	r, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
 		n := r.nodes[i%len(r.nodes)]
@@ -281,10 +281,10 @@
 
 // Guards against a fleet of hundreds in which some entries still send a request three seconds after it has
 // crashed its third endpoint: each crash is seen by another entry.
-func TestLargeFleetKnowsWhatIsQuarantined(t *testing.T) {
+func TestQuarantineSpreadsToLargeFleet(t *testing.T) {
 	t.Parallel()
 	const stable = 3 * sec
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			f := newLargeFleet(t, n)
@@ -294,7 +294,7 @@
 				f.do(e, func(now time.Duration, out *Actions) {
 					evidence := []message.Evidence{{VM: fmt.Sprint("e", i), Incarnation: 1, Kind: message.EvidenceCrashed, Content: 7, Caller: 1, RanMillis: 60}}
 					e.fleet.gossip.Spread(now, evidence)
-					e.takeRequestEvidence(now, evidence, out)
+					e.processRequestEvidence(now, evidence, out)
 				})
 				if i < 2 {
 					f.run(250 * ms)
@@ -311,7 +311,7 @@
 
 // Guards against quarantine of a request that often comes and has nothing to do with it: one endpoint after
 // the other crashes, each while it runs this read, and comes back.
-func TestCrashesByAnotherCauseRefuseNobody(t *testing.T) {
+func TestUnrelatedCrashesDoNotQuarantine(t *testing.T) {
 	const every, down, work = 700 * ms, 2 * sec, 40 * ms
 	var endpoints []string
 	crashAt := map[string]time.Duration{}
@@ -337,7 +337,7 @@
 		r.sendRequest(r.nodes[i%4], Arrival{Service: "counts", Caller: 1, Content: 7})
 		r.run(10 * ms)
 		for _, n := range r.nodes {
-			if held := n.quarantine.Quarantined(r.now-n.started, nil); len(held) != 0 {
+			if quarantined := n.quarantine.Quarantined(r.now-n.started, nil); len(quarantined) != 0 {
 				t.Fatalf("%s has it in quarantine %v after the first crash", n.hello.Name, r.now-began-every)
 			}
 		}
@@ -353,52 +353,52 @@
 
 // Guards against news of a failure domain that crashes, which would keep back that of endpoints that leave:
 // of the requests that were there hardly one is worth a word, since it runs elsewhere a moment later.
-func TestRequestsThatRunElsewhereAreNoNews(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
+func TestCrashesOfCompletedRequestsAreNotSpread(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
 	var ids []RequestID
 	for i := range 6 {
-		ids = append(ids, y.askContent(uint64(100+i)))
-		y.run(10 * ms)
+		ids = append(ids, h.sendContent(uint64(100+i)))
+		h.run(10 * ms)
 	}
-	y.works = 100 * ms
-	y.now += 333 * time.Microsecond // crashes don't come on whole milliseconds
+	h.serviceTime = 100 * ms
+	h.now += 333 * time.Microsecond // crashes don't come on whole milliseconds
 	for _, id := range ids {
-		y.breakOff(id, 1, true)
+		h.breakConnection(id, 1, true)
 	}
-	y.now += 667 * time.Microsecond
-	y.run(sec)
-	if got := y.OwnEvidenceDigest(); got != 0 {
+	h.now += 667 * time.Microsecond
+	h.run(sec)
+	if got := h.OwnEvidenceDigest(); got != 0 {
 		t.Error("the fleet is told of requests that have run since")
 	}
-	if got := y.quarantine.Suspects(); got != 0 {
+	if got := h.quarantine.Suspects(); got != 0 {
 		t.Errorf("%d are suspected", got)
 	}
 }
 
 // Guards against a fleet that isn't told: a request that nobody repeats is told of after a moment, one
 // whose repeat crashes the next endpoint at once.
-func TestCrashesAreTold(t *testing.T) {
-	y := newEntryHarness(t, idle(12, "d0")...)
-	y.learn(8)
-	id := y.askContent(7)
-	y.run(20 * ms)
-	y.breakOff(id, 1, true)
-	y.run(20 * ms)
-	if y.OwnEvidenceDigest() != 0 {
+func TestUnresolvedCrashesAreSpread(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
+	h.learnServiceTime(8)
+	id := h.sendContent(7)
+	h.run(20 * ms)
+	h.breakConnection(id, 1, true)
+	h.run(20 * ms)
+	if h.OwnEvidenceDigest() != 0 {
 		t.Error("the first crash is told before its repeat had time")
 	}
-	y.breakOff(id, 2, true)
-	y.run(20 * ms)
-	both := y.OwnEvidenceDigest()
+	h.breakConnection(id, 2, true)
+	h.run(20 * ms)
+	both := h.OwnEvidenceDigest()
 	if both == 0 {
 		t.Error("a second crash isn't told at once")
 	}
-	once := y.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
-	y.run(20 * ms)
-	y.breakOff(once, 1, true)
-	y.run(spreadAfter + 100*ms)
-	if y.OwnEvidenceDigest() == both {
+	once := h.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
+	h.run(20 * ms)
+	h.breakConnection(once, 1, true)
+	h.run(spreadAfter + 100*ms)
+	if h.OwnEvidenceDigest() == both {
 		t.Error("a crash under a request that nobody repeats isn't told")
 	}
 }
--- a/internal/core/delayedrounds.go
+++ b/internal/core/delayedrounds.go
@@ -18,11 +18,11 @@
 func (c *Core) startDelayedRounds(now time.Duration, out *Actions) {
 	kept := c.delayedRounds[:0]
 	due := c.delayedDue[:0]
-	for _, l := range c.delayedRounds {
-		if now < l.at {
-			kept = append(kept, l)
+	for _, round := range c.delayedRounds {
+		if now < round.at {
+			kept = append(kept, round)
 		} else {
-			due = append(due, l.id)
+			due = append(due, round.id)
 		}
 	}
 	c.delayedRounds, c.delayedDue = kept, due
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -53,7 +53,7 @@
 // mayTryIdleOnly says whether an endpoint may be asked to refuse r rather than
 // queue it. A refusal costs a round trip and an arrival at the endpoint.
 func (c *Core) mayTryIdleOnly(r *request) bool {
-	return r.replayable && r.idleRefusals < maxIdleRefusals && r.service.idle.Level() >= 1
+	return r.replayable && r.idleRefusals < maxIdleRefusals && r.service.idleRetry.Level() >= 1
 }
 
 // mayBeTrial says whether a request may be spent on an endpoint that was bad:
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -14,9 +14,9 @@
 	sixNames  = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 )
 
-// bad lets some endpoints react in a way of their own and all others answer
+// setReactions lets some endpoints react in a way of their own and all others answer
 // within 10 to 20 ms.
-func (r *clusterHarness) bad(re reaction, names ...string) {
+func (r *clusterHarness) setReactions(re reaction, names ...string) {
 	calls := time.Duration(0)
 	r.endpoint = func(name string, _ Arrival) reaction {
 		calls++
@@ -33,7 +33,7 @@
 // When it works again at midnight nobody is there to take it back: the trials
 // of real reads do, within an ejection and its growth (5 s, then at most 10 s),
 // and it is used as soon as the others don't suffice.
-func TestBadEndpointIsAvoidedAndComesBack(t *testing.T) {
+func TestFailingEndpointIsAvoidedAndReadmitted(t *testing.T) {
 	for name, re := range map[string]reaction{
 		"straggler":       {after: 400 * ms},
 		"fails fast":      {after: ms, head: Head{Status: 500, Load: Load{Known: true, Slots: 2}}},
@@ -48,10 +48,10 @@
 				continue
 			}
 			r := settled(t, 2, sixCounts...)
-			r.bad(reaction{})
+			r.setReactions(reaction{})
 			r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 			r.tick = 2 * ms
-			r.bad(re, "c2")
+			r.setReactions(re, "c2")
 			if drains {
 				r.list(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 			}
@@ -67,7 +67,7 @@
 			if done := count(all, OutcomeDone); done < len(all)*99/100 {
 				t.Errorf("%s, another drains %v: only %d of %d reads were answered", name, drains, done, len(all))
 			}
-			r.bad(reaction{})
+			r.setReactions(reaction{})
 			r.tick = 20 * ms
 			r.traffic(Arrival{Service: "counts"}, 20*ms, 70*sec)
 			clear(r.written)
@@ -84,11 +84,11 @@
 // filled it for some seconds; it refused what it was asked to take only into an
 // idle slot, with status 503, and was left alone for up to a second as one that
 // fails. Now its slots come free, and it gets requests within 50 ms.
-func TestBusyEndpointIsUsedOnceItsSlotsComeFree(t *testing.T) {
+func TestBusyEndpointIsUsedWhenSlotsAreFree(t *testing.T) {
 	r := settled(t, 1, sixCounts...)
 	n := r.nodes[0]
 	r.tick = 2 * ms
-	r.bad(reaction{})
+	r.setReactions(reaction{})
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 	free, first := r.now+3*sec, time.Duration(0)
 	r.endpoint = func(name string, a Arrival) reaction {
@@ -122,7 +122,7 @@
 // stay below 1.1 times the requests. One second after the endpoints work again
 // all requests are answered, with nobody watching: nothing was ejected that
 // others could not replace, and the first successes are not refused.
-func TestRetryStormStaysOut(t *testing.T) {
+func TestRetryBudgetPreventsRetryStorm(t *testing.T) {
 	for _, name := range []string{"answers 500", "answers 503", "refuses", "lost", "not dialled", "slowly lost"} {
 		// The default policy holds back by itself from endpoints that fail, so the
 		// budget is tested with one that doesn't; there also in a partition.
@@ -137,17 +137,17 @@
 			r.run(3 * sec)
 			r.tick = 2 * ms
 			r.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
-			r.bad(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
+			r.setReactions(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
 			r.traffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
 			clear(r.written)
 			re := reactions[name]
 			re.after = min(re.after, 5*ms)
-			r.bad(re, sixNames...)
+			r.setReactions(re, sixNames...)
 			all := r.traffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
 			if ratio := float64(r.total("c")) / float64(len(all)); ratio >= 1.1 {
 				t.Errorf("%s, %s: %.2f arrivals at the endpoints per request", policy, name, ratio)
 			}
-			r.bad(reaction{after: 18 * ms}, sixNames...)
+			r.setReactions(reaction{after: 18 * ms}, sixNames...)
 			r.run(sec)
 			all = r.traffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
 			if done := count(all, OutcomeDone); done < len(all) {
@@ -163,10 +163,10 @@
 // "unknown" and runs no second time, a read goes elsewhere, the driver is asked
 // to check the endpoint's other connections, and the endpoint stays in use,
 // also while another endpoint really is a straggler.
-func TestSilentConnectionIsNotTheEndpointsFault(t *testing.T) {
+func TestSilentConnectionDoesNotEjectEndpoint(t *testing.T) {
 	r := settled(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
 	n := r.nodes[0]
-	r.bad(reaction{})
+	r.setReactions(reaction{})
 	r.traffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
 	first := slices.MaxFunc(sixNames, func(a, b string) int { return r.written[a] - r.written[b] })
 	slow := "c1"
@@ -202,8 +202,8 @@
 	}
 }
 
-// state returns what an entry holds of an endpoint's life.
-func (n *node) state(name string) table.EndpointState {
+// endpointState returns what an entry holds of an endpoint's life.
+func (n *node) endpointState(name string) table.EndpointState {
 	for _, p := range n.poolRows {
 		for i := range p.Endpoints {
 			if p.Endpoints[i].Name == name {
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -59,14 +59,14 @@
 	busyUntil [2]time.Duration
 }
 
-// work takes the slot that is free first for a time, and returns when it is done.
-func (b *simEndpoint) work(now, takes time.Duration) time.Duration {
+// occupySlot takes the slot that is free first for a time, and returns when it is done.
+func (ep *simEndpoint) occupySlot(now, duration time.Duration) time.Duration {
 	slot := 0
-	if b.busyUntil[1] < b.busyUntil[0] {
+	if ep.busyUntil[1] < ep.busyUntil[0] {
 		slot = 1
 	}
-	b.busyUntil[slot] = max(b.busyUntil[slot], now) + takes
-	return b.busyUntil[slot] - now
+	ep.busyUntil[slot] = max(ep.busyUntil[slot], now) + duration
+	return ep.busyUntil[slot] - now
 }
 
 // entryHarness is one core in failure domain d0 before endpoints with two slots each, whose
@@ -76,18 +76,18 @@
 	*Core
 	now       time.Duration
 	endpoints []*simEndpoint
-	underWay  []entryDelivery
+	scheduled []scheduledEvent
 	// sent lists the endpoints of attempts in order, told what callers got.
-	sent   []string
-	sentAt []time.Duration
-	probed []string
-	told   map[RequestID]Directive
-	open   map[RequestID]map[Attempt]Directive
-	nextID RequestID
-	// works is how long endpoints work on an attempt; 0 where a test answers by itself.
-	works time.Duration
-	// queues says that an attempt waits at its endpoint until a slot is free.
-	queues bool
+	sent    []string
+	sentAt  []time.Duration
+	probed  []string
+	replies map[RequestID]Directive
+	open    map[RequestID]map[Attempt]Directive
+	nextID  RequestID
+	// serviceTime is how long endpoints work on an attempt; 0 where a test answers by itself.
+	serviceTime time.Duration
+	// endpointsQueue says that an attempt waits at its endpoint until a slot is free.
+	endpointsQueue bool
 	// updates are those to peers.
 	updates []Outgoing
 	// probes are all that were asked for.
@@ -98,9 +98,9 @@
 	notes  []Note
 }
 
-type entryDelivery struct {
+type scheduledEvent struct {
 	at   time.Duration
-	read func()
+	fire func()
 }
 
 // harnessRoutes are a route of each kind, all to pool "p".
@@ -116,192 +116,192 @@
 	return d
 }
 
-func newEntryHarness(t testing.TB, boxes ...*simEndpoint) *entryHarness {
-	y := &entryHarness{TB: t, now: sec, endpoints: boxes, told: map[RequestID]Directive{}, open: map[RequestID]map[Attempt]Directive{}}
+func newEntryHarness(t testing.TB, endpoints ...*simEndpoint) *entryHarness {
+	h := &entryHarness{TB: t, now: sec, endpoints: endpoints, replies: map[RequestID]Directive{}, open: map[RequestID]map[Attempt]Directive{}}
 	cfg := DefaultConfig(message.Hello{Name: "self", Incarnation: 1, Region: "r", Domain: "d0", CallerAddress: "10.0.0.1:80", PeerAddress: "10.0.0.1:81"})
 	cfg.LoadProbesPerEndpoint = 1000
 	cfg.ListIsFinal = true
 	cfg.Repeats = budget.RepeatBound{Share: 1, Window: 10 * sec, Slack: 1000}
 	cfg.LargestFleet = 1
 	cfg.WarmupOver, cfg.WarmupSlack = 1.5, 8
-	y.Core = New(cfg, rand.New(rand.NewPCG(1, 2)))
-	y.publish(1, harnessRoutes())
-	y.offerList(y.listed(1))
-	y.Confirm(y.now, published.VMsValue)
-	y.run(200 * ms)
-	return y
+	h.Core = New(cfg, rand.New(rand.NewPCG(1, 2)))
+	h.publish(1, harnessRoutes())
+	h.offerList(h.vmList(1))
+	h.Confirm(h.now, published.VMsValue)
+	h.run(200 * ms)
+	return h
 }
 
-// listed is the list of VMs with the boxes as they are.
-func (y *entryHarness) listed(revision uint64) published.VMList {
+// vmList is the list of VMs with the boxes as they are.
+func (h *entryHarness) vmList(revision uint64) published.VMList {
 	list := published.VMList{Revision: revision}
-	for _, b := range y.endpoints {
-		list.VMs = append(list.VMs, published.VM{Name: b.name, Incarnation: 1, Role: published.EndpointRole, State: published.Live,
-			Region: "r", Domain: b.domain, Address: b.name, Pool: "p", Slots: 2})
+	for _, ep := range h.endpoints {
+		list.VMs = append(list.VMs, published.VM{Name: ep.name, Incarnation: 1, Role: published.EndpointRole, State: published.Live,
+			Region: "r", Domain: ep.domain, Address: ep.name, Pool: "p", Slots: 2})
 	}
 	return list
 }
 
-func (y *entryHarness) offerList(list published.VMList) {
-	y.do(func(out *Actions) {
-		y.Offer(y.now, Offered{Name: published.VMsValue, Mark: message.Mark{Revision: list.Revision, Digest: list.Revision}, VMs: list}, out)
+func (h *entryHarness) offerList(list published.VMList) {
+	h.do(func(out *Actions) {
+		h.Offer(h.now, Offered{Name: published.VMsValue, Mark: message.Mark{Revision: list.Revision, Digest: list.Revision}, VMs: list}, out)
 	})
 }
 
-func (y *entryHarness) publish(revision uint64, d route.Document) {
+func (h *entryHarness) publish(revision uint64, d route.Document) {
 	base, err := profile.Parse([]byte(harnessProfiles), 1)
 	if err != nil {
-		y.Fatal(err)
+		h.Fatal(err)
 	}
 	table, err := route.Parse(route.Encode(d))
 	if err != nil {
-		y.Fatal(err)
+		h.Fatal(err)
 	}
 	bound, err := base.Bind(table, revision, revision)
 	if err != nil {
-		y.Fatal(err)
+		h.Fatal(err)
 	}
-	y.do(func(out *Actions) {
-		y.Offer(y.now, Offered{Name: published.ProfilesValue, Mark: message.Mark{Revision: revision, Digest: revision}, Profiles: bound}, out)
+	h.do(func(out *Actions) {
+		h.Offer(h.now, Offered{Name: published.ProfilesValue, Mark: message.Mark{Revision: revision, Digest: revision}, Profiles: bound}, out)
 	})
-	y.Confirm(y.now, published.ProfilesValue)
+	h.Confirm(h.now, published.ProfilesValue)
 }
 
-func (y *entryHarness) endpoint(name string) *simEndpoint {
-	for _, b := range y.endpoints {
-		if b.name == name {
-			return b
+func (h *entryHarness) endpoint(name string) *simEndpoint {
+	for _, ep := range h.endpoints {
+		if ep.name == name {
+			return ep
 		}
 	}
 	return nil
 }
 
-func (y *entryHarness) do(event func(out *Actions)) {
+func (h *entryHarness) do(event func(out *Actions)) {
 	var out Actions
 	event(&out)
-	y.traces = append(y.traces, out.Traces...)
-	y.notes = append(y.notes, out.Notes...)
-	y.updates = append(y.updates, out.Updates...)
+	h.traces = append(h.traces, out.Traces...)
+	h.notes = append(h.notes, out.Notes...)
+	h.updates = append(h.updates, out.Updates...)
 	for _, d := range out.Requests {
 		switch d.Step {
 		case StepDispatch:
-			y.sent, y.sentAt = append(y.sent, d.Endpoint), append(y.sentAt, y.now)
-			if y.open[d.ID] == nil {
-				y.open[d.ID] = map[Attempt]Directive{}
+			h.sent, h.sentAt = append(h.sent, d.Endpoint), append(h.sentAt, h.now)
+			if h.open[d.ID] == nil {
+				h.open[d.ID] = map[Attempt]Directive{}
 			}
-			y.open[d.ID][d.Attempt] = d
-			if b := y.endpoint(d.Endpoint); b.dead {
-				y.post(map[bool]time.Duration{false: ms, true: sec}[b.silent], func() { y.refuseDial(d) })
+			h.open[d.ID][d.Attempt] = d
+			if ep := h.endpoint(d.Endpoint); ep.dead {
+				h.schedule(map[bool]time.Duration{false: ms, true: sec}[ep.silent], func() { h.refuseDial(d) })
 			} else {
-				b.running++
-				if y.works > 0 {
-					takes := y.works * time.Duration(max(b.pace, 100)) / 100
-					if y.queues {
-						takes = b.work(y.now, takes)
+				ep.running++
+				if h.serviceTime > 0 {
+					duration := h.serviceTime * time.Duration(max(ep.pace, 100)) / 100
+					if h.endpointsQueue {
+						duration = ep.occupySlot(h.now, duration)
 					}
-					y.post(takes, func() { y.answer(d.ID, d.Attempt, 200) })
+					h.schedule(duration, func() { h.answer(d.ID, d.Attempt, 200) })
 				}
 			}
 		case StepReply:
-			if _, twice := y.told[d.ID]; twice {
-				y.Errorf("request %d got two answers", d.ID)
+			if _, twice := h.replies[d.ID]; twice {
+				h.Errorf("request %d got two answers", d.ID)
 			}
-			y.told[d.ID] = d
+			h.replies[d.ID] = d
 		}
 	}
 	for _, p := range out.Probes {
-		y.probed, y.probes = append(y.probed, p.Endpoint), append(y.probes, p)
+		h.probed, h.probes = append(h.probed, p.Endpoint), append(h.probes, p)
 		after := ms
-		if b := y.endpoint(p.Endpoint); b.dead && b.silent {
+		if ep := h.endpoint(p.Endpoint); ep.dead && ep.silent {
 			after = p.Wait
 		}
-		y.post(after, func() { y.answerLoadProbe(p) })
+		h.schedule(after, func() { h.answerLoadProbe(p) })
 	}
 }
 
 // refuseDial ends an attempt for which no connection could be opened.
-func (y *entryHarness) refuseDial(d Directive) {
-	delete(y.open[d.ID], d.Attempt)
-	y.do(func(out *Actions) {
-		y.End(y.now, End{ID: d.ID, Attempt: d.Attempt, Kind: EndNotWritten, DialFailed: true, Replayable: true}, out)
+func (h *entryHarness) refuseDial(d Directive) {
+	delete(h.open[d.ID], d.Attempt)
+	h.do(func(out *Actions) {
+		h.End(h.now, End{ID: d.ID, Attempt: d.Attempt, Kind: EndNotWritten, DialFailed: true, Replayable: true}, out)
 	})
 }
 
-func (y *entryHarness) answerLoadProbe(p Probe) {
-	b := y.endpoint(p.Endpoint)
-	end := ProbeEnd{Probe: p, OK: !b.silent && !b.dead, Refused: b.dead && !b.silent, Misdirected: b.misdirected, Latency: ms,
-		Load: Load{Known: !b.silent, InFlight: b.running, Queued: b.waiting, Slots: 2, Pace: max(b.pace, 100), Cold: max(0, b.coldUntil-y.now)}}
-	y.do(func(out *Actions) { y.ProbeEnd(y.now, end, out) })
+func (h *entryHarness) answerLoadProbe(p Probe) {
+	ep := h.endpoint(p.Endpoint)
+	end := ProbeEnd{Probe: p, OK: !ep.silent && !ep.dead, Refused: ep.dead && !ep.silent, Misdirected: ep.misdirected, Latency: ms,
+		Load: Load{Known: !ep.silent, InFlight: ep.running, Queued: ep.waiting, Slots: 2, Pace: max(ep.pace, 100), Cold: max(0, ep.coldUntil-h.now)}}
+	h.do(func(out *Actions) { h.ProbeEnd(h.now, end, out) })
 }
 
-func (y *entryHarness) post(after time.Duration, read func()) {
-	y.underWay = append(y.underWay, entryDelivery{y.now + after, read})
+func (h *entryHarness) schedule(after time.Duration, fire func()) {
+	h.scheduled = append(h.scheduled, scheduledEvent{h.now + after, fire})
 }
 
 // run lets time pass in steps of a millisecond, with a tick every five.
-func (y *entryHarness) run(d time.Duration) {
-	for end := y.now + d; y.now < end; {
-		y.now += ms
-		due := y.underWay
-		y.underWay = nil
-		for _, l := range due {
-			if l.at <= y.now {
-				l.read()
+func (h *entryHarness) run(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += ms
+		due := h.scheduled
+		h.scheduled = nil
+		for _, event := range due {
+			if event.at <= h.now {
+				event.fire()
 			} else {
-				y.underWay = append(y.underWay, l)
+				h.scheduled = append(h.scheduled, event)
 			}
 		}
-		if y.now%(5*ms) == 0 {
-			y.do(func(out *Actions) { y.Tick(y.now, time.Unix(0, 0), out) })
+		if h.now%(5*ms) == 0 {
+			h.do(func(out *Actions) { h.Tick(h.now, time.Unix(0, 0), out) })
 		}
 	}
 }
 
 // sendRequest feeds a request of a kind and returns its number.
-func (y *entryHarness) sendRequest(kind route.Kind, left time.Duration) RequestID {
-	return y.arrive(kind, Arrival{Replayable: true, Timeout: left})
+func (h *entryHarness) sendRequest(kind route.Kind, left time.Duration) RequestID {
+	return h.arrive(kind, Arrival{Replayable: true, Timeout: left})
 }
 
 // arrive feeds a request of a kind, of which the rest is given, and returns its number.
-func (y *entryHarness) arrive(kind route.Kind, a Arrival) RequestID {
-	y.nextID++
-	admission := y.AdmitRoute("a", "/"+string(kind)+"/x")
+func (h *entryHarness) arrive(kind route.Kind, a Arrival) RequestID {
+	h.nextID++
+	admission := h.AdmitRoute("a", "/"+string(kind)+"/x")
 	if admission.Reason != ReasonNone {
-		y.Fatalf("not admitted: %v", admission.Reason)
+		h.Fatalf("not admitted: %v", admission.Reason)
 	}
-	a.ID, a.Service, a.Name, a.Admission, a.CallerAttempt = y.nextID, admission.Service, y.name, admission, 1
-	y.do(func(out *Actions) { y.Arrive(y.now, a, out) })
+	a.ID, a.Service, a.Name, a.Admission, a.CallerAttempt = h.nextID, admission.Service, h.name, admission, 1
+	h.do(func(out *Actions) { h.Arrive(h.now, a, out) })
 	return a.ID
 }
 
 // answer ends a request's attempt with a status.
-func (y *entryHarness) answer(id RequestID, n Attempt, status int) {
-	d, ok := y.open[id][n]
+func (h *entryHarness) answer(id RequestID, n Attempt, status int) {
+	d, ok := h.open[id][n]
 	if !ok {
-		y.Fatalf("request %d has no attempt %d", id, n)
+		h.Fatalf("request %d has no attempt %d", id, n)
 	}
-	delete(y.open[id], n)
-	b := y.endpoint(d.Endpoint)
-	b.running--
-	y.do(func(out *Actions) {
-		y.Head(y.now, Head{ID: id, Attempt: n, Status: status, Load: Load{Known: true, InFlight: b.running, Queued: b.waiting, Slots: 2, Pace: max(b.pace, 100), RateLimit: b.limit}}, out)
-		y.End(y.now, End{ID: id, Attempt: n, Kind: EndComplete, Replayable: true}, out)
+	delete(h.open[id], n)
+	ep := h.endpoint(d.Endpoint)
+	ep.running--
+	h.do(func(out *Actions) {
+		h.Head(h.now, Head{ID: id, Attempt: n, Status: status, Load: Load{Known: true, InFlight: ep.running, Queued: ep.waiting, Slots: 2, Pace: max(ep.pace, 100), RateLimit: ep.limit}}, out)
+		h.End(h.now, End{ID: id, Attempt: n, Kind: EndComplete, Replayable: true}, out)
 	})
 }
 
-// learn makes the core know that reads take 100 ms, and leaves the boxes idle.
-func (y *entryHarness) learn(requests int) {
+// learnServiceTime makes the core know that reads take 100 ms, and leaves the boxes idle.
+func (h *entryHarness) learnServiceTime(requests int) {
 	for range requests {
-		id := y.sendRequest(route.Idempotent, 3*sec)
-		y.run(100 * ms)
-		y.answer(id, 1, 200)
+		id := h.sendRequest(route.Idempotent, 3*sec)
+		h.run(100 * ms)
+		h.answer(id, 1, 200)
 	}
-	y.sent, y.sentAt, y.probed = nil, nil, nil
+	h.sent, h.sentAt, h.probed = nil, nil, nil
 }
 
-func idle(n int, domain string) (boxes []*simEndpoint) {
+func idleEndpoints(n int, domain string) (endpoints []*simEndpoint) {
 	for i := range n {
-		boxes = append(boxes, &simEndpoint{name: fmt.Sprint(domain, "-", i), domain: domain})
+		endpoints = append(endpoints, &simEndpoint{name: fmt.Sprint(domain, "-", i), domain: domain})
 	}
-	return boxes
+	return endpoints
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -38,9 +38,9 @@
 	nextCheck   time.Duration
 	// evacuated are the failure domains whose endpoints get nothing, with since when.
 	evacuated []Evacuation
-	// remembered are the entries that count for who owns cold endpoints, by assignID, as of a version
+	// rememberedEntry are the entries that count for who owns cold endpoints, by assignID, as of a version
 	// of the entries; settled says that this entry knows what others do.
-	remembered   map[uint64]remembered
+	remembered   map[uint64]rememberedEntry
 	rememberedAt uint64
 	settled      bool
 	// rows finds an endpoint's row by the VM's name.
@@ -124,7 +124,7 @@
 		vms:      assign.NewTracker(0, tracked),
 		rows:     make(map[string]endpointRef),
 
-		remembered: make(map[uint64]remembered),
+		remembered: make(map[uint64]rememberedEntry),
 		gossip:     gossip.New(gossipConfig),
 		reader:     true,
 	}
@@ -352,7 +352,7 @@
 	c.noteAcked(now, out)
 	c.applyChanges(now, c.fleet.members.Tick(now), "silence", out)
 	c.spreadSilent(now)
-	c.remember(now)
+	c.rememberEntries(now)
 	c.checkReaders(now)
 	c.fetchDue(now, out)
 }
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -108,8 +108,8 @@
 				t.Errorf("evidence at %v, last new work at %v", evidence, latest)
 			}
 			for _, n := range r.nodes {
-				if n.state("c2") != table.EndpointLeaving {
-					t.Errorf("%s holds the endpoint as %v", n.hello.Name, n.state("c2"))
+				if n.endpointState("c2") != table.EndpointLeaving {
+					t.Errorf("%s holds the endpoint as %v", n.hello.Name, n.endpointState("c2"))
 				}
 				for id, got := range n.replies {
 					if got.Outcome != OutcomeDone {
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -12,23 +12,23 @@
 	// probeAfter is the age of the latest knowledge of an endpoint from which
 	// on a probe is worth its cost. Ordinary answers keep busy endpoints below it.
 	probeAfter = 2 * time.Second
-	// probesPerRound bounds the probes that one round starts.
-	probesPerRound = 4
+	// maxProbesPerTick bounds the probes that one round starts.
+	maxProbesPerTick = 4
 )
 
-// probeDue probes endpoints of which nothing was seen for long, within the
+// startHealthProbes probes endpoints of which nothing was seen for long, within the
 // watching budget. Free sightings come first: an endpoint that answers requests
 // is not probed. Of several entries only one probes an endpoint; where their
 // views differ more may, and the budget still holds since each spends only its
 // fixed part.
-func (c *Core) probeDue(now time.Duration, out *Actions) {
+func (c *Core) startHealthProbes(now time.Duration, out *Actions) {
 	started := 0
 	for _, p := range c.poolRows {
 		if p.usesLoadProbes() {
 			continue
 		}
 		c.assignProbes(p)
-		for started < probesPerRound {
+		for started < maxProbesPerTick {
 			e := p.longestUnseen(now)
 			if e == nil {
 				break
@@ -52,7 +52,7 @@
 	var found *table.Endpoint
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if p.probed[i] && wantsProbe(now, e) && (found == nil || lastSeen(e) < lastSeen(found)) {
+		if p.probeAssigned[i] && wantsProbe(now, e) && (found == nil || lastSeen(e) < lastSeen(found)) {
 			found = e
 		}
 	}
@@ -62,14 +62,14 @@
 // assignProbes works out which endpoints of a pool this entry probes, once after
 // each change of members: it takes a hash for each pair of entry and endpoint.
 func (c *Core) assignProbes(p *pool) {
-	if p.probedVersion == c.fleet.version && len(p.probed) == len(p.Endpoints) {
+	if p.probeAssignedVersion == c.fleet.version && len(p.probeAssigned) == len(p.Endpoints) {
 		return
 	}
-	p.probedVersion = c.fleet.version
-	p.probed = p.probed[:0]
+	p.probeAssignedVersion = c.fleet.version
+	p.probeAssigned = p.probeAssigned[:0]
 	for i := range p.Endpoints {
 		owner := assign.ProbeOwner(c.fleet.assignMembers, p.Endpoints[i].Name)
-		p.probed = append(p.probed, owner == c.fleet.selfID)
+		p.probeAssigned = append(p.probeAssigned, owner == c.fleet.selfID)
 	}
 }
 
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -12,7 +12,7 @@
 // endpoints that are busy being watched. Over a minute of that, all entries
 // together spend at most the budgeted share of slot time in every window of
 // 10 s, because each spends its fixed part of a budget for the largest fleet.
-func TestProbesStayWithinTheBudget(t *testing.T) {
+func TestHealthProbesStayWithinBudget(t *testing.T) {
 	const entries, share, slots = 8, 0.04, 12
 	for _, slow := range []time.Duration{0, 50 * ms} {
 		r := newClusterHarness(t, entries)
--- a/internal/core/lifetime_test.go
+++ b/internal/core/incarnation_test.go
@@ -13,9 +13,9 @@
 // address, cold and empty. What was believed of the process before it must not count: it
 // gets work again although its name was known to leave, begins slowly, and neither the
 // doubt about its predecessor nor a peer's late news of it touches it.
-func TestEndpointStartsAgainUnderItsName(t *testing.T) {
+func TestRestartedEndpointIsANewIncarnation(t *testing.T) {
 	r := settled(t, 2, "counts/c1#5", "counts/c2#5")
-	r.bad(reaction{})
+	r.setReactions(reaction{})
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 	n := r.nodes[0]
 	p := n.pools["counts"]
@@ -54,7 +54,7 @@
 // list tells of the new process before the connection breaks; the attempt belongs to the
 // one before it, so the caller of a booking must not be told that it was not run, and the
 // new one holds nothing of it.
-func TestAttemptBelongsToTheLifetimeBeforeTheRestart(t *testing.T) {
+func TestAttemptBelongsToItsIncarnation(t *testing.T) {
 	r := settled(t, 1, "counts/c1#5")
 	n := r.nodes[0]
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 3 * sec, end: End{Kind: EndLost}} }
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -16,8 +16,8 @@
 
 var largest = flag.Int("largest", 0, "a further size of fleet to simulate, such as 472; that takes minutes")
 
-// sizes are the fleets that are simulated.
-func sizes(t *testing.T) []int {
+// fleetSizes are the fleets that are simulated.
+func fleetSizes(t *testing.T) []int {
 	t.Helper()
 	if *largest > 0 {
 		return []int{*largest}
@@ -28,7 +28,7 @@
 // The platform's first list names 421 endpoints, and three entries are suspected in the same
 // moment. Each of 141 entries wrote a line for each endpoint; its bound on the log left out the
 // three lines that an operator needs.
-func TestManyChangesTakeOneLine(t *testing.T) {
+func TestManyChangesAreAuditedInOneLine(t *testing.T) {
 	var changes []member.Change
 	for i := range 424 {
 		kind := member.EndpointAdded
@@ -56,7 +56,7 @@
 // them, so that each saw a few requests a second, knew little of the endpoints and opened a
 // connection for nearly each. They are sent to the eight strongest, by whomever they ask; where
 // these die others take their place, and where calls need more they get more.
-func TestCallersAreSentToTheStrongest(t *testing.T) {
+func TestCallersAreSentToStrongestEntries(t *testing.T) {
 	t.Parallel()
 	f := newLargeFleet(t, 141)
 	f.run(10 * sec)
@@ -102,7 +102,7 @@
 // before the first caller came. Links, and the bytes of the start, must not grow with the fleet.
 func TestLargeFleetStarts(t *testing.T) {
 	t.Parallel()
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newLargeFleet(t, n)
 			f.run(300 * ms)
@@ -142,14 +142,14 @@
 // third of them have a sixth of a core.
 func TestSilentEntryIsSuspectedByAll(t *testing.T) {
 	t.Parallel()
-	silentEntry(t, max(141, *largest))
+	testSilentEntry(t, max(141, *largest))
 }
 
 // The same where all talk to all: heartbeats to 14 others come every 1.16 s, so that silence that
 // no failed message shows takes three of them.
 func TestSilentEntryIsSuspectedInASmallFleet(t *testing.T) {
 	t.Parallel()
-	silentEntry(t, 15)
+	testSilentEntry(t, 15)
 }
 
 // The same around the size from which on entries talk to some of the others only. Of 25 that all
@@ -157,12 +157,12 @@
 func TestSilentEntryIsSuspectedAtEachSize(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 10, 16, 20, 25, 40} {
-		t.Run(fmt.Sprint(n), func(t *testing.T) { silentEntry(t, n) })
+		t.Run(fmt.Sprint(n), func(t *testing.T) { testSilentEntry(t, n) })
 	}
 }
 
-// silentEntry lets one of n entries die silently.
-func silentEntry(t *testing.T, n int) {
+// testSilentEntry lets one of n entries die silently.
+func testSilentEntry(t *testing.T, n int) {
 	const within = 3 * sec
 	f := newLargeFleet(t, n)
 	f.run(10 * sec)
@@ -186,50 +186,50 @@
 // A third of the VMs freeze for three seconds, or lose what they send, or run at a tenth of
 // their pace. They accuse whom they do not hear. A sound entry must not be suspected by another
 // sound one for that, or callers of a domain would be sent to the few that are left.
-func TestSoundEntriesAreNotSuspected(t *testing.T) {
+func TestHealthyEntriesAreNotSuspected(t *testing.T) {
 	t.Parallel()
-	for _, trouble := range []string{"frozen", "mute", "slow", "one way in eight is dead"} {
-		for _, n := range sizes(t) {
-			t.Run(fmt.Sprint(trouble, " ", n), func(t *testing.T) {
+	for _, fault := range []string{"frozen", "mute", "slow", "one way in eight is dead"} {
+		for _, n := range fleetSizes(t) {
+			t.Run(fmt.Sprint(fault, " ", n), func(t *testing.T) {
 				f := newLargeFleet(t, n)
 				f.run(10 * sec)
-				ill := func(vm int) bool { return vm%3 == 1 }
+				faulty := func(vm int) bool { return vm%3 == 1 }
 				began := make([]int, n)
 				for i, e := range f.vms {
 					began[i] = len(e.notes)
-					if trouble == "frozen" && ill(i) {
+					if fault == "frozen" && faulty(i) {
 						e.frozen = f.now + 3*sec
 					}
 				}
-				switch trouble {
+				switch fault {
 				case "mute":
-					f.cut = func(from, _ int) bool { return ill(from) }
+					f.cut = func(from, _ int) bool { return faulty(from) }
 				case "slow":
 					healthy := f.share
 					f.share = func(vm int) float64 {
-						if ill(vm) {
+						if faulty(vm) {
 							return healthy(vm) / 10
 						}
 						return healthy(vm)
 					}
 				case "one way in eight is dead":
-					ill = func(int) bool { return false }
+					faulty = func(int) bool { return false }
 					f.cut = func(from, to int) bool { return (from*31+to*17)%4 == 0 && from < to }
 				}
 				f.run(10 * sec)
 				wrong := map[string]int{}
 				for i, e := range f.vms {
-					if ill(i) {
+					if faulty(i) {
 						continue
 					}
 					for _, note := range e.notes[began[i]:] {
 						var vm int
-						if _, err := fmt.Sscanf(note.Subject, "entry entry-%d", &vm); err == nil && note.Action == "entry-suspected" && !ill(vm) {
+						if _, err := fmt.Sscanf(note.Subject, "entry entry-%d", &vm); err == nil && note.Action == "entry-suspected" && !faulty(vm) {
 							wrong[strings.TrimRight(note.Why, "0123456789.ms")]++
 						}
 					}
 				}
-				if trouble == "one way in eight is dead" {
+				if fault == "one way in eight is dead" {
 					t.Logf("suspected meanwhile: %v", wrong) // by those whose own way is dead, and for a moment by others
 				} else if len(wrong) > 0 {
 					t.Errorf("sound entries suspected: %v", wrong)
@@ -250,7 +250,7 @@
 // seconds, the three in which a machine counts as calm and three more, whoever answers.
 func TestDirectoryNamesNoDeadEntries(t *testing.T) {
 	t.Parallel()
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		for name, dies := range map[string]func(vm int) bool{
 			"a failure domain": func(vm int) bool { return vm%5 == 2 },
 			"55 of 100":        func(vm int) bool { return vm%20 < 11 },
@@ -283,7 +283,7 @@
 // dialled the addresses that were lost.
 func TestLargePartitionHeals(t *testing.T) {
 	t.Parallel()
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		for _, lasts := range []time.Duration{20 * sec, 90 * sec} {
 			t.Run(fmt.Sprint(n, " ", lasts), func(t *testing.T) {
 				f := newLargeFleet(t, n)
@@ -308,9 +308,9 @@
 
 // More than half of the entries are killed at once and start again half a second later, seeds
 // among them. Those that stayed and those that came back know each other within seconds.
-func TestHerdIsKilledAndComesBack(t *testing.T) {
+func TestFleetRecoversFromMassRestart(t *testing.T) {
 	t.Parallel()
-	for _, n := range sizes(t) {
+	for _, n := range fleetSizes(t) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newLargeFleet(t, n)
 			f.run(10 * sec)
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -6,7 +6,7 @@
 // read. The endpoint refuses the first read as it leaves, and the caller is told that
 // its read did not run although two endpoints are idle: another attempt was paid from
 // what successes had earned, and this entry had none yet.
-func TestRefusalOfALeavingEndpointNeedsNoBudget(t *testing.T) {
+func TestLeavingEndpointRefusalIsRetriedWithoutBudget(t *testing.T) {
 	r := settled(t, 1, "counts/c1", "counts/c2", "counts/c3")
 	n := r.nodes[0]
 	refusals := 0
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -25,13 +25,13 @@
 }
 
 const (
-	// limitsMost bounds the limits that are known of endpoints.
-	limitsMost = 4096
-	// limitKept is how long a limit is known of an endpoint that the list doesn't have.
-	limitKept = 5 * time.Minute
-	// limitDiffers is by what part a limit has to change for the fleet to be told at once. Those who
+	// maxLimits bounds the limits that are known of endpoints.
+	maxLimits = 4096
+	// limitRetention is how long a limit is known of an endpoint that the list doesn't have.
+	limitRetention = 5 * time.Minute
+	// smallLimitChange is by what part a limit has to change for the fleet to be told at once. Those who
 	// send to the endpoint hear of it in any case.
-	limitDiffers = 0.25
+	smallLimitChange = 0.25
 )
 
 // reportedLimit takes in the limit that an endpoint names in an answer, 0 if it names none.
@@ -43,13 +43,13 @@
 		return
 	}
 	quota.SetLimit(now, e, rate)
-	if rate != from && limit.Owners == owners && differsLittle(from, rate) && !renew {
+	if rate != from && limit.Owners == owners && isSmallChange(from, rate) && !renew {
 		return
 	}
 	c.spreadLimit(now, e)
-	p.noteLimits()
+	p.recountLimits()
 	if rate != from {
-		c.noteLimit(e, from, "its answer says so", out)
+		c.auditLimit(e, from, "its answer says so", out)
 	}
 }
 
@@ -59,9 +59,9 @@
 	limit.Period, _ = quota.OwnerPeriod(now, e)
 	limit.SpreadAt = now
 	limit.Version++
-	told := message.Limit{Rate: limit.Rate, Version: limit.Version, Period: limit.Period}
-	c.limits[endpointID{e.Name, e.Incarnation}] = knownLimit{told, now}
-	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: told}})
+	current := message.Limit{Rate: limit.Rate, Version: limit.Version, Period: limit.Period}
+	c.limits[endpointID{e.Name, e.Incarnation}] = knownLimit{current, now}
+	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: current}})
 }
 
 // probedLimit is reportedLimit for the answer to a look. That it names none says something only of an
@@ -75,16 +75,16 @@
 	}
 }
 
-func differsLittle(a, b float64) bool {
-	return a > 0 && b > 0 && max(a, b)-min(a, b) <= limitDiffers*min(a, b)
+func isSmallChange(a, b float64) bool {
+	return a > 0 && b > 0 && max(a, b)-min(a, b) <= smallLimitChange*min(a, b)
 }
 
 // limitSubject marks evidence of limits, which names no VM: entries of earlier releases take evidence of
 // kinds that they don't know for the end of the VM.
 const limitSubject = "limit of "
 
-// takeLimits takes in what is told of the limits of endpoints.
-func (c *Core) takeLimits(now time.Duration, evidence []message.Evidence, out *Actions) {
+// processLimits takes in what is told of the limits of endpoints.
+func (c *Core) processLimits(now time.Duration, evidence []message.Evidence, out *Actions) {
 	for i := range evidence {
 		ev := &evidence[i]
 		name, named := strings.CutPrefix(ev.VM, limitSubject)
@@ -92,12 +92,12 @@
 			continue
 		}
 		id := endpointID{name, ev.Incarnation}
-		last, there := c.limits[id]
-		known := knownLimit{ev.Limit, now - time.Duration(ev.AgeMillis)*time.Millisecond}
-		if there && !known.Newer(last.Limit) || !there && len(c.limits) >= limitsMost {
+		last, found := c.limits[id]
+		received := knownLimit{ev.Limit, now - time.Duration(ev.AgeMillis)*time.Millisecond}
+		if found && !received.Newer(last.Limit) || !found && len(c.limits) >= maxLimits {
 			continue
 		}
-		c.limits[id] = known
+		c.limits[id] = received
 		if ref, ok := c.fleet.rows[name]; ok {
 			c.applyLimit(now, ref.pool, ref.index, "a peer", out)
 		}
@@ -107,21 +107,21 @@
 // applyLimit puts what is known of an endpoint's limit into its row.
 func (c *Core) applyLimit(now time.Duration, p *pool, index int, actor string, out *Actions) {
 	e := &p.Endpoints[index]
-	known, there := c.limits[endpointID{e.Name, e.Incarnation}]
-	if !there {
+	known, found := c.limits[endpointID{e.Name, e.Incarnation}]
+	if !found {
 		return
 	}
 	from := e.Limit.Rate
 	quota.SetLimit(now, e, known.Rate)
 	e.Limit.Version, e.Limit.Period, e.Limit.SpreadAt = known.Version, known.Period, known.at
-	p.noteLimits()
+	p.recountLimits()
 	if from != known.Rate {
-		c.noteLimit(e, from, actor+" says so", out)
+		c.auditLimit(e, from, actor+" says so", out)
 	}
 }
 
-// noteLimits has the owners of the pool's endpoints worked out anew.
-func (p *pool) noteLimits() {
+// recountLimits has the owners of the pool's endpoints worked out anew.
+func (p *pool) recountLimits() {
 	p.cold.at, p.limited = 0, 0
 	for i := range p.Endpoints {
 		if e := &p.Endpoints[i]; e.State == table.EndpointLive && quota.IsLimited(e) {
@@ -133,12 +133,12 @@
 // forgetLimits drops the limits of endpoints that have gone.
 func (c *Core) forgetLimits(now time.Duration) {
 	maps.DeleteFunc(c.limits, func(id endpointID, k knownLimit) bool {
-		ref, there := c.fleet.rows[id.name]
-		return now-k.at >= limitKept && (!there || ref.pool.endpointAt(ref.index, id.incarnation) == nil)
+		ref, listed := c.fleet.rows[id.name]
+		return now-k.at >= limitRetention && (!listed || ref.pool.endpointAt(ref.index, id.incarnation) == nil)
 	})
 }
 
-func (c *Core) noteLimit(e *table.Endpoint, from float64, why string, out *Actions) {
+func (c *Core) auditLimit(e *table.Endpoint, from float64, why string, out *Actions) {
 	out.note(Note{Subject: "endpoint " + e.Name, Action: "limited", From: limitText(from), To: limitText(e.Limit.Rate), Why: why})
 }
 
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -9,9 +9,9 @@
 )
 
 // sentSince counts the attempts sent to an endpoint since a time.
-func (y *entryHarness) sentSince(name string, since time.Duration) (n int) {
-	for i, to := range y.sent {
-		if to == name && y.sentAt[i] >= since {
+func (h *entryHarness) sentSince(name string, since time.Duration) (n int) {
+	for i, to := range h.sent {
+		if to == name && h.sentAt[i] >= since {
 			n++
 		}
 	}
@@ -20,36 +20,36 @@
 
 // Guards against an endpoint that names a limit and gets more, by first attempts, by what waited for a
 // slot, and where nobody else has room; and against one that gets nothing afterwards.
-func TestLimitedEndpointGetsWhatItTakes(t *testing.T) {
+func TestLimitedEndpointStaysWithinItsRate(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		endpoint int
-		others   func(b *simEndpoint)
+		others   func(ep *simEndpoint)
 	}{
 		{"others are idle", 4, func(*simEndpoint) {}},
-		{"others are full", 2, func(b *simEndpoint) { b.running, b.waiting = 2, 4 }},
+		{"others are full", 2, func(ep *simEndpoint) { ep.running, ep.waiting = 2, 4 }},
 		{"it is alone", 1, func(*simEndpoint) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newEntryHarness(t, idle(c.endpoint, "d0")...)
-			y.learn(8)
-			y.run(2 * sec)
-			limited := y.endpoint("d0-0")
+			h := newEntryHarness(t, idleEndpoints(c.endpoint, "d0")...)
+			h.learnServiceTime(8)
+			h.run(2 * sec)
+			limited := h.endpoint("d0-0")
 			limited.limit = 2
-			for _, b := range y.endpoints[1:] {
-				c.others(b)
+			for _, ep := range h.endpoints[1:] {
+				c.others(ep)
 			}
-			y.press(20*ms, sec)
-			from := y.now
-			y.press(20*ms, 4*sec)
-			if n := y.sentSince("d0-0", from); n > 9 || n < 5 {
+			h.sendReads(20*ms, sec)
+			from := h.now
+			h.sendReads(20*ms, 4*sec)
+			if n := h.sentSince("d0-0", from); n > 9 || n < 5 {
 				t.Errorf("it gets %d in four seconds, takes 8", n)
 			}
 			limited.limit = 0
-			y.press(20*ms, 2*sec)
-			from = y.now
-			y.press(20*ms, 4*sec)
-			if n := y.sentSince("d0-0", from); n < 30 {
+			h.sendReads(20*ms, 2*sec)
+			from = h.now
+			h.sendReads(20*ms, 4*sec)
+			if n := h.sentSince("d0-0", from); n < 30 {
 				t.Errorf("it gets %d in four seconds when it names no limit any more", n)
 			}
 		})
@@ -58,48 +58,48 @@
 
 // Guards against a limit that is forgotten for an answer that says nothing of it: a refusal, a failure, an
 // answer from before, or to a look.
-func TestLimitHoldsUntilAnAnswerSaysOtherwise(t *testing.T) {
-	y := newEntryHarness(t, idle(2, "d0")...)
-	y.learn(8)
-	y.run(2 * sec)
-	e := &y.pools["p"].Endpoints[0]
-	told := func(status int, notRun bool, limit float64) {
+func TestLimitStaysUntilAnAnswerChangesIt(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
+	h.learnServiceTime(8)
+	h.run(2 * sec)
+	e := &h.pools["p"].Endpoints[0]
+	answer := func(status int, notRun bool, limit float64) {
 		var out Actions
-		r := &request{pool: y.pools["p"], service: y.services["idempotent"]}
+		r := &request{pool: h.pools["p"], service: h.services["idempotent"]}
 		a := &attempt{index: 0, incarnation: e.Incarnation}
-		y.observeHead(y.now, r, a, Head{Status: status, NotRun: notRun, Load: Load{RateLimit: limit}}, &out)
+		h.observeHead(h.now, r, a, Head{Status: status, NotRun: notRun, Load: Load{RateLimit: limit}}, &out)
 	}
-	looked := func(limit float64) {
+	probe := func(limit float64) {
 		end := ProbeEnd{Probe: Probe{Pool: "p", Endpoint: e.Name, Incarnation: e.Incarnation, Path: "/h"}, OK: true,
 			Load: Load{Known: true, Slots: 2, RateLimit: limit}}
-		y.do(func(out *Actions) { y.ProbeEnd(y.now, end, out) })
-	}
-	told(200, false, 3)
-	told(200, false, 0) // it was on its way already
-	y.run(sec)
-	told(503, true, 0)
-	told(500, false, 0)
-	looked(0)
+		h.do(func(out *Actions) { h.ProbeEnd(h.now, end, out) })
+	}
+	answer(200, false, 3)
+	answer(200, false, 0) // it was on its way already
+	h.run(sec)
+	answer(503, true, 0)
+	answer(500, false, 0)
+	probe(0)
 	if e.Limit.Rate != 3 {
 		t.Fatalf("limit %v", e.Limit.Rate)
 	}
-	told(503, true, 0.5)
+	answer(503, true, 0.5)
 	if e.Limit.Rate != 0.5 {
 		t.Errorf("limit %v after a refusal that names a lower one", e.Limit.Rate)
 	}
-	y.run(sec)
-	looked(0.25)
+	h.run(sec)
+	probe(0.25)
 	if e.Limit.Rate != 0.25 {
 		t.Errorf("limit %v after a look that names a lower one", e.Limit.Rate)
 	}
-	y.run(sec)
-	looked(0)
+	h.run(sec)
+	probe(0)
 	if e.Limit.Rate != 0 {
 		t.Errorf("limit %v after a look that names none, as looks did", e.Limit.Rate)
 	}
-	told(200, false, 5)
-	y.run(sec)
-	told(200, false, 0)
+	answer(200, false, 5)
+	h.run(sec)
+	answer(200, false, 0)
 	if e.Limit.Rate != 0 {
 		t.Errorf("limit %v after an answer that names none", e.Limit.Rate)
 	}
@@ -107,11 +107,11 @@
 
 // Guards against entries that don't hear of a limit, or hear of it before they know the endpoint, and against
 // older news that takes the place of later.
-func TestLimitIsToldToTheFleet(t *testing.T) {
+func TestLimitSpreadsToFleet(t *testing.T) {
 	r := settled(t, 3, "counts/c1", "counts/c2")
 	limitOf := func(n *node, name string) float64 {
-		ref, there := n.fleet.rows[name]
-		if !there {
+		ref, found := n.fleet.rows[name]
+		if !found {
 			return -1
 		}
 		return ref.pool.Endpoints[ref.index].Limit.Rate
@@ -170,19 +170,19 @@
 }
 
 // Guards against limits of endpoints that have gone, or never were, which fill the memory.
-func TestLimitsAreForgotten(t *testing.T) {
-	y := newEntryHarness(t, idle(1, "d0")...)
+func TestLimitsOfUnknownEndpointsExpire(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 	var evidence []message.Evidence
-	for i := range limitsMost + 100 {
+	for i := range maxLimits + 100 {
 		evidence = append(evidence, message.Evidence{VM: limitSubject + fmt.Sprint("x", i), Incarnation: 1, Kind: message.EvidenceLimit,
 			Limit: message.Limit{Rate: 1, Version: 1}})
 	}
-	y.do(func(out *Actions) { y.takeLimits(y.now, evidence, out) })
-	if len(y.limits) != limitsMost {
-		t.Errorf("%d limits are held, %d at most", len(y.limits), limitsMost)
+	h.do(func(out *Actions) { h.processLimits(h.now, evidence, out) })
+	if len(h.limits) != maxLimits {
+		t.Errorf("%d limits are held, %d at most", len(h.limits), maxLimits)
 	}
-	y.forgetLimits(y.now + limitKept)
-	if len(y.limits) != 0 {
-		t.Errorf("%d limits of unknown endpoints are held for good", len(y.limits))
+	h.forgetLimits(h.now + limitRetention)
+	if len(h.limits) != 0 {
+		t.Errorf("%d limits of unknown endpoints are held for good", len(h.limits))
 	}
 }
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -25,8 +25,8 @@
 
 // loadProbeRound is the looks for one request.
 type loadProbeRound struct {
-	// round numbers the batch under way; answers to an earlier one only inform.
-	round   uint32
+	// batch numbers the batch under way; answers to an earlier one only inform.
+	batch   uint32
 	pending int
 	// asked are the endpoints asked in this round of looks.
 	asked []int
@@ -99,7 +99,7 @@
 		r.phase = phaseProbing
 	}
 	view := c.placementView(now, r)
-	r.probeRound = loadProbeRound{round: r.probeRound.round, asked: r.probeRound.asked[:0], began: now, second: second, active: true,
+	r.probeRound = loadProbeRound{batch: r.probeRound.batch, asked: r.probeRound.asked[:0], began: now, second: second, active: true,
 		ownOnly: !second && !r.queuedOnce && view.PrefersOwnDomain(probeRoundGap)}
 	c.probing = append(c.probing, r.arrival.ID)
 	if r.queuedOnce && !second {
@@ -119,7 +119,7 @@
 	if r.queuedOnce || now < p.probeAgainAt {
 		most = min(most, maxCrowdedProbes-len(r.probeRound.asked))
 	}
-	r.probeRound.round++
+	r.probeRound.batch++
 	r.probeRound.pending = 0
 	r.probeRound.until = now + loadProbeWait
 	if r.probeRound.second && len(r.probeRound.asked) == 0 {
@@ -129,7 +129,7 @@
 	for range min(p.learned.Batch(), most) {
 		view.Request.Asked = r.probeRound.asked
 		i := view.NextToAsk()
-		if i < 0 || !p.loadProbes.TrySpend(now, p.live(), c.fleet.ownShare) {
+		if i < 0 || !p.loadProbes.TrySpend(now, p.countLive(), c.fleet.ownShare) {
 			break
 		}
 		c.probeLoad(r, i, out)
@@ -147,7 +147,7 @@
 	r.loadProbes++
 	c.counters.LoadProbes++
 	out.Probes = append(out.Probes, Probe{Pool: r.pool.Name, Endpoint: e.Name, Incarnation: e.Incarnation, Address: e.Address,
-		Path: r.pool.probePath, Request: r.arrival.ID, Round: r.probeRound.round, Wait: 4 * loadProbeWait})
+		Path: r.pool.probePath, Request: r.arrival.ID, Round: r.probeRound.batch, Wait: 4 * loadProbeWait})
 }
 
 // loadProbeEnd takes in what an endpoint answered.
@@ -171,7 +171,7 @@
 		c.probedLimit(now, p, e, end.Load.RateLimit, out)
 	}
 	r, ok := c.requests[end.Probe.Request]
-	if !ok || !r.probeRound.active || r.probeRound.round != end.Probe.Round {
+	if !ok || !r.probeRound.active || r.probeRound.batch != end.Probe.Round {
 		return
 	}
 	r.probeRound.pending--
--- a/internal/core/loadprobes_test.go
+++ b/internal/core/loadprobes_test.go
@@ -15,12 +15,12 @@
 // A read would wait beside others, or at a VM that neighbours have slowed down, while
 // an idle endpoint stands by. Reports with earlier answers are older than the state of
 // a VM lasts; only a look right before the request is sent tells.
-func TestChoiceByLook(t *testing.T) {
+func TestEndpointChoiceByLoadProbe(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		boxes []*simEndpoint
-		kind  route.Kind
-		want  string
+		name      string
+		endpoints []*simEndpoint
+		kind      route.Kind
+		want      string
 	}{
 		{"the idle one", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", running: 1}}, route.Idempotent, "b"},
 		{"the one of usual pace", []*simEndpoint{{name: "a", domain: "d0", pace: 500}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", pace: 500}}, route.Idempotent, "b"},
@@ -32,11 +32,11 @@
 		{"nobody answers: somebody is tried", []*simEndpoint{{name: "a", domain: "d0", silent: true}}, route.Idempotent, "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newEntryHarness(t, c.boxes...)
-			y.sendRequest(c.kind, 3*sec)
-			y.run(60 * ms)
-			if !slices.Equal(y.sent, []string{c.want}) {
-				t.Errorf("sent to %v, want %s", y.sent, c.want)
+			h := newEntryHarness(t, c.endpoints...)
+			h.sendRequest(c.kind, 3*sec)
+			h.run(60 * ms)
+			if !slices.Equal(h.sent, []string{c.want}) {
+				t.Errorf("sent to %v, want %s", h.sent, c.want)
 			}
 		})
 	}
@@ -44,29 +44,29 @@
 
 // An endpoint that fails half its requests while it says that it is well, or answers for
 // another one at its address, is chosen last, and again soon after it is well.
-func TestOutcomesCountMoreThanStatements(t *testing.T) {
-	boxes := idle(2, "d0")
-	y := newEntryHarness(t, boxes...)
-	y.learn(8)
-	e := &y.pools["p"].Endpoints[y.pools["p"].find("d0-0", 1)]
+func TestFailingEndpointIsChosenLast(t *testing.T) {
+	endpoints := idleEndpoints(2, "d0")
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(8)
+	e := &h.pools["p"].Endpoints[h.pools["p"].find("d0-0", 1)]
 	for range 4 {
-		placement.NoteOutcome(y.now, e, true)
+		placement.NoteOutcome(h.now, e, true)
 	}
 	for range 8 {
-		id := y.sendRequest(route.Idempotent, 3*sec)
-		y.run(50 * ms)
-		if got := y.open[id][1].Endpoint; got != "d0-1" {
+		id := h.sendRequest(route.Idempotent, 3*sec)
+		h.run(50 * ms)
+		if got := h.open[id][1].Endpoint; got != "d0-1" {
 			t.Fatalf("sent to %s, which fails", got)
 		}
-		y.answer(id, 1, 200)
+		h.answer(id, 1, 200)
 	}
-	y.run(20 * sec)
+	h.run(20 * sec)
 	seen := map[string]bool{}
 	for range 20 {
-		id := y.sendRequest(route.Idempotent, 3*sec)
-		y.run(50 * ms)
-		seen[y.open[id][1].Endpoint] = true
-		y.answer(id, 1, 200)
+		id := h.sendRequest(route.Idempotent, 3*sec)
+		h.run(50 * ms)
+		seen[h.open[id][1].Endpoint] = true
+		h.answer(id, 1, 200)
 	}
 	if !seen["d0-0"] {
 		t.Error("it is never tried again")
@@ -75,31 +75,31 @@
 
 // The endpoints of a service tell no load. Looks are worth nothing there and are given
 // up; requests are sent by what the entry itself has under way.
-func TestEndpointsThatTellNoLoad(t *testing.T) {
-	y := newEntryHarness(t, idle(3, "d0")...)
-	y.pools["p"].loadless = maxLoadlessProbes
-	id := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(10 * ms)
-	if len(y.open[id]) != 1 || len(y.probed) != 0 {
-		t.Errorf("attempts %v, looks %v", y.open[id], y.probed)
+func TestEndpointsWithoutLoadAreNotProbed(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
+	h.pools["p"].loadless = maxLoadlessProbes
+	id := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(10 * ms)
+	if len(h.open[id]) != 1 || len(h.probed) != 0 {
+		t.Errorf("attempts %v, looks %v", h.open[id], h.probed)
 	}
 }
 
 // Operators split a route to try a release. Over any 200 requests the parts must have
 // their shares, whatever the weights, and also when the split is published again.
-func TestSplitKeepsItsShares(t *testing.T) {
+func TestTrafficSplitKeepsItsShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		y := newEntryHarness(t, idle(1, "d0")...)
+		h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 		a, b := rapid.IntRange(1, 99).Draw(rt, "a"), rapid.IntRange(1, 99).Draw(rt, "b")
 		d := harnessRoutes(route.Part{Service: "p", Weight: float64(a)}, route.Part{Service: "q", Weight: float64(b)})
-		y.publish(2, d)
+		h.publish(2, d)
 		var got []string
 		for i := range 600 {
 			if i == 300 {
 				d.Limits.BodyBytes = 1 // another revision, the same split
-				y.publish(3, d)
+				h.publish(3, d)
 			}
-			got = append(got, y.AdmitRoute("a", "/idempotent/x").Service)
+			got = append(got, h.AdmitRoute("a", "/idempotent/x").Service)
 		}
 		for from := 0; from+200 <= len(got); from += 50 {
 			n := 0
@@ -120,42 +120,42 @@
 // service. The request stays with what was in force when its head arrived; a new one
 // follows the new routes, and one whose route is gone is told so.
 func TestRequestKeepsItsRoute(t *testing.T) {
-	y := newEntryHarness(t, idle(2, "d0")...)
-	before := y.AdmitRoute("a", "/non_idempotent/x")
+	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
+	before := h.AdmitRoute("a", "/non_idempotent/x")
 	d := harnessRoutes(route.Part{Service: "q", Weight: 1})
 	d.Routes = d.Routes[:2]
-	y.publish(2, d)
-	y.nextID++
-	id := y.nextID
-	y.do(func(out *Actions) {
-		y.Arrive(y.now, Arrival{ID: id, Service: before.Service, Admission: before, Replayable: true, CallerAttempt: 1}, out)
+	h.publish(2, d)
+	h.nextID++
+	id := h.nextID
+	h.do(func(out *Actions) {
+		h.Arrive(h.now, Arrival{ID: id, Service: before.Service, Admission: before, Replayable: true, CallerAttempt: 1}, out)
 	})
-	y.run(20 * ms)
-	if len(y.open[id]) != 1 {
-		t.Errorf("the older request was not sent: %+v", y.told[id])
+	h.run(20 * ms)
+	if len(h.open[id]) != 1 {
+		t.Errorf("the older request was not sent: %+v", h.replies[id])
 	}
-	if after := y.AdmitRoute("a", "/non_idempotent/x"); after.Reason != ReasonNone {
+	if after := h.AdmitRoute("a", "/non_idempotent/x"); after.Reason != ReasonNone {
 		t.Errorf("new request: %v", after.Reason)
 	}
-	if gone := y.AdmitRoute("a", "/upload/x"); gone.Reason != ReasonUnknownService {
+	if gone := h.AdmitRoute("a", "/upload/x"); gone.Reason != ReasonUnknownService {
 		t.Errorf("dropped route: %v", gone.Reason)
 	}
-	if none := New(DefaultConfig(y.cfg.Self), y.rng).AdmitRoute("a", "/"); none.Reason != ReasonStarting {
+	if none := New(DefaultConfig(h.cfg.Self), h.rng).AdmitRoute("a", "/"); none.Reason != ReasonStarting {
 		t.Errorf("before the first routes: %v", none.Reason)
 	}
 }
 
 // Entries that look before each choice have no use for what others saw. Told nevertheless,
 // it costs bytes and processor time for nothing.
-func TestNoSightingsWhereEndpointsAreLookedAt(t *testing.T) {
-	y := newEntryHarness(t, idle(3, "d0")...)
+func TestNoLoadReportsWithLoadProbes(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	peer := message.Hello{Name: "other", Incarnation: 2, Region: "r", Domain: "d1", CallerAddress: "10.0.0.2:80", PeerAddress: "10.0.0.2:81"}
-	y.do(func(out *Actions) { y.HelloReceived(y.now, peer, out) })
-	y.learn(20)
-	if len(y.updates) == 0 {
+	h.do(func(out *Actions) { h.HelloReceived(h.now, peer, out) })
+	h.learnServiceTime(20)
+	if len(h.updates) == 0 {
 		t.Fatal("the peer was told nothing")
 	}
-	for _, u := range y.updates {
+	for _, u := range h.updates {
 		if len(u.Update.LoadReports) > 0 {
 			t.Fatalf("told of %+v", u.Update.LoadReports)
 		}
@@ -165,25 +165,25 @@
 // A release replaces all endpoints of a pool. The bound on looks is so many a second for each
 // endpoint; counted with those that are gone, twice as many were made at those that are left
 // (3,000 a second at 21 endpoints where 60 each were allowed).
-func TestLooksAreBoundedByEndpointsThatLive(t *testing.T) {
-	y := newEntryHarness(t, idle(8, "d0")...)
-	p := y.poolRows[0]
+func TestLoadProbesAreBoundedByLiveEndpoints(t *testing.T) {
+	h := newEntryHarness(t, idleEndpoints(8, "d0")...)
+	p := h.poolRows[0]
 	for i := range p.Endpoints[2:] {
 		p.Endpoints[2+i].State = table.EndpointGone
 	}
-	y.cfg.LoadProbesPerEndpoint = 10
+	h.cfg.LoadProbesPerEndpoint = 10
 	p.loadProbes = budget.NewLoadProbes(10)
 	p.Endpoints[0].State, p.Endpoints[1].State = table.EndpointLive, table.EndpointLive
-	for _, b := range y.endpoints {
-		b.running, b.waiting = 2, 1
+	for _, ep := range h.endpoints {
+		ep.running, ep.waiting = 2, 1
 	}
-	y.probed = nil
+	h.probed = nil
 	const span = 4
 	for range span * 100 {
-		y.sendRequest(route.Idempotent, 3*sec)
-		y.run(10 * ms)
+		h.sendRequest(route.Idempotent, 3*sec)
+		h.run(10 * ms)
 	}
-	if most := span * 10 * 2; len(y.probed) > most+2*10 {
-		t.Errorf("%d looks at two endpoints in %d s, %d allowed", len(y.probed), span, most)
+	if most := span * 10 * 2; len(h.probed) > most+2*10 {
+		t.Errorf("%d looks at two endpoints in %d s, %d allowed", len(h.probed), span, most)
 	}
 }
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -23,7 +23,7 @@
 	if o, ok := healthOutcome(a, end); ok {
 		c.noteEnd(now, r, e, o, end)
 	}
-	c.noteBroken(now, r, a, e, end, out)
+	c.noteAttemptEnd(now, r, a, e, end, out)
 	p.picker.Answered(now, &p.Pool, a.index, observationOf(now, a, e, end))
 	if end.BodyFailed || end.Kind == EndNotWritten && !end.DialFailed {
 		return
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -10,9 +10,9 @@
 // overload asks for half as much again as the boxes can do, for a time, and returns the share
 // of the requests that were answered within their objective. How long work takes varies.
 func overload(t *testing.T) float64 {
-	y := newEntryHarness(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	works := []time.Duration{70 * ms, 130 * ms, 100 * ms, 85 * ms, 115 * ms}
-	y.works, y.queues = works[2], true
+	y.serviceTime, y.endpointsQueue = works[2], true
 	for range 20 {
 		y.sendRequest(route.Idempotent, 3*sec)
 		y.run(100 * ms)
@@ -20,7 +20,7 @@
 	y.traces = nil
 	const asked, every = 300, 11 * ms
 	for i := range asked {
-		y.works = works[i%len(works)]
+		y.serviceTime = works[i%len(works)]
 		y.sendRequest(route.Idempotent, 3*sec)
 		y.run(every)
 	}
--- a/internal/core/owndomain_test.go
+++ b/internal/core/owndomain_test.go
@@ -13,9 +13,9 @@
 // quarter of the bytes between domains. They wait for the endpoint nearby as long as a
 // kilobyte is worth and they are in time, beside others that need not wait; then they go.
 func TestUploadsWaitForTheirOwnDomain(t *testing.T) {
-	near, far := &simEndpoint{name: "near", domain: "d0"}, idle(3, "d1")
+	near, far := &simEndpoint{name: "near", domain: "d0"}, idleEndpoints(3, "d1")
 	y := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	for range 8 {
 		id := y.sendRequest(route.Upload, 3*sec)
 		y.run(100 * ms)
@@ -46,6 +46,6 @@
 	second := y.sendRequest(route.Upload, 3*sec)
 	y.run(160 * ms)
 	if got := y.open[second][1].Endpoint; !strings.HasPrefix(got, "d1") {
-		t.Errorf("after 160 ms the upload is at %q, %+v", got, y.told[second])
+		t.Errorf("after 160 ms the upload is at %q, %+v", got, y.replies[second])
 	}
 }
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -28,7 +28,7 @@
 // not blame the endpoints for the time that it slept. Alone, and while an
 // endpoint left, a profile changed and the service went down meanwhile: within
 // 3 s of waking it has learned that from its peers.
-func TestWakesUpWithAnOldPicture(t *testing.T) {
+func TestEntryRecoversAfterPause(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
 		for _, more := range []bool{false, true} {
 			r := settled(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
@@ -79,8 +79,8 @@
 				t.Error("what was seen before the pause is still believed")
 			}
 			r.run(2 * sec)
-			if more && (n.state("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
-				t.Errorf("c6 is %v, revision %d", n.state("c6"), n.InForce(published.ProfilesValue).Revision)
+			if more && (n.endpointState("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
+				t.Errorf("c6 is %v, revision %d", n.endpointState("c6"), n.InForce(published.ProfilesValue).Revision)
 			}
 			r.traffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
 			if n.counters.Ejections != 0 || n.UsableEntries() != 3 {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -293,8 +293,8 @@
 	c.applyChanges(now, f.members.Heard(now, u.From, u.State), "peer", out)
 	c.takeRecords(now, u.Records, out)
 	c.applyEvidence(now, out, u.Evidence...)
-	c.takeRequestEvidence(now, u.Evidence, out)
-	c.takeLimits(now, u.Evidence, out)
+	c.processRequestEvidence(now, u.Evidence, out)
+	c.processLimits(now, u.Evidence, out)
 	c.peerHeard(now, u.From)
 	for i := range u.LoadReports {
 		c.peerLoadReport(now, u.From, &u.LoadReports[i])
--- a/internal/core/peerslots.go
+++ b/internal/core/peerslots.go
@@ -9,52 +9,52 @@
 const (
 	// peerSlotsSilence is how long a peer's counts are believed without news.
 	peerSlotsSilence = 2 * time.Second
-	// timeMemory is how long the measured time of an endpoint that gets no
+	// serviceTimeTTL is how long the measured time of an endpoint that gets no
 	// request is believed.
-	timeMemory = time.Minute
+	serviceTimeTTL = time.Minute
 )
 
 // peerSlots are what other entries say of their own attempts at the endpoints of
 // a pool.
 type peerSlots struct {
-	// own are each peer's counts, by the index of the endpoint.
-	own map[uint64][]int32
-	// sum adds them up.
-	sum []int32
+	// byPeer are each peer's counts, by the index of the endpoint.
+	byPeer map[uint64][]int32
+	// total adds them up.
+	total []int32
 }
 
 // set takes in a peer's count at one endpoint.
-func (h *peerSlots) set(peer uint64, index int, own int32) {
-	if h.own == nil {
-		h.own = make(map[uint64][]int32)
+func (s *peerSlots) set(peer uint64, index int, count int32) {
+	if s.byPeer == nil {
+		s.byPeer = make(map[uint64][]int32)
 	}
-	counts := h.own[peer]
+	counts := s.byPeer[peer]
 	for len(counts) <= index {
 		counts = append(counts, 0)
 	}
-	for len(h.sum) <= index {
-		h.sum = append(h.sum, 0)
+	for len(s.total) <= index {
+		s.total = append(s.total, 0)
 	}
-	h.sum[index] += own - counts[index]
-	counts[index] = own
-	h.own[peer] = counts
+	s.total[index] += count - counts[index]
+	counts[index] = count
+	s.byPeer[peer] = counts
 }
 
 // forget drops a peer's counts.
-func (h *peerSlots) forget(peer uint64) {
-	for index, own := range h.own[peer] {
-		h.sum[index] -= own
+func (s *peerSlots) forget(peer uint64) {
+	for index, count := range s.byPeer[peer] {
+		s.total[index] -= count
 	}
-	delete(h.own, peer)
+	delete(s.byPeer, peer)
 }
 
 // forgetRow drops all counts at an index, which another endpoint takes.
-func (h *peerSlots) forgetRow(index int) {
-	if index >= len(h.sum) {
+func (s *peerSlots) forgetRow(index int) {
+	if index >= len(s.total) {
 		return
 	}
-	h.sum[index] = 0
-	for _, counts := range h.own {
+	s.total[index] = 0
+	for _, counts := range s.byPeer {
 		if index < len(counts) {
 			counts[index] = 0
 		}
@@ -62,11 +62,11 @@
 }
 
 // at returns what the peers hold at an endpoint.
-func (h *peerSlots) at(index int) int32 {
-	if index >= len(h.sum) {
+func (s *peerSlots) at(index int) int32 {
+	if index >= len(s.total) {
 		return 0
 	}
-	return h.sum[index]
+	return s.total[index]
 }
 
 // expirePeerSlots drops the counts of peers that are silent or gone. Guards
@@ -74,7 +74,7 @@
 // of low priority.
 func (c *Core) expirePeerSlots(now time.Duration) {
 	for _, p := range c.poolRows {
-		for incarnation := range p.peerSlots.own {
+		for incarnation := range p.peerSlots.byPeer {
 			known, ok := c.fleet.peers[incarnation]
 			if !ok || now-known.heard > peerSlotsSilence {
 				p.peerSlots.forget(incarnation)
@@ -85,13 +85,13 @@
 
 // slotsInUse counts the pool's slots that this entry or its peers hold.
 func (p *pool) slotsInUse() int {
-	taken := 0
+	inUse := 0
 	for i := range p.Endpoints {
 		if e := &p.Endpoints[i]; e.TakesWork() {
-			taken += int(min(e.Slots, e.Outstanding+p.peerSlots.at(i)))
+			inUse += int(min(e.Slots, e.Outstanding+p.peerSlots.at(i)))
 		}
 	}
-	return taken
+	return inUse
 }
 
 // withinShare says whether a service that others go before may take one more
@@ -102,35 +102,35 @@
 //
 // It guards against entries that each keep within a share of their own and fill
 // the pool together: urgent requests would wait for whole bulk requests.
-func (p *pool) withinShare(holders []queue.SlotUser, me int, capacity *queue.Capacity) bool {
-	if !yields(holders, me) {
+func (p *pool) withinShare(users []queue.SlotUser, index int, capacity *queue.Capacity) bool {
+	if !yieldsToOthers(users, index) {
 		return true
 	}
-	taken := p.slotsInUse()
-	capacity.Free = min(capacity.Free, capacity.Slots-taken)
-	share := int(holders[me].Share * float64(capacity.Slots))
-	part := max(1, share/max(1, p.services[me].entries))
-	return holders[me].InUse < part || taken < share
+	inUse := p.slotsInUse()
+	capacity.Free = min(capacity.Free, capacity.Slots-inUse)
+	share := int(users[index].Share * float64(capacity.Slots))
+	ownShare := max(1, share/max(1, p.services[index].entries))
+	return users[index].InUse < ownShare || inUse < share
 }
 
-// yields says whether another holder goes before.
-func yields(holders []queue.SlotUser, me int) bool {
-	for i := range holders {
-		if holders[i].Priority > holders[me].Priority {
+// yieldsToOthers says whether another holder goes before.
+func yieldsToOthers(users []queue.SlotUser, index int) bool {
+	for i := range users {
+		if users[i].Priority > users[index].Priority {
 			return true
 		}
 	}
 	return false
 }
 
-// forgetOldTimes drops the measured time of endpoints that got no request for
+// forgetOldServiceTimes drops the measured time of endpoints that got no request for
 // long. Guards against a straggler's time that outlives the straggler: an
 // endpoint that is taken to be slow gets no request while others suffice, so
 // nothing would correct it, and its slots would be missing at the next rush.
-func (p *pool) forgetOldTimes(now time.Duration) {
+func (p *pool) forgetOldServiceTimes(now time.Duration) {
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if e.Outstanding == 0 && now-e.Health.SampledAt > timeMemory {
+		if e.Outstanding == 0 && now-e.Health.SampledAt > serviceTimeTTL {
 			e.ServiceNanos = 0
 		}
 	}
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -13,9 +13,9 @@
 // late for long after. Requests wait in the entry, and the first free slot is used at
 // once.
 func TestFullEndpointsGetNoQueue(t *testing.T) {
-	boxes := idle(3, "d0")
+	boxes := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(8)
+	y.learnServiceTime(8)
 	setLoad(boxes, 2, 1)
 	var ids []RequestID
 	for range 6 {
@@ -30,8 +30,8 @@
 	if len(y.sent) == 0 || y.sent[0] != boxes[1].name {
 		t.Fatalf("a free slot was not used: %v", y.sent)
 	}
-	if y.told[ids[0]].Reason != ReasonNone {
-		t.Errorf("the first was refused: %v", y.told[ids[0]].Reason)
+	if y.replies[ids[0]].Reason != ReasonNone {
+		t.Errorf("the first was refused: %v", y.replies[ids[0]].Reason)
 	}
 }
 
@@ -39,9 +39,9 @@
 // one that comes back at once makes it worse: it is told early, that it has not run and
 // when to come back, and callers who were refused together come back apart.
 func TestWhatFindsNoRoomIsToldEarly(t *testing.T) {
-	boxes := idle(3, "d0")
+	boxes := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(8)
+	y.learnServiceTime(8)
 	setLoad(boxes, 2, 4)
 	began := y.now
 	var ids []RequestID
@@ -51,7 +51,7 @@
 	y.run(700 * ms)
 	again := map[time.Duration]bool{}
 	for _, id := range ids {
-		d, ok := y.told[id]
+		d, ok := y.replies[id]
 		if !ok || d.Outcome != OutcomeNotRun || d.RetryAfter <= 0 || d.RetryAfter > sec {
 			t.Fatalf("request %d after %v: %+v", id, y.now-began, d)
 		}
@@ -68,9 +68,9 @@
 // A caller comes back after a refusal and can't be answered in time any more. While
 // others still can, its request takes no slot from them, though it is the oldest.
 func TestThoseInTimeGoFirst(t *testing.T) {
-	boxes := idle(2, "d0")
+	boxes := idleEndpoints(2, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	setLoad(boxes, 2, 1)
 	late := y.sendRequest(route.Idempotent, 3*sec-900*ms)
 	y.run(20 * ms)
@@ -96,9 +96,9 @@
 		running int
 		most    time.Duration
 	}{{"they have room", 0, soonMost}, {"they are full", 2, retryMost}} {
-		boxes := idle(4, "d0")
+		boxes := idleEndpoints(4, "d0")
 		y := newEntryHarness(t, boxes...)
-		y.learn(12)
+		y.learnServiceTime(12)
 		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // used up
 		again := map[time.Duration]bool{}
 		for range 8 {
@@ -112,7 +112,7 @@
 				p.Endpoints[i].NoteProbed(probedLoadOf(y.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
 			}
 			y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
-			d := y.told[id]
+			d := y.replies[id]
 			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -27,7 +27,7 @@
 	}
 	if refusedIdle(a, e) && r.replayable {
 		r.idleRefusals++
-		r.service.idle.TrySpend(now)
+		r.service.idleRetry.TrySpend(now)
 		c.placeAgain(now, r, out)
 		return
 	}
@@ -108,7 +108,7 @@
 	if r.nested() && !provablyNotRun {
 		return false
 	}
-	if connSilent && r.pool.repeats == nil && r.service.silent.TrySpend(now) {
+	if connSilent && r.pool.repeats == nil && r.service.silentRetry.TrySpend(now) {
 		return true
 	}
 	return c.spendRepeat(now, r)
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -20,8 +20,8 @@
 	// minRetriesPerSecond is what all entries together may retry for a service
 	// that has too little traffic to earn retries.
 	minRetriesPerSecond = 1
-	// firstService is the service time assumed before any was measured.
-	firstService = 15 * time.Millisecond
+	// initialServiceTime is the service time assumed before any was measured.
+	initialServiceTime = 15 * time.Millisecond
 )
 
 // service is one service of the profiles in force.
@@ -33,10 +33,10 @@
 	policy *profile.Policy
 	pool   *pool
 	retry  *budget.Retry
-	// idle pays for refusals by endpoints that had no idle slot.
-	idle *budget.Retry
-	// silent pays for another attempt after one whose connection went silent.
-	silent *budget.Retry
+	// idleRetry pays for refusals by endpoints that had no idle slot.
+	idleRetry *budget.Retry
+	// silentRetry pays for another attempt after one whose connection went silent.
+	silentRetry *budget.Retry
 	// inUse counts this entry's attempts in flight for the service.
 	inUse int
 	// entries is how many entries callers of the service are sent to.
@@ -73,10 +73,10 @@
 	// newRows says that the policy has not been told of endpoints that were added.
 	newRows bool
 	serving bool
-	// probed says for each endpoint whether this entry probes it, as of
-	// probedVersion of the member table.
-	probed        []bool
-	probedVersion uint64
+	// probeAssigned says for each endpoint whether this entry probes it, as of
+	// probeAssignedVersion of the member table.
+	probeAssigned        []bool
+	probeAssignedVersion uint64
 	// serviceNanos is a smoothed time that a request holds a slot.
 	serviceNanos float64
 	// repeats bounds attempts beyond the first of each request, nil for no bound.
@@ -105,8 +105,8 @@
 	return time.Duration(sv.pool.serviceNanos)
 }
 
-// forgetBeliefs drops what a process that slept for gap believed of endpoints.
-func (p *pool) forgetBeliefs(now, gap time.Duration) {
+// resetAfterPause drops what a process that slept for gap believed of endpoints.
+func (p *pool) resetAfterPause(now, gap time.Duration) {
 	for i := range p.Endpoints {
 		p.Endpoints[i].Reported = table.ReportedLoad{}
 	}
@@ -114,9 +114,9 @@
 	health.Pause(now, gap, &p.Pool)
 }
 
-// live counts the endpoints that take work. Rows of those that are gone stay for a while;
+// countLive counts the endpoints that take work. Rows of those that are gone stay for a while;
 // counted for the bound on looks, they let the others be asked more often than it allows.
-func (p *pool) live() (n int) {
+func (p *pool) countLive() (n int) {
 	for i := range p.Endpoints {
 		if p.Endpoints[i].TakesWork() {
 			n++
@@ -172,7 +172,7 @@
 		if e.State == table.EndpointGone && e.Outstanding == 0 {
 			*e = row
 			p.peerSlots.forgetRow(i)
-			p.noteLimits()
+			p.recountLimits()
 			return i
 		}
 	}
@@ -198,7 +198,7 @@
 			ProbeCost:    c.cfg.ProbeCost,
 			LargestFleet: c.cfg.LargestFleet,
 		}),
-		serviceNanos: float64(firstService),
+		serviceNanos: float64(initialServiceTime),
 		repeats:      budget.NewRepeats(c.cfg.Repeats, c.cfg.LargestFleet, 0),
 		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
 		learned:      placement.NewPool(),
@@ -237,7 +237,7 @@
 func (c *Core) applyService(spec *profile.Service) {
 	sv, ok := c.services[spec.Name]
 	if !ok {
-		sv = c.rowOf(spec.Name)
+		sv = c.serviceRow(spec.Name)
 		c.services[spec.Name] = sv
 	}
 	sv.spec = spec
@@ -247,8 +247,8 @@
 	c.applyMode(sv)
 }
 
-// rowOf returns the service's old row if it had one, else a new one.
-func (c *Core) rowOf(name string) *service {
+// serviceRow returns the service's old row if it had one, else a new one.
+func (c *Core) serviceRow(name string) *service {
 	for _, sv := range c.serviceRows {
 		if sv.name == name {
 			return sv
@@ -263,8 +263,8 @@
 func (c *Core) applyMode(sv *service) {
 	sv.policy = sv.spec.Policy(c.closing)
 	if sv.retry == nil {
-		sv.idle = budget.NewRetry(budget.RetryConfig{Share: idleRefusalShare, LargestFleet: 1})
-		sv.silent = budget.NewRetry(budget.RetryConfig{Share: silentShare, LargestFleet: 1, Cap: silentCap})
+		sv.idleRetry = budget.NewRetry(budget.RetryConfig{Share: idleRefusalShare, LargestFleet: 1})
+		sv.silentRetry = budget.NewRetry(budget.RetryConfig{Share: silentShare, LargestFleet: 1, Cap: silentCap})
 		sv.retry = budget.NewRetry(budget.RetryConfig{
 			Share:        sv.policy.RetryBudget,
 			MinPerSecond: minRetriesPerSecond,
@@ -311,7 +311,7 @@
 	c.announceDeciders(now)
 	mode := modeName(closing)
 	out.note(Note{Subject: "mode", Action: "switch", From: modeName(!closing), To: mode, Revision: c.snapshot.Revision(),
-		Why: closeWhy(cl, closing)})
+		Why: closeReason(cl, closing)})
 }
 
 func modeName(closing bool) string {
@@ -321,7 +321,7 @@
 	return "ordinary"
 }
 
-func closeWhy(cl profile.Close, closing bool) string {
+func closeReason(cl profile.Close, closing bool) string {
 	if closing {
 		return "calendar: close " + cl.Name + " began"
 	}
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -12,7 +12,7 @@
 func TestEveryReadOnSilentConnectionsIsSentAgain(t *testing.T) {
 	const dead = 12
 	r := settled(t, 1, sixCounts...)
-	r.bad(reaction{})
+	r.setReactions(reaction{})
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
 	lost := map[string]bool{}
 	r.endpoint = func(_ string, a Arrival) reaction {
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -94,7 +94,7 @@
 // probeRunning asks the endpoint at work on r, together with the first others.
 func (c *Core) probeRunning(now time.Duration, r *request, out *Actions) {
 	a := &r.attempts[1]
-	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.live(), c.fleet.ownShare) {
+	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.countLive(), c.fleet.ownShare) {
 		c.probeLoad(r, a.index, out)
 	}
 }
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -30,9 +30,9 @@
 		}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			boxes := idle(4, "d0")
+			boxes := idleEndpoints(4, "d0")
 			y := newEntryHarness(t, boxes...)
-			y.learn(12)
+			y.learnServiceTime(12)
 			id := y.sendRequest(c.kind, 3*sec)
 			y.run(20 * ms)
 			first := y.endpoint(y.open[id][1].Endpoint)
@@ -50,23 +50,23 @@
 // A budget that successes earn is empty then; the read would fail although an idle
 // endpoint stands by and the fleet is far within its bound.
 func TestFirstRequestsOfAProcessAreRepeated(t *testing.T) {
-	y := newEntryHarness(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
 	y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
 	delete(y.open[id], 1)
 	y.run(20 * ms)
 	if len(y.open[id]) != 1 {
-		t.Errorf("not repeated: %+v", y.told[id])
+		t.Errorf("not repeated: %+v", y.replies[id])
 	}
 }
 
 // Many requests take longer than usual, and the bound on looks is used up: the endpoint at
 // work on one of them is not asked. That it has told nothing is no sign that it is silent.
 func TestNotAskedIsNotSilent(t *testing.T) {
-	boxes := idle(3, "d0")
+	boxes := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(120 * ms)
 	r := y.requests[id]
@@ -84,9 +84,9 @@
 // at the pace at which it began, so that a second attempt for it would only take a slot.
 // One that began at a slow pace, unseen, is overdue at twice its time.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
-	boxes := idle(3, "d0")
+	boxes := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
 	y.endpoint(y.sent[0]).pace = 500
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -25,9 +25,9 @@
 // engineer to look at has to be there.
 func TestStoriesExplainFailures(t *testing.T) {
 	t.Run("refused though endpoints were free", func(t *testing.T) {
-		boxes := idle(3, "d0")
+		boxes := idleEndpoints(3, "d0")
 		y := newEntryHarness(t, boxes...)
-		y.learn(8)
+		y.learnServiceTime(8)
 		for _, b := range boxes {
 			b.running, b.waiting = 2, 4
 		}
@@ -41,8 +41,8 @@
 		}
 	})
 	t.Run("answered 502", func(t *testing.T) {
-		y := newEntryHarness(t, idle(3, "d0")...)
-		y.learn(8)
+		y := newEntryHarness(t, idleEndpoints(3, "d0")...)
+		y.learnServiceTime(8)
 		id := y.askNamed(route.NonIdempotent, 3*sec, "lost")
 		y.run(20 * ms)
 		endpoint := y.open[id][1].Endpoint
@@ -54,9 +54,9 @@
 		}
 	})
 	t.Run("late", func(t *testing.T) {
-		boxes := idle(1, "d0")
+		boxes := idleEndpoints(1, "d0")
 		y := newEntryHarness(t, boxes...)
-		y.learn(8)
+		y.learnServiceTime(8)
 		boxes[0].running = 1
 		id := y.askNamed(route.NonIdempotent, 3*sec, "late")
 		y.run(650 * ms)
@@ -71,8 +71,8 @@
 
 // Of the requests that went well only a sample is told, the same ones on every entry.
 func TestOrdinaryRequestsAreSampled(t *testing.T) {
-	y := newEntryHarness(t, idle(2, "d0")...)
-	y.learn(8)
+	y := newEntryHarness(t, idleEndpoints(2, "d0")...)
+	y.learnServiceTime(8)
 	told := map[string]bool{}
 	for i := range 400 {
 		name := time.Duration(i).String()
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -20,9 +20,9 @@
 		{"sharing costs much", 380 * ms, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			boxes := idle(1, "d0")
+			boxes := idleEndpoints(1, "d0")
 			y := newEntryHarness(t, boxes...)
-			y.learn(8)
+			y.learnServiceTime(8)
 			for range 40 {
 				boxes[0].running = 1
 				id := y.sendRequest(route.Idempotent, 3*sec)
@@ -51,7 +51,7 @@
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
 		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
 		y := newEntryHarness(t, idle, full)
-		y.learn(12)
+		y.learnServiceTime(12)
 		idle.pace, full.running, full.waiting = 500, 2, 1
 		id := y.sendRequest(route.Idempotent, left)
 		y.run(70 * ms)
@@ -61,7 +61,7 @@
 		idle.pace = 100
 		y.run(70 * ms)
 		if d, open := y.open[id][1]; !open || d.Endpoint != "idle" {
-			t.Errorf("with %v left not sent once the VM was well: %+v", left, y.told[id])
+			t.Errorf("with %v left not sent once the VM was well: %+v", left, y.replies[id])
 		}
 	}
 }
@@ -71,9 +71,9 @@
 // believes that a slot is free in a moment; it waits there behind a long one and is late.
 // It waits in the entry instead, and takes the slot that frees up first anywhere.
 func TestNoWaitBehindLongRequests(t *testing.T) {
-	boxes := idle(2, "d0")
+	boxes := idleEndpoints(2, "d0")
 	y := newEntryHarness(t, boxes...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	for range 12 {
 		id := y.sendRequest(route.NonIdempotent, 3*sec)
 		y.run(600 * ms)
@@ -91,6 +91,6 @@
 	boxes[1].running = 0
 	y.run(60 * ms)
 	if d := y.open[short][1]; d.Endpoint != boxes[1].name {
-		t.Errorf("the free slot was not used: %+v", y.told[short])
+		t.Errorf("the free slot was not used: %+v", y.replies[short])
 	}
 }
