--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -10,21 +10,22 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// coldOwners is what the owners of a pool's cold endpoints were worked out from.
+// coldOwners is the state from which the owners of a pool's cold endpoints were last computed.
 type coldOwners struct {
-	// until is when the last cold endpoint of the pool is warm as far as known.
+	// until is when the last cold endpoint of the pool becomes warm, as far as this entry knows.
 	until time.Duration
-	// at is when they were worked out, for a version of the entries known.
+	// at is when the owners were computed, 0 to compute them again; version, rows and settled are
+	// the inputs at that time.
 	at      time.Duration
 	version uint64
 	rows    int
 	settled bool
-	// periodEnds is when the next turn begins to own an endpoint that names a limit.
+	// periodEnds is when the next owner period of an endpoint with a rate limit begins.
 	periodEnds time.Duration
 }
 
-// becameCold notes that an endpoint is cold as far as others say. Its owners are worked out once
-// it is asked for.
+// becameCold marks an endpoint as cold that others report as cold. Its owners are computed before
+// the next choice.
 func (p *pool) becameCold(now time.Duration, index int) {
 	e := &p.Endpoints[index]
 	quota.BecameCold(now, &p.Pool, e)
@@ -32,7 +33,7 @@
 	p.cold.until, p.cold.at = max(p.cold.until, e.Cold.Until), 0
 }
 
-// reportedCold takes in how much longer an endpoint says that it stays cold.
+// reportedCold records for how much longer an endpoint reports that it stays cold.
 func (c *Core) reportedCold(now time.Duration, p *pool, e *table.Endpoint, left time.Duration) {
 	wasCold := quota.IsCold(now, &p.Pool, e)
 	quota.SetCold(now, e, left)
@@ -41,13 +42,13 @@
 	}
 }
 
-// setWarmup puts in force what is published of a pool's cold endpoints.
+// setWarmup applies the published warmup of a pool's endpoints.
 func (c *Core) setWarmup(p *pool, w profile.Warmup) {
 	p.ColdShare = quota.NewColdQuota(quota.Warmup{For: w.For, PerSecond: w.PerSecond, Over: c.cfg.WarmupOver, Slack: c.cfg.WarmupSlack})
 }
 
-// refreshOwnership works out which of the pool's endpoints that are cold, or name a limit, this entry may
-// send to.
+// refreshOwnership computes to which of the pool's cold or rate-limited endpoints this entry may
+// send requests.
 func (c *Core) refreshOwnership(now time.Duration, p *pool) {
 	if now >= p.cold.until && p.limited == 0 {
 		return
@@ -73,23 +74,25 @@
 	}
 }
 
-// rememberedEntry is an entry as it counts for who owns cold endpoints.
+// rememberedEntry is an entry that takes part in dividing cold endpoints, with the time at which it
+// was last known.
 type rememberedEntry struct {
 	quota.Entry
 	at time.Duration
 }
 
-// rememberFor is how long an entry counts for that after it was known last. Entries that went silent
-// stay in it, and those on the other side of a partition, so that both sides go on with the same
-// owners; what one that has gone for good owned is nobody's for so long.
+// rememberFor is how long an entry stays in the division of cold endpoints after it was last known.
+// Silent entries and entries on the other side of a partition stay in it, so that both sides keep
+// the same owners. The endpoints that a removed entry owned have no owner for that time.
 const rememberFor = 10 * time.Minute
 
-// rememberEntries notes the entries that are known, and settles once this entry knows what others do.
+// rememberEntries updates the entries among which cold endpoints are divided, and marks the fleet
+// as settled once this entry has the same records as its peers.
 //
-// Guards against an entry that has just begun to serve and takes itself for the owner of everything
-// since it knows few others, as all entries of a failure domain would that comes back with its
-// endpoints: it owns nothing until it has served for a while and then held the same records as
-// all that it hears.
+// A starting entry knows few others and would take itself for the owner of every cold endpoint, as
+// would all entries of a failure domain that comes back together with its endpoints. It therefore
+// owns none until it has served for a while and then has the same records as all peers that it
+// hears.
 func (c *Core) rememberEntries(now time.Duration) {
 	f := &c.fleet
 	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settling {
@@ -111,7 +114,7 @@
 	maps.DeleteFunc(f.remembered, func(_ uint64, r rememberedEntry) bool { return now-r.at > rememberFor })
 }
 
-// coldCandidates are the entries among which cold endpoints are divided.
+// coldCandidates returns the entries among which cold endpoints are divided.
 func (c *Core) coldCandidates() quota.Candidates {
 	entries := make([]quota.Entry, 0, len(c.fleet.remembered))
 	for _, r := range c.fleet.remembered {
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -13,22 +13,25 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// An attempt that is lost because its connection broke says little: endpoints reset connections
-// that are too many or idle. Its endpoint is asked at once whether it takes connections; one that
-// refuses them has crashed, and the whole fleet is told under which request (package quarantine).
+// An attempt that ends with a broken connection says little: endpoints also reset connections that
+// are idle or too many. The entry sends the endpoint a crash probe at once. An endpoint that
+// refuses the connection has crashed, and the fleet is notified of the request that it was running
+// (package quarantine).
 const (
-	// maxBroken bounds the attempts whose endpoint is still to be asked.
+	// maxBroken bounds the broken attempts whose endpoint awaits a crash probe.
 	maxBroken = 256
-	// crashProbeGap is the time between two questions to an endpoint that says nothing, crashProbeFor how long
-	// it is asked. One that is cut off or has lost power says nothing for longer.
+	// crashProbeGap is the time between two crash probes of an endpoint that does not answer, and
+	// crashProbeFor is for how long it is probed. An endpoint that is cut off or has lost power
+	// stays silent for longer.
 	crashProbeGap = 200 * time.Millisecond
 	crashProbeFor = 2 * time.Second
-	// spreadAfter is after how long the fleet is told of the first crash under a request. Most requests
-	// run elsewhere by then, so that many endpoints which crash for another reason are hardly news.
+	// spreadAfter is the delay after which the first crash under a request is spread to the fleet.
+	// By then most requests have completed elsewhere, so little evidence is spread when many
+	// endpoints crash for another reason.
 	spreadAfter = 500 * time.Millisecond
 )
 
-// unspreadCrash is a crash of which the fleet has not been told, and when it is to be.
+// unspreadCrash is a crash that has not been spread to the fleet yet, and when it is due.
 type unspreadCrash struct {
 	quarantine.Crash
 	due time.Duration
@@ -42,11 +45,12 @@
 	incarnation uint64
 	address     string
 	began, at   time.Duration
-	// probeAt is when the endpoint is asked next.
+	// probeAt is when the next crash probe is due.
 	probeAt time.Duration
 }
 
-// noteAttemptEnd takes in the end of an attempt.
+// noteAttemptEnd records the end of an attempt: a completed request ends suspicion, and a broken
+// attempt leads to a crash probe of its endpoint.
 func (c *Core) noteAttemptEnd(now time.Duration, r *request, a *attempt, e *table.Endpoint, end End, out *Actions) {
 	request := r.identity()
 	switch {
@@ -61,8 +65,8 @@
 	}
 }
 
-// probeBroken asks the endpoints of broken attempts whether they have crashed, within the bounds on
-// watching.
+// probeBroken sends crash probes to the endpoints of broken attempts, within the probe budgets of
+// their pools.
 func (c *Core) probeBroken(now time.Duration, out *Actions) {
 	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool { return now-b.at >= crashProbeFor })
 	for i := range c.broken {
@@ -87,12 +91,12 @@
 	return p.healthProbes.TrySpend(now, p.Slots())
 }
 
-// brokenProbeEnd takes in what the endpoint of broken attempts answered. One at whose address
-// another endpoint, or another incarnation, answers has ended as well.
+// brokenProbeEnd processes the result of a crash probe. The endpoint also counts as crashed if
+// another endpoint or another incarnation answers at its address.
 func (c *Core) brokenProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
 	crashed := end.Refused || end.Misdirected || end.Seen != 0 && end.Seen != end.Probe.Incarnation
 	if !crashed && !end.OK && !end.Unwell {
-		return // it is asked again
+		return // no answer: the next probe follows
 	}
 	var crashes []quarantine.Crash
 	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool {
@@ -118,8 +122,8 @@
 		Caller: crash.Caller, AgeMillis: millis(now - crash.At), RanMillis: millis(crash.At - crash.Began)}
 }
 
-// spreadCrashes has the fleet told of the crashes that are due, or whose request has crashed another
-// endpoint; those under requests that have run since are no news.
+// spreadCrashes spreads the crashes that are due, and at once those whose request has crashed
+// another endpoint. It drops crashes under requests that have completed since.
 func (c *Core) spreadCrashes(now time.Duration) {
 	var evidence []message.Evidence
 	c.unspreadCrashes = slices.DeleteFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
@@ -138,7 +142,8 @@
 	}
 }
 
-// noteCompleted clears a request that has run, and has the fleet told if it knows of a crash.
+// noteCompleted clears a request that has completed, and notifies the fleet if the fleet knows of a
+// crash under it.
 func (c *Core) noteCompleted(now time.Duration, request quarantine.Request, out *Actions) {
 	if !c.quarantine.Knows(request) {
 		return
@@ -155,14 +160,14 @@
 	c.processRequestEvidence(now, evidence, out)
 }
 
-// isSpread reports whether the fleet was told of a crash, or told this entry.
+// isSpread reports whether the crash was spread to the fleet or was learned from a peer.
 func (c *Core) isSpread(crash quarantine.Crash) bool {
 	return !slices.ContainsFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
 		return u.Request == crash.Request && u.Endpoint == crash.Endpoint && u.Incarnation == crash.Incarnation
 	})
 }
 
-// crashNumber is a number for a crash, the same at every entry.
+// crashNumber returns a number for a crash that is the same at every entry.
 func crashNumber(crash *quarantine.Crash) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(crash.Endpoint))
@@ -170,8 +175,8 @@
 	return h.Sum32()
 }
 
-// processRequestEvidence takes in what is told of requests, by this entry or others, and refuses those
-// that wait here and may not be sent any more.
+// processRequestEvidence processes evidence about requests, from this entry or from peers, and
+// refuses waiting requests that are now in quarantine.
 func (c *Core) processRequestEvidence(now time.Duration, evidence []message.Evidence, out *Actions) {
 	changed := false
 	for i := range evidence {
@@ -204,7 +209,7 @@
 	return changed
 }
 
-// auditVerdicts notes for the audit trail which requests went into quarantine or left it.
+// auditVerdicts writes to the audit trail which requests entered or left quarantine.
 func (c *Core) auditVerdicts(now time.Duration, before []quarantine.Request, e *message.Evidence, out *Actions) {
 	after := c.quarantine.Quarantined(now, nil)
 	for _, request := range after {
@@ -235,14 +240,14 @@
 	return name + " of caller " + strconv.FormatUint(r.Caller, 16)
 }
 
-// identity is what a request shares with its repeats.
+// identity returns what a request has in common with its repeats.
 func (r *request) identity() quarantine.Request { return r.arrival.identity() }
 
 func (a *Arrival) identity() quarantine.Request {
 	return quarantine.Request{Content: a.Content, Caller: a.Caller}
 }
 
-// refuseQuarantined answers the requests that wait for an endpoint and may not be sent any more.
+// refuseQuarantined refuses the requests that wait for an endpoint and are now in quarantine.
 func (c *Core) refuseQuarantined(now time.Duration, out *Actions) {
 	var refused []RequestID
 	for id, r := range c.requests {
@@ -263,7 +268,8 @@
 	return c.quarantine.Of(now, r.identity()) == quarantine.Quarantined
 }
 
-// isSuspect reports whether endpoints crashed while they ran the same request: it isn't repeated.
+// isSuspect reports whether endpoints crashed while they ran the same request. Such a request is
+// not repeated.
 func (c *Core) isSuspect(now time.Duration, r *request) bool {
 	return c.quarantine.Of(now, r.identity()) != quarantine.Sound
 }
--- a/internal/core/delayedrounds.go
+++ b/internal/core/delayedrounds.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// delayedRound is a request that waits for its next round of looks beside the queue.
+// delayedRound is a request that waits outside the queue for its next probe round.
 type delayedRound struct {
 	id RequestID
 	at time.Duration
 }
 
-// delayProbeRound begins the next round of looks for r after a while. It does not wait in the
-// queue, where it would keep others back that need not wait.
+// delayProbeRound starts the next probe round for r after probeRoundGap. The request does not wait
+// in the queue, where it would hold up requests that need not wait.
 func (c *Core) delayProbeRound(now time.Duration, r *request) {
 	c.delayedRounds = append(c.delayedRounds, delayedRound{id: r.arrival.ID, at: now + probeRoundGap})
 }
 
-// startDelayedRounds begins the rounds of looks that are due.
+// startDelayedRounds starts the delayed rounds that are due.
 func (c *Core) startDelayedRounds(now time.Duration, out *Actions) {
 	kept := c.delayedRounds[:0]
 	due := c.delayedDue[:0]
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// probeAfter is the age of the latest knowledge of an endpoint from which
-	// on a probe is worth its cost. Ordinary answers keep busy endpoints below it.
+	// probeAfter is the age of the last load report or probe of an endpoint from which on a health
+	// probe is worth its cost. Busy endpoints stay below it, since answers to requests report their
+	// load.
 	probeAfter = 2 * time.Second
-	// maxProbesPerTick bounds the probes that one round starts.
+	// maxProbesPerTick bounds the health probes that one tick starts.
 	maxProbesPerTick = 4
 )
 
-// startHealthProbes probes endpoints of which nothing was seen for long, within the
-// watching budget. Free sightings come first: an endpoint that answers requests
-// is not probed. Of several entries only one probes an endpoint; where their
-// views differ more may, and the budget still holds since each spends only its
-// fixed part.
+// startHealthProbes probes, within the watch budget, endpoints whose load has not been seen for
+// probeAfter. Answers to requests count as well, so a busy endpoint is not probed. Each endpoint is
+// assigned to one entry. Where the entries' views differ several may probe it; the budget still
+// holds, since each entry spends only its fixed part.
 func (c *Core) startHealthProbes(now time.Duration, out *Actions) {
 	started := 0
 	for _, p := range c.poolRows {
@@ -45,9 +45,9 @@
 	}
 }
 
-// longestUnseen returns the endpoint to probe of which nothing was seen for the
-// longest time, or nil. Guards against a budget that is spent on the first rows
-// of the table again and again, so that nothing is ever known of the last ones.
+// longestUnseen returns the endpoint due for a probe that has gone unseen for the longest time, or
+// nil. Probing in table order could spend the whole budget on the first rows again and again, so
+// that nothing would be known of the last ones.
 func (p *pool) longestUnseen(now time.Duration) *table.Endpoint {
 	var found *table.Endpoint
 	for i := range p.Endpoints {
@@ -59,8 +59,8 @@
 	return found
 }
 
-// assignProbes works out which endpoints of a pool this entry probes, once after
-// each change of members: it takes a hash for each pair of entry and endpoint.
+// assignProbes computes which endpoints of a pool this entry probes. It runs once after each
+// membership change, since it hashes each pair of entry and endpoint.
 func (c *Core) assignProbes(p *pool) {
 	if p.probeAssignedVersion == c.fleet.version && len(p.probeAssigned) == len(p.Endpoints) {
 		return
@@ -80,12 +80,12 @@
 	return now-lastSeen(e) >= probeAfter
 }
 
-// lastSeen is when something was last learned of the endpoint's load, or asked.
+// lastSeen returns when the endpoint's load was last seen or a probe was last sent.
 func lastSeen(e *table.Endpoint) time.Duration {
 	return max(e.Reported.At, e.ProbedAt, e.AdmittedAt-probeAfter)
 }
 
-// ProbeEnd feeds the result of a probe.
+// ProbeEnd processes the result of a probe.
 func (c *Core) ProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
 	p, ok := c.pools[end.Probe.Pool]
 	if !ok {
@@ -141,7 +141,7 @@
 	}
 }
 
-// healthLimits are those of the profiles for the pool as a whole.
+// healthLimits returns the ejection limits of the pool as a whole, taken from the profiles.
 func (c *Core) healthLimits(now time.Duration, p *pool) health.Limits {
 	published, _ := c.snapshot.PoolLimits(p.Name, c.closing)
 	limits := health.Limits{
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -12,29 +12,29 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// endpointID names one incarnation of an endpoint.
+// endpointID identifies one incarnation of an endpoint.
 type endpointID struct {
 	name        string
 	incarnation uint64
 }
 
-// knownLimit is what the fleet knows of an endpoint's limit since it was told.
+// knownLimit is the last known rate limit of an endpoint, and when the endpoint reported it.
 type knownLimit struct {
 	message.Limit
 	at time.Duration
 }
 
 const (
-	// maxLimits bounds the limits that are known of endpoints.
+	// maxLimits bounds the number of rate limits kept.
 	maxLimits = 4096
-	// limitRetention is how long a limit is known of an endpoint that the list doesn't have.
+	// limitRetention is how long the limit of an endpoint is kept that is not on the VM list.
 	limitRetention = 5 * time.Minute
-	// smallLimitChange is by what part a limit has to change for the fleet to be told at once. Those who
-	// send to the endpoint hear of it in any case.
+	// smallLimitChange is the relative change up to which a new limit is not spread at once.
+	// Entries that send requests to the endpoint see it in its answers in any case.
 	smallLimitChange = 0.25
 )
 
-// reportedLimit takes in the limit that an endpoint names in an answer, 0 if it names none.
+// reportedLimit records the rate limit that an endpoint reports in an answer, 0 for none.
 func (c *Core) reportedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	limit := &e.Limit
 	from, owners, renew := limit.Rate, limit.Owners, quota.RenewalDue(now, e)
@@ -53,7 +53,7 @@
 	}
 }
 
-// spreadLimit has the fleet told what an endpoint takes.
+// spreadLimit spreads the endpoint's rate limit to the fleet.
 func (c *Core) spreadLimit(now time.Duration, e *table.Endpoint) {
 	limit := &e.Limit
 	limit.Period, _ = quota.OwnerPeriod(now, e)
@@ -64,8 +64,8 @@
 	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: current}})
 }
 
-// probedLimit is reportedLimit for the answer to a look. That it names none says something only of an
-// endpoint that names its limit in such answers as well.
+// probedLimit is reportedLimit for the answer to a load probe. An answer without a limit counts
+// only if the endpoint has reported a limit in such answers before.
 func (c *Core) probedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	if rate > 0 {
 		e.Limit.InProbes = true
@@ -79,11 +79,12 @@
 	return a > 0 && b > 0 && max(a, b)-min(a, b) <= smallLimitChange*min(a, b)
 }
 
-// limitSubject marks evidence of limits, which names no VM: entries of earlier releases take evidence of
-// kinds that they don't know for the end of the VM.
+// limitSubject is the prefix of the subject of evidence about limits. The subject is not the name
+// of a VM, since entries of earlier releases treat evidence of an unknown kind as the end of the
+// VM.
 const limitSubject = "limit of "
 
-// processLimits takes in what is told of the limits of endpoints.
+// processLimits processes evidence about the rate limits of endpoints.
 func (c *Core) processLimits(now time.Duration, evidence []message.Evidence, out *Actions) {
 	for i := range evidence {
 		ev := &evidence[i]
@@ -104,7 +105,7 @@
 	}
 }
 
-// applyLimit puts what is known of an endpoint's limit into its row.
+// applyLimit copies the known limit of an endpoint into its row.
 func (c *Core) applyLimit(now time.Duration, p *pool, index int, actor string, out *Actions) {
 	e := &p.Endpoints[index]
 	known, found := c.limits[endpointID{e.Name, e.Incarnation}]
@@ -120,7 +121,7 @@
 	}
 }
 
-// recountLimits has the owners of the pool's endpoints worked out anew.
+// recountLimits counts the pool's endpoints with a rate limit and has the owners computed again.
 func (p *pool) recountLimits() {
 	p.cold.at, p.limited = 0, 0
 	for i := range p.Endpoints {
@@ -130,7 +131,7 @@
 	}
 }
 
-// forgetLimits drops the limits of endpoints that have gone.
+// forgetLimits drops the limits of endpoints that are no longer listed.
 func (c *Core) forgetLimits(now time.Duration) {
 	maps.DeleteFunc(c.limits, func(id endpointID, k knownLimit) bool {
 		ref, listed := c.fleet.rows[id.name]
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// maxCrowdedProbes is how many endpoints are asked for a request that has waited, or
-	// right after another one found no room: more would spend the budget on endpoints
-	// that are busy.
+	// maxCrowdedProbes is how many endpoints are probed for a request that has waited, or right
+	// after another request found no room. More would spend the budget on busy endpoints.
 	maxCrowdedProbes = 4
-	// loadProbeWait bounds the wait for a batch: several round trips between failure
-	// domains. An endpoint that says nothing for so long is no good choice.
+	// loadProbeWait bounds the wait for one batch of load probes. It covers several round trips
+	// between failure domains; an endpoint that stays silent for longer is a poor choice.
 	loadProbeWait = 12 * time.Millisecond
-	// probeRoundGap is the time between two rounds for requests that wait.
+	// probeRoundGap is the time between two probe rounds for requests that wait.
 	probeRoundGap = 30 * time.Millisecond
-	// maxLoadlessProbes is after how many answers without a load a pool's endpoints are
-	// taken to report none.
+	// maxLoadlessProbes is the number of successive answers without a load after which the
+	// endpoints of a pool count as reporting none.
 	maxLoadlessProbes = 6
 )
 
-// loadProbeRound is the looks for one request.
+// loadProbeRound is the load probes of one request that are under way together.
 type loadProbeRound struct {
-	// batch numbers the batch under way; answers to an earlier one only inform.
+	// batch numbers the batch under way. Answers to an earlier batch update the endpoint's load but
+	// do not advance the round.
 	batch   uint32
 	pending int
-	// asked are the endpoints asked in this round of looks.
+	// asked are the indexes of the endpoints probed in this round.
 	asked []int
 	began time.Duration
 	until time.Duration
-	// second says that the round is for a second attempt beside a running one.
+	// second is true if the round is for a second attempt beside a running one.
 	second bool
 	active bool
-	// ownOnly says that only endpoints of the own failure domain are asked.
+	// ownOnly is true if only endpoints of the entry's own failure domain are probed.
 	ownOnly bool
 }
 
-// usesLoadProbes reports whether endpoints of the pool are looked at.
+// usesLoadProbes reports whether endpoints of the pool get load probes.
 func (p *pool) usesLoadProbes() bool {
 	if p.loadless >= maxLoadlessProbes {
 		return false
@@ -52,18 +52,18 @@
 	return false
 }
 
-// usesLoadProbes reports whether the endpoint of a request is chosen by looks.
+// usesLoadProbes reports whether the endpoint for a request is chosen by load probes.
 func (c *Core) usesLoadProbes(r *request) bool {
 	return r.policy.LoadProbes > 0 && r.pool.loadless < maxLoadlessProbes
 }
 
-// waitsForLoadProbe reports whether the requests that wait have to wait on for a round
-// under way, or for the next one.
+// waitsForLoadProbe reports whether queued requests have to wait for a probe round that is under
+// way, or for the next one.
 func (c *Core) waitsForLoadProbe(now time.Duration, p *pool) bool {
 	return p.usesLoadProbes() && (p.probingFor != 0 || now < p.probeAgainAt)
 }
 
-// placementView returns a request with its pool as package placement sees them.
+// placementView returns a request and its pool in the form that package placement uses.
 func (c *Core) placementView(now time.Duration, r *request) placement.View {
 	c.refreshOwnership(now, r.pool)
 	return placement.View{
@@ -77,7 +77,7 @@
 	}
 }
 
-// placementRequest returns the request as package placement sees it.
+// placementRequest returns the request in the form that package placement uses.
 func (r *request) placementRequest() placement.Request {
 	return placement.Request{
 		Arrived: r.arrived, Deadline: r.deadline, FirstTry: r.arrived - r.age, Objective: r.policy.Objective,
@@ -86,14 +86,14 @@
 	}
 }
 
-// bestChoice returns the best choice for r among the endpoints that have just told their load.
+// bestChoice returns the best choice for r among the endpoints with a recent probed load.
 func (c *Core) bestChoice(now time.Duration, r *request) placement.Choice {
 	view := c.placementView(now, r)
 	return view.Best()
 }
 
-// startLoadProbes begins to look for an endpoint for r. It returns false when there is
-// none to ask.
+// startLoadProbes starts a probe round for r. A queued request is dispatched without new probes if
+// an answer that has just arrived shows a free slot. It always returns true.
 func (c *Core) startLoadProbes(now time.Duration, r *request, second bool, out *Actions) bool {
 	if !second {
 		r.phase = phaseProbing
@@ -103,7 +103,7 @@
 		ownOnly: !second && !r.queuedOnce && view.PrefersOwnDomain(probeRoundGap)}
 	c.probing = append(c.probing, r.arrival.ID)
 	if r.queuedOnce && !second {
-		// An answer that has just come in told of a slot that is free by now.
+		// An answer that has just arrived may have reported a slot that is free by now.
 		if best := c.bestChoice(now, r); best.Worth && c.dispatchProbed(now, r, best.Index, out) {
 			return true
 		}
@@ -112,7 +112,8 @@
 	return true
 }
 
-// probeNextBatch asks the next batch, or decides when there is none.
+// probeNextBatch sends the next batch of load probes, or decides if there is no endpoint left to
+// probe.
 func (c *Core) probeNextBatch(now time.Duration, r *request, out *Actions) {
 	p := r.pool
 	most := r.policy.LoadProbes - len(r.probeRound.asked)
@@ -139,7 +140,7 @@
 	}
 }
 
-// probeLoad looks at the endpoint at index i for r.
+// probeLoad sends a load probe to the endpoint at index i on behalf of r.
 func (c *Core) probeLoad(r *request, i int, out *Actions) {
 	e := &r.pool.Endpoints[i]
 	r.probeRound.asked = append(r.probeRound.asked, i)
@@ -150,7 +151,7 @@
 		Path: r.pool.probePath, Request: r.arrival.ID, Round: r.probeRound.batch, Wait: 4 * loadProbeWait})
 }
 
-// loadProbeEnd takes in what an endpoint answered.
+// loadProbeEnd processes the result of a load probe.
 func (c *Core) loadProbeEnd(now time.Duration, p *pool, e *table.Endpoint, end ProbeEnd, out *Actions) {
 	p.learned.NoteContact(now, e.Domain, end.OK || end.Unwell || end.Misdirected)
 	switch {
@@ -194,15 +195,15 @@
 }
 
 const (
-	// misdirectedPause is how long an address at which another endpoint answers is
-	// left alone: far longer than the platform's list takes to tell.
+	// misdirectedPause is how long an address is avoided at which another endpoint answers. It is
+	// far longer than the platform's list takes to show the change.
 	misdirectedPause = 30 * time.Second
-	// unwellPause is how long an endpoint is avoided that says it is unwell or says
-	// nothing. It is short, since the statement may be false.
+	// unwellPause is how long an endpoint is avoided that reports itself unwell or does not answer.
+	// It is short, since the report may be wrong.
 	unwellPause = 500 * time.Millisecond
 )
 
-// expireLoadProbes goes on without endpoints that did not answer in time.
+// expireLoadProbes continues the probe rounds whose endpoints did not answer in time.
 func (c *Core) expireLoadProbes(now time.Duration, out *Actions) {
 	kept := c.probing[:0]
 	due := c.lateProbes[:0]
@@ -225,7 +226,8 @@
 	}
 }
 
-// decide chooses among the endpoints that were looked at, or lets r wait.
+// decide ends a round in which no endpoint is left to probe. It dispatches r to the best endpoint,
+// starts a delayed round, refuses r if no endpoint lives, or puts r into the queue.
 func (c *Core) decide(now time.Duration, r *request, out *Actions) {
 	best := c.bestChoice(now, r)
 	if r.probeRound.second {
@@ -257,7 +259,7 @@
 	c.enqueue(now, r, out)
 }
 
-// anyAnswered reports whether one of the endpoints asked told its load.
+// anyAnswered reports whether any endpoint probed in this round reported its load.
 func (c *Core) anyAnswered(r *request) bool {
 	for _, i := range r.probeRound.asked {
 		if i < len(r.pool.Endpoints) {
@@ -269,7 +271,7 @@
 	return false
 }
 
-// endProbeRound ends a round of looks.
+// endProbeRound ends the probe round of r.
 func (c *Core) endProbeRound(r *request) {
 	r.probeRound.active = false
 	if r.pool.probingFor == r.arrival.ID {
@@ -277,13 +279,13 @@
 	}
 }
 
-// dispatchProbed sends r to the endpoint at index i.
+// dispatchProbed sends r to the endpoint at index i. It returns false if r may not be sent there.
 func (c *Core) dispatchProbed(now time.Duration, r *request, i int, out *Actions) bool {
 	if int(r.dispatches) >= MaxAttempts || now >= r.deadline {
 		return false
 	}
 	if quota.Of(now, &r.pool.Pool, &r.pool.Endpoints[i]) != quota.Granted {
-		return false // another request has taken what it bears
+		return false // other requests have used up the endpoint's quota
 	}
 	second := r.probeRound.second
 	if second && !c.spendRepeat(now, r) {
--- a/internal/core/peerslots.go
+++ b/internal/core/peerslots.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// peerSlotsSilence is how long a peer's counts are believed without news.
+	// peerSlotsSilence is how long a peer's counts stay valid without an update.
 	peerSlotsSilence = 2 * time.Second
-	// serviceTimeTTL is how long the measured time of an endpoint that gets no
-	// request is believed.
+	// serviceTimeTTL is how long the measured service time of an endpoint stays valid that gets no
+	// request.
 	serviceTimeTTL = time.Minute
 )
 
-// peerSlots are what other entries say of their own attempts at the endpoints of
-// a pool.
+// peerSlots are the slots of a pool's endpoints that peers report as in use.
 type peerSlots struct {
-	// byPeer are each peer's counts, by the index of the endpoint.
+	// byPeer has each peer's counts, by the index of the endpoint.
 	byPeer map[uint64][]int32
-	// total adds them up.
+	// total has the sum of all peers' counts, by the index of the endpoint.
 	total []int32
 }
 
-// set takes in a peer's count at one endpoint.
+// set records a peer's count for one endpoint.
 func (s *peerSlots) set(peer uint64, index int, count int32) {
 	if s.byPeer == nil {
 		s.byPeer = make(map[uint64][]int32)
@@ -48,7 +47,7 @@
 	delete(s.byPeer, peer)
 }
 
-// forgetRow drops all counts at an index, which another endpoint takes.
+// forgetRow drops all counts for a row that is used again for another endpoint.
 func (s *peerSlots) forgetRow(index int) {
 	if index >= len(s.total) {
 		return
@@ -61,7 +60,7 @@
 	}
 }
 
-// at returns what the peers hold at an endpoint.
+// at returns how many slots of an endpoint the peers use.
 func (s *peerSlots) at(index int) int32 {
 	if index >= len(s.total) {
 		return 0
@@ -69,9 +68,8 @@
 	return s.total[index]
 }
 
-// expirePeerSlots drops the counts of peers that are silent or gone. Guards
-// against slots that nobody holds any more and that would stay closed to work
-// of low priority.
+// expirePeerSlots drops the counts of peers that are silent or gone. Otherwise slots that are no
+// longer in use would stay closed to requests of low priority.
 func (c *Core) expirePeerSlots(now time.Duration) {
 	for _, p := range c.poolRows {
 		for incarnation := range p.peerSlots.byPeer {
@@ -83,7 +81,7 @@
 	}
 }
 
-// slotsInUse counts the pool's slots that this entry or its peers hold.
+// slotsInUse counts the pool's slots that this entry or its peers use.
 func (p *pool) slotsInUse() int {
 	inUse := 0
 	for i := range p.Endpoints {
@@ -94,14 +92,13 @@
 	return inUse
 }
 
-// withinShare says whether a service that others go before may take one more
-// slot as far as the whole fleet is concerned, and lowers the free slots by what
-// peers hold. Its share of the pool is divided among the entries that serve it;
-// beyond its part it may use what nobody holds, as long as all slots held in the
-// pool together are within its share.
+// withinShare reports whether a service may occupy one more slot fleet-wide while another service
+// of the pool has a higher priority, and lowers the free slots by those that peers use. The
+// service's share of the pool is divided among the entries that serve it. Beyond its own share an
+// entry may use free slots as long as all slots in use in the pool stay within the service's share.
 //
-// It guards against entries that each keep within a share of their own and fill
-// the pool together: urgent requests would wait for whole bulk requests.
+// Without the fleet-wide bound each entry would keep within a share of its own while all of them
+// together fill the pool, and urgent requests would wait for whole bulk requests.
 func (p *pool) withinShare(users []queue.SlotUser, index int, capacity *queue.Capacity) bool {
 	if !yieldsToOthers(users, index) {
 		return true
@@ -113,7 +110,7 @@
 	return users[index].InUse < ownShare || inUse < share
 }
 
-// yieldsToOthers says whether another holder goes before.
+// yieldsToOthers reports whether another slot user has a higher priority.
 func yieldsToOthers(users []queue.SlotUser, index int) bool {
 	for i := range users {
 		if users[i].Priority > users[index].Priority {
@@ -123,10 +120,10 @@
 	return false
 }
 
-// forgetOldServiceTimes drops the measured time of endpoints that got no request for
-// long. Guards against a straggler's time that outlives the straggler: an
-// endpoint that is taken to be slow gets no request while others suffice, so
-// nothing would correct it, and its slots would be missing at the next rush.
+// forgetOldServiceTimes drops the measured service time of endpoints that got no request for long.
+// Otherwise the time of a straggler would outlive its cause: an endpoint that counts as slow gets
+// no request while others suffice, so nothing would correct the time, and its slots would be
+// missing at the next peak.
 func (p *pool) forgetOldServiceTimes(now time.Duration) {
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -17,10 +17,10 @@
 const (
 	// defaultPolicy is the choice policy where the settings name none.
 	defaultPolicy = balance.Default
-	// minRetriesPerSecond is what all entries together may retry for a service
-	// that has too little traffic to earn retries.
+	// minRetriesPerSecond is the retry rate of all entries together for a service that has too
+	// little traffic to earn retries.
 	minRetriesPerSecond = 1
-	// initialServiceTime is the service time assumed before any was measured.
+	// initialServiceTime is the service time assumed before one is measured.
 	initialServiceTime = 15 * time.Millisecond
 )
 
@@ -29,35 +29,35 @@
 	name  string
 	index int32
 	spec  *profile.Service
-	// policy is the one of the mode in force, ordinary or close.
+	// policy is the policy of the mode in force, ordinary or close.
 	policy *profile.Policy
 	pool   *pool
 	retry  *budget.Retry
-	// idleRetry pays for refusals by endpoints that had no idle slot.
+	// idleRetry is the budget for retries after refusals by endpoints that had no idle slot.
 	idleRetry *budget.Retry
-	// silentRetry pays for another attempt after one whose connection went silent.
+	// silentRetry is the budget for retries after attempts whose connection went silent.
 	silentRetry *budget.Retry
 	// inUse counts this entry's attempts in flight for the service.
 	inUse int
-	// entries is how many entries callers of the service are sent to.
+	// entries is the number of entries to which callers of the service are sent.
 	entries int
-	// demand is how many slots the service's traffic keeps busy.
+	// demand is how many slots the service's traffic occupies.
 	demand queue.Demand
-	// typical is how long its answers commonly take on the pool.
+	// typical is the typical latency of the service's answers on the pool.
 	typical health.Typical
 	// hedges are the requests that may still be hedged, oldest first.
 	hedges []hedgeDue
-	// work is how long its requests take at endpoints that were idle.
+	// work is the median time that its requests take at idle endpoints.
 	work placement.Median
-	// kilobytes is a smoothed size of a request with its answer.
+	// kilobytes is the smoothed size of a request with its answer.
 	kilobytes float64
-	// callerTimeout is for how long callers commonly say that they wait.
+	// callerTimeout is the median deadline that callers of the service give.
 	callerTimeout placement.Median
-	// arrived counts requests since the last rate sample.
+	// arrived counts the requests since the last sample of the rate.
 	arrived uint64
 }
 
-// pool is a group of endpoints with the queue that waits for them.
+// pool is a group of endpoints with the queue of requests that wait for them.
 type pool struct {
 	table.Pool
 	picker       balance.Picker
@@ -66,38 +66,38 @@
 	services     []*service
 	slotUsers    []queue.SlotUser
 	peerSlots    peerSlots
-	// deciders are the entries to which callers of the services are sent, in
-	// the order in which the picker knows them; serving says that this is one.
+	// deciders are the entries to which callers of the services are sent, in the order in which the
+	// picker knows them. serving is true if this entry is one of them.
 	deciders     []uint64
 	deciderNames []string
-	// newRows says that the policy has not been told of endpoints that were added.
+	// newRows is true if the policy has not been notified yet of endpoints that were added.
 	newRows bool
 	serving bool
-	// probeAssigned says for each endpoint whether this entry probes it, as of
+	// probeAssigned is true for each endpoint that this entry has to probe, as of
 	// probeAssignedVersion of the member table.
 	probeAssigned        []bool
 	probeAssignedVersion uint64
-	// serviceNanos is a smoothed time that a request holds a slot.
+	// serviceNanos is the smoothed time for which a request occupies a slot.
 	serviceNanos float64
-	// repeats bounds attempts beyond the first of each request, nil for no bound.
+	// repeats bounds the attempts beyond the first of each request; nil means no bound.
 	repeats *budget.Repeats
-	// loadProbes pays for load probes; probingFor is the request at the head of
-	// the queue for which a round is under way, probeAgainAt when the next may be.
+	// loadProbes is the budget for load probes. probingFor is the request at the head of the queue
+	// whose probe round is under way, and probeAgainAt is when the next round may start.
 	loadProbes   *budget.LoadProbes
 	probingFor   RequestID
 	probeAgainAt time.Duration
-	// loadless counts load probes in a row that were answered without a load.
+	// loadless counts the successive load probes that were answered without a load.
 	loadless int
-	// probePath is where the endpoints tell their load, "" for the contract's.
+	// probePath is the path at which the endpoints report their load, "" for the contract's path.
 	probePath string
-	// learned is what placement learned of the endpoints.
+	// learned is what package placement has learned of the endpoints.
 	learned placement.Pool
 	cold    coldOwners
-	// limited counts the endpoints that name a limit.
+	// limited counts the endpoints with a rate limit.
 	limited int
 }
 
-// expectedWork is how long a request of the service is taken to hold a slot.
+// expectedWork is how long a request of the service is expected to occupy a slot.
 func (sv *service) expectedWork() time.Duration {
 	if typical := sv.typical.Latency(); typical > 0 {
 		return typical
@@ -105,7 +105,8 @@
 	return time.Duration(sv.pool.serviceNanos)
 }
 
-// resetAfterPause drops what a process that slept for gap believed of endpoints.
+// resetAfterPause drops what the entry knew of the endpoints' load before its process paused for
+// gap.
 func (p *pool) resetAfterPause(now, gap time.Duration) {
 	for i := range p.Endpoints {
 		p.Endpoints[i].Reported = table.ReportedLoad{}
@@ -114,8 +115,9 @@
 	health.Pause(now, gap, &p.Pool)
 }
 
-// countLive counts the endpoints that take work. Rows of those that are gone stay for a while;
-// counted for the bound on looks, they let the others be asked more often than it allows.
+// countLive counts the endpoints that take work. Rows of endpoints that are gone stay for a while;
+// if they counted for the bound on load probes, the remaining endpoints would be probed more often
+// than the bound allows.
 func (p *pool) countLive() (n int) {
 	for i := range p.Endpoints {
 		if p.Endpoints[i].TakesWork() {
@@ -152,9 +154,8 @@
 	return -1
 }
 
-// add puts an endpoint into the pool. Rows of endpoints that are gone and have
-// no attempt left are used again, so that an index stays valid as long as an
-// attempt refers to it.
+// add adds an endpoint to the pool. It uses the row of an endpoint that is gone only if no attempt
+// refers to the row any more, so that an index stays valid as long as an attempt has it.
 func (p *pool) add(now time.Duration, vm published.VM) (index int) {
 	row := table.Endpoint{
 		Name:        vm.Name,
@@ -180,7 +181,7 @@
 	return len(p.Endpoints) - 1
 }
 
-// poolNamed returns the pool of that name and creates it if need be.
+// poolNamed returns the pool of that name and creates it if necessary.
 func (c *Core) poolNamed(name string) *pool {
 	if p, ok := c.pools[name]; ok {
 		return p
@@ -209,7 +210,7 @@
 	return p
 }
 
-// applySnapshot puts the services of s in force, whole.
+// applySnapshot puts all services of s in force together.
 func (c *Core) applySnapshot(s *profile.Snapshot, out *Actions) {
 	old := c.snapshot
 	c.snapshot = s
@@ -247,7 +248,7 @@
 	c.applyMode(sv)
 }
 
-// serviceRow returns the service's old row if it had one, else a new one.
+// serviceRow returns the existing row of the service, or a new one.
 func (c *Core) serviceRow(name string) *service {
 	for _, sv := range c.serviceRows {
 		if sv.name == name {
@@ -275,7 +276,7 @@
 	sv.retry.SetShare(sv.policy.RetryBudget)
 }
 
-// regroupPools lists each pool's services anew.
+// regroupPools rebuilds the list of services of each pool.
 func (c *Core) regroupPools() {
 	for _, p := range c.poolRows {
 		p.services = p.services[:0]
@@ -293,8 +294,8 @@
 	}
 }
 
-// applyCalendar starts and ends a close by the local calendar, so that it
-// happens also while the configuration service is down.
+// applyCalendar starts and ends a close by the local calendar, so that the mode also changes while
+// the configuration service is down.
 func (c *Core) applyCalendar(now time.Duration, out *Actions) {
 	if c.snapshot == nil {
 		return
