--- a/internal/core/bounds_test.go
+++ b/internal/core/bounds_test.go
@@ -10,9 +10,9 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// A fleet has grown to 1,000 entries before 2,000 endpoints, all of which are replaced within
-// minutes. With bounds of 256 peers and 1,024 pieces of evidence nearly half of 472 entries heard
-// nothing from an entry, and the oldest pieces went unheard. Nothing is left out at this size.
+// Guards against bounds that are too small for a fleet of 1,000 entries and 2,000 endpoints, all of
+// which are replaced within minutes. With bounds of 256 peers and 1,024 pieces of evidence, nearly
+// half of 472 entries heard nothing from one entry, and the oldest evidence was lost.
 func TestThousandEntriesFitAllBounds(t *testing.T) {
 	const entries, endpoints = 1000, 2000
 	self := message.Hello{Name: "entry-0", Incarnation: 1, Region: "r", Domain: "d0", CallerAddress: "10.0.0.0:80", PeerAddress: "10.0.0.0:81"}
@@ -38,27 +38,27 @@
 	c.Tick(3*sec, c.wall, &out)
 	c.Tick(4*sec, c.wall, &out)
 	if got := len(c.PeerAddresses(nil)); got != entries-1 {
-		t.Errorf("%d other entries are known", got)
+		t.Errorf("%d other entries are known, want all", got)
 	}
 	if got := c.RecordSet(); got.Count != entries {
-		t.Errorf("the roster counts %d", got.Count)
+		t.Errorf("the record set counts %d entries", got.Count)
 	}
 	links := c.LinkAddresses(nil)
 	if t.Logf("%d links", len(links)); len(links) == 0 || len(links) > 50 {
 		t.Errorf("%d links", len(links))
 	}
 	if got := len(c.fleet.rows); got != endpoints {
-		t.Errorf("%d endpoints have a row", got)
+		t.Errorf("%d endpoints have a row, want all", got)
 	}
-	// Each of the first incarnations is known to be gone, and is told.
+	// Each endpoint's first incarnation is gone, and the fleet has to be notified of that.
 	if got := c.fleet.gossip.Stats().Stored; got < endpoints {
-		t.Errorf("%d pieces of evidence are held", got)
+		t.Errorf("only %d pieces of evidence are stored", got)
 	}
 	data, err := wire.MarshalRecords(c.RecordsBeyond(nil))
 	if t.Logf("all records take %d bytes, their marks %d", len(data), 5*len(c.fleet.gossip.Marks(nil))); err != nil || len(data) > 1<<20 {
 		t.Errorf("all records take %d bytes, %v", len(data), err)
 	}
 	if got := len(c.EntriesNear("d1", 64)); got != namedLeast {
-		t.Errorf("%d entries are named", got)
+		t.Errorf("the directory returns %d entries", got)
 	}
 }
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -7,15 +7,15 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// publishWarmup publishes that the endpoints of pool p are cold for three seconds after their start and
-// bear 5.8 requests a second then.
+// publishWarmup publishes that the endpoints of pool p are cold for three seconds after their start
+// and can take 5.8 requests a second during that time.
 func (h *entryHarness) publishWarmup(revision uint64) {
 	d := harnessRoutes()
 	d.Services[0].Warmup, d.Services[0].WarmupRate = 3000, 5.8
 	h.publish(revision, d)
 }
 
-// peakPerSecond returns the most attempts that an endpoint got in any second.
+// peakPerSecond returns the largest number of attempts that an endpoint got within any second.
 func (h *entryHarness) peakPerSecond(name string) (most int) {
 	for i, from := range h.sentAt {
 		n := 0
@@ -29,7 +29,7 @@
 	return most
 }
 
-// sendReads asks for reads for a while, and endpoints answer each after 40 ms.
+// sendReads sends a read every interval for d; endpoints answer each after 40 ms.
 func (h *entryHarness) sendReads(every, d time.Duration) {
 	h.serviceTime = 40 * ms
 	for end := h.now + d; h.now < end; {
@@ -39,10 +39,10 @@
 	h.serviceTime = 0
 }
 
-// An endpoint has become cold. It is idle and all reads would go there: 17 in a second crash it, and
-// take those along that it holds. Whoever looks at it learns that it is cold before the first one is
-// sent, sends no more than its part, and sends the rest elsewhere; once it is warm it is used as
-// before.
+// Guards against overloading a cold endpoint. It is idle, so all reads would go there; 17 in one
+// second crash it together with the requests that it is running. A load probe shows that it is cold
+// before the first request is sent. The entry then sends no more than its own quota and sends the
+// rest elsewhere; once the endpoint is warm it is used as before.
 func TestColdEndpointStaysWithinItsQuota(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	h.publishWarmup(2)
@@ -52,18 +52,18 @@
 	cold.coldUntil = h.now + 3*sec
 	h.sendReads(20*ms, 3*sec)
 	if most := h.peakPerSecond("d0-1"); most > 4 || most < 2 {
-		t.Errorf("it gets %d in a second, an owner may send 3 and 1 more at once", most)
+		t.Errorf("the cold endpoint got %d requests in a second, an owner may send 3 and 1 more at once", most)
 	}
 	h.run(200 * ms)
 	h.sent, h.sentAt = nil, nil
 	h.sendReads(20*ms, sec)
 	if warm := h.peakPerSecond("d0-1"); warm < 10 {
-		t.Errorf("it gets %d in a second once it is warm", warm)
+		t.Errorf("the warm endpoint got only %d requests in a second", warm)
 	}
 }
 
-// Nobody has room but a cold endpoint, and it has got what it bears: reads wait for it or for the
-// others, and none is sent there nevertheless.
+// Guards against sending a cold endpoint more than its quota because no other endpoint has room.
+// Reads wait for a slot instead.
 func TestColdEndpointGetsNoOverflowTraffic(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
 	h.publishWarmup(2)
@@ -73,15 +73,15 @@
 	h.endpoint("d0-1").coldUntil = h.now + 3*sec
 	h.sendReads(10*ms, 2*sec)
 	if most := h.peakPerSecond("d0-1"); most > 4 || most == 0 {
-		t.Errorf("it gets %d in a second", most)
+		t.Errorf("the cold endpoint got %d requests in a second", most)
 	}
 	if n := h.peakPerSecond("d0-0"); n > 2 {
-		t.Errorf("the full one gets %d", n)
+		t.Errorf("the full endpoint got %d requests in a second", n)
 	}
 }
 
-// An entry has just begun to serve and knows no other entry: all endpoints that come back would
-// seem to be its own. It leaves cold ones alone until it has served for a while.
+// Guards against a starting entry that knows no other entries and takes itself for the owner of all
+// cold endpoints. It sends them nothing until it has served for a while.
 func TestStartingEntryAvoidsColdEndpoints(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
 	h.publishWarmup(2)
@@ -90,24 +90,24 @@
 		h.sendReads(20*ms, 20*ms)
 	}
 	if n := h.peakPerSecond("d0-1"); n > 0 {
-		t.Errorf("it got %d within %v of the start", n, settling)
+		t.Errorf("the cold endpoint got %d requests within %v of the entry's start", n, settling)
 	}
 	h.sendReads(20*ms, 2*sec)
 	if n := h.peakPerSecond("d0-1"); n == 0 {
-		t.Error("it gets nothing later on")
+		t.Error("the cold endpoint got no requests after that")
 	}
 }
 
-// The list says that an endpoint is cold, and one that is taken back after an evacuation may be
-// cold although nobody says so yet. Nothing is sent there without a look that says more, also where
-// looks are not to be had.
+// Guards against full load on an endpoint that the VM list marks as cold, or that may be cold since
+// its failure domain was evacuated before. It gets almost nothing until a load probe shows that it
+// is warm, even if it does not answer load probes.
 func TestEndpointIsColdUntilItReportsWarm(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		happen func(h *entryHarness)
 	}{
-		{"the list says so", func(h *entryHarness) { h.publishCold("d0-0") }},
-		{"its failure domain is taken back", func(h *entryHarness) {
+		{"the list marks it as cold", func(h *entryHarness) { h.publishCold("d0-0") }},
+		{"its failure domain returns from evacuation", func(h *entryHarness) {
 			h.publishList(8, "d0")
 			h.publishList(9)
 		}},
@@ -124,21 +124,21 @@
 				h.run(20 * ms)
 			}
 			if n := h.peakPerSecond("d0-0"); n > 2 {
-				t.Errorf("%d are sent blindly in 240 ms", n)
+				t.Errorf("%d requests were sent without a probed load in 240 ms", n)
 			}
 			h.endpoint("d0-0").silent = false
-			h.run(4 * sec) // those that waited are told, and the silence is forgotten
+			h.run(4 * sec) // waiting requests get their replies, and the pause after the silence ends
 			h.endpoint("d0-0").running = 0
 			h.sent, h.sentAt = nil, nil
 			h.sendReads(20*ms, sec)
 			if n := h.peakPerSecond("d0-0"); n < 10 {
-				t.Errorf("it says that it is warm and gets %d in a second", n)
+				t.Errorf("the endpoint reports that it is warm and got only %d requests in a second", n)
 			}
 		})
 	}
 }
 
-// publishCold publishes the boxes with one of them cold.
+// publishCold publishes the endpoints with one of them marked as cold.
 func (h *entryHarness) publishCold(name string) {
 	list := h.vmList(8)
 	for i := range list.VMs {
--- a/internal/core/coldfleet_test.go
+++ b/internal/core/coldfleet_test.go
@@ -10,18 +10,18 @@
 
 var coldQuota = quota.NewColdQuota(quota.Warmup{For: 3 * sec, PerSecond: 5.8, Over: 1.5, Slack: 8})
 
-// ownerStats counts, as time passes, what the entries of a fleet take to be theirs of endpoints that
-// are cold.
+// ownerStats counts over time how many entries of a fleet take themselves for an owner of each cold
+// endpoint.
 type ownerStats struct {
 	*largeFleet
 	names []string
-	// maxOwners is the largest number of owners that an endpoint had at a time, least the smallest
-	// part of all endpoints that had any.
+	// maxOwners is the largest number of owners that an endpoint had at a time, and minOwnedShare
+	// the smallest share of all endpoints that had an owner.
 	maxOwners     int
 	minOwnedShare float64
 }
 
-// observe lets time pass. Each entry sees a few calls a second, more in some failure domains.
+// observe lets time pass. Each entry sees a few requests a second, more in some failure domains.
 func (w *ownerStats) observe(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.run(100 * ms)
@@ -52,11 +52,11 @@
 	}
 }
 
-// A cold endpoint bears 16 requests in a second from all entries together, and each of them goes by
-// its own view of the fleet: of who is there, and how many callers are sent to. Through partitions
-// that last until each side has forgotten the other, the loss and return of most entries, a failure
-// domain that stops and others that join, the entries that take an endpoint for theirs may never
-// send more together than it bears.
+// A cold endpoint can take 16 requests in a second from all entries together, and each entry
+// computes its quota from its own view of the fleet: which entries exist and how many of them
+// callers are sent to. The entries that own an endpoint must never be allowed to send more together
+// than it can take: through partitions that last until each side has forgotten the other, the loss
+// and return of most entries, and entries that join.
 func TestColdEndpointOwnersStayWithinBound(t *testing.T) {
 	t.Parallel()
 	for _, n := range fleetSizes(t) {
@@ -82,9 +82,9 @@
 				w.start(vm)
 			}
 			w.observe(5 * sec)
-			t.Logf("at most %d owners, at least %.2f of all endpoints with some", w.maxOwners, w.minOwnedShare)
+			t.Logf("at most %d owners, at least %.2f of all endpoints with an owner", w.maxOwners, w.minOwnedShare)
 			if sent := float64(w.maxOwners) * (coldQuota.Rate + 1); sent > coldQuota.Bound {
-				t.Errorf("%d owners may send %.1f in a second, %.1f are borne", w.maxOwners, sent, coldQuota.Bound)
+				t.Errorf("%d owners may send %.1f requests in a second, the endpoint can take %.1f", w.maxOwners, sent, coldQuota.Bound)
 			}
 			if w.minOwnedShare < 0.5 {
 				t.Errorf("only %.2f of all cold endpoints have an owner", w.minOwnedShare)
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -50,7 +50,8 @@
 }
 
 // noteAttemptEnd records the end of an attempt: a completed request ends suspicion, and a broken
-// attempt leads to a crash probe of its endpoint.
+// connection leads to a crash probe of its endpoint unless the endpoint had announced that it
+// leaves.
 func (c *Core) noteAttemptEnd(now time.Duration, r *request, a *attempt, e *table.Endpoint, end End, out *Actions) {
 	request := r.identity()
 	switch {
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -10,12 +10,13 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// sendContent feeds a read of a content and returns its number.
+// sendContent sends a read with the given content and returns its number.
 func (h *entryHarness) sendContent(content uint64) RequestID {
 	return h.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
 }
 
-// breakConnection ends the attempt of a request by the end of its connection; its endpoint has crashed, or not.
+// breakConnection ends the attempt of a request with a broken connection; its endpoint has crashed
+// or not.
 func (h *entryHarness) breakConnection(id RequestID, n Attempt, crashed bool) {
 	d, ok := h.open[id][n]
 	if !ok {
@@ -29,7 +30,7 @@
 	})
 }
 
-// crashThree has three endpoints crash under a content.
+// crashThree makes three endpoints crash while they run a request of the given content.
 func (h *entryHarness) crashThree(content uint64) {
 	h.Helper()
 	for range 3 {
@@ -37,14 +38,14 @@
 		h.run(50 * ms)
 		h.breakConnection(id, 1, true)
 		h.run(20 * ms)
-		for n := range h.open[id] { // the repeat after the first crash
+		for n := range h.open[id] { // repeats of the request after the first crash
 			h.timeOut(id, n)
 		}
 		h.run(20 * ms)
 	}
 }
 
-// timeOut ends an attempt of which nothing is known.
+// timeOut ends an attempt that timed out without an answer.
 func (h *entryHarness) timeOut(id RequestID, n Attempt) {
 	h.endpoint(h.open[id][n].Endpoint).running--
 	delete(h.open[id], n)
@@ -53,8 +54,8 @@
 	})
 }
 
-// Guards against a request that goes on to the next endpoint after it has crashed three: at its next
-// arrival, from the queue, and right before it is written.
+// Guards against a request that is sent to another endpoint after it has crashed three: it must be
+// refused at its next arrival.
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -63,17 +64,17 @@
 	id := h.sendContent(7)
 	h.run(100 * ms)
 	if got := h.replies[id]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined || got.RetryAfter < minRetryAfter {
-		t.Errorf("told %v (%v), come back after %v", got.Outcome, got.Reason, got.RetryAfter)
+		t.Errorf("outcome %v (%v), retry after %v", got.Outcome, got.Reason, got.RetryAfter)
 	}
 	other := h.sendContent(8)
 	h.run(20 * ms)
 	if sent := len(h.sent) - before; sent != 1 || h.open[other] == nil {
-		t.Errorf("%d requests were sent, want the other one", sent)
+		t.Errorf("%d requests were sent, want only the one of the other content", sent)
 	}
 }
 
-// Guards against a request that waits in a queue, or for its connection, while others of the same content
-// crash endpoints, and goes on then.
+// Guards against a request that is sent although requests of the same content have crashed
+// endpoints while it waited in the queue or for its connection.
 func TestWaitingRequestsAreQuarantined(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -81,13 +82,13 @@
 	h.run(20 * ms)
 	h.crashThree(7)
 	if h.MaySend(h.now, dialled, 1) {
-		t.Error("what has no byte written yet may be sent")
+		t.Error("an attempt without a byte written may still be sent")
 	}
 	h.do(func(out *Actions) {
 		h.End(h.now, End{ID: dialled, Attempt: 1, Kind: EndNotWritten, Replayable: true}, out)
 	})
 	if got := h.replies[dialled]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
-		t.Errorf("one that was not written: told %v (%v)", got.Outcome, got.Reason)
+		t.Errorf("request that was not written: outcome %v (%v)", got.Outcome, got.Reason)
 	}
 
 	h = newEntryHarness(t, idleEndpoints(12, "d0")...)
@@ -104,7 +105,7 @@
 			}
 			continue
 		}
-		for _, ep := range h.endpoints { // the crash of the third is not known yet
+		for _, ep := range h.endpoints { // the third crash is not confirmed yet
 			ep.running, ep.waiting = 2, 4
 		}
 	}
@@ -112,12 +113,12 @@
 	h.do(func(out *Actions) { h.Tick(h.now, time.Unix(0, 0), out) })
 	h.run(100 * ms)
 	if got := h.replies[waiting]; got.Outcome != OutcomeNotRun || got.Reason != ReasonQuarantined {
-		t.Errorf("one that waited: told %v (%v)", got.Outcome, got.Reason)
+		t.Errorf("request that waited: outcome %v (%v)", got.Outcome, got.Reason)
 	}
 }
 
-// Guards against endpoints that are crashed by repeats of this entry's own: after one crash under the
-// same request, a request that loses its endpoint isn't sent to another.
+// Guards against repeats that crash further endpoints: after one crash under the same content, a
+// request that loses its endpoint is not sent to another one.
 func TestSuspectedRequestIsNotRepeated(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -134,12 +135,12 @@
 	h.breakConnection(second, 1, true)
 	h.run(50 * ms)
 	if got := h.replies[second]; len(h.open[second]) != 0 || got.Reason != ReasonEndpointLost || got.Outcome != OutcomeUnknown {
-		t.Errorf("%d attempts, told %v (%v)", len(h.open[second]), got.Outcome, got.Reason)
+		t.Errorf("%d attempts, outcome %v (%v)", len(h.open[second]), got.Outcome, got.Reason)
 	}
 }
 
-// Guards against quarantine for what is no crash: endpoints that reset connections, endpoints that say
-// nothing, and endpoints that had announced that they leave.
+// Guards against quarantine without a crash: endpoints that reset connections, or that do not
+// answer.
 func TestOnlyCrashesLeadToQuarantine(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -158,12 +159,12 @@
 		ep.silent = false
 	}
 	if h.quarantine.Suspects() != 0 || len(h.broken) != 0 {
-		t.Errorf("%d suspects, %d attempts whose endpoint is still asked", h.quarantine.Suspects(), len(h.broken))
+		t.Errorf("%d suspects, %d attempts whose endpoint is still probed", h.quarantine.Suspects(), len(h.broken))
 	}
 }
 
-// Guards against a crash that is missed since its endpoint had answered a question from before; and one
-// whose endpoint is back at once, as another process at the same address.
+// Guards against a crash that is missed because the endpoint had answered an earlier probe, or
+// because another process answers at the same address right after the crash.
 func TestEarlierProbeDoesNotHideLaterCrash(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 	h.learnServiceTime(8)
@@ -186,7 +187,7 @@
 	}
 }
 
-// Guards against a request that stays suspect, or in quarantine, although it runs.
+// Guards against a request that stays suspected or in quarantine although a run of it completes.
 func TestCompletedRunEndsSuspicion(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -198,18 +199,18 @@
 	id := h.sendContent(7)
 	h.run(20 * ms)
 	if len(h.open[id]) != 1 {
-		t.Errorf("told %+v", h.replies[id])
+		t.Errorf("the request was not sent: reply %+v", h.replies[id])
 	}
 	h.answer(id, 1, 200)
 	if h.quarantine.Suspects() != 0 {
-		t.Error("it is suspected still")
+		t.Error("the request is still suspected after it completed")
 	}
 	if got := h.sendRequest(route.Idempotent, 3*sec); got == 0 {
-		t.Error("nothing is taken in")
+		t.Error("no further request is admitted")
 	}
 }
 
-// newCrashHarness is a fleet on which one read crashes endpoints.
+// newCrashHarness returns a fleet whose endpoints crash under reads with content 7.
 func newCrashHarness(t *testing.T, entries int) (r *clusterHarness, endpoints []string) {
 	var listed []string
 	for i := range 12 {
@@ -232,8 +233,9 @@
 	return r, endpoints
 }
 
-// Guards against a request that is new at each entry, and to one that has just started: it comes at
-// every entry in turn, and once more at one that was replaced after the quarantine began.
+// Guards against a request that each entry, or an entry that has just started, treats as unknown.
+// The request arrives at every entry in turn; an entry that is replaced after the quarantine began
+// must learn of it as well.
 func TestQuarantineSpreadsToFleet(t *testing.T) {
 	r, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
@@ -262,7 +264,7 @@
 	fresh := r.start(3)
 	r.run(3 * sec)
 	if got := fresh.quarantine.Quarantined(r.now-fresh.started, nil); len(got) != 1 {
-		t.Errorf("an entry that has started has in quarantine: %v", got)
+		t.Errorf("started entry has in quarantine: %v", got)
 	}
 	var living []string
 	for _, name := range endpoints {
@@ -275,12 +277,12 @@
 	id := r.sendRequest(r.nodes[0], Arrival{Service: "counts", Caller: 1, Content: 8})
 	r.run(100 * ms)
 	if got := r.nodes[0].replies[id]; got.Outcome != OutcomeDone {
-		t.Errorf("another request: told %v (%v)", got.Outcome, got.Reason)
+		t.Errorf("another request: outcome %v (%v)", got.Outcome, got.Reason)
 	}
 }
 
-// Guards against a fleet of hundreds in which some entries still send a request three seconds after it has
-// crashed its third endpoint: each crash is seen by another entry.
+// Guards against a fleet of hundreds of entries in which some still send a request three seconds
+// after it has crashed its third endpoint, when each crash is seen by another entry.
 func TestQuarantineSpreadsToLargeFleet(t *testing.T) {
 	t.Parallel()
 	const stable = 3 * sec
@@ -301,16 +303,16 @@
 				}
 			}
 			took := f.until(10*sec, func(e *largeEntry) bool { return len(e.quarantine.Quarantined(f.now-e.startedAt, nil)) == 1 })
-			t.Logf("%d entries know after %v", n, took)
+			t.Logf("%d entries know of the quarantine after %v", n, took)
 			if took > stable {
-				t.Errorf("the last entry knows %v after the third crash", took)
+				t.Errorf("the last entry knows of the quarantine %v after the third crash", took)
 			}
 		})
 	}
 }
 
-// Guards against quarantine of a request that often comes and has nothing to do with it: one endpoint after
-// the other crashes, each while it runs this read, and comes back.
+// Guards against quarantine of a frequent request that does not cause the crashes: one endpoint
+// after another crashes for another reason, each while it runs this read, and comes back.
 func TestUnrelatedCrashesDoNotQuarantine(t *testing.T) {
 	const every, down, work = 700 * ms, 2 * sec, 40 * ms
 	var endpoints []string
@@ -338,7 +340,7 @@
 		r.run(10 * ms)
 		for _, n := range r.nodes {
 			if quarantined := n.quarantine.Quarantined(r.now-n.started, nil); len(quarantined) != 0 {
-				t.Fatalf("%s has it in quarantine %v after the first crash", n.hello.Name, r.now-began-every)
+				t.Fatalf("%s has the request in quarantine %v after the first crash", n.hello.Name, r.now-began-every)
 			}
 		}
 	}
@@ -347,12 +349,13 @@
 		crashes += n.counters.Crashes
 	}
 	if crashes < 5 {
-		t.Errorf("only %d crashes were seen: the test shows nothing", crashes)
+		t.Errorf("only %d crashes were seen, too few for this test", crashes)
 	}
 }
 
-// Guards against news of a failure domain that crashes, which would keep back that of endpoints that leave:
-// of the requests that were there hardly one is worth a word, since it runs elsewhere a moment later.
+// Guards against a flood of evidence when a failure domain crashes, which would delay the evidence
+// of endpoints that leave. Hardly any of the requests that ran there needs evidence, since each
+// completes elsewhere a moment later.
 func TestCrashesOfCompletedRequestsAreNotSpread(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -362,22 +365,22 @@
 		h.run(10 * ms)
 	}
 	h.serviceTime = 100 * ms
-	h.now += 333 * time.Microsecond // crashes don't come on whole milliseconds
+	h.now += 333 * time.Microsecond // crashes don't happen at whole milliseconds
 	for _, id := range ids {
 		h.breakConnection(id, 1, true)
 	}
 	h.now += 667 * time.Microsecond
 	h.run(sec)
 	if got := h.OwnEvidenceDigest(); got != 0 {
-		t.Error("the fleet is told of requests that have run since")
+		t.Error("crashes under requests that have completed since were spread")
 	}
 	if got := h.quarantine.Suspects(); got != 0 {
-		t.Errorf("%d are suspected", got)
+		t.Errorf("%d requests are suspected", got)
 	}
 }
 
-// Guards against a fleet that isn't told: a request that nobody repeats is told of after a moment, one
-// whose repeat crashes the next endpoint at once.
+// Guards against crashes that are never spread: a crash under a request that is not repeated is
+// spread after a short delay, and a crash of the next endpoint under the repeat at once.
 func TestUnresolvedCrashesAreSpread(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -386,19 +389,19 @@
 	h.breakConnection(id, 1, true)
 	h.run(20 * ms)
 	if h.OwnEvidenceDigest() != 0 {
-		t.Error("the first crash is told before its repeat had time")
+		t.Error("the first crash is spread before the repeat could complete")
 	}
 	h.breakConnection(id, 2, true)
 	h.run(20 * ms)
 	both := h.OwnEvidenceDigest()
 	if both == 0 {
-		t.Error("a second crash isn't told at once")
+		t.Error("a second crash isn't spread at once")
 	}
 	once := h.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
 	h.run(20 * ms)
 	h.breakConnection(once, 1, true)
 	h.run(spreadAfter + 100*ms)
 	if h.OwnEvidenceDigest() == both {
-		t.Error("a crash under a request that nobody repeats isn't told")
+		t.Error("a crash under a request that is not repeated isn't spread")
 	}
 }
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -14,8 +14,7 @@
 	sixNames  = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 )
 
-// setReactions lets some endpoints react in a way of their own and all others answer
-// within 10 to 20 ms.
+// setReactions makes the named endpoints react with re and all others answer within 10 to 20 ms.
 func (r *clusterHarness) setReactions(re reaction, names ...string) {
 	calls := time.Duration(0)
 	r.endpoint = func(name string, _ Arrival) reaction {
@@ -27,21 +26,20 @@
 	}
 }
 
-// At lunch one endpoint of six answers late, or fails at once, and its quick
-// failures would make it look idle. Alone, and with another endpoint that
-// drains, tablets must get their counts from the others after a few seconds.
-// When it works again at midnight nobody is there to take it back: the trials
-// of real reads do, within an ejection and its growth (5 s, then at most 10 s),
-// and it is used as soon as the others don't suffice.
+// One endpoint of six answers late or fails at once, and its fast failures would make it look idle.
+// Alone, and while another endpoint drains, it must get almost no requests after a few seconds.
+// Once it works again it must be readmitted without an operator: trials with real reads do that
+// within an ejection and its growth (5 s, then at most 10 s), and it is used again as soon as the
+// other endpoints don't suffice.
 func TestFailingEndpointIsAvoidedAndReadmitted(t *testing.T) {
 	for name, re := range map[string]reaction{
-		"straggler":       {after: 400 * ms},
-		"fails fast":      {after: ms, head: Head{Status: 500, Load: Load{Known: true, Slots: 2}}},
-		"refuses all":     {after: ms, head: Head{Status: 503, NotRun: true, Load: Load{Known: true, Slots: 2}}},
-		"breaks off":      {after: ms, end: End{Kind: EndLost}},
-		"takes no dials":  {after: ms, end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true},
-		"says it is idle": {after: 400 * ms, head: Head{Load: Load{Known: true, Slots: 2}}},
-		"says it is huge": {after: 400 * ms, head: Head{Load: Load{Known: true, Slots: 1000}}},
+		"straggler":      {after: 400 * ms},
+		"fails fast":     {after: ms, head: Head{Status: 500, Load: Load{Known: true, Slots: 2}}},
+		"refuses all":    {after: ms, head: Head{Status: 503, NotRun: true, Load: Load{Known: true, Slots: 2}}},
+		"breaks answers": {after: ms, end: End{Kind: EndLost}},
+		"refuses dials":  {after: ms, end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true},
+		"reports idle":   {after: 400 * ms, head: Head{Load: Load{Known: true, Slots: 2}}},
+		"reports huge":   {after: 400 * ms, head: Head{Load: Load{Known: true, Slots: 1000}}},
 	} {
 		for _, drains := range []bool{false, true} {
 			if drains && name != "straggler" && name != "fails fast" {
@@ -59,10 +57,10 @@
 			clear(r.written)
 			all := r.traffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
 			if share := float64(r.written["c2"]) / float64(len(all)); share > 0.05 {
-				t.Errorf("%s, another drains %v: gets %.0f %% of the requests", name, drains, 100*share)
+				t.Errorf("%s, another drains %v: the endpoint gets %.0f %% of the requests", name, drains, 100*share)
 			}
 			if slots := r.nodes[0].pools["counts"].Slots(); slots > 12 {
-				t.Errorf("%s: the watching budget is a share of %d slots, there are 12", name, slots)
+				t.Errorf("%s: the watch budget is a share of %d slots, there are 12", name, slots)
 			}
 			if done := count(all, OutcomeDone); done < len(all)*99/100 {
 				t.Errorf("%s, another drains %v: only %d of %d reads were answered", name, drains, done, len(all))
@@ -74,16 +72,16 @@
 			r.tick = ms
 			all = r.traffic(Arrival{Service: "counts"}, ms, 2*sec) // every slot is needed
 			if share := float64(r.written["c2"]) / float64(len(all)); share < 0.05 {
-				t.Errorf("%s, another drains %v: gets only %.0f %% of the requests after it works again", name, drains, 100*share)
+				t.Errorf("%s, another drains %v: the endpoint gets only %.0f %% of the requests after it works again", name, drains, 100*share)
 			}
 		}
 	}
 }
 
-// At a close tablets wait although an endpoint has idle slots. Other entries had
-// filled it for some seconds; it refused what it was asked to take only into an
-// idle slot, with status 503, and was left alone for up to a second as one that
-// fails. Now its slots come free, and it gets requests within 50 ms.
+// Guards against requests that wait although an endpoint has idle slots. Other entries had filled
+// it for some seconds; with status 503 it refused attempts that ask for an idle slot, and this
+// entry avoided it for up to a second as a failing endpoint. Once its slots are free it must get
+// requests within 50 ms.
 func TestBusyEndpointIsUsedWhenSlotsAreFree(t *testing.T) {
 	r := settled(t, 1, sixCounts...)
 	n := r.nodes[0]
@@ -106,7 +104,7 @@
 	}
 }
 
-// idleOnly says whether a request at an endpoint was to be refused by a busy one.
+// idleOnly reports whether a busy endpoint had to refuse the request.
 func (n *node) idleOnly(name string, id RequestID) bool {
 	for t, d := range n.open {
 		if t.id == id && nameOf(d.Address) == name {
@@ -116,16 +114,15 @@
 	return false
 }
 
-// Every endpoint of a service turns everything away at 85 % load: callers see
-// errors, and each retry would add load that keeps the endpoints down. Retries
-// are paid by successes, of which there are none, so arrivals at the endpoints
-// stay below 1.1 times the requests. One second after the endpoints work again
-// all requests are answered, with nobody watching: nothing was ejected that
-// others could not replace, and the first successes are not refused.
+// Every endpoint of a service fails all requests at 85 % load. Each retry would add load that keeps
+// the endpoints down. Successes earn retries, and there are none, so arrivals at the endpoints stay
+// below 1.1 times the requests. One second after the endpoints work again all requests are answered
+// without an operator: no endpoint was ejected that the others could not replace, and the first
+// successes are not refused.
 func TestRetryBudgetPreventsRetryStorm(t *testing.T) {
 	for _, name := range []string{"answers 500", "answers 503", "refuses", "lost", "not dialled", "slowly lost"} {
-		// The default policy holds back by itself from endpoints that fail, so the
-		// budget is tested with one that doesn't; there also in a partition.
+		// The default policy itself avoids endpoints that fail, so the budget is tested with a
+		// policy that doesn't; with that policy also during a partition.
 		for _, policy := range []string{balance.Default, balance.LeastOutstanding} {
 			split := policy != balance.Default && name == "answers 503"
 			r := newClusterHarness(t, 0)
@@ -157,12 +154,11 @@
 	}
 }
 
-// A firewall between an entry and an endpoint loses track of open connections.
-// A booking on one of them gets no answer, and each later one would hang as
-// long. The connection and not the endpoint is at fault: the booking is told
-// "unknown" and runs no second time, a read goes elsewhere, the driver is asked
-// to check the endpoint's other connections, and the endpoint stays in use,
-// also while another endpoint really is a straggler.
+// A firewall between an entry and an endpoint loses track of open connections, so a booking on one
+// of them gets no answer, and each later one would hang as long. The connection is at fault, not
+// the endpoint: the booking gets the outcome "unknown" and is not repeated, a read is sent
+// elsewhere, the driver is asked to check the endpoint's other connections, and the endpoint stays
+// in use, even while another endpoint really is a straggler.
 func TestSilentConnectionDoesNotEjectEndpoint(t *testing.T) {
 	r := settled(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
 	n := r.nodes[0]
@@ -186,7 +182,7 @@
 	booking := r.sendRequest(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true})
 	all := r.traffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
 	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || r.total("w") != 1 {
-		t.Errorf("booking: told %+v, sent %d times", got, r.total("w"))
+		t.Errorf("booking: reply %+v, sent %d times", got, r.total("w"))
 	}
 	if done := count(all, OutcomeDone); done != len(all) {
 		t.Errorf("%d of %d reads were answered", done, len(all))
@@ -202,7 +198,7 @@
 	}
 }
 
-// endpointState returns what an entry holds of an endpoint's life.
+// endpointState returns the state of an endpoint in the entry's table.
 func (n *node) endpointState(name string) table.EndpointState {
 	for _, p := range n.poolRows {
 		for i := range p.Endpoints {
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -44,22 +44,23 @@
 profile = "uploads"
 `
 
-// simEndpoint is an endpoint of an entry harness as it tells its load.
+// simEndpoint is a simulated endpoint of an entry harness with the load that it reports.
 type simEndpoint struct {
 	name, domain           string
 	running, waiting, pace int
 	silent, misdirected    bool
-	// dead: it takes no connections, or does not even refuse them if it is silent.
+	// dead is true if it refuses connections, or does not answer dials either if it is silent.
 	dead bool
-	// coldUntil is when it is warm, as it tells those who look at it.
+	// coldUntil is when it becomes warm, as it reports in answers to load probes.
 	coldUntil time.Duration
-	// limit is how many requests a second it takes, as it tells in its answers.
+	// limit is the rate limit, in requests a second, that it reports in its answers.
 	limit float64
-	// busyUntil is until when its slots are taken, in a harness whose endpoints queue.
+	// busyUntil is until when each slot is busy, in a harness with endpointsQueue.
 	busyUntil [2]time.Duration
 }
 
-// occupySlot takes the slot that is free first for a time, and returns when it is done.
+// occupySlot occupies the slot that is free first for duration, and returns the time until the work
+// is done.
 func (ep *simEndpoint) occupySlot(now, duration time.Duration) time.Duration {
 	slot := 0
 	if ep.busyUntil[1] < ep.busyUntil[0] {
@@ -69,7 +70,7 @@
 	return ep.busyUntil[slot] - now
 }
 
-// entryHarness is one core in failure domain d0 before endpoints with two slots each, whose
+// entryHarness is one core in failure domain d0 with simulated endpoints of two slots each, whose
 // loads a test sets. Load probes are answered after a millisecond.
 type entryHarness struct {
 	testing.TB
@@ -77,7 +78,7 @@
 	now       time.Duration
 	endpoints []*simEndpoint
 	scheduled []scheduledEvent
-	// sent lists the endpoints of attempts in order, told what callers got.
+	// sent lists the endpoints of attempts in order; replies has the replies that callers got.
 	sent    []string
 	sentAt  []time.Duration
 	probed  []string
@@ -86,13 +87,13 @@
 	nextID  RequestID
 	// serviceTime is how long endpoints work on an attempt; 0 where a test answers by itself.
 	serviceTime time.Duration
-	// endpointsQueue says that an attempt waits at its endpoint until a slot is free.
+	// endpointsQueue makes an attempt wait at its endpoint until a slot is free.
 	endpointsQueue bool
-	// updates are those to peers.
+	// updates are the updates sent to peers.
 	updates []Outgoing
-	// probes are all that were asked for.
+	// probes are all probes that the core requested.
 	probes []Probe
-	// traces are the lines of requests that ended; name is that of the next request.
+	// traces are the traces of requests that ended; name is the name of the next request.
 	traces []RequestTrace
 	name   string
 	notes  []Note
@@ -103,7 +104,7 @@
 	fire func()
 }
 
-// harnessRoutes are a route of each kind, all to pool "p".
+// harnessRoutes returns a route of each kind, all to pool "p".
 func harnessRoutes(parts ...route.Part) route.Document {
 	if len(parts) == 0 {
 		parts = []route.Part{{Service: "p", Weight: 1}}
@@ -132,7 +133,7 @@
 	return h
 }
 
-// vmList is the list of VMs with the boxes as they are.
+// vmList returns the VM list with the endpoints as they are.
 func (h *entryHarness) vmList(revision uint64) published.VMList {
 	list := published.VMList{Revision: revision}
 	for _, ep := range h.endpoints {
@@ -204,7 +205,7 @@
 			}
 		case StepReply:
 			if _, twice := h.replies[d.ID]; twice {
-				h.Errorf("request %d got two answers", d.ID)
+				h.Errorf("request %d got two replies", d.ID)
 			}
 			h.replies[d.ID] = d
 		}
@@ -257,12 +258,12 @@
 	}
 }
 
-// sendRequest feeds a request of a kind and returns its number.
+// sendRequest sends a request of a kind and returns its number.
 func (h *entryHarness) sendRequest(kind route.Kind, left time.Duration) RequestID {
 	return h.arrive(kind, Arrival{Replayable: true, Timeout: left})
 }
 
-// arrive feeds a request of a kind, of which the rest is given, and returns its number.
+// arrive sends the request a with the route of a kind and returns its number.
 func (h *entryHarness) arrive(kind route.Kind, a Arrival) RequestID {
 	h.nextID++
 	admission := h.AdmitRoute("a", "/"+string(kind)+"/x")
@@ -289,7 +290,7 @@
 	})
 }
 
-// learnServiceTime makes the core know that reads take 100 ms, and leaves the boxes idle.
+// learnServiceTime makes the core learn that reads take 100 ms, and leaves the endpoints idle.
 func (h *entryHarness) learnServiceTime(requests int) {
 	for range requests {
 		id := h.sendRequest(route.Idempotent, 3*sec)
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// All entries start at once with empty views, each believes for a while that it
-// is alone and that every endpoint is its own to probe, the fleet splits, an
-// entry is replaced and endpoints answer probes slowly. Callers would see
-// endpoints that are busy being watched. Over a minute of that, all entries
-// together spend at most the budgeted share of slot time in every window of
-// 10 s, because each spends its fixed part of a budget for the largest fleet.
+// All entries start at once with empty views. Each believes for a while that it is alone and has to
+// probe every endpoint; the fleet splits, an entry is replaced, and endpoints answer probes slowly.
+// Without a bound, probes would keep endpoints busy at the callers' cost. Over a minute of that,
+// all entries together spend at most the budgeted share of slot time in every window of 10 s, since
+// each spends its fixed part of a budget for the largest fleet.
 func TestHealthProbesStayWithinBudget(t *testing.T) {
 	const entries, share, slots = 8, 0.04, 12
 	for _, slow := range []time.Duration{0, 50 * ms} {
@@ -44,10 +43,9 @@
 	}
 }
 
-// At night one entry is left and the budget allows fewer probes than there are
-// idle endpoints. Those that come first in the table would be probed again and
-// again, and nothing would be known of the last ones in the morning. The one
-// seen longest ago goes first, so each has its turn.
+// One entry is left, and the budget allows fewer probes than there are idle endpoints. Guards
+// against probes that go to the first rows of the table again and again while nothing is known of
+// the last ones: the endpoint seen longest ago is probed first.
 func TestEveryEndpointIsProbedInTurn(t *testing.T) {
 	r := newClusterHarness(t, 1)
 	var names []string
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -9,10 +9,10 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// An endpoint drains, crashes and starts again under the name that it had, at the same
-// address, cold and empty. What was believed of the process before it must not count: it
-// gets work again although its name was known to leave, begins slowly, and neither the
-// doubt about its predecessor nor a peer's late news of it touches it.
+// An endpoint drains, crashes and starts again under the same name and address, cold and empty.
+// Knowledge of the earlier incarnation must not count: the new one gets requests although its name
+// was known to leave, has a slow start, and is affected neither by its predecessor's failures nor
+// by a peer's late evidence about it.
 func TestRestartedEndpointIsANewIncarnation(t *testing.T) {
 	r := settled(t, 2, "counts/c1#5", "counts/c2#5")
 	r.setReactions(reaction{})
@@ -24,21 +24,21 @@
 	before.NoteProbed(table.ProbedLoad{Running: 2, Slots: 2, Pace: 500, At: r.now, Seen: true})
 	leaving := message.Evidence{VM: "c1", Incarnation: 5, Kind: message.EvidenceLeaving}
 	r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, leaving) })
-	r.run(sec) // the other entry is told
+	r.run(sec) // the other entry is notified
 	clear(r.written)
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
 	if r.written["c1"] > 0 {
-		t.Fatalf("the leaving one got %d requests", r.written["c1"])
+		t.Fatalf("the leaving endpoint got %d requests", r.written["c1"])
 	}
 	r.list(2, "counts/c1#6", "counts/c2#5")
 	r.run(sec)
 	i := p.find("c1", 6)
 	if i < 0 {
-		t.Fatalf("not known: %+v", p.Endpoints)
+		t.Fatalf("the new incarnation is not known: %+v", p.Endpoints)
 	}
 	e := &p.Endpoints[i]
 	if e.State != table.EndpointLive || e.Doubt != 0 || e.Probed.Running != 0 || e.Slots >= e.Listed {
-		t.Errorf("the new one is taken for the old one: %+v", e)
+		t.Errorf("the new incarnation has the state of the earlier one: %+v", e)
 	}
 	for _, late := range []message.Evidence{leaving, {VM: "c1", Incarnation: 5, Kind: message.EvidenceStopped, AgeMillis: 3000}} {
 		r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, late) })
@@ -46,14 +46,14 @@
 	clear(r.written)
 	r.traffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
 	if r.written["c1"] == 0 {
-		t.Errorf("the new one gets nothing: %+v", *e)
+		t.Errorf("the new incarnation gets no requests: %+v", *e)
 	}
 }
 
-// A request is at work at an endpoint that crashes and starts again under its name. The
-// list tells of the new process before the connection breaks; the attempt belongs to the
-// one before it, so the caller of a booking must not be told that it was not run, and the
-// new one holds nothing of it.
+// A request runs at an endpoint that crashes and starts again under its name. The VM list shows the
+// new incarnation before the connection breaks. The attempt belongs to the earlier incarnation, so
+// the caller of a booking must not get the outcome not-run, and the attempt uses no slot of the new
+// one.
 func TestAttemptBelongsToItsIncarnation(t *testing.T) {
 	r := settled(t, 1, "counts/c1#5")
 	n := r.nodes[0]
@@ -64,10 +64,10 @@
 	r.run(sec)
 	p := n.pools["counts"]
 	if i := p.find("c1", 6); i < 0 || p.Endpoints[i].Outstanding != 0 {
-		t.Errorf("the new one holds what the old one was sent: %+v", p.Endpoints)
+		t.Errorf("the new incarnation has the attempt of the earlier one: %+v", p.Endpoints)
 	}
 	r.run(5 * sec)
 	if got := n.replies[id]; got.Outcome == OutcomeNotRun {
-		t.Errorf("told %+v", got)
+		t.Errorf("reply %+v", got)
 	}
 }
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -16,7 +16,7 @@
 
 var largest = flag.Int("largest", 0, "a further size of fleet to simulate, such as 472; that takes minutes")
 
-// fleetSizes are the fleets that are simulated.
+// fleetSizes returns the sizes of the simulated fleets.
 func fleetSizes(t *testing.T) []int {
 	t.Helper()
 	if *largest > 0 {
@@ -25,9 +25,10 @@
 	return []int{15, 141}
 }
 
-// The platform's first list names 421 endpoints, and three entries are suspected in the same
-// moment. Each of 141 entries wrote a line for each endpoint; its bound on the log left out the
-// three lines that an operator needs.
+// Guards against audit lines that are lost when many changes come at once. The platform's first
+// list names 421 endpoints, and three entries are suspected at the same moment. With one line for
+// each endpoint from each of 141 entries, the bound on the log left out the three lines that an
+// operator needs.
 func TestManyChangesAreAuditedInOneLine(t *testing.T) {
 	var changes []member.Change
 	for i := range 424 {
@@ -52,10 +53,11 @@
 	}
 }
 
-// A failure domain has ten entries with 0.8 of a core and eighteen with less. Callers were sent to all of
-// them, so that each saw a few requests a second, knew little of the endpoints and opened a
-// connection for nearly each. They are sent to the eight strongest, by whomever they ask; where
-// these die others take their place, and where calls need more they get more.
+// A failure domain has ten entries with 0.8 of a core and eighteen with less. When callers were
+// sent to all of them, each entry saw a few requests a second, knew little of the endpoints and
+// opened a connection for nearly each request. Callers must be sent to the eight strongest entries,
+// whichever entry they ask. Others replace entries that die, and more are named when the request
+// rate needs them.
 func TestCallersAreSentToStrongestEntries(t *testing.T) {
 	t.Parallel()
 	f := newLargeFleet(t, 141)
@@ -63,11 +65,11 @@
 	named := f.vms[0].EntriesNear("d0", 64)
 	for _, e := range f.vms {
 		if diff := cmp.Diff(named, e.EntriesNear("d0", 64)); diff != "" {
-			t.Fatalf("%s names others (-entry-000 +it):\n%s", e.hello.Name, diff)
+			t.Fatalf("%s names other entries (-entry-000 +it):\n%s", e.hello.Name, diff)
 		}
 	}
 	if len(named) != namedLeast {
-		t.Fatalf("%d are named: %v", len(named), named)
+		t.Fatalf("%d entries are named: %v", len(named), named)
 	}
 	byAddress := map[string]*largeEntry{}
 	for _, e := range f.vms {
@@ -85,7 +87,7 @@
 		again := e.EntriesNear("d0", 64)
 		dead := slices.ContainsFunc(again, func(address string) bool { return byAddress[address].dead })
 		if !e.dead && (len(again) != namedLeast || dead) {
-			t.Errorf("%s names %v, with the dead: %v", e.hello.Name, again, dead)
+			t.Errorf("%s names %v, dead ones among them: %v", e.hello.Name, again, dead)
 		}
 	}
 	asked := f.vms[1]
@@ -93,13 +95,14 @@
 		asked.fleet.peers[byAddress[address].hello.Incarnation].update.Rate = 300
 	}
 	if got := len(asked.EntriesNear("d0", 64)); got <= namedLeast {
-		t.Errorf("%d are named for 2,400 calls a second", got)
+		t.Errorf("only %d entries are named for 2,400 requests a second", got)
 	}
 }
 
-// Hundreds of entries start together and know three seeds. Each held a link with each other one
-// and made its lists anew for each greeting: at 472 entries half of a machine's memory was taken
-// before the first caller came. Links, and the bytes of the start, must not grow with the fleet.
+// Hundreds of entries start together and know three seeds. When each had a link with every other
+// one and built its lists again for each hello, 472 entries took half of a machine's memory before
+// the first caller came. The number of links, and the bytes sent at the start, must not grow with
+// the fleet.
 func TestLargeFleetStarts(t *testing.T) {
 	t.Parallel()
 	for _, n := range fleetSizes(t) {
@@ -112,9 +115,9 @@
 			for _, e := range f.vms {
 				links, bytes = max(links, len(e.linked)), max(bytes, e.bytes)
 			}
-			t.Logf("%d entries know all %v after the last start; at most %d links, %d bytes sent", n, took, links, bytes)
+			t.Logf("%d entries know each other %v after the last start; at most %d links, %d bytes sent", n, took, links, bytes)
 			if took > 2*sec {
-				t.Errorf("all are known after %v", took)
+				t.Errorf("all entries are known only after %v", took)
 			}
 			if links > 40 {
 				t.Errorf("%d links", links)
@@ -128,32 +131,33 @@
 			for i, e := range f.vms {
 				most = max(most, e.bytes-before[i])
 			}
-			t.Logf("at rest at most %d bytes a second", most/10)
+			t.Logf("idle: at most %d bytes a second", most/10)
 			if most > 10*9000 {
-				t.Errorf("%d bytes in 10 s at rest", most)
+				t.Errorf("idle: %d bytes in 10 s", most)
 			}
 		})
 	}
 }
 
-// A VM with an entry loses power, and its connections fall silent. Callers would be sent there,
-// and each bound divided with it, until all others suspect it: with heartbeats to everybody that
-// took 35 s at 141 entries and 117 s at 472. No other entry may be suspected for it, although a
+// An entry's VM loses power, and its connections fall silent. Until all other entries suspect it,
+// callers are sent to it and each bound is divided with it: with heartbeats to every peer that took
+// 35 s at 141 entries and 117 s at 472. No other entry may be suspected because of it, although a
 // third of them have a sixth of a core.
 func TestSilentEntryIsSuspectedByAll(t *testing.T) {
 	t.Parallel()
 	testSilentEntry(t, max(141, *largest))
 }
 
-// The same where all talk to all: heartbeats to 14 others come every 1.16 s, so that silence that
-// no failed message shows takes three of them.
+// The same in a fleet where every entry sends to every other. Heartbeats to 14 peers come every
+// 1.16 s, so silence that no failed message shows is noticed only after three of them.
 func TestSilentEntryIsSuspectedInASmallFleet(t *testing.T) {
 	t.Parallel()
 	testSilentEntry(t, 15)
 }
 
-// The same around the size from which on entries talk to some of the others only. Of 25 that all
-// talked to all, each heard each other every two seconds, and a silent one was suspected after 5 s.
+// The same around the size from which on entries send to some of the others only. In a fleet of 25
+// where every entry sent to every other, each peer was heard every two seconds, and a silent one
+// was suspected only after 5 s.
 func TestSilentEntryIsSuspectedAtEachSize(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 10, 16, 20, 25, 40} {
@@ -178,17 +182,18 @@
 	f.run(5 * sec)
 	for _, e := range f.vms {
 		if got := e.usable(); !e.dead && got != n-1 {
-			t.Errorf("%s believes %d of %d to serve", e.hello.Name, got, n-1)
+			t.Errorf("%s counts %d of %d entries as serving", e.hello.Name, got, n-1)
 		}
 	}
 }
 
-// A third of the VMs freeze for three seconds, or lose what they send, or run at a tenth of
-// their pace. They accuse whom they do not hear. A sound entry must not be suspected by another
-// sound one for that, or callers of a domain would be sent to the few that are left.
+// A third of the VMs freeze for three seconds, lose what they send, or run at a tenth of their
+// speed. Their entries report the peers that they do not hear as silent. A healthy entry must not
+// be suspected by another healthy entry because of that, or callers of a failure domain would be
+// sent to the few entries left.
 func TestHealthyEntriesAreNotSuspected(t *testing.T) {
 	t.Parallel()
-	for _, fault := range []string{"frozen", "mute", "slow", "one way in eight is dead"} {
+	for _, fault := range []string{"frozen", "mute", "slow", "one direction in eight is cut"} {
 		for _, n := range fleetSizes(t) {
 			t.Run(fmt.Sprint(fault, " ", n), func(t *testing.T) {
 				f := newLargeFleet(t, n)
@@ -212,7 +217,7 @@
 						}
 						return healthy(vm)
 					}
-				case "one way in eight is dead":
+				case "one direction in eight is cut":
 					faulty = func(int) bool { return false }
 					f.cut = func(from, to int) bool { return (from*31+to*17)%4 == 0 && from < to }
 				}
@@ -229,25 +234,25 @@
 						}
 					}
 				}
-				if fault == "one way in eight is dead" {
-					t.Logf("suspected meanwhile: %v", wrong) // by those whose own way is dead, and for a moment by others
+				if fault == "one direction in eight is cut" {
+					t.Logf("suspected meanwhile: %v", wrong) // by entries whose own direction is cut, and for a moment by others
 				} else if len(wrong) > 0 {
-					t.Errorf("sound entries suspected: %v", wrong)
+					t.Errorf("healthy entries suspected: %v", wrong)
 				}
 				f.cut = func(int, int) bool { return false }
 				took := f.until(20*sec, func(e *largeEntry) bool { return e.usable() == n })
-				t.Logf("all know all %v after the trouble", took)
+				t.Logf("all entries know each other %v after the fault", took)
 				if took > 10*sec {
-					t.Errorf("all know all %v after the trouble", took)
+					t.Errorf("all entries know each other only %v after the fault", took)
 				}
 			})
 		}
 	}
 }
 
-// Entries lose power, a failure domain or more than half of them all over, and their connections
-// fall silent. Callers that ask afterwards must not be sent to any of them: not later than six
-// seconds, the three in which a machine counts as calm and three more, whoever answers.
+// The entries of a failure domain, or more than half of all entries, lose power, and their
+// connections fall silent. After six seconds no entry may name any of them to callers: the three
+// within which the fleet counts as calm again, and three more.
 func TestDirectoryNamesNoDeadEntries(t *testing.T) {
 	t.Parallel()
 	for _, n := range fleetSizes(t) {
@@ -278,9 +283,9 @@
 	}
 }
 
-// A fleet is cut into halves for twenty seconds, then for ninety, after which each half has
-// forgotten the other. Callers of one half would never be sent to the other again if nobody
-// dialled the addresses that were lost.
+// A fleet is split into halves for 20 s, and for 90 s, after which each half has forgotten the
+// other. If no entry dialled the addresses that were lost, callers of one half would never be sent
+// to the other again.
 func TestLargePartitionHeals(t *testing.T) {
 	t.Parallel()
 	for _, n := range fleetSizes(t) {
@@ -292,22 +297,22 @@
 				f.run(lasts)
 				for _, e := range f.vms {
 					if got, own := e.usable(), (n+1-e.vm%2)/2; got != own {
-						t.Fatalf("%s believes %d to serve, its half has %d", e.hello.Name, got, own)
+						t.Fatalf("%s counts %d entries as serving, its half has %d", e.hello.Name, got, own)
 					}
 				}
 				f.cut = func(int, int) bool { return false }
 				took := f.until(30*sec, func(e *largeEntry) bool { return e.usable() == n })
-				t.Logf("%d entries know all %v after a partition of %v", n, took, lasts)
+				t.Logf("%d entries know each other %v after a partition of %v", n, took, lasts)
 				if took > 5*sec {
-					t.Errorf("all are known after %v", took)
+					t.Errorf("all entries are known only after %v", took)
 				}
 			})
 		}
 	}
 }
 
-// More than half of the entries are killed at once and start again half a second later, seeds
-// among them. Those that stayed and those that came back know each other within seconds.
+// More than half of the entries, seeds among them, are killed at once and start again half a second
+// later. The entries that stayed and those that restarted must know each other within seconds.
 func TestFleetRecoversFromMassRestart(t *testing.T) {
 	t.Parallel()
 	for _, n := range fleetSizes(t) {
@@ -317,9 +322,9 @@
 			f.killMany()
 			f.run(800 * ms)
 			took := f.until(30*sec, func(e *largeEntry) bool { return e.usable() == n })
-			t.Logf("%d entries know all %v after the last start", n, took)
+			t.Logf("%d entries know each other %v after the last start", n, took)
 			if took > 4*sec {
-				t.Errorf("all are known after %v", took)
+				t.Errorf("all entries are known only after %v", took)
 			}
 		})
 	}
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// An entry has just started when an endpoint drains, and the list of VMs is not to be
-// read. The endpoint refuses the first read as it leaves, and the caller is told that
-// its read did not run although two endpoints are idle: another attempt was paid from
-// what successes had earned, and this entry had none yet.
+// An entry has just started when an endpoint drains, and the VM list cannot be read. The endpoint
+// refuses the first read because it is leaving, and the caller got the outcome not-run although two
+// endpoints were idle: the retry was charged to the budget that successes earn, and this entry had
+// no successes yet.
 func TestLeavingEndpointRefusalIsRetriedWithoutBudget(t *testing.T) {
 	r := settled(t, 1, "counts/c1", "counts/c2", "counts/c3")
 	n := r.nodes[0]
@@ -28,10 +28,10 @@
 	r.run(200 * ms)
 	for id := range r.nextID {
 		if got := n.replies[id+1]; got.Outcome != OutcomeDone {
-			t.Errorf("request %d: told %v (%v)", id+1, got.Outcome, got.Reason)
+			t.Errorf("request %d: outcome %v (%v)", id+1, got.Outcome, got.Reason)
 		}
 	}
 	if refusals == 0 || refusals > 2 {
-		t.Errorf("the endpoint that leaves refused %d requests, want 1 or 2: those on their way", refusals)
+		t.Errorf("the leaving endpoint refused %d requests, want 1 or 2: those already under way", refusals)
 	}
 }
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// sentSince counts the attempts sent to an endpoint since a time.
+// sentSince counts the attempts sent to an endpoint from a given time on.
 func (h *entryHarness) sentSince(name string, since time.Duration) (n int) {
 	for i, to := range h.sent {
 		if to == name && h.sentAt[i] >= since {
@@ -18,20 +18,21 @@
 	return n
 }
 
-// Guards against an endpoint that names a limit and gets more, by first attempts, by what waited for a
-// slot, and where nobody else has room; and against one that gets nothing afterwards.
+// Guards against an endpoint that gets more than its reported rate limit, by first attempts, by
+// requests that waited for a slot, or because no other endpoint has room; and against one that gets
+// too little after it reports no limit any more.
 func TestLimitedEndpointStaysWithinItsRate(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		endpoint int
-		others   func(ep *simEndpoint)
+		name   string
+		count  int
+		others func(ep *simEndpoint)
 	}{
 		{"others are idle", 4, func(*simEndpoint) {}},
 		{"others are full", 2, func(ep *simEndpoint) { ep.running, ep.waiting = 2, 4 }},
-		{"it is alone", 1, func(*simEndpoint) {}},
+		{"no other endpoints", 1, func(*simEndpoint) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newEntryHarness(t, idleEndpoints(c.endpoint, "d0")...)
+			h := newEntryHarness(t, idleEndpoints(c.count, "d0")...)
 			h.learnServiceTime(8)
 			h.run(2 * sec)
 			limited := h.endpoint("d0-0")
@@ -43,21 +44,21 @@
 			from := h.now
 			h.sendReads(20*ms, 4*sec)
 			if n := h.sentSince("d0-0", from); n > 9 || n < 5 {
-				t.Errorf("it gets %d in four seconds, takes 8", n)
+				t.Errorf("the endpoint got %d requests in four seconds, its limit allows 8", n)
 			}
 			limited.limit = 0
 			h.sendReads(20*ms, 2*sec)
 			from = h.now
 			h.sendReads(20*ms, 4*sec)
 			if n := h.sentSince("d0-0", from); n < 30 {
-				t.Errorf("it gets %d in four seconds when it names no limit any more", n)
+				t.Errorf("the endpoint got only %d requests in four seconds after its limit ended", n)
 			}
 		})
 	}
 }
 
-// Guards against a limit that is forgotten for an answer that says nothing of it: a refusal, a failure, an
-// answer from before, or to a look.
+// Guards against a limit that is dropped because of an answer that does not speak of it: a refusal,
+// a failure, an answer that was under way before, or an answer to a load probe.
 func TestLimitStaysUntilAnAnswerChangesIt(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
 	h.learnServiceTime(8)
@@ -75,7 +76,7 @@
 		h.do(func(out *Actions) { h.ProbeEnd(h.now, end, out) })
 	}
 	answer(200, false, 3)
-	answer(200, false, 0) // it was on its way already
+	answer(200, false, 0) // the answer was under way already
 	h.run(sec)
 	answer(503, true, 0)
 	answer(500, false, 0)
@@ -85,28 +86,28 @@
 	}
 	answer(503, true, 0.5)
 	if e.Limit.Rate != 0.5 {
-		t.Errorf("limit %v after a refusal that names a lower one", e.Limit.Rate)
+		t.Errorf("limit %v after a refusal with a lower limit", e.Limit.Rate)
 	}
 	h.run(sec)
 	probe(0.25)
 	if e.Limit.Rate != 0.25 {
-		t.Errorf("limit %v after a look that names a lower one", e.Limit.Rate)
+		t.Errorf("limit %v after a load probe with a lower limit", e.Limit.Rate)
 	}
 	h.run(sec)
 	probe(0)
 	if e.Limit.Rate != 0 {
-		t.Errorf("limit %v after a look that names none, as looks did", e.Limit.Rate)
+		t.Errorf("limit %v after a load probe without a limit, when earlier ones had one", e.Limit.Rate)
 	}
 	answer(200, false, 5)
 	h.run(sec)
 	answer(200, false, 0)
 	if e.Limit.Rate != 0 {
-		t.Errorf("limit %v after an answer that names none", e.Limit.Rate)
+		t.Errorf("limit %v after an answer without a limit", e.Limit.Rate)
 	}
 }
 
-// Guards against entries that don't hear of a limit, or hear of it before they know the endpoint, and against
-// older news that takes the place of later.
+// Guards against entries that are not notified of a limit, or are notified before they know the
+// endpoint, and against older evidence that replaces newer evidence.
 func TestLimitSpreadsToFleet(t *testing.T) {
 	r := settled(t, 3, "counts/c1", "counts/c2")
 	limitOf := func(n *node, name string) float64 {
@@ -147,12 +148,12 @@
 	r.list(2, "counts/c1", "counts/c2")
 	r.run(4 * sec)
 	if got := limitOf(late, "c1"); got != 2.5 {
-		t.Errorf("an entry that has started: limit %v", got)
+		t.Errorf("started entry: limit %v", got)
 	}
 	before := r.written["c1"]
 	use(4 * sec)
 	if got := r.written["c1"] - before; got > 11 || got == 0 {
-		t.Errorf("it got %d in four seconds, takes 10", got)
+		t.Errorf("the endpoint got %d requests in four seconds, its limit allows 10", got)
 	}
 	limit = 0.4
 	use(6 * sec)
@@ -165,11 +166,11 @@
 	use(12 * sec)
 	want(0)
 	if r.nodes[1].limits[endpointID{"c1", 1}].Rate != 0 {
-		t.Error("the end of the limit is not known")
+		t.Error("the end of the limit did not reach the entry")
 	}
 }
 
-// Guards against limits of endpoints that have gone, or never were, which fill the memory.
+// Guards against limits of endpoints that are gone, or never existed, which would fill the memory.
 func TestLimitsOfUnknownEndpointsExpire(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 	var evidence []message.Evidence
@@ -179,10 +180,10 @@
 	}
 	h.do(func(out *Actions) { h.processLimits(h.now, evidence, out) })
 	if len(h.limits) != maxLimits {
-		t.Errorf("%d limits are held, %d at most", len(h.limits), maxLimits)
+		t.Errorf("%d limits are kept, want %d", len(h.limits), maxLimits)
 	}
 	h.forgetLimits(h.now + limitRetention)
 	if len(h.limits) != 0 {
-		t.Errorf("%d limits of unknown endpoints are held for good", len(h.limits))
+		t.Errorf("%d limits of unknown endpoints are never dropped", len(h.limits))
 	}
 }
--- a/internal/core/loadprobes_test.go
+++ b/internal/core/loadprobes_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// A read would wait beside others, or at a VM that neighbours have slowed down, while
-// an idle endpoint stands by. Reports with earlier answers are older than the state of
-// a VM lasts; only a look right before the request is sent tells.
+// Guards against a read that waits behind others, or runs on a VM slowed down by its neighbours,
+// while another endpoint is idle. Loads reported with earlier answers are older than a VM's state
+// lasts; only a load probe right before dispatch is recent enough.
 func TestEndpointChoiceByLoadProbe(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -22,14 +22,14 @@
 		kind      route.Kind
 		want      string
 	}{
-		{"the idle one", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", running: 1}}, route.Idempotent, "b"},
-		{"the one of usual pace", []*simEndpoint{{name: "a", domain: "d0", pace: 500}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", pace: 500}}, route.Idempotent, "b"},
-		{"one slot taken beats both", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
-		{"one that says nothing is left", []*simEndpoint{{name: "a", domain: "d0", silent: true}, {name: "b", domain: "d0"}}, route.NonIdempotent, "b"},
+		{"the idle endpoint", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", running: 1}}, route.Idempotent, "b"},
+		{"the endpoint of usual pace", []*simEndpoint{{name: "a", domain: "d0", pace: 500}, {name: "b", domain: "d0"}, {name: "c", domain: "d0", pace: 500}}, route.Idempotent, "b"},
+		{"one busy slot beats two", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
+		{"a silent endpoint is avoided", []*simEndpoint{{name: "a", domain: "d0", silent: true}, {name: "b", domain: "d0"}}, route.NonIdempotent, "b"},
 		{"another endpoint at the address", []*simEndpoint{{name: "a", domain: "d0", misdirected: true}, {name: "b", domain: "d0", running: 1}}, route.Idempotent, "b"},
 		{"another domain when the own is full", []*simEndpoint{{name: "a", domain: "d0", running: 2}, {name: "b", domain: "d0", running: 2},
 			{name: "c", domain: "d0", running: 2}, {name: "d", domain: "d1"}}, route.Idempotent, "d"},
-		{"nobody answers: somebody is tried", []*simEndpoint{{name: "a", domain: "d0", silent: true}}, route.Idempotent, "a"},
+		{"a silent endpoint is tried if there is no other", []*simEndpoint{{name: "a", domain: "d0", silent: true}}, route.Idempotent, "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newEntryHarness(t, c.endpoints...)
@@ -42,8 +42,8 @@
 	}
 }
 
-// An endpoint that fails half its requests while it says that it is well, or answers for
-// another one at its address, is chosen last, and again soon after it is well.
+// An endpoint that fails half its requests while it reports that it is well, or that answers for
+// another one at its address, is chosen last, and is tried again soon after it works.
 func TestFailingEndpointIsChosenLast(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
 	h := newEntryHarness(t, endpoints...)
@@ -56,7 +56,7 @@
 		id := h.sendRequest(route.Idempotent, 3*sec)
 		h.run(50 * ms)
 		if got := h.open[id][1].Endpoint; got != "d0-1" {
-			t.Fatalf("sent to %s, which fails", got)
+			t.Fatalf("sent to the failing endpoint %s", got)
 		}
 		h.answer(id, 1, 200)
 	}
@@ -69,24 +69,24 @@
 		h.answer(id, 1, 200)
 	}
 	if !seen["d0-0"] {
-		t.Error("it is never tried again")
+		t.Error("the endpoint is never tried again")
 	}
 }
 
-// The endpoints of a service tell no load. Looks are worth nothing there and are given
-// up; requests are sent by what the entry itself has under way.
+// The endpoints of a service report no load. Load probes are useless there and stop; requests are
+// dispatched by the attempts that the entry itself has under way.
 func TestEndpointsWithoutLoadAreNotProbed(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	h.pools["p"].loadless = maxLoadlessProbes
 	id := h.sendRequest(route.Idempotent, 3*sec)
 	h.run(10 * ms)
 	if len(h.open[id]) != 1 || len(h.probed) != 0 {
-		t.Errorf("attempts %v, looks %v", h.open[id], h.probed)
+		t.Errorf("attempts %v, load probes %v", h.open[id], h.probed)
 	}
 }
 
-// Operators split a route to try a release. Over any 200 requests the parts must have
-// their shares, whatever the weights, and also when the split is published again.
+// Operators split a route to try a release. Over any 200 requests each part must get its share,
+// whatever the weights, and also after the same split is published again.
 func TestTrafficSplitKeepsItsShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newEntryHarness(t, idleEndpoints(1, "d0")...)
@@ -116,9 +116,9 @@
 	})
 }
 
-// A booking's body takes long to arrive, and meanwhile its route moves to another
-// service. The request stays with what was in force when its head arrived; a new one
-// follows the new routes, and one whose route is gone is told so.
+// The body of a booking takes long to arrive, and meanwhile its route moves to another service. The
+// request keeps the route that was in force when its head arrived. A new request follows the new
+// routes, and a request whose route was removed is refused for that reason.
 func TestRequestKeepsItsRoute(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
 	before := h.AdmitRoute("a", "/non_idempotent/x")
@@ -132,39 +132,39 @@
 	})
 	h.run(20 * ms)
 	if len(h.open[id]) != 1 {
-		t.Errorf("the older request was not sent: %+v", h.replies[id])
+		t.Errorf("the request from before the change was not sent: %+v", h.replies[id])
 	}
 	if after := h.AdmitRoute("a", "/non_idempotent/x"); after.Reason != ReasonNone {
 		t.Errorf("new request: %v", after.Reason)
 	}
 	if gone := h.AdmitRoute("a", "/upload/x"); gone.Reason != ReasonUnknownService {
-		t.Errorf("dropped route: %v", gone.Reason)
+		t.Errorf("request of a removed route: %v", gone.Reason)
 	}
 	if none := New(DefaultConfig(h.cfg.Self), h.rng).AdmitRoute("a", "/"); none.Reason != ReasonStarting {
 		t.Errorf("before the first routes: %v", none.Reason)
 	}
 }
 
-// Entries that look before each choice have no use for what others saw. Told nevertheless,
-// it costs bytes and processor time for nothing.
+// Entries that send load probes before each choice have no use for load reports of peers; sending
+// them would waste bytes and processor time.
 func TestNoLoadReportsWithLoadProbes(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	peer := message.Hello{Name: "other", Incarnation: 2, Region: "r", Domain: "d1", CallerAddress: "10.0.0.2:80", PeerAddress: "10.0.0.2:81"}
 	h.do(func(out *Actions) { h.HelloReceived(h.now, peer, out) })
 	h.learnServiceTime(20)
 	if len(h.updates) == 0 {
-		t.Fatal("the peer was told nothing")
+		t.Fatal("the peer got no update")
 	}
 	for _, u := range h.updates {
 		if len(u.Update.LoadReports) > 0 {
-			t.Fatalf("told of %+v", u.Update.LoadReports)
+			t.Fatalf("the update has load reports: %+v", u.Update.LoadReports)
 		}
 	}
 }
 
-// A release replaces all endpoints of a pool. The bound on looks is so many a second for each
-// endpoint; counted with those that are gone, twice as many were made at those that are left
-// (3,000 a second at 21 endpoints where 60 each were allowed).
+// A release replaces all endpoints of a pool. The bound on load probes is a rate for each endpoint;
+// when endpoints that were gone counted, the remaining ones got twice the bound (3,000 a second at
+// 21 endpoints where 60 each were allowed).
 func TestLoadProbesAreBoundedByLiveEndpoints(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(8, "d0")...)
 	p := h.poolRows[0]
@@ -184,6 +184,6 @@
 		h.run(10 * ms)
 	}
 	if most := span * 10 * 2; len(h.probed) > most+2*10 {
-		t.Errorf("%d looks at two endpoints in %d s, %d allowed", len(h.probed), span, most)
+		t.Errorf("%d load probes of two endpoints in %d s, %d allowed", len(h.probed), span, most)
 	}
 }
--- a/internal/core/lostdomain_test.go
+++ b/internal/core/lostdomain_test.go
@@ -6,11 +6,12 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// All endpoints of a failure domain go down at once while those of another one have room. The
-// entries there looked at their own domain first, found one after the other dead, sent to it blindly
-// or to the next one, and told 2,271 callers in six seconds that no endpoint takes work. After a few
-// failures in a row without an answer the whole domain is taken for lost for a moment, so that the
-// others are asked; and a connection that is refused is no attempt.
+// All endpoints of a failure domain go down at once while those of another domain have room.
+// Entries in the lost domain probed their own domain first, found one endpoint after another dead,
+// dispatched requests there without a probed load, and told 2,271 callers in six seconds that no
+// endpoint takes work. After a few failures in a row without an answer the whole domain must count
+// as lost for a moment, so that the other domain's endpoints are probed. A refused connection does
+// not count as an attempt.
 func TestLostFailureDomainIsAvoided(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -48,7 +49,7 @@
 				}
 			}
 			if refused > c.most {
-				t.Errorf("%d of %d were refused although another failure domain has room", refused, len(ids))
+				t.Errorf("%d of %d requests were refused although another failure domain has room", refused, len(ids))
 			}
 			near := 0
 			for _, name := range h.probed {
@@ -57,7 +58,7 @@
 				}
 			}
 			if near > len(ids) {
-				t.Errorf("%d looks at the lost domain for %d requests", near, len(ids))
+				t.Errorf("%d load probes of the lost failure domain for %d requests", near, len(ids))
 			}
 			for _, ep := range h.endpoints {
 				ep.dead, ep.silent = false, false
@@ -66,7 +67,7 @@
 			h.sent = nil
 			h.sendReads(20*ms, sec)
 			if h.sentToDomain("d0") < 45 {
-				t.Errorf("after it is back %d of 50 go there", h.sentToDomain("d0"))
+				t.Errorf("after the failure domain is back only %d of 50 requests are sent there", h.sentToDomain("d0"))
 			}
 		})
 	}
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -10,8 +10,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// sleep stops an entry's process and lets it run again after d, with its timers
-// or its sockets first.
+// sleep pauses an entry's process for d. On waking, either its timers or its sockets run first.
 func (r *clusterHarness) sleep(n *node, d time.Duration, timersFirst bool) {
 	n.asleep = true
 	r.run(d)
@@ -21,23 +20,22 @@
 	}
 }
 
-// An entry's VM freezes for 30 s at noon. In it are bookings and reads that
-// wait, a booking that is about to be written, and answers that have come
-// meanwhile. Callers have long given up or were told by others. On waking it
-// must send nothing that is past its deadline, whatever runs first, and must
-// not blame the endpoints for the time that it slept. Alone, and while an
-// endpoint left, a profile changed and the service went down meanwhile: within
-// 3 s of waking it has learned that from its peers.
+// An entry's VM freezes for 30 s. The entry has bookings and reads that wait, a booking that is
+// about to be written, and answers that arrived meanwhile; callers have given up or were answered
+// by other entries. On waking, whatever runs first, the entry must send nothing that is past its
+// deadline and must not blame the endpoints for the pause. The test runs without other faults, and
+// with an endpoint that left, a profile that changed and a configuration service that went down
+// meanwhile: within 3 s of waking the entry has to learn that from its peers.
 func TestEntryRecoversAfterPause(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
-		for _, more := range []bool{false, true} {
+		for _, otherFaults := range []bool{false, true} {
 			r := settled(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
 			n := r.nodes[0]
 			r.endpoint = func(string, Arrival) reaction {
 				return reaction{after: 100 * ms, head: Head{Load: Load{Known: true, InFlight: 2, Slots: 2}}}
 			}
 			r.traffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
-			r.dial = func() time.Duration { return 5 * sec } // decided, and not yet written
+			r.dial = func() time.Duration { return 5 * sec } // attempts are decided but not written yet
 			var bookings, reads []RequestID
 			for range 6 {
 				bookings = append(bookings, r.sendRequest(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true}))
@@ -47,7 +45,7 @@
 			}
 			batch := r.sendRequest(n, Arrival{Service: "photos"})
 			clear(r.written)
-			if more {
+			if otherFaults {
 				r.list(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 				r.republish(2, `deadline = "8s"`, `deadline = "7s"`)
 				r.down = func(n *node) bool { return r.now > 15*sec }
@@ -69,17 +67,17 @@
 			}
 			for _, id := range append(bookings, reads...) {
 				if got := n.replies[id]; got.Outcome != OutcomeNotRun {
-					t.Errorf("request %d was told %+v", id, got)
+					t.Errorf("request %d: reply %+v", id, got)
 				}
 			}
 			if got := n.replies[batch]; got.Outcome != OutcomeDone {
-				t.Errorf("a batch with time left was told %+v", got)
+				t.Errorf("a batch request with time left: reply %+v", got)
 			}
 			if e := &n.pools["waste"].Endpoints[0]; e.Reported.Seen && e.Reported.At < woke || !n.noted("pause") {
-				t.Error("what was seen before the pause is still believed")
+				t.Error("a load report from before the pause still counts, or the pause is not in the audit trail")
 			}
 			r.run(2 * sec)
-			if more && (n.endpointState("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
+			if otherFaults && (n.endpointState("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
 				t.Errorf("c6 is %v, revision %d", n.endpointState("c6"), n.InForce(published.ProfilesValue).Revision)
 			}
 			r.traffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// slowStart is that of package placement.
+// slowStart is the span of a slow start in package placement.
 const slowStart = 5 * sec
 
-// A replaced endpoint joins a pool at work with cold caches. It is idle, so it
-// looks best and would get as many requests as any other at once, all of them
-// slow. It gets one at a time at first and its full share after the slow start;
-// a pool that starts as a whole limits nobody.
+// A replaced endpoint joins a busy pool with cold caches. It is idle, so it would look best and get
+// as many requests at once as any other endpoint, all of them slow. It must get one at a time at
+// first and its full share after the slow start. In a pool that starts as a whole no endpoint is
+// limited.
 func TestNewEndpointStartsSlowly(t *testing.T) {
 	r := settled(t, 1, "counts/c1", "counts/c2")
 	p := r.nodes[0].pools["counts"]
