--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -53,7 +53,7 @@
 // mayTryIdleOnly reports whether an endpoint may be asked to refuse r rather than queue it. A
 // refusal costs a round trip and counts as an arrival at the endpoint.
 func (c *Core) mayTryIdleOnly(r *request) bool {
-	return r.replayable && r.idleRefusals < maxIdleRefusals && r.service.idle.Level() >= 1
+	return r.replayable && r.idleRefusals < maxIdleRefusals && r.service.idleRetry.Level() >= 1
 }
 
 // mayBeTrial reports whether r may be sent to an ejected endpoint as a trial: only the first
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// probeAfter is the age of the latest knowledge of an endpoint from which
-	// on a probe is worth its cost. Ordinary answers keep busy endpoints below it.
+	// probeAfter is the age of the last load report or probe of an endpoint from which on a health
+	// probe is worth its cost. Busy endpoints stay below it, since answers to requests report their
+	// load.
 	probeAfter = 2 * time.Second
-	// probesPerRound bounds the probes that one round starts.
-	probesPerRound = 4
+	// maxProbesPerTick bounds the health probes that one tick starts.
+	maxProbesPerTick = 4
 )
 
-// probeDue probes endpoints of which nothing was seen for long, within the
-// watching budget. Free sightings come first: an endpoint that answers requests
-// is not probed. Of several entries only one probes an endpoint; where their
-// views differ more may, and the budget still holds since each spends only its
-// fixed part.
-func (c *Core) probeDue(now time.Duration, out *Actions) {
+// startHealthProbes probes, within the watch budget, endpoints whose load has not been seen for
+// probeAfter. Answers to requests count as well, so a busy endpoint is not probed. Each endpoint is
+// assigned to one entry. Where the entries' views differ several may probe it; the budget still
+// holds, since each entry spends only its fixed part.
+func (c *Core) startHealthProbes(now time.Duration, out *Actions) {
 	started := 0
 	for _, p := range c.poolRows {
 		if p.usesLoadProbes() {
 			continue
 		}
 		c.assignProbes(p)
-		for started < probesPerRound {
+		for started < maxProbesPerTick {
 			e := p.longestUnseen(now)
 			if e == nil {
 				break
@@ -45,31 +45,31 @@
 	}
 }
 
-// longestUnseen returns the endpoint to probe of which nothing was seen for the
-// longest time, or nil. Guards against a budget that is spent on the first rows
-// of the table again and again, so that nothing is ever known of the last ones.
+// longestUnseen returns the endpoint due for a probe that has gone unseen for the longest time, or
+// nil. Probing in table order could spend the whole budget on the first rows again and again, so
+// that nothing would be known of the last ones.
 func (p *pool) longestUnseen(now time.Duration) *table.Endpoint {
 	var found *table.Endpoint
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if p.probed[i] && wantsProbe(now, e) && (found == nil || lastSeen(e) < lastSeen(found)) {
+		if p.probeAssigned[i] && wantsProbe(now, e) && (found == nil || lastSeen(e) < lastSeen(found)) {
 			found = e
 		}
 	}
 	return found
 }
 
-// assignProbes works out which endpoints of a pool this entry probes, once after
-// each change of members: it takes a hash for each pair of entry and endpoint.
+// assignProbes computes which endpoints of a pool this entry probes. It runs once after each
+// membership change, since it hashes each pair of entry and endpoint.
 func (c *Core) assignProbes(p *pool) {
-	if p.probedVersion == c.fleet.version && len(p.probed) == len(p.Endpoints) {
+	if p.probeAssignedVersion == c.fleet.version && len(p.probeAssigned) == len(p.Endpoints) {
 		return
 	}
-	p.probedVersion = c.fleet.version
-	p.probed = p.probed[:0]
+	p.probeAssignedVersion = c.fleet.version
+	p.probeAssigned = p.probeAssigned[:0]
 	for i := range p.Endpoints {
 		owner := assign.ProbeOwner(c.fleet.assignMembers, p.Endpoints[i].Name)
-		p.probed = append(p.probed, owner == c.fleet.selfID)
+		p.probeAssigned = append(p.probeAssigned, owner == c.fleet.selfID)
 	}
 }
 
@@ -80,12 +80,12 @@
 	return now-lastSeen(e) >= probeAfter
 }
 
-// lastSeen is when something was last learned of the endpoint's load, or asked.
+// lastSeen returns when the endpoint's load was last seen or a probe was last sent.
 func lastSeen(e *table.Endpoint) time.Duration {
 	return max(e.Reported.At, e.ProbedAt, e.AdmittedAt-probeAfter)
 }
 
-// ProbeEnd feeds the result of a probe.
+// ProbeEnd processes the result of a probe.
 func (c *Core) ProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
 	p, ok := c.pools[end.Probe.Pool]
 	if !ok {
@@ -141,7 +141,7 @@
 	}
 }
 
-// healthLimits are those of the profiles for the pool as a whole.
+// healthLimits returns the ejection limits of the pool as a whole, taken from the profiles.
 func (c *Core) healthLimits(now time.Duration, p *pool) health.Limits {
 	published, _ := c.snapshot.PoolLimits(p.Name, c.closing)
 	limits := health.Limits{
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -12,29 +12,29 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// endpointID names one incarnation of an endpoint.
+// endpointID identifies one incarnation of an endpoint.
 type endpointID struct {
 	name        string
 	incarnation uint64
 }
 
-// knownLimit is what the fleet knows of an endpoint's limit since it was told.
+// knownLimit is the last known rate limit of an endpoint, and when the endpoint reported it.
 type knownLimit struct {
 	message.Limit
 	at time.Duration
 }
 
 const (
-	// limitsMost bounds the limits that are known of endpoints.
-	limitsMost = 4096
-	// limitKept is how long a limit is known of an endpoint that the list doesn't have.
-	limitKept = 5 * time.Minute
-	// limitDiffers is by what part a limit has to change for the fleet to be told at once. Those who
-	// send to the endpoint hear of it in any case.
-	limitDiffers = 0.25
+	// maxLimits bounds the number of rate limits kept.
+	maxLimits = 4096
+	// limitRetention is how long the limit of an endpoint is kept that is not on the VM list.
+	limitRetention = 5 * time.Minute
+	// smallLimitChange is the relative change up to which a new limit is not spread at once.
+	// Entries that send requests to the endpoint see it in its answers in any case.
+	smallLimitChange = 0.25
 )
 
-// reportedLimit takes in the limit that an endpoint names in an answer, 0 if it names none.
+// reportedLimit records the rate limit that an endpoint reports in an answer, 0 for none.
 func (c *Core) reportedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	limit := &e.Limit
 	from, owners, renew := limit.Rate, limit.Owners, quota.RenewalDue(now, e)
@@ -43,29 +43,29 @@
 		return
 	}
 	quota.SetLimit(now, e, rate)
-	if rate != from && limit.Owners == owners && differsLittle(from, rate) && !renew {
+	if rate != from && limit.Owners == owners && isSmallChange(from, rate) && !renew {
 		return
 	}
 	c.spreadLimit(now, e)
-	p.noteLimits()
+	p.recountLimits()
 	if rate != from {
-		c.noteLimit(e, from, "its answer says so", out)
+		c.auditLimit(e, from, "its answer says so", out)
 	}
 }
 
-// spreadLimit has the fleet told what an endpoint takes.
+// spreadLimit spreads the endpoint's rate limit to the fleet.
 func (c *Core) spreadLimit(now time.Duration, e *table.Endpoint) {
 	limit := &e.Limit
 	limit.Period, _ = quota.OwnerPeriod(now, e)
 	limit.SpreadAt = now
 	limit.Version++
-	told := message.Limit{Rate: limit.Rate, Version: limit.Version, Period: limit.Period}
-	c.limits[endpointID{e.Name, e.Incarnation}] = knownLimit{told, now}
-	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: told}})
+	current := message.Limit{Rate: limit.Rate, Version: limit.Version, Period: limit.Period}
+	c.limits[endpointID{e.Name, e.Incarnation}] = knownLimit{current, now}
+	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: current}})
 }
 
-// probedLimit is reportedLimit for the answer to a look. That it names none says something only of an
-// endpoint that names its limit in such answers as well.
+// probedLimit is reportedLimit for the answer to a load probe. An answer without a limit counts
+// only if the endpoint has reported a limit in such answers before.
 func (c *Core) probedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	if rate > 0 {
 		e.Limit.InProbes = true
@@ -75,16 +75,17 @@
 	}
 }
 
-func differsLittle(a, b float64) bool {
-	return a > 0 && b > 0 && max(a, b)-min(a, b) <= limitDiffers*min(a, b)
+func isSmallChange(a, b float64) bool {
+	return a > 0 && b > 0 && max(a, b)-min(a, b) <= smallLimitChange*min(a, b)
 }
 
-// limitSubject marks evidence of limits, which names no VM: entries of earlier releases take evidence of
-// kinds that they don't know for the end of the VM.
+// limitSubject is the prefix of the subject of evidence about limits. The subject is not the name
+// of a VM, since entries of earlier releases treat evidence of an unknown kind as the end of the
+// VM.
 const limitSubject = "limit of "
 
-// takeLimits takes in what is told of the limits of endpoints.
-func (c *Core) takeLimits(now time.Duration, evidence []message.Evidence, out *Actions) {
+// processLimits processes evidence about the rate limits of endpoints.
+func (c *Core) processLimits(now time.Duration, evidence []message.Evidence, out *Actions) {
 	for i := range evidence {
 		ev := &evidence[i]
 		name, named := strings.CutPrefix(ev.VM, limitSubject)
@@ -92,36 +93,36 @@
 			continue
 		}
 		id := endpointID{name, ev.Incarnation}
-		last, there := c.limits[id]
-		known := knownLimit{ev.Limit, now - time.Duration(ev.AgeMillis)*time.Millisecond}
-		if there && !known.Newer(last.Limit) || !there && len(c.limits) >= limitsMost {
+		last, found := c.limits[id]
+		received := knownLimit{ev.Limit, now - time.Duration(ev.AgeMillis)*time.Millisecond}
+		if found && !received.Newer(last.Limit) || !found && len(c.limits) >= maxLimits {
 			continue
 		}
-		c.limits[id] = known
+		c.limits[id] = received
 		if ref, ok := c.fleet.rows[name]; ok {
 			c.applyLimit(now, ref.pool, ref.index, "a peer", out)
 		}
 	}
 }
 
-// applyLimit puts what is known of an endpoint's limit into its row.
+// applyLimit copies the known limit of an endpoint into its row.
 func (c *Core) applyLimit(now time.Duration, p *pool, index int, actor string, out *Actions) {
 	e := &p.Endpoints[index]
-	known, there := c.limits[endpointID{e.Name, e.Incarnation}]
-	if !there {
+	known, found := c.limits[endpointID{e.Name, e.Incarnation}]
+	if !found {
 		return
 	}
 	from := e.Limit.Rate
 	quota.SetLimit(now, e, known.Rate)
 	e.Limit.Version, e.Limit.Period, e.Limit.SpreadAt = known.Version, known.Period, known.at
-	p.noteLimits()
+	p.recountLimits()
 	if from != known.Rate {
-		c.noteLimit(e, from, actor+" says so", out)
+		c.auditLimit(e, from, actor+" says so", out)
 	}
 }
 
-// noteLimits has the owners of the pool's endpoints worked out anew.
-func (p *pool) noteLimits() {
+// recountLimits counts the pool's endpoints with a rate limit and has the owners computed again.
+func (p *pool) recountLimits() {
 	p.cold.at, p.limited = 0, 0
 	for i := range p.Endpoints {
 		if e := &p.Endpoints[i]; e.State == table.EndpointLive && quota.IsLimited(e) {
@@ -130,15 +131,15 @@
 	}
 }
 
-// forgetLimits drops the limits of endpoints that have gone.
+// forgetLimits drops the limits of endpoints that are no longer listed.
 func (c *Core) forgetLimits(now time.Duration) {
 	maps.DeleteFunc(c.limits, func(id endpointID, k knownLimit) bool {
-		ref, there := c.fleet.rows[id.name]
-		return now-k.at >= limitKept && (!there || ref.pool.endpointAt(ref.index, id.incarnation) == nil)
+		ref, listed := c.fleet.rows[id.name]
+		return now-k.at >= limitRetention && (!listed || ref.pool.endpointAt(ref.index, id.incarnation) == nil)
 	})
 }
 
-func (c *Core) noteLimit(e *table.Endpoint, from float64, why string, out *Actions) {
+func (c *Core) auditLimit(e *table.Endpoint, from float64, why string, out *Actions) {
 	out.note(Note{Subject: "endpoint " + e.Name, Action: "limited", From: limitText(from), To: limitText(e.Limit.Rate), Why: why})
 }
 
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -11,9 +11,9 @@
 // returns the share of them that were answered within their objective. The work of a request
 // varies.
 func shareInTime(t *testing.T) float64 {
-	y := newEntryHarness(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	works := []time.Duration{70 * ms, 130 * ms, 100 * ms, 85 * ms, 115 * ms}
-	y.works, y.queues = works[2], true
+	y.serviceTime, y.endpointsQueue = works[2], true
 	for range 20 {
 		y.sendRequest(route.Idempotent, 3*sec)
 		y.run(100 * ms)
@@ -21,7 +21,7 @@
 	y.traces = nil
 	const requests, every = 300, 11 * ms
 	for i := range requests {
-		y.works = works[i%len(works)]
+		y.serviceTime = works[i%len(works)]
 		y.sendRequest(route.Idempotent, 3*sec)
 		y.run(every)
 	}
--- a/internal/core/owndomain_test.go
+++ b/internal/core/owndomain_test.go
@@ -13,9 +13,9 @@
 // between domains. They wait for the near endpoint as long as the saved bytes justify and they can
 // be in time, and do not delay other requests; then they go to another domain.
 func TestUploadsWaitForTheirOwnDomain(t *testing.T) {
-	near, far := &simEndpoint{name: "near", domain: "d0"}, idle(3, "d1")
+	near, far := &simEndpoint{name: "near", domain: "d0"}, idleEndpoints(3, "d1")
 	y := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	for range 8 {
 		id := y.sendRequest(route.Upload, 3*sec)
 		y.run(100 * ms)
@@ -46,6 +46,6 @@
 	second := y.sendRequest(route.Upload, 3*sec)
 	y.run(160 * ms)
 	if got := y.open[second][1].Endpoint; !strings.HasPrefix(got, "d1") {
-		t.Errorf("after 160 ms the upload was sent to %q, want an endpoint of d1: %+v", got, y.told[second])
+		t.Errorf("after 160 ms the upload was sent to %q, want an endpoint of d1: %+v", got, y.replies[second])
 	}
 }
--- a/internal/core/peerslots.go
+++ b/internal/core/peerslots.go
@@ -7,74 +7,72 @@
 )
 
 const (
-	// peerSlotsSilence is how long a peer's counts are believed without news.
+	// peerSlotsSilence is how long a peer's counts stay valid without an update.
 	peerSlotsSilence = 2 * time.Second
-	// timeMemory is how long the measured time of an endpoint that gets no
-	// request is believed.
-	timeMemory = time.Minute
+	// serviceTimeTTL is how long the measured service time of an endpoint stays valid that gets no
+	// request.
+	serviceTimeTTL = time.Minute
 )
 
-// peerSlots are what other entries say of their own attempts at the endpoints of
-// a pool.
+// peerSlots are the slots of a pool's endpoints that peers report as in use.
 type peerSlots struct {
-	// own are each peer's counts, by the index of the endpoint.
-	own map[uint64][]int32
-	// sum adds them up.
-	sum []int32
+	// byPeer has each peer's counts, by the index of the endpoint.
+	byPeer map[uint64][]int32
+	// total has the sum of all peers' counts, by the index of the endpoint.
+	total []int32
 }
 
-// set takes in a peer's count at one endpoint.
-func (h *peerSlots) set(peer uint64, index int, own int32) {
-	if h.own == nil {
-		h.own = make(map[uint64][]int32)
+// set records a peer's count for one endpoint.
+func (s *peerSlots) set(peer uint64, index int, count int32) {
+	if s.byPeer == nil {
+		s.byPeer = make(map[uint64][]int32)
 	}
-	counts := h.own[peer]
+	counts := s.byPeer[peer]
 	for len(counts) <= index {
 		counts = append(counts, 0)
 	}
-	for len(h.sum) <= index {
-		h.sum = append(h.sum, 0)
+	for len(s.total) <= index {
+		s.total = append(s.total, 0)
 	}
-	h.sum[index] += own - counts[index]
-	counts[index] = own
-	h.own[peer] = counts
+	s.total[index] += count - counts[index]
+	counts[index] = count
+	s.byPeer[peer] = counts
 }
 
 // forget drops a peer's counts.
-func (h *peerSlots) forget(peer uint64) {
-	for index, own := range h.own[peer] {
-		h.sum[index] -= own
+func (s *peerSlots) forget(peer uint64) {
+	for index, count := range s.byPeer[peer] {
+		s.total[index] -= count
 	}
-	delete(h.own, peer)
+	delete(s.byPeer, peer)
 }
 
-// forgetRow drops all counts at an index, which another endpoint takes.
-func (h *peerSlots) forgetRow(index int) {
-	if index >= len(h.sum) {
+// forgetRow drops all counts for a row that is used again for another endpoint.
+func (s *peerSlots) forgetRow(index int) {
+	if index >= len(s.total) {
 		return
 	}
-	h.sum[index] = 0
-	for _, counts := range h.own {
+	s.total[index] = 0
+	for _, counts := range s.byPeer {
 		if index < len(counts) {
 			counts[index] = 0
 		}
 	}
 }
 
-// at returns what the peers hold at an endpoint.
-func (h *peerSlots) at(index int) int32 {
-	if index >= len(h.sum) {
+// at returns how many slots of an endpoint the peers use.
+func (s *peerSlots) at(index int) int32 {
+	if index >= len(s.total) {
 		return 0
 	}
-	return h.sum[index]
+	return s.total[index]
 }
 
-// expirePeerSlots drops the counts of peers that are silent or gone. Guards
-// against slots that nobody holds any more and that would stay closed to work
-// of low priority.
+// expirePeerSlots drops the counts of peers that are silent or gone. Otherwise slots that are no
+// longer in use would stay closed to requests of low priority.
 func (c *Core) expirePeerSlots(now time.Duration) {
 	for _, p := range c.poolRows {
-		for incarnation := range p.peerSlots.own {
+		for incarnation := range p.peerSlots.byPeer {
 			known, ok := c.fleet.peers[incarnation]
 			if !ok || now-known.heard > peerSlotsSilence {
 				p.peerSlots.forget(incarnation)
@@ -83,54 +81,53 @@
 	}
 }
 
-// slotsInUse counts the pool's slots that this entry or its peers hold.
+// slotsInUse counts the pool's slots that this entry or its peers use.
 func (p *pool) slotsInUse() int {
-	taken := 0
+	inUse := 0
 	for i := range p.Endpoints {
 		if e := &p.Endpoints[i]; e.TakesWork() {
-			taken += int(min(e.Slots, e.Outstanding+p.peerSlots.at(i)))
+			inUse += int(min(e.Slots, e.Outstanding+p.peerSlots.at(i)))
 		}
 	}
-	return taken
+	return inUse
 }
 
-// withinShare says whether a service that others go before may take one more
-// slot as far as the whole fleet is concerned, and lowers the free slots by what
-// peers hold. Its share of the pool is divided among the entries that serve it;
-// beyond its part it may use what nobody holds, as long as all slots held in the
-// pool together are within its share.
+// withinShare reports whether a service may occupy one more slot fleet-wide while another service
+// of the pool has a higher priority, and lowers the free slots by those that peers use. The
+// service's share of the pool is divided among the entries that serve it. Beyond its own share an
+// entry may use free slots as long as all slots in use in the pool stay within the service's share.
 //
-// It guards against entries that each keep within a share of their own and fill
-// the pool together: urgent requests would wait for whole bulk requests.
-func (p *pool) withinShare(holders []queue.SlotUser, me int, capacity *queue.Capacity) bool {
-	if !yields(holders, me) {
+// Without the fleet-wide bound each entry would keep within a share of its own while all of them
+// together fill the pool, and urgent requests would wait for whole bulk requests.
+func (p *pool) withinShare(users []queue.SlotUser, index int, capacity *queue.Capacity) bool {
+	if !yieldsToOthers(users, index) {
 		return true
 	}
-	taken := p.slotsInUse()
-	capacity.Free = min(capacity.Free, capacity.Slots-taken)
-	share := int(holders[me].Share * float64(capacity.Slots))
-	part := max(1, share/max(1, p.services[me].entries))
-	return holders[me].InUse < part || taken < share
+	inUse := p.slotsInUse()
+	capacity.Free = min(capacity.Free, capacity.Slots-inUse)
+	share := int(users[index].Share * float64(capacity.Slots))
+	ownShare := max(1, share/max(1, p.services[index].entries))
+	return users[index].InUse < ownShare || inUse < share
 }
 
-// yields says whether another holder goes before.
-func yields(holders []queue.SlotUser, me int) bool {
-	for i := range holders {
-		if holders[i].Priority > holders[me].Priority {
+// yieldsToOthers reports whether another slot user has a higher priority.
+func yieldsToOthers(users []queue.SlotUser, index int) bool {
+	for i := range users {
+		if users[i].Priority > users[index].Priority {
 			return true
 		}
 	}
 	return false
 }
 
-// forgetOldTimes drops the measured time of endpoints that got no request for
-// long. Guards against a straggler's time that outlives the straggler: an
-// endpoint that is taken to be slow gets no request while others suffice, so
-// nothing would correct it, and its slots would be missing at the next rush.
-func (p *pool) forgetOldTimes(now time.Duration) {
+// forgetOldServiceTimes drops the measured service time of endpoints that got no request for long.
+// Otherwise the time of a straggler would outlive its cause: an endpoint that counts as slow gets
+// no request while others suffice, so nothing would correct the time, and its slots would be
+// missing at the next peak.
+func (p *pool) forgetOldServiceTimes(now time.Duration) {
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if e.Outstanding == 0 && now-e.Health.SampledAt > timeMemory {
+		if e.Outstanding == 0 && now-e.Health.SampledAt > serviceTimeTTL {
 			e.ServiceNanos = 0
 		}
 	}
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -12,9 +12,9 @@
 // long after slots become free. They wait in the entry instead, and the first free slot is used at
 // once.
 func TestFullEndpointsGetNoQueue(t *testing.T) {
-	endpoints := idle(3, "d0")
+	endpoints := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, endpoints...)
-	y.learn(8)
+	y.learnServiceTime(8)
 	setLoad(endpoints, 2, 1)
 	var ids []RequestID
 	for range 6 {
@@ -29,8 +29,8 @@
 	if len(y.sent) == 0 || y.sent[0] != endpoints[1].name {
 		t.Fatalf("a free slot was not used: %v", y.sent)
 	}
-	if y.told[ids[0]].Reason != ReasonNone {
-		t.Errorf("the first request was refused: %v", y.told[ids[0]].Reason)
+	if y.replies[ids[0]].Reason != ReasonNone {
+		t.Errorf("the first request was refused: %v", y.replies[ids[0]].Reason)
 	}
 }
 
@@ -38,9 +38,9 @@
 // returns at once adds to the load. Such requests are refused early, as not run and with a
 // Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
-	endpoints := idle(3, "d0")
+	endpoints := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, endpoints...)
-	y.learn(8)
+	y.learnServiceTime(8)
 	setLoad(endpoints, 2, 4)
 	began := y.now
 	var ids []RequestID
@@ -50,7 +50,7 @@
 	y.run(700 * ms)
 	delays := map[time.Duration]bool{}
 	for _, id := range ids {
-		d, ok := y.told[id]
+		d, ok := y.replies[id]
 		if !ok || d.Outcome != OutcomeNotRun || d.RetryAfter <= 0 || d.RetryAfter > sec {
 			t.Fatalf("request %d after %v: %+v", id, y.now-began, d)
 		}
@@ -67,9 +67,9 @@
 // A caller returns after a refusal, too late to be answered in time. Its request must not take a
 // slot from a request that can still be in time, although it is older.
 func TestInTimeRequestsGoBeforeLateOnes(t *testing.T) {
-	endpoints := idle(2, "d0")
+	endpoints := idleEndpoints(2, "d0")
 	y := newEntryHarness(t, endpoints...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	setLoad(endpoints, 2, 1)
 	late := y.sendRequest(route.Idempotent, 3*sec-900*ms)
 	y.run(20 * ms)
@@ -95,9 +95,9 @@
 		running int
 		most    time.Duration
 	}{{"endpoints with room", 0, shortRetryMost}, {"full endpoints", 2, retryMost}} {
-		endpoints := idle(4, "d0")
+		endpoints := idleEndpoints(4, "d0")
 		y := newEntryHarness(t, endpoints...)
-		y.learn(12)
+		y.learnServiceTime(12)
 		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // an exhausted budget
 		delays := map[time.Duration]bool{}
 		for range 8 {
@@ -111,7 +111,7 @@
 				p.Endpoints[i].NoteProbed(probedLoadOf(y.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
 			}
 			y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
-			d := y.told[id]
+			d := y.replies[id]
 			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -30,9 +30,9 @@
 		}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			endpoints := idle(4, "d0")
+			endpoints := idleEndpoints(4, "d0")
 			y := newEntryHarness(t, endpoints...)
-			y.learn(12)
+			y.learnServiceTime(12)
 			id := y.sendRequest(c.kind, 3*sec)
 			y.run(20 * ms)
 			first := y.endpoint(y.open[id][1].Endpoint)
@@ -50,23 +50,23 @@
 // is earned by successes is empty at that time, and the read would fail although an idle endpoint
 // is available and the fleet is far below its bound of repeats.
 func TestFirstRequestsOfNewEntryAreRepeated(t *testing.T) {
-	y := newEntryHarness(t, idle(3, "d0")...)
+	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
 	y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
 	delete(y.open[id], 1)
 	y.run(20 * ms)
 	if len(y.open[id]) != 1 {
-		t.Errorf("the request was not repeated: %+v", y.told[id])
+		t.Errorf("the request was not repeated: %+v", y.replies[id])
 	}
 }
 
 // Many requests take longer than usual and the bound on load probes is reached, so the endpoint
 // that runs one of them is not probed. Its lack of a report must not count as silence.
 func TestUnprobedEndpointIsNotSilent(t *testing.T) {
-	endpoints := idle(3, "d0")
+	endpoints := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, endpoints...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	id := y.sendRequest(route.Idempotent, 3*sec)
 	y.run(120 * ms)
 	r := y.requests[id]
@@ -84,9 +84,9 @@
 // the pace at which it started, so a second attempt would only take a slot. A request that started
 // at a slow pace that no load probe showed is overdue at twice its expected duration.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
-	endpoints := idle(3, "d0")
+	endpoints := idleEndpoints(3, "d0")
 	y := newEntryHarness(t, endpoints...)
-	y.learn(12)
+	y.learnServiceTime(12)
 	y.sendRequest(route.Idempotent, 3*sec)
 	y.run(20 * ms)
 	y.endpoint(y.sent[0]).pace = 500
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -24,9 +24,9 @@
 // of failure that docs/OPERATIONS.md explains, the trace must contain the values that it refers to.
 func TestTracesExplainFailures(t *testing.T) {
 	t.Run("refused though endpoints were free", func(t *testing.T) {
-		endpoints := idle(3, "d0")
+		endpoints := idleEndpoints(3, "d0")
 		y := newEntryHarness(t, endpoints...)
-		y.learn(8)
+		y.learnServiceTime(8)
 		for _, b := range endpoints {
 			b.running, b.waiting = 2, 4
 		}
@@ -40,8 +40,8 @@
 		}
 	})
 	t.Run("answered 502", func(t *testing.T) {
-		y := newEntryHarness(t, idle(3, "d0")...)
-		y.learn(8)
+		y := newEntryHarness(t, idleEndpoints(3, "d0")...)
+		y.learnServiceTime(8)
 		id := y.sendNamed(route.NonIdempotent, 3*sec, "lost")
 		y.run(20 * ms)
 		endpoint := y.open[id][1].Endpoint
@@ -53,9 +53,9 @@
 		}
 	})
 	t.Run("late", func(t *testing.T) {
-		endpoints := idle(1, "d0")
+		endpoints := idleEndpoints(1, "d0")
 		y := newEntryHarness(t, endpoints...)
-		y.learn(8)
+		y.learnServiceTime(8)
 		endpoints[0].running = 1
 		id := y.sendNamed(route.NonIdempotent, 3*sec, "late")
 		y.run(650 * ms)
@@ -70,8 +70,8 @@
 
 // Only a sample of the successful requests is traced, the same requests on every entry.
 func TestSuccessfulRequestsAreSampled(t *testing.T) {
-	y := newEntryHarness(t, idle(2, "d0")...)
-	y.learn(8)
+	y := newEntryHarness(t, idleEndpoints(2, "d0")...)
+	y.learnServiceTime(8)
 	traced := map[string]bool{}
 	for i := range 400 {
 		name := time.Duration(i).String()
