--- a/internal/core/auditnotes.go
+++ b/internal/core/auditnotes.go
@@ -7,11 +7,11 @@
 	"github.com/tealhall/tealhall/internal/core/member"
 )
 
-// auditedEach is up to how many changes of a kind that come together each have a line of their own
+// maxSeparateNotes is up to how many changes of a kind that come together each have a line of their own
 // in the audit trail. Where a fleet starts or a failure domain goes, hundreds of lines at each
 // of hundreds of entries would cost more than the changes, and the bound on the log would leave
 // out what else happens.
-const auditedEach = 8
+const maxSeparateNotes = 8
 
 // auditChanges notes changed beliefs, many of one kind as one.
 func auditChanges(changes []member.Change, actor string, out *Actions) {
@@ -22,22 +22,22 @@
 	for i := range changes {
 		ch := &changes[i]
 		switch n := count[ch.Kind]; {
-		case n > 0 && n <= auditedEach:
+		case n > 0 && n <= maxSeparateNotes:
 			out.note(changeNote(ch, actor))
 		case n > 0:
 			note := changeNote(ch, actor)
-			note.Why = fmt.Sprintf("%s; with %d others, %s", note.Why, n-1, othersOf(changes[i:]))
+			note.Why = fmt.Sprintf("%s; with %d others, %s", note.Why, n-1, otherNames(changes[i:]))
 			out.note(note)
 			count[ch.Kind] = -1
 		}
 	}
 }
 
-// othersOf names a few of the VMs that changed as the first one did.
-func othersOf(changes []member.Change) string {
+// otherNames names a few of the VMs that changed as the first one did.
+func otherNames(changes []member.Change) string {
 	var names []string
 	for i := range changes[1:] {
-		if ch := &changes[1+i]; ch.Kind == changes[0].Kind && len(names) < auditedEach {
+		if ch := &changes[1+i]; ch.Kind == changes[0].Kind && len(names) < maxSeparateNotes {
 			names = append(names, ch.VM.Name)
 		}
 	}
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -67,7 +67,7 @@
 
 // AnswersTTL is how long callers may keep an answer which entries to use.
 func (c *Core) AnswersTTL(now time.Duration) time.Duration {
-	if c.state == message.EntryStarting || now < c.servesSince+settling {
+	if c.state == message.EntryStarting || now < c.servingSince+settling {
 		return min(c.cfg.AnswersTTL, settlingTTL)
 	}
 	return c.cfg.AnswersTTL
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -41,13 +41,13 @@
 	// can't reach the platform.
 	cut func(from, to *node) bool
 	// lose says that a link takes a message and loses it.
-	lose func(from, to *node, u *message.Update) bool
-	down func(n *node) bool
-	// mute says that the service leaves an entry's calls without an answer.
-	mute func(n *node) bool
+	lose         func(from, to *node, u *message.Update) bool
+	platformDown func(n *node) bool
+	// platformMute says that the service leaves an entry's calls without an answer.
+	platformMute func(n *node) bool
 	// probeTime is how long a probe takes, probed when each one began.
 	probeTime time.Duration
-	probed    []time.Duration
+	probedAt  []time.Duration
 	// dial is the time from a decision to the first byte.
 	dial func() time.Duration
 	// refuses says that an endpoint takes no connections.
@@ -68,12 +68,12 @@
 
 // delivery is something under way to an entry.
 type delivery struct {
-	at   time.Duration
-	to   *node
-	read func()
+	at     time.Duration
+	to     *node
+	handle func()
 }
 
-type tried struct {
+type attemptKey struct {
 	id RequestID
 	n  Attempt
 }
@@ -85,7 +85,7 @@
 	started      time.Duration
 	asleep, dead bool
 	arrivals     map[RequestID]Arrival
-	open         map[tried]Directive
+	open         map[attemptKey]Directive
 	replies      map[RequestID]reply
 	relays       map[RequestID]func(reply)
 	docs         map[string]published.Value
@@ -111,9 +111,9 @@
 	r.cut = func(_, _ *node) bool { return false }
 	r.lose = func(_, _ *node, _ *message.Update) bool { return false }
 	r.dial = func() time.Duration { return lag }
-	r.down = func(*node) bool { return false }
+	r.platformDown = func(*node) bool { return false }
 	r.refuses = func(string) bool { return false }
-	r.mute = func(*node) bool { return false }
+	r.platformMute = func(*node) bool { return false }
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 10 * ms} }
 	text, err := os.ReadFile("testdata/profiles.toml")
 	if err != nil {
@@ -134,7 +134,7 @@
 	cfg := DefaultConfig(h)
 	r.config(&cfg)
 	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: h, started: r.now,
-		arrivals: map[RequestID]Arrival{}, open: map[tried]Directive{}, replies: map[RequestID]reply{},
+		arrivals: map[RequestID]Arrival{}, open: map[attemptKey]Directive{}, replies: map[RequestID]reply{},
 		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
 	for _, old := range r.nodes {
 		old.dead = old.dead || old.hello.Name == h.Name
@@ -204,7 +204,7 @@
 	n.notes = append(n.notes, out.Notes...)
 	n.suspects = append(n.suspects, out.SuspectAddresses...)
 	for _, p := range out.Probes {
-		n.probes, r.probed = append(n.probes, p), append(r.probed, r.now)
+		n.probes, r.probedAt = append(n.probes, p), append(r.probedAt, r.now)
 		end := ProbeEnd{Probe: p, OK: true, Latency: r.probeTime, Load: Load{Known: true, Slots: 2}}
 		if r.refuses(p.Endpoint) {
 			end = ProbeEnd{Probe: p, Refused: true, Latency: r.probeTime}
@@ -227,11 +227,11 @@
 			}
 			r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall.Add(r.now), out) })
 			r.pull(n)
-			if !n.Reader() || r.now%(100*ms) != 0 || r.mute(n) {
+			if !n.Reader() || r.now%(100*ms) != 0 || r.platformMute(n) {
 				continue
 			}
-			n.PlatformAnswered(!r.down(n))
-			if !r.down(n) {
+			n.PlatformAnswered(!r.platformDown(n))
+			if !r.platformDown(n) {
 				r.read(n, published.ProfilesValue)
 				r.read(n, published.VMsValue)
 			}
@@ -250,7 +250,7 @@
 			case l.at > r.now || l.to.asleep:
 				later = append(later, l)
 			case !l.to.dead:
-				l.read()
+				l.handle()
 			}
 		}
 	}
@@ -279,8 +279,8 @@
 	}
 }
 
-// at returns the process that answers at an address, or nil.
-func (r *clusterHarness) at(address string) *node {
+// nodeAt returns the process that answers at an address, or nil.
+func (r *clusterHarness) nodeAt(address string) *node {
 	for _, n := range r.nodes {
 		if !n.dead && (n.hello.PeerAddress == address || n.hello.CallerAddress == address) {
 			return n
@@ -289,8 +289,8 @@
 	return nil
 }
 
-// greeting is how an entry introduces itself on a link.
-func (n *node) greeting() message.Hello {
+// currentHello is how an entry introduces itself on a link.
+func (n *node) currentHello() message.Hello {
 	h := n.hello
 	h.Status, h.Records = n.OwnStatus(), n.RecordSet()
 	return h
@@ -304,7 +304,7 @@
 	}
 	r.post(2*lag, n, func() {
 		var records []message.Record
-		to := r.at(p.Address)
+		to := r.nodeAt(p.Address)
 		answered := r.reaches(n, to) && r.reaches(to, n) && !to.asleep
 		if answered {
 			records = to.RecordsBeyond(p.Marks)
@@ -316,15 +316,15 @@
 func (r *clusterHarness) reaches(from, to *node) bool { return to != nil && !r.cut(from, to) }
 
 func (r *clusterHarness) update(from *node, u Outgoing) {
-	to := r.at(u.Address)
+	to := r.nodeAt(u.Address)
 	acked := r.reaches(from, to) && !to.asleep && r.reaches(to, from)
 	if r.reaches(from, to) && !r.lose(from, to, &u.Update) {
 		r.post(0, to, func() {
 			known := false
 			r.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
 			if !known && r.reaches(to, from) {
-				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.greeting(), out) })
-				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.greeting(), out) })
+				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.currentHello(), out) })
+				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.currentHello(), out) })
 			}
 		})
 	}
@@ -338,8 +338,8 @@
 }
 
 func (r *clusterHarness) fetch(n *node, f FetchFrom) {
-	peer := r.at(f.Address)
-	answered := f.Source == assign.Platform && !r.down(n)
+	peer := r.nodeAt(f.Address)
+	answered := f.Source == assign.Platform && !r.platformDown(n)
 	v := r.docs[f.Name]
 	if f.Source != assign.Platform {
 		answered = r.reaches(n, peer) && r.reaches(peer, n) && !peer.asleep
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -53,21 +53,21 @@
 		return
 	}
 	o := &p.cold
-	known := o.at > 0 && o.version == c.fleet.version && o.rows == len(p.Endpoints) && o.settled == c.fleet.settled
+	known := o.at > 0 && o.version == c.fleet.entriesVersion && o.rows == len(p.Endpoints) && o.settled == c.fleet.settled
 	if known && (p.limited == 0 || now < o.periodEnds) {
 		return
 	}
-	o.at, o.version, o.rows, o.settled = now, c.fleet.version, len(p.Endpoints), c.fleet.settled
+	o.at, o.version, o.rows, o.settled = now, c.fleet.entriesVersion, len(p.Endpoints), c.fleet.settled
 	o.periodEnds = now + time.Hour
 	candidates := c.coldCandidates()
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if now < e.Cold.Until {
-			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfID, e.Name, e.Domain, p.ColdShare.Owners)
+			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfAssignID, e.Name, e.Domain, p.ColdShare.Owners)
 		}
 		if quota.IsLimited(e) {
 			turn, ends := quota.OwnerPeriod(now, e)
-			quota.SetOwner(now, e, o.settled && candidates.OwnsLimited(c.fleet.selfID, e, turn))
+			quota.SetOwner(now, e, o.settled && candidates.OwnsLimited(c.fleet.selfAssignID, e, turn))
 			o.periodEnds = min(o.periodEnds, ends)
 		}
 	}
@@ -92,13 +92,13 @@
 // all that it hears.
 func (c *Core) remember(now time.Duration) {
 	f := &c.fleet
-	if !f.settled && c.state != message.EntryStarting && now >= c.servesSince+settling {
+	if !f.settled && c.state != message.EntryStarting && now >= c.servingSince+settling {
 		f.settled = f.gossip.RecordsAgree()
 	}
-	if f.rememberedAt == f.version {
+	if f.rememberedVersion == f.entriesVersion {
 		return
 	}
-	f.rememberedAt = f.version
+	f.rememberedVersion = f.entriesVersion
 	for i := range f.entries {
 		e := &f.entries[i]
 		id := assignID(e.VM.Name)
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -86,7 +86,7 @@
 	y := newEntryHarness(t, idle(2, "d0")...)
 	y.warming(2)
 	y.endpoint("d0-1").coldUntil = y.now + 30*sec
-	for y.now < y.servesSince+settling-200*ms {
+	for y.now < y.servingSince+settling-200*ms {
 		y.press(20*ms, 20*ms)
 	}
 	if n := y.mostInASecond("d0-1"); n > 0 {
--- a/internal/core/coldfleet_test.go
+++ b/internal/core/coldfleet_test.go
@@ -27,7 +27,7 @@
 		w.run(100 * ms)
 		owners := make([]int, len(w.names))
 		for _, e := range w.vms {
-			if e == nil || e.dead || w.now < e.frozen {
+			if e == nil || e.dead || w.now < e.frozenUntil {
 				continue
 			}
 			e.counters.Arrived += uint64(w.rng.IntN(2 + e.vm%5))
@@ -36,7 +36,7 @@
 			}
 			candidates := e.coldCandidates()
 			for i, name := range w.names {
-				if candidates.Owns(e.fleet.selfID, name, fmt.Sprint("d", i%5), share.Owners) {
+				if candidates.Owns(e.fleet.selfAssignID, name, fmt.Sprint("d", i%5), share.Owners) {
 					owners[i]++
 				}
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -79,9 +79,9 @@
 	CheckEvery time.Duration
 	// FirstStart says that the whole fleet starts, and no caller comes for seconds.
 	FirstStart bool
-	// StartLeave is how long this entry, which starts, leaves the platform to others that may
+	// StartFetchDelay is how long this entry, which starts, leaves the platform to others that may
 	// hold what it needs already, or read it now.
-	StartLeave time.Duration
+	StartFetchDelay time.Duration
 	// AlwaysCurrent is that of package assign's Tracker.
 	AlwaysCurrent bool
 	// ListIsFinal, MissingAfter and KeepLast are those of package member.
@@ -147,8 +147,8 @@
 
 	fleet fleet
 	state message.EntryState
-	// servesSince is when this entry began to serve.
-	servesSince time.Duration
+	// servingSince is when this entry began to serve.
+	servingSince time.Duration
 
 	// now is the time of the latest event of a request.
 	now        time.Duration
@@ -245,8 +245,8 @@
 		c.nextProbe = now + probePeriod
 		c.probeDue(now, out)
 	}
-	if c.fleet.divided != c.fleet.version && now-c.fleet.dividedAt >= divideEvery {
-		c.announceDeciders(now)
+	if c.fleet.assignedVersion != c.fleet.entriesVersion && now-c.fleet.assignedAt >= assignInterval {
+		c.assignServices(now)
 	}
 	c.becomeReady(now, out)
 	c.composeUpdates(now, out)
--- a/internal/core/cost_test.go
+++ b/internal/core/evidencecost_test.go
@@ -9,8 +9,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// grown returns an entry that knows a fleet and its endpoints.
-func grown(t testing.TB, entries, endpoints int) (*clusterHarness, published.VMList) {
+// newHarnessWithFleet returns an entry that knows a fleet and its endpoints.
+func newHarnessWithFleet(t testing.TB, entries, endpoints int) (*clusterHarness, published.VMList) {
 	r := newClusterHarness(t, entries)
 	list := published.VMList{Revision: 1}
 	for i := range endpoints {
@@ -24,7 +24,7 @@
 		r.offer(n, r.docs[name], 0)
 	}
 	for _, other := range r.nodes[1:] {
-		r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.greeting(), out) })
+		r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.currentHello(), out) })
 	}
 	return r, list
 }
@@ -35,9 +35,9 @@
 // endpoints, 0.08 ms at 15 and 33. The 26 endpoints that left together, first leaving and then
 // gone, were 1.2 s of such an entry's time, and it passes news on. What a piece costs is told
 // here by allocations, which don't depend on the machine.
-func TestNewsOfAnEndpointCostsNoMoreInALargeFleet(t *testing.T) {
+func TestEvidenceCostDoesNotGrowWithFleet(t *testing.T) {
 	cost := func(entries, endpoints int) float64 {
-		r, list := grown(t, entries, endpoints)
+		r, list := newHarnessWithFleet(t, entries, endpoints)
 		n, from := r.nodes[0], r.nodes[1].hello.Incarnation
 		next := 0
 		var out Actions
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -17,72 +17,72 @@
 // fleet is what this entry knows of VMs and of the other entries.
 type fleet struct {
 	members *member.Table
-	// version is the version of the member table's entries that the lists below were made at.
-	version uint64
-	entries []member.Entry
+	// entriesVersion is the version of the member table's entries that the lists below were made at.
+	entriesVersion uint64
+	entries        []member.Entry
 	// byIncarnation and byAssignID are the indexes in entries by incarnation and by assignID.
 	byIncarnation, byAssignID map[uint64]int
-	// divided is the version at which work was last divided among the entries, dividedAt when.
-	divided   uint64
-	dividedAt time.Duration
+	// assignedVersion is the version at which work was last divided among the entries, assignedAt when.
+	assignedVersion uint64
+	assignedAt      time.Duration
 	// assignMembers are the entries that duties are divided among. They are
 	// known there by assignID, so that a restart moves no duty.
 	assignMembers []assign.Member
-	// readMembers are those among whom the duty to read the platform is: entries that start
+	// readerCandidates are those among whom the duty to read the platform is: entries that start
 	// read as well, so that a fleet that starts does not read as many single entries.
-	readMembers []assign.Member
-	selfID      uint64
-	peers       map[uint64]*peer
-	profiles    *assign.Tracker
-	vms         *assign.Tracker
-	nextCheck   time.Duration
+	readerCandidates []assign.Member
+	selfAssignID     uint64
+	peers            map[uint64]*peer
+	profiles         *assign.Tracker
+	vms              *assign.Tracker
+	nextCheck        time.Duration
 	// evacuated are the failure domains whose endpoints get nothing, with since when.
 	evacuated []Evacuation
 	// remembered are the entries that count for who owns cold endpoints, by assignID, as of a version
 	// of the entries; settled says that this entry knows what others do.
-	remembered   map[uint64]remembered
-	rememberedAt uint64
-	settled      bool
+	remembered        map[uint64]remembered
+	rememberedVersion uint64
+	settled           bool
 	// rows finds an endpoint's row by the VM's name.
 	rows   map[string]endpointRef
 	gossip *gossip.Scheduler
-	// mostEntries is the largest number of entries known at a time so far, this one
+	// maxEntriesSeen is the largest number of entries known at a time so far, this one
 	// included.
-	mostEntries int
+	maxEntriesSeen int
 	// ownShare is this entry's part of the fleet's requests.
 	ownShare float64
-	// shares are the entries that serve a pool which this entry serves.
-	shares map[uint64]bool
+	// poolPeers are the entries that serve a pool which this entry serves.
+	poolPeers map[uint64]bool
 	// gossipPeers is scratch memory.
 	gossipPeers []gossip.Peer
 	// due, fresh and loadReports are scratch memory of composeUpdates.
 	due         []uint64
-	fresh       []message.Evidence
+	newEvidence []message.Evidence
 	loadReports []message.LoadReport
 	// heardAt is when any other entry was last heard.
 	heardAt time.Duration
 	// rate is this entry's calls per second, last sampled at rateAt.
-	rate     uint32
-	rateAt   time.Duration
-	rateFrom uint64
+	rate        uint32
+	rateAt      time.Duration
+	rateArrived uint64
 	// reader says that this entry is assigned to watch the platform.
 	reader  bool
 	readers readers
-	// own is this entry's record as the others know it, since ownAt; epochAt is when its epoch
+	// ownRecord is this entry's record as the others know it, since announcedAt; epochDue is when its epoch
 	// last differed first.
-	own     message.Record
-	ownAt   time.Duration
-	epochAt time.Duration
+	ownRecord   message.Record
+	announcedAt time.Duration
+	epochDue    time.Duration
 	// reportedSilent says that another entry told that this one is silent, as of version silentVersion of
 	// its record.
 	reportedSilent bool
 	silentVersion  uint32
-	// links is the version of the links at which members were last told whom this entry
+	// watchedVersion is the version of the links at which members were last told whom this entry
 	// watches.
-	links uint64
+	watchedVersion uint64
 	// reachable are the entries that can be asked, as of a version of the links.
-	reachable   []uint64
-	reachableAt uint64
+	reachable        []uint64
+	reachableVersion uint64
 	// acked are the entries that have taken a message since the last tick.
 	acked []uint64
 }
@@ -107,9 +107,9 @@
 		BytesPerSecond:    c.cfg.PeerBytesPerSecond,
 		MessagesPerSecond: c.cfg.PeerMessagesPerSecond,
 	}
-	tracked := assign.TrackerConfig{AlwaysCurrent: c.cfg.AlwaysCurrent}
+	trackerConfig := assign.TrackerConfig{AlwaysCurrent: c.cfg.AlwaysCurrent}
 	c.fleet = fleet{
-		selfID: assignID(c.cfg.Self.Name),
+		selfAssignID: assignID(c.cfg.Self.Name),
 		members: member.New(member.Config{
 			Self:         c.cfg.Self.Incarnation,
 			Region:       c.cfg.Self.Region,
@@ -118,11 +118,11 @@
 			KeepLast:     c.cfg.KeepLast,
 			ListIsFinal:  c.cfg.ListIsFinal,
 		}),
-		peers:    make(map[uint64]*peer),
-		shares:   make(map[uint64]bool),
-		profiles: assign.NewTracker(0, tracked),
-		vms:      assign.NewTracker(0, tracked),
-		rows:     make(map[string]endpointRef),
+		peers:     make(map[uint64]*peer),
+		poolPeers: make(map[uint64]bool),
+		profiles:  assign.NewTracker(0, trackerConfig),
+		vms:       assign.NewTracker(0, trackerConfig),
+		rows:      make(map[string]endpointRef),
 
 		remembered: make(map[uint64]remembered),
 		gossip:     gossip.New(gossipConfig),
@@ -171,9 +171,9 @@
 // refreshEntries makes the derived lists anew after a change of members.
 func (c *Core) refreshEntries() {
 	f := &c.fleet
-	f.version = f.members.EntriesVersion()
+	f.entriesVersion = f.members.EntriesVersion()
 	f.entries = f.members.Entries(f.entries[:0])
-	f.assignMembers, f.readMembers = f.assignMembers[:0], f.readMembers[:0]
+	f.assignMembers, f.readerCandidates = f.assignMembers[:0], f.readerCandidates[:0]
 	if f.byIncarnation == nil {
 		f.byIncarnation, f.byAssignID = make(map[uint64]int), make(map[uint64]int)
 	}
@@ -192,13 +192,13 @@
 			f.assignMembers = append(f.assignMembers, m)
 		}
 		if self || c.mayRead(e) {
-			f.readMembers = append(f.readMembers, m)
+			f.readerCandidates = append(f.readerCandidates, m)
 		}
 	}
-	f.mostEntries = max(f.mostEntries, len(f.entries))
+	f.maxEntriesSeen = max(f.maxEntriesSeen, len(f.entries))
 	f.ownShare = c.requestShare()
 	for _, p := range c.poolRows {
-		p.repeats.SetFleet(f.mostEntries)
+		p.repeats.SetFleet(f.maxEntriesSeen)
 	}
 	f.readers.stale = true
 }
@@ -253,16 +253,16 @@
 	c.applyChanges(now, changes, "evidence", out)
 }
 
-// divideEvery is the time between two divisions of services among the entries. A fleet that
+// assignInterval is the time between two divisions of services among the entries. A fleet that
 // starts or is replaced changes at each message, and a division walks over all entries for
 // each service; entries that divide differently for a moment only meet at some endpoints.
-const divideEvery = 50 * time.Millisecond
+const assignInterval = 50 * time.Millisecond
 
 // applyChanges carries changed beliefs into the pools and the audit trail. The
 // table may also have changed without a change that is worth a note, such as an
 // entry that has become ready.
 func (c *Core) applyChanges(now time.Duration, changes []member.Change, actor string, out *Actions) {
-	entriesChanged := c.fleet.members.EntriesVersion() != c.fleet.version
+	entriesChanged := c.fleet.members.EntriesVersion() != c.fleet.entriesVersion
 	if len(changes) == 0 && !entriesChanged {
 		return
 	}
@@ -274,7 +274,7 @@
 		c.refreshEntries()
 		c.fleet.gossip.SetPeers(now, c.gossipPeers())
 	}
-	c.announceRows(now)
+	c.notifyNewRows(now)
 	c.drainQueues(now, out)
 }
 
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -53,7 +53,7 @@
 // would be cut off when it goes. Whatever happens to the messages between
 // entries, three seconds after the first evidence, or after a first message
 // gets through, nobody sends it new work, and what it works on is finished.
-func TestDrainIsKnownEverywhereWithinSeconds(t *testing.T) {
+func TestDrainReachesAllEntriesWithinSeconds(t *testing.T) {
 	one := func(from, to *node) bool { return from.hello.Name == "entry-0" && to.hello.Name == "entry-4" }
 	for _, tt := range []struct {
 		name string
@@ -68,7 +68,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := settled(t, 6, "counts/c1", "counts/c2")
-			r.down = func(*node) bool { return true }
+			r.platformDown = func(*node) bool { return true }
 			var evidence, latest time.Duration
 			lost := map[string]bool{}
 			r.cut = func(from, to *node) bool {
@@ -126,7 +126,7 @@
 // would be new work for an endpoint that may stop at any moment. It is sent to
 // the other one, although no success has paid for a second try: the first sent
 // nothing.
-func TestWorkIsNotSentToAnEndpointThatDrainsMeanwhile(t *testing.T) {
+func TestNoWorkSentToEndpointThatDrainsWhileConnecting(t *testing.T) {
 	r := settled(t, 1, "waste/w1", "waste/w2")
 	n := r.nodes[0]
 	r.dial = func() time.Duration { return 4 * sec }
@@ -154,7 +154,7 @@
 func TestProfileIsInForceEverywhereWithinSeconds(t *testing.T) {
 	for only := -1; only < 15; only++ {
 		r := settled(t, 15, "counts/c1")
-		r.down = func(n *node) bool { return only >= 0 && n != r.nodes[only] }
+		r.platformDown = func(n *node) bool { return only >= 0 && n != r.nodes[only] }
 		r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 		limit := 2 * sec
 		if only >= 0 {
@@ -171,12 +171,12 @@
 // calendar is in the document, so the close begins and ends on time everywhere,
 // also at an entry that is replaced meanwhile and has only peers to ask. Half
 // way a replica comes back with an older document, which changes nothing.
-func TestCloseBeginsAndEndsWithoutTheService(t *testing.T) {
+func TestCloseBeginsAndEndsWithoutPlatform(t *testing.T) {
 	r := settled(t, 4, "counts/c1")
 	r.republish(2, "queue_limit = 96", "queue_limit = 200")
 	r.until(5*sec, atRevision(2))
 	old := r.docs[published.ProfilesValue]
-	r.down = func(*node) bool { return true }
+	r.platformDown = func(*node) bool { return true }
 	limits := func(want int) func(n *node) bool {
 		return func(n *node) bool {
 			sv := n.services["counts"]
@@ -231,11 +231,11 @@
 func TestPartitionHealsByItself(t *testing.T) {
 	r := settled(t, 6, "counts/c1", "counts/c2")
 	r.cut = separatesHalves
-	r.down = func(n *node) bool { return separatesHalves(n, r.nodes[0]) }
+	r.platformDown = func(n *node) bool { return separatesHalves(n, r.nodes[0]) }
 	r.run(10 * sec)
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 	r.run(10 * sec)
-	r.down = func(*node) bool { return true }
+	r.platformDown = func(*node) bool { return true }
 	for _, vm := range []int{2, 3, 5} {
 		r.start(vm)
 	}
@@ -279,7 +279,7 @@
 // since it serves its callers well. The others suspect it within four seconds
 // and name it no more; it goes on serving. Two seconds after the loss ends it
 // is named again.
-func TestAsymmetricLoss(t *testing.T) {
+func TestUnheardEntryIsNotNamedToCallers(t *testing.T) {
 	r := settled(t, 3, "counts/c1")
 	deaf := r.nodes[0]
 	r.cut = func(from, _ *node) bool { return from == deaf }
@@ -303,7 +303,7 @@
 // A fresh entry tells that it starts, some other VM comes, and then it tells that
 // it serves. Its peers would send no callers there until yet another VM changes:
 // the change of state was not carried into the lists made from the table.
-func TestFreshEntryIsNamedAsSoonAsItServes(t *testing.T) {
+func TestNewEntryIsNamedAsSoonAsItServes(t *testing.T) {
 	r := settled(t, 2, "counts/c1")
 	n := r.nodes[0]
 	fresh := message.Hello{Name: "entry-2", Incarnation: 77, Region: "r", Domain: "d2", CallerAddress: "10.0.0.3:80", PeerAddress: "10.0.0.3:81"}
@@ -324,7 +324,7 @@
 // fetches at once, in the very event; with the service down it has the revision
 // from a peer a heartbeat later. A caller that makes revisions up costs a few
 // calls of the service and not one per request.
-func TestCallerWithLaterRevision(t *testing.T) {
+func TestLaterRevisionOfCallerIsFetched(t *testing.T) {
 	r := settled(t, 3, "counts/c1")
 	n := r.nodes[0]
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
@@ -335,7 +335,7 @@
 		t.Errorf("fetches %+v", out.Fetches)
 	}
 	r.until(5*sec, atRevision(2))
-	r.down = func(x *node) bool { return x != r.nodes[2] }
+	r.platformDown = func(x *node) bool { return x != r.nodes[2] }
 	r.republish(3, `deadline = "700ms"`, `deadline = "600ms"`)
 	r.until(5*sec, func(x *node) bool { return x != r.nodes[2] || atRevision(3)(x) })
 	r.sendRequest(n, Arrival{Service: "counts", Revision: 3})
@@ -344,11 +344,11 @@
 	}
 	fresh := r.start(1) // a revision made up must not keep an entry from starting
 	r.sendRequest(fresh, Arrival{Service: "counts", Revision: 99})
-	r.down = func(*node) bool { return true }
+	r.platformDown = func(*node) bool { return true }
 	if took := r.until(20*sec, func(x *node) bool { ready, _ := x.ReadyReason(r.now); return ready }); took > 6*sec {
 		t.Errorf("a fresh entry is ready after %v", took)
 	}
-	r.down = func(*node) bool { return false }
+	r.platformDown = func(*node) bool { return false }
 	fetches := 0
 	for i := range uint64(1000) {
 		out := r.do(n, func(now time.Duration, out *Actions) {
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -62,14 +62,14 @@
 // assignProbes works out which endpoints of a pool this entry probes, once after
 // each change of members: it takes a hash for each pair of entry and endpoint.
 func (c *Core) assignProbes(p *pool) {
-	if p.probedVersion == c.fleet.version && len(p.probed) == len(p.Endpoints) {
+	if p.probedVersion == c.fleet.entriesVersion && len(p.probed) == len(p.Endpoints) {
 		return
 	}
-	p.probedVersion = c.fleet.version
+	p.probedVersion = c.fleet.entriesVersion
 	p.probed = p.probed[:0]
 	for i := range p.Endpoints {
 		owner := assign.ProbeOwner(c.fleet.assignMembers, p.Endpoints[i].Name)
-		p.probed = append(p.probed, owner == c.fleet.selfID)
+		p.probed = append(p.probed, owner == c.fleet.selfAssignID)
 	}
 }
 
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -25,16 +25,16 @@
 		r.start(3)
 		r.run(30 * sec)
 		total := 0
-		for first := range r.probed {
+		for first := range r.probedAt {
 			spent := time.Duration(0)
-			for _, at := range r.probed[first:] {
-				if at-r.probed[first] >= 10*sec {
+			for _, at := range r.probedAt[first:] {
+				if at-r.probedAt[first] >= 10*sec {
 					break
 				}
 				spent += r.probeTime
 			}
 			if limit := time.Duration(share * slots * float64(10*sec)); spent > limit {
-				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, r.probed[first], limit)
+				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, r.probedAt[first], limit)
 			}
 			total++
 		}
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -143,7 +143,7 @@
 	m.run(time.Duration(m.pick("sealed", 4)) * 500 * ms)
 	for _, part := range n.Handover(1 + m.pick("size", 3)) {
 		for _, address := range n.SuccessorAddresses(part.Home) {
-			if to := m.at(address); m.reaches(n, to) && m.pick("lost", 6) > 0 {
+			if to := m.nodeAt(address); m.reaches(n, to) && m.pick("lost", 6) > 0 {
 				m.post(time.Duration(m.pick("slow", 3)-1)*sec, to, func() {
 					m.do(to, func(now time.Duration, out *Actions) { to.Adopt(now, &part, out) })
 				})
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -169,7 +169,7 @@
 	victim := n / 2
 	f.vms[victim].dead = true
 	took := f.until(30*sec, func(e *largeEntry) bool {
-		b := e.believes(victim)
+		b := e.entryOn(victim)
 		return b == nil || b.Suspected
 	})
 	if t.Logf("%d entries suspect it after %v", n, took); took > within {
@@ -198,7 +198,7 @@
 				for i, e := range f.vms {
 					began[i] = len(e.notes)
 					if trouble == "frozen" && ill(i) {
-						e.frozen = f.now + 3*sec
+						e.frozenUntil = f.now + 3*sec
 					}
 				}
 				switch trouble {
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -19,22 +19,22 @@
 // package peer). An entry with a share of a core takes so much longer, and what comes meanwhile
 // waits.
 const (
-	tickTakes    = 100 * time.Microsecond
-	messageTakes = 250 * time.Microsecond
-	recordTakes  = 10 * time.Microsecond
-	dialTakes    = 250 * time.Microsecond
+	tickCost    = 100 * time.Microsecond
+	messageCost = 250 * time.Microsecond
+	recordCost  = 10 * time.Microsecond
+	dialCost    = 250 * time.Microsecond
 )
 
 // largeFleet runs hundreds of cores with the links that they ask for, seeds, and VMs that have
 // a part of a core. Time is simulated and nothing depends on the machine.
 type largeFleet struct {
 	testing.TB
-	now    time.Duration
-	events events
-	order  uint64
-	vms    []*largeEntry // by VM; the latest process of each
-	at     map[string]*largeEntry
-	rng    *rand.Rand
+	now       time.Duration
+	events    events
+	order     uint64
+	vms       []*largeEntry // by VM; the latest process of each
+	byAddress map[string]*largeEntry
+	rng       *rand.Rand
 	// cut says that nothing gets from one VM to another.
 	cut func(from, to int) bool
 	// share is the part of a core that a VM has.
@@ -44,18 +44,18 @@
 // largeEntry is one process.
 type largeEntry struct {
 	*Core
-	vm        int
-	hello     message.Hello
-	startedAt time.Duration
-	dead      bool
-	frozen    time.Duration // until then it does not run
-	busy      time.Duration // until then it works on what came before
-	told      map[string]bool
-	linked    map[string]bool
-	version   uint64
-	redialAt  time.Duration
-	bytes     int
-	notes     []Note
+	vm             int
+	hello          message.Hello
+	startedAt      time.Duration
+	dead           bool
+	frozenUntil    time.Duration // until then it does not run
+	busyUntil      time.Duration // until then it works on what came before
+	knownAddresses map[string]bool
+	linked         map[string]bool
+	linksVersion   uint64
+	redialAt       time.Duration
+	bytes          int
+	notes          []Note
 }
 
 type event struct {
@@ -82,12 +82,12 @@
 	largeLag    = 2 * time.Millisecond
 	largeTick   = 50 * time.Millisecond
 	callTimeout = time.Second
-	redial      = 300 * time.Millisecond
+	redialDelay = 300 * time.Millisecond
 )
 
 // newLargeFleet starts n entries within 0.3 s; the first three are the seeds of all.
 func newLargeFleet(t testing.TB, n int) *largeFleet {
-	f := &largeFleet{TB: t, at: map[string]*largeEntry{}, rng: rand.New(rand.NewPCG(7, uint64(n))), vms: make([]*largeEntry, n)}
+	f := &largeFleet{TB: t, byAddress: map[string]*largeEntry{}, rng: rand.New(rand.NewPCG(7, uint64(n))), vms: make([]*largeEntry, n)}
 	f.cut = func(int, int) bool { return false }
 	f.share = func(vm int) float64 { return []float64{0.16, 0.32, 0.8}[vm%3] }
 	for vm := range n {
@@ -113,22 +113,22 @@
 	}
 }
 
-func peerAt(vm int) string { return fmt.Sprintf("10.0.%d.%d:81", vm/200, vm%200) }
+func peerAddressAt(vm int) string { return fmt.Sprintf("10.0.%d.%d:81", vm/200, vm%200) }
 
 // start starts a process on a VM; one that ran there is dead.
 func (f *largeFleet) start(vm int) {
 	incarnation := uint64(f.now/ms)<<20 + uint64(vm) + 1
 	h := message.Hello{Name: fmt.Sprintf("entry-%03d", vm), Incarnation: incarnation, Region: "r", Domain: fmt.Sprint("d", vm%5),
-		CallerAddress: fmt.Sprintf("10.0.%d.%d:80", vm/200, vm%200), PeerAddress: peerAt(vm), Capacity: uint32(1000 * f.share(vm))}
+		CallerAddress: fmt.Sprintf("10.0.%d.%d:80", vm/200, vm%200), PeerAddress: peerAddressAt(vm), Capacity: uint32(1000 * f.share(vm))}
 	e := &largeEntry{Core: New(DefaultConfig(h), rand.New(rand.NewPCG(1, incarnation))), vm: vm, hello: h, startedAt: f.now,
-		told: map[string]bool{}, linked: map[string]bool{}}
+		knownAddresses: map[string]bool{}, linked: map[string]bool{}}
 	for seed := range 3 {
-		e.told[peerAt(seed)] = true
+		e.knownAddresses[peerAddressAt(seed)] = true
 	}
 	if f.vms[vm] != nil {
 		f.vms[vm].dead = true
 	}
-	f.vms[vm], f.at[h.PeerAddress] = e, e
+	f.vms[vm], f.byAddress[h.PeerAddress] = e, e
 	e.state = message.EntryServing
 	f.tick(e)
 }
@@ -143,18 +143,18 @@
 	}
 }
 
-// work runs something on an entry when it is through with what came before.
-func (f *largeFleet) work(e *largeEntry, takes time.Duration, run func()) {
+// schedule runs something on an entry when it is through with what came before.
+func (f *largeFleet) schedule(e *largeEntry, cost time.Duration, run func()) {
 	if e.dead {
 		return
 	}
-	begin := max(f.now, e.busy, e.frozen)
-	e.busy = begin + time.Duration(float64(takes)/f.share(e.vm))
-	f.post(e.busy-f.now, func() {
+	begin := max(f.now, e.busyUntil, e.frozenUntil)
+	e.busyUntil = begin + time.Duration(float64(cost)/f.share(e.vm))
+	f.post(e.busyUntil-f.now, func() {
 		switch {
 		case e.dead:
-		case f.now < e.frozen:
-			f.work(e, 0, run)
+		case f.now < e.frozenUntil:
+			f.schedule(e, 0, run)
 		default:
 			run()
 		}
@@ -162,9 +162,9 @@
 }
 
 func (f *largeFleet) tick(e *largeEntry) {
-	f.work(e, tickTakes, func() {
+	f.schedule(e, tickCost, func() {
 		f.do(e, func(now time.Duration, out *Actions) { e.Tick(now, time.Time{}.Add(f.now), out) })
-		f.links(e)
+		f.updateLinks(e)
 		if p, due := e.PullDue(f.now - e.startedAt); due {
 			f.pull(e, p)
 		}
@@ -185,20 +185,20 @@
 	return to != nil && !to.dead && !f.cut(from.vm, to.vm)
 }
 
-// links greets those with whom the entry wants a link and has none.
-func (f *largeFleet) links(e *largeEntry) {
+// updateLinks greets those with whom the entry wants a link and has none.
+func (f *largeFleet) updateLinks(e *largeEntry) {
 	starting := f.now-e.startedAt < 3*sec || !e.KnowsOthers()
-	if version := e.LinksVersion(); version != e.version || f.now >= e.redialAt {
-		e.version, e.redialAt = version, f.now+redial
+	if version := e.LinksVersion(); version != e.linksVersion || f.now >= e.redialAt {
+		e.linksVersion, e.redialAt = version, f.now+redialDelay
 		wanted := map[string]bool{}
 		for _, address := range e.LinkAddresses(nil) {
 			wanted[address] = true
 		}
 		known := map[string]bool{}
 		for _, address := range e.PeerAddresses(nil) {
-			known[address], e.told[address] = true, true
+			known[address], e.knownAddresses[address] = true, true
 		}
-		for address := range e.told {
+		for address := range e.knownAddresses {
 			if !known[address] && (starting || e.DialsLost(address)) {
 				wanted[address] = true
 			}
@@ -220,26 +220,26 @@
 // dial greets an address, and tries again while it is wanted.
 func (f *largeFleet) dial(e *largeEntry, address string) {
 	e.linked[address] = false
-	to := f.at[address]
-	f.work(e, dialTakes, func() {
-		if !f.reaches(e, to) || !f.reaches(to, e) || to.frozen > f.now {
-			f.post(redial, func() { delete(e.linked, address) })
+	to := f.byAddress[address]
+	f.schedule(e, dialCost, func() {
+		if !f.reaches(e, to) || !f.reaches(to, e) || to.frozenUntil > f.now {
+			f.post(redialDelay, func() { delete(e.linked, address) })
 			return
 		}
-		f.post(largeLag, func() { f.greet(e, to) })
+		f.post(largeLag, func() { f.exchangeHellos(e, to) })
 	})
 }
 
-// greet exchanges the first messages of a link.
-func (f *largeFleet) greet(e, to *largeEntry) {
+// exchangeHellos exchanges the first messages of a link.
+func (f *largeFleet) exchangeHellos(e, to *largeEntry) {
 	h := e.hello
 	h.Status, h.Records = e.OwnStatus(), e.RecordSet()
-	f.work(to, dialTakes, func() {
+	f.schedule(to, dialCost, func() {
 		f.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, h, out) })
 		answer := to.hello
 		answer.Status, answer.Records = to.OwnStatus(), to.RecordSet()
 		f.post(largeLag, func() {
-			f.work(e, messageTakes, func() {
+			f.schedule(e, messageCost, func() {
 				e.linked[answer.PeerAddress] = true
 				f.do(e, func(now time.Duration, out *Actions) { e.HelloAnswered(now, answer, out) })
 			})
@@ -248,16 +248,16 @@
 }
 
 func (f *largeFleet) send(e *largeEntry, u Outgoing) {
-	to := f.at[u.Address]
+	to := f.byAddress[u.Address]
 	lost := func() {
 		f.post(callTimeout, func() {
 			delete(e.linked, u.Address)
-			f.work(e, 0, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, message.Receipt{}) })
+			f.schedule(e, 0, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, message.Receipt{}) })
 		})
 	}
 	if !e.linked[u.Address] {
 		f.post(ms, func() {
-			f.work(e, 0, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, message.Receipt{}) })
+			f.schedule(e, 0, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, message.Receipt{}) })
 		})
 		return
 	}
@@ -268,7 +268,7 @@
 	}
 	sent := f.now
 	f.post(largeLag, func() {
-		f.work(to, messageTakes+time.Duration(len(u.Update.Records))*recordTakes, func() {
+		f.schedule(to, messageCost+time.Duration(len(u.Update.Records))*recordCost, func() {
 			known := false
 			f.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
 			receipt := message.Receipt{Acked: known, EvidenceDigest: to.OwnEvidenceDigest(), RecordDigest: to.RecordSet().Digest}
@@ -280,16 +280,16 @@
 				return
 			}
 			f.post(largeLag, func() {
-				f.work(e, messageTakes/2, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, receipt) })
+				f.schedule(e, messageCost/2, func() { e.UpdateDone(f.now-e.startedAt, u.To, u.Update.Sequence, receipt) })
 			})
 		})
 	})
 }
 
 func (f *largeFleet) pull(e *largeEntry, p Pull) {
-	to := f.at[p.Address]
+	to := f.byAddress[p.Address]
 	done := func(records []message.Record, answered bool) {
-		f.work(e, messageTakes+time.Duration(len(records))*recordTakes, func() {
+		f.schedule(e, messageCost+time.Duration(len(records))*recordCost, func() {
 			e.bytes += 90*len(records) + 5*len(p.Marks)
 			f.do(e, func(now time.Duration, out *Actions) { e.Pulled(now, p, records, answered, out) })
 		})
@@ -299,7 +299,7 @@
 		return
 	}
 	f.post(largeLag, func() {
-		f.work(to, messageTakes, func() {
+		f.schedule(to, messageCost, func() {
 			records := to.RecordsBeyond(p.Marks)
 			slices.SortFunc(records, func(a, b message.Record) int { return cmp.Compare(a.Name, b.Name) })
 			f.post(largeLag, func() { done(records, true) })
@@ -334,8 +334,8 @@
 	return n
 }
 
-// believes returns what an entry believes of the one on a VM, or nil.
-func (e *largeEntry) believes(vm int) *member.Entry {
+// entryOn returns what an entry believes of the one on a VM, or nil.
+func (e *largeEntry) entryOn(vm int) *member.Entry {
 	for i := range e.fleet.entries {
 		if e.fleet.entries[i].VM.Name == fmt.Sprintf("entry-%03d", vm) {
 			return &e.fleet.entries[i]
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -10,7 +10,7 @@
 
 // LinksVersion grows with each change of what LinkAddresses and PeerAddresses return.
 func (c *Core) LinksVersion() uint64 {
-	return c.fleet.version + c.fleet.gossip.Version() + uint64(c.state)
+	return c.fleet.entriesVersion + c.fleet.gossip.Version() + uint64(c.state)
 }
 
 // LinkAddresses appends the addresses of the entries to hold links with.
@@ -57,9 +57,9 @@
 // into halves that is a quarter of the square of the fleet.
 func (c *Core) DialsLost(address string) bool {
 	key, before := assign.Key("finds", address), 0
-	own := assign.Score(key, c.fleet.selfID)
-	for i := range c.fleet.readMembers {
-		if assign.Score(key, c.fleet.readMembers[i].Incarnation) > own {
+	own := assign.Score(key, c.fleet.selfAssignID)
+	for i := range c.fleet.readerCandidates {
+		if assign.Score(key, c.fleet.readerCandidates[i].Incarnation) > own {
 			before++
 		}
 	}
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -50,7 +50,7 @@
 			if more {
 				r.list(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 				r.republish(2, `deadline = "8s"`, `deadline = "7s"`)
-				r.down = func(n *node) bool { return r.now > 15*sec }
+				r.platformDown = func(n *node) bool { return r.now > 15*sec }
 			}
 			r.sleep(n, 30*sec, timersFirst)
 			r.dial = func() time.Duration { return lag }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,11 +15,11 @@
 // ratePeriod is how often the call rate is sampled.
 const ratePeriod = time.Second
 
-// announceDeciders divides the services among the entries and tells each pool's policy, and
+// assignServices divides the services among the entries and tells each pool's policy, and
 // the scheduler which peers serve the same pools.
-func (c *Core) announceDeciders(now time.Duration) {
-	c.fleet.divided, c.fleet.dividedAt = c.fleet.version, now
-	clear(c.fleet.shares)
+func (c *Core) assignServices(now time.Duration) {
+	c.fleet.assignedVersion, c.fleet.assignedAt = c.fleet.entriesVersion, now
+	clear(c.fleet.poolPeers)
 	for _, p := range c.poolRows {
 		deciders := c.decidersOf(p)
 		p.serving = deciders[c.cfg.Self.Incarnation]
@@ -28,14 +28,14 @@
 			continue // nobody tells loads there: endpoints are looked at before each choice
 		}
 		for incarnation := range deciders {
-			c.fleet.shares[incarnation] = true
+			c.fleet.poolPeers[incarnation] = true
 		}
 	}
 	c.fleet.gossip.SetPeers(now, c.gossipPeers())
 }
 
-// announceRows tells the policies of pools that have new rows.
-func (c *Core) announceRows(now time.Duration) {
+// notifyNewRows tells the policies of pools that have new rows.
+func (c *Core) notifyNewRows(now time.Duration) {
 	for _, p := range c.poolRows {
 		if p.newRows {
 			p.newRows = false
@@ -85,7 +85,7 @@
 			Incarnation: e.VM.Incarnation,
 			Region:      e.VM.Region,
 			Domain:      e.VM.Domain,
-			Shares:      c.fleet.shares[e.VM.Incarnation],
+			Shares:      c.fleet.poolPeers[e.VM.Incarnation],
 			Suspected:   e.Suspected,
 		})
 	}
@@ -97,7 +97,7 @@
 func (c *Core) composeUpdates(now time.Duration, out *Actions) {
 	f := &c.fleet
 	c.sampleRate(now)
-	c.spreadFresh(now)
+	c.spreadEvidence(now)
 	c.announce(now)
 	f.gossip.SetState(c.ownState())
 	f.due = f.gossip.Due(now, f.due[:0])
@@ -107,15 +107,15 @@
 	}
 	c.collectLoadReports(now)
 	for _, to := range f.due {
-		c.composeFor(now, to, out)
+		c.composeUpdate(now, to, out)
 	}
 }
 
-// spreadFresh has evidence passed on that was learned here since the last time.
-func (c *Core) spreadFresh(now time.Duration) {
+// spreadEvidence has evidence passed on that was learned here since the last time.
+func (c *Core) spreadEvidence(now time.Duration) {
 	f := &c.fleet
-	f.fresh = f.members.TakeEvidence(f.fresh[:0])
-	f.gossip.Spread(now, f.fresh)
+	f.newEvidence = f.members.TakeEvidence(f.newEvidence[:0])
+	f.gossip.Spread(now, f.newEvidence)
 }
 
 // ownState is what this entry tells of itself.
@@ -127,7 +127,7 @@
 		VMs:      c.InForce(published.VMsValue),
 		Reader:   c.reachesPlatform(),
 		Rate:     c.fleet.rate,
-		Version:  c.fleet.own.Version,
+		Version:  c.fleet.ownRecord.Version,
 	}
 }
 
@@ -140,7 +140,7 @@
 	return c.fleet.gossip.OwnStatus()
 }
 
-func (c *Core) composeFor(now time.Duration, to uint64, out *Actions) {
+func (c *Core) composeUpdate(now time.Duration, to uint64, out *Actions) {
 	f := &c.fleet
 	u, ok := f.gossip.Compose(now, to, f.loadReports)
 	if !ok {
@@ -171,9 +171,9 @@
 	if now < f.rateAt+ratePeriod {
 		return
 	}
-	calls := c.counters.Arrived - f.rateFrom
+	calls := c.counters.Arrived - f.rateArrived
 	f.rate = uint32(math.Round(float64(calls) / (now - f.rateAt).Seconds()))
-	f.rateAt, f.rateFrom = now, c.counters.Arrived
+	f.rateAt, f.rateArrived = now, c.counters.Arrived
 	f.ownShare = c.requestShare()
 }
 
@@ -192,7 +192,7 @@
 			all += float64(p.update.Rate) + 1
 		}
 	}
-	return min(own/(own+all), maxOwnShare/float64(max(1, f.mostEntries)))
+	return min(own/(own+all), maxOwnShare/float64(max(1, f.maxEntriesSeen)))
 }
 
 // collectLoadReports lists what this entry knows of the endpoints of the pools
@@ -215,16 +215,16 @@
 }
 
 func loadReportOf(now time.Duration, e *table.Endpoint) message.LoadReport {
-	s := message.LoadReport{
+	report := message.LoadReport{
 		Endpoint:    e.Name,
 		Incarnation: e.Incarnation,
 		InFlight:    uint16(e.Outstanding),
 		Own:         uint16(e.Outstanding),
 	}
 	if e.Reported.Seen {
-		s.InFlight += uint16(max(e.Reported.Foreign, 0))
+		report.InFlight += uint16(max(e.Reported.Foreign, 0))
 	}
-	return s
+	return report
 }
 
 // peerHeard tells the choice policies that what an entry last told of its own
@@ -238,19 +238,19 @@
 }
 
 // peerLoadReport takes in what a peer says of one endpoint.
-func (c *Core) peerLoadReport(now time.Duration, from uint64, s *message.LoadReport) {
-	ref, ok := c.fleet.rows[s.Endpoint]
+func (c *Core) peerLoadReport(now time.Duration, from uint64, report *message.LoadReport) {
+	ref, ok := c.fleet.rows[report.Endpoint]
 	if !ok {
 		return
 	}
-	e := ref.pool.endpointAt(ref.index, s.Incarnation)
+	e := ref.pool.endpointAt(ref.index, report.Incarnation)
 	if e == nil {
 		return
 	}
-	ref.pool.peerSlots.set(from, ref.index, int32(s.Own))
-	at := now - time.Duration(s.AgeMillis)*time.Millisecond
+	ref.pool.peerSlots.set(from, ref.index, int32(report.Own))
+	at := now - time.Duration(report.AgeMillis)*time.Millisecond
 	decider := c.deciderIndex(ref.pool, from)
-	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(s.Own), At: at})
+	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(report.Own), At: at})
 }
 
 // deciderIndex returns the place of an entry among the pool's deciders, or -1.
@@ -313,15 +313,15 @@
 
 // sourceOf says how a peer is to be asked for a revision that it holds.
 func (c *Core) sourceOf(peer uint64, t *assign.Tracker) assign.Source {
-	h := assign.Source{Peer: peer, Near: c.isNear(peer)}
+	source := assign.Source{Peer: peer, Near: c.isNear(peer)}
 	switch {
 	case t.InForce().Revision == 0: // it starts, and waits for nobody
 	case c.reachesPlatform():
-		h.Delay = readerSourceDelay
-	case !h.Near:
-		h.Delay = farSourceDelay
+		source.Delay = readerSourceDelay
+	case !source.Near:
+		source.Delay = farSourceDelay
 	}
-	return h
+	return source
 }
 
 // isNear reports whether an entry lies in this one's failure domain.
--- a/internal/core/change_test.go
+++ b/internal/core/profilechange_test.go
@@ -51,7 +51,7 @@
 // tablet of the kitchen waits for its deadline although both endpoints are
 // idle: the request at the head of the queue had tried them all, and nothing
 // passes the head.
-func TestRequestThatTriedAllEndpointsHoldsUpNobody(t *testing.T) {
+func TestRequestThatTriedAllEndpointsDoesNotBlockQueue(t *testing.T) {
 	r := settled(t, 1, "counts/c1", "counts/c2")
 	n := r.nodes[0]
 	for range 50 { // earn retries
@@ -78,9 +78,9 @@
 // other which slots they use until some VM comes or goes: stewards meet at the
 // same endpoints all evening. The calendar had switched the policies without
 // dividing the work anew.
-func TestCloseDividesTheWorkAnew(t *testing.T) {
+func TestCloseReassignsServices(t *testing.T) {
 	r := settled(t, 6, "waste/w1")
-	r.down = func(*node) bool { return true }
+	r.platformDown = func(*node) bool { return true }
 	before := len(r.nodes[0].pools["waste"].deciders)
 	r.wall = r.wall.Add(6 * time.Hour)
 	r.run(sec)
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -103,16 +103,16 @@
 	}
 	out.note(note)
 	if o.Name == published.VMsValue {
-		c.spreadFresh(now)
+		c.spreadEvidence(now)
 		c.applyChanges(now, c.fleet.members.ApplyList(now, o.VMs), note.Actor, out)
 		if o.Source != assign.Platform {
-			c.fleet.fresh = c.fleet.members.TakeEvidence(c.fleet.fresh[:0])
-			c.fleet.gossip.LearnedFromList(now, c.fleet.fresh)
+			c.fleet.newEvidence = c.fleet.members.TakeEvidence(c.fleet.newEvidence[:0])
+			c.fleet.gossip.LearnedFromList(now, c.fleet.newEvidence)
 		}
 		return
 	}
 	c.applySnapshot(o.Profiles, out)
-	c.announceDeciders(now)
+	c.assignServices(now)
 	c.drainQueues(now, out)
 }
 
@@ -139,11 +139,11 @@
 	c.tracker(f.Name).Done(now, assign.Fetch{From: f.Source, After: f.After}, answered, c.rng)
 }
 
-// callerSaw notes the revision that a caller carries: when it is later than
+// noteCallerRevision notes the revision that a caller carries: when it is later than
 // the one in force here, this entry is behind and fetches at once. An entry that
 // starts asks the platform and its peers anyway; a revision that a caller made
 // up would keep it from getting ready for as long as the platform is down.
-func (c *Core) callerSaw(now time.Duration, revision uint64, out *Actions) {
+func (c *Core) noteCallerRevision(now time.Duration, revision uint64, out *Actions) {
 	if c.state == message.EntryStarting || revision <= c.fleet.profiles.InForce().Revision {
 		return
 	}
@@ -157,11 +157,11 @@
 	peers := c.reachablePeers()
 	c.fetchNext(now, published.ProfilesValue, peers, out)
 	c.fetchNext(now, published.VMsValue, peers, out)
-	c.slowCheck(now, out)
+	c.periodicCheck(now, out)
 }
 
 func (c *Core) fetchNext(now time.Duration, name string, peers []uint64, out *Actions) {
-	if c.leavesToReaders(now, c.tracker(name)) {
+	if c.waitsForReaders(now, c.tracker(name)) {
 		return
 	}
 	f, ok := c.tracker(name).Next(now, peers)
@@ -176,9 +176,9 @@
 	out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
 }
 
-// slowCheck reads the platform itself from time to time although others do it
+// periodicCheck reads the platform itself from time to time although others do it
 // for all, so that a wrong belief about who reads can't last.
-func (c *Core) slowCheck(now time.Duration, out *Actions) {
+func (c *Core) periodicCheck(now time.Duration, out *Actions) {
 	if now < c.fleet.nextCheck {
 		return
 	}
@@ -203,10 +203,10 @@
 func (c *Core) reachablePeers() []uint64 {
 	f := &c.fleet
 	version := c.LinksVersion()
-	if f.reachableAt == version {
+	if f.reachableVersion == version {
 		return f.reachable
 	}
-	f.reachableAt = version
+	f.reachableVersion = version
 	var far []uint64
 	f.reachable = f.reachable[:0]
 	for _, id := range f.gossip.Links(nil) {
@@ -260,7 +260,7 @@
 	if !ready {
 		return
 	}
-	c.state, c.servesSince = message.EntryServing, now
+	c.state, c.servingSince = message.EntryServing, now
 	out.note(Note{Subject: "entry " + c.cfg.Self.Name, Action: "ready", From: "starting", To: "serving",
 		Revision: c.InForce(published.ProfilesValue).Revision})
 }
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -12,7 +12,7 @@
 
 // Guards against an entry that takes itself for behind for good: it reads the platform no more
 // since it read a text that it could not use, and has a later one from a peer.
-func TestNobodyStaysBehindForATextThatWasReplaced(t *testing.T) {
+func TestEntryIsNotBehindOnceUnreadableTextIsReplaced(t *testing.T) {
 	y := newEntryHarness(t, idle(1, "d0")...)
 	y.publish(1, harnessRoutes())
 	reason := func() Reason { return y.AdmitRoute("nowhere", "/x").Reason }
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -41,12 +41,12 @@
 	stale bool
 	// standbyGroup is after how many spans of silence this entry tries.
 	standbyGroup int
-	// reaches says that the platform answered this entry's latest call, and platformSilent
+	// platformAnswered says that the platform answered this entry's latest call, and platformSilent
 	// that it did not answer the latest glance in time.
-	reaches, platformSilent bool
+	platformAnswered, platformSilent bool
 	// reachedAt is when a reader last was known to reach the platform.
-	reachedAt time.Duration
-	volunteer bool
+	reachedAt     time.Duration
+	standbyActive bool
 }
 
 // assignReaders divides the duty to read anew after a change of entries. It is called when the
@@ -57,13 +57,13 @@
 		return
 	}
 	r.stale = false
-	f.reader = assign.IsReader(f.selfID, f.readMembers, c.cfg.ReadersPerDomain)
+	f.reader = assign.IsReader(f.selfAssignID, f.readerCandidates, c.cfg.ReadersPerDomain)
 	r.assigned, r.standbyGroup = r.assigned[:0], 0
-	if rank := assign.ReaderRank(f.selfID, f.readMembers); rank >= 0 {
+	if rank := assign.ReaderRank(f.selfAssignID, f.readerCandidates); rank >= 0 {
 		r.standbyGroup = standbyGroupOf(rank, c.cfg.ReadersPerDomain)
 	}
-	for _, domain := range assign.Domains(f.readMembers) {
-		for _, id := range assign.Readers(f.readMembers, domain, c.cfg.ReadersPerDomain) {
+	for _, domain := range assign.Domains(f.readerCandidates) {
+		for _, id := range assign.Readers(f.readerCandidates, domain, c.cfg.ReadersPerDomain) {
 			if e := &f.entries[f.byAssignID[id]]; e.VM.Region == c.cfg.Self.Region {
 				r.assigned = append(r.assigned, e.VM.Incarnation)
 			}
@@ -77,18 +77,18 @@
 // standbyGroupOf is after how many spans of silence the entry of a rank in its failure domain tries to
 // read: twice as many as are assigned try first, then three times as many, then all.
 func standbyGroupOf(rank, assigned int) int {
-	const widening = 3
-	turn := 0
-	for most := assigned; rank >= most && turn < lastStandbyGroup; most *= widening {
-		turn++
+	const growth = 3
+	group := 0
+	for limit := assigned; rank >= limit && group < lastStandbyGroup; limit *= growth {
+		group++
 	}
-	return turn
+	return group
 }
 
 // Reader reports whether this entry should read the platform itself.
 func (c *Core) Reader() bool {
 	c.assignReaders()
-	return c.fleet.reader || c.fleet.readers.volunteer
+	return c.fleet.reader || c.fleet.readers.standbyActive
 }
 
 // AssignedReader reports whether reading the platform is this entry's duty, whoever answers.
@@ -116,7 +116,7 @@
 }
 
 // PlatformAnswered notes whether the platform answered this entry's latest call.
-func (c *Core) PlatformAnswered(ok bool) { c.fleet.readers.reaches = ok }
+func (c *Core) PlatformAnswered(ok bool) { c.fleet.readers.platformAnswered = ok }
 
 // PlatformAlive notes whether the platform answered this entry's latest glance in
 // time.
@@ -125,31 +125,31 @@
 // reachesPlatform reports whether this entry reads the platform and is answered.
 func (c *Core) reachesPlatform() bool {
 	r := &c.fleet.readers
-	return c.Reader() && r.reaches && !r.platformSilent
+	return c.Reader() && r.platformAnswered && !r.platformSilent
 }
 
 // checkReaders decides whether this entry has to read although others should.
 func (c *Core) checkReaders(now time.Duration) {
 	c.assignReaders()
 	r := &c.fleet.readers
-	if c.readerReaches(now) {
-		r.reachedAt, r.volunteer = now, false
+	if c.assignedReaderReaches(now) {
+		r.reachedAt, r.standbyActive = now, false
 		return
 	}
-	if c.anyReads(now) && !(r.volunteer && c.reachesPlatform()) {
+	if c.anyEntryReaches(now) && !(r.standbyActive && c.reachesPlatform()) {
 		// Another one reads. Those that tried in vain leave it to that one: a platform
 		// that comes back would get the reads of all at once.
-		r.reachedAt, r.volunteer = now, false
+		r.reachedAt, r.standbyActive = now, false
 		return
 	}
-	if r.volunteer {
+	if r.standbyActive {
 		return
 	}
-	turn := max(r.standbyGroup, 1)
+	group := max(r.standbyGroup, 1)
 	if c.isCutOff(now) {
-		turn = 0 // nobody else tries in its place
+		group = 0 // nobody else tries in its place
 	}
-	r.volunteer = now >= max(r.reachedAt+time.Duration(turn)*readerSilence, c.startReadDelay())
+	r.standbyActive = now >= max(r.reachedAt+time.Duration(group)*readerSilence, c.startReadDelay())
 }
 
 // mayRead reports whether another entry can be counted on to read the platform: it was heard,
@@ -166,8 +166,8 @@
 	return now-c.fleet.heardAt >= c.fleet.members.SuspectAfter()
 }
 
-// anyReads reports whether any entry of this region says that it reaches the platform.
-func (c *Core) anyReads(now time.Duration) bool {
+// anyEntryReaches reports whether any entry of this region says that it reaches the platform.
+func (c *Core) anyEntryReaches(now time.Duration) bool {
 	f := &c.fleet
 	if c.isCutOff(now) {
 		return false
@@ -201,29 +201,29 @@
 	return startSilence
 }
 
-// leavesToReaders reports whether an entry that knows no revision of a value yet waits for
+// waitsForReaders reports whether an entry that knows no revision of a value yet waits for
 // the word of others. Guards against a fleet that starts: each of its entries asked the
 // platform for what one in each failure domain reads and tells anyway, again and again
 // until the operator had published it. An entry that starts alone has it from the first peer
 // that it meets; so have most of those that lost power together, from the few that read.
-func (c *Core) leavesToReaders(now time.Duration, t *assign.Tracker) bool {
+func (c *Core) waitsForReaders(now time.Duration, t *assign.Tracker) bool {
 	if t.InForce().Revision != 0 || t.Wanted() != 0 {
 		return false
 	}
 	if c.cfg.FirstStart {
-		return now < firstStartSilence || c.readerReaches(now)
+		return now < firstStartSilence || c.assignedReaderReaches(now)
 	}
-	return now < c.cfg.StartLeave
+	return now < c.cfg.StartFetchDelay
 }
 
-// readerReaches reports whether an assigned reader reaches the platform.
-func (c *Core) readerReaches(now time.Duration) bool {
+// assignedReaderReaches reports whether an assigned reader reaches the platform.
+func (c *Core) assignedReaderReaches(now time.Duration) bool {
 	c.assignReaders()
 	f := &c.fleet
 	cutOff := c.isCutOff(now)
 	for _, incarnation := range f.readers.assigned {
 		if incarnation == c.cfg.Self.Incarnation {
-			if f.readers.reaches && !f.readers.platformSilent {
+			if f.readers.platformAnswered && !f.readers.platformSilent {
 				return true
 			}
 			continue
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -9,7 +9,7 @@
 // publishes a profile in that moment: it would come into force only when their watches
 // time out. They notice by a glance within 0.7 s and say so at once; others take over.
 // The rest of 2 s is for that.
-func TestReadersFallSilent(t *testing.T) {
+func TestOthersReadWhenReadersGetNoAnswer(t *testing.T) {
 	r := settled(t, 15, "counts/c1")
 	silent := map[*node]bool{}
 	for _, n := range r.nodes {
@@ -20,7 +20,7 @@
 	if len(silent) == 0 || len(silent) > 8 {
 		t.Fatalf("%d entries read for all", len(silent))
 	}
-	r.mute = func(n *node) bool { return silent[n] }
+	r.platformMute = func(n *node) bool { return silent[n] }
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 	r.run(700 * ms)
 	for n := range silent {
@@ -29,7 +29,7 @@
 	if took := r.until(20*sec, atRevision(2)); took > 1300*ms {
 		t.Errorf("in force %v after the readers noticed", took)
 	}
-	r.mute = func(*node) bool { return false }
+	r.platformMute = func(*node) bool { return false }
 	for n := range silent {
 		n.PlatformAlive(true)
 	}
@@ -45,7 +45,7 @@
 // in their place, each told all others that it did, and the calls to the platform grew with
 // the fleet. A few of each failure domain are enough; where these are turned away as well,
 // further ones come a moment later.
-func TestFewTakeOverFromSilentReaders(t *testing.T) {
+func TestFewEntriesTakeOverFromSilentReaders(t *testing.T) {
 	for _, alsoSilent := range []bool{false, true} {
 		r := settled(t, 60, "counts/c1")
 		r.run(5 * sec)
@@ -53,7 +53,7 @@
 		for _, n := range r.nodes {
 			silent[n] = n.Reader()
 		}
-		r.mute = func(n *node) bool { return silent[n] }
+		r.platformMute = func(n *node) bool { return silent[n] }
 		for n := range silent {
 			if silent[n] {
 				n.PlatformAnswered(false)
@@ -88,7 +88,7 @@
 // back, it answers the first of those that try, which are not the ones assigned to it. All 59
 // others read it too, one after the other, until an assigned entry has noticed: a store that
 // just came back gets the reads of a whole fleet, at the moment at which it can bear them least.
-func TestOnlyFewReadAPlatformThatComesBack(t *testing.T) {
+func TestFewEntriesReadRecoveredPlatform(t *testing.T) {
 	r := settled(t, 60, "counts/c1")
 	r.run(5 * sec)
 	assigned := map[*node]bool{}
@@ -96,7 +96,7 @@
 		assigned[n] = n.Reader()
 	}
 	silent := func(*node) bool { return true }
-	r.mute = silent
+	r.platformMute = silent
 	for _, n := range r.nodes {
 		n.PlatformAnswered(false)
 	}
@@ -110,7 +110,7 @@
 			break
 		}
 	}
-	r.mute = func(n *node) bool { return n != first }
+	r.platformMute = func(n *node) bool { return n != first }
 	r.run(sec)
 	reading := 0
 	for _, n := range r.nodes {
@@ -122,7 +122,7 @@
 	if reading > few || !first.Reader() {
 		t.Errorf("%d entries that are not assigned read or try to, want at most %d; the one that is answered: %v", reading, few, first.Reader())
 	}
-	r.mute = silent
+	r.platformMute = silent
 	first.PlatformAnswered(false)
 	if took := r.until(5*sec, (*node).Reader); took >= 5*sec {
 		t.Error("the one that read is answered no more, and others do not try again")
@@ -132,7 +132,7 @@
 // The platform is silent for eight seconds, and all entries of a fleet try to read in the end.
 // Each glanced every 0.4 s: a hundred calls a second and more to a platform that is down. All
 // that are not assigned to read, and are not next in turn, may make 20 a second together.
-func TestGlancesAtASilentPlatformDoNotGrowWithTheFleet(t *testing.T) {
+func TestLivenessChecksDoNotGrowWithFleet(t *testing.T) {
 	const usual, next, together = 400 * ms, 24, 20.0
 	for _, entries := range []int{6, 15, 60} {
 		r := settled(t, entries, "counts/c1")
@@ -159,7 +159,7 @@
 // profile is published. It watches nine of 59 others and took the rest for live, so that what
 // they had said last, that some of them read the platform, held for good: it served by the old
 // profile until its slow check, a minute or two later.
-func TestEntryAloneWithThePlatformReadsSoon(t *testing.T) {
+func TestIsolatedEntryReadsPlatform(t *testing.T) {
 	r := settled(t, 60, "counts/c1")
 	var alone *node
 	for _, n := range r.nodes {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -44,7 +44,7 @@
 	h := c.cfg.Self
 	h.Status = message.Update{State: c.state, Epoch: c.keys.Epoch(), Reader: c.reachesPlatform(), Rate: f.rate}
 	next := recordOf(h)
-	version := f.own.Version
+	version := f.ownRecord.Version
 	switch {
 	case f.reportedSilent && f.silentVersion >= version:
 		version = f.silentVersion
@@ -52,25 +52,25 @@
 		return
 	}
 	next.Version = version + 1
-	f.own, f.ownAt, f.epochAt = next, now, 0
+	f.ownRecord, f.announcedAt, f.epochDue = next, now, 0
 	f.gossip.Announce(now, next)
 }
 
 // recordDue reports whether the others are to be told the next form of this entry's record.
 func (c *Core) recordDue(now time.Duration, next *message.Record) bool {
 	f := &c.fleet
-	if f.own.Version == 0 || next.State != f.own.State || next.Reader != f.own.Reader {
+	if f.ownRecord.Version == 0 || next.State != f.ownRecord.State || next.Reader != f.ownRecord.Reader {
 		return true
 	}
-	if next.Epoch != f.own.Epoch && f.epochAt == 0 {
-		share := float64(assign.Score(assign.Key("epoch", ""), f.selfID)>>11) / (1 << 53)
-		f.epochAt = now + time.Duration(share*float64(epochLag))
+	if next.Epoch != f.ownRecord.Epoch && f.epochDue == 0 {
+		share := float64(assign.Score(assign.Key("epoch", ""), f.selfAssignID)>>11) / (1 << 53)
+		f.epochDue = now + time.Duration(share*float64(epochLag))
 	}
-	if f.epochAt != 0 && now >= f.epochAt {
+	if f.epochDue != 0 && now >= f.epochDue {
 		return true
 	}
-	change := max(float64(next.Rate)-float64(f.own.Rate), float64(f.own.Rate)-float64(next.Rate))
-	return change >= rateLeast && change >= rateChange*float64(f.own.Rate) && now-f.ownAt >= rateEvery
+	change := max(float64(next.Rate)-float64(f.ownRecord.Rate), float64(f.ownRecord.Rate)-float64(next.Rate))
+	return change >= rateLeast && change >= rateChange*float64(f.ownRecord.Rate) && now-f.announcedAt >= rateEvery
 }
 
 // takeRecords takes in what entries tell of themselves by way of others, after the scheduler did:
@@ -127,8 +127,8 @@
 // watchLinks tells the members whom this entry watches, after a change of links.
 func (c *Core) watchLinks(now time.Duration) {
 	f := &c.fleet
-	if f.links != f.gossip.Version() {
-		f.links = f.gossip.Version()
+	if f.watchedVersion != f.gossip.Version() {
+		f.watchedVersion = f.gossip.Version()
 		f.members.Watch(now, f.gossip.Watches, f.gossip.Relays())
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -145,7 +145,7 @@
 func (c *Core) Arrive(now time.Duration, a Arrival, out *Actions) {
 	c.now = now
 	c.counters.Arrived++
-	c.callerSaw(now, a.Revision, out)
+	c.noteCallerRevision(now, a.Revision, out)
 	if reason := c.admissionRefusal(&a); reason != ReasonNone {
 		c.refuseAdmission(now, &a, reason, out)
 		return
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -203,7 +203,7 @@
 		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
 		learned:      placement.NewPool(),
 	}
-	p.repeats.SetFleet(c.fleet.mostEntries)
+	p.repeats.SetFleet(c.fleet.maxEntriesSeen)
 	c.pools[name] = p
 	c.poolRows = append(c.poolRows, p)
 	return p
@@ -308,7 +308,7 @@
 		c.applyMode(sv)
 	}
 	c.regroupPools()
-	c.announceDeciders(now)
+	c.assignServices(now)
 	mode := modeName(closing)
 	out.note(Note{Subject: "mode", Action: "switch", From: modeName(!closing), To: mode, Revision: c.snapshot.Revision(),
 		Why: closeWhy(cl, closing)})
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -17,10 +17,10 @@
 type session struct {
 	*clusterHarness
 	keys map[string]idem.Key
-	// requests is the latest request.
-	requests RequestID
-	// shown is how many notes of each entry were printed.
-	shown map[*node]int
+	// lastRequest is the latest request.
+	lastRequest RequestID
+	// notesShown is how many notes of each entry were printed.
+	notesShown map[*node]int
 }
 
 // The golden files hold whole sessions of a fleet: what happens from outside,
@@ -32,10 +32,10 @@
 			if d.Cmd == "fleet" {
 				var entries int
 				d.ScanArgs(t, "entries", &entries)
-				s = &session{clusterHarness: newClusterHarness(t, entries), keys: map[string]idem.Key{}, shown: map[*node]int{}}
+				s = &session{clusterHarness: newClusterHarness(t, entries), keys: map[string]idem.Key{}, notesShown: map[*node]int{}}
 				s.list(1, strings.Fields(d.Input)...)
 				s.run(2 * sec)
-				return s.serving()
+				return s.statusText()
 			}
 			s.TB = t
 			return s.step(t, d) + s.notes()
@@ -77,26 +77,26 @@
 		s.republish(revision, before, after)
 	case "service":
 		down := d.HasArg("down")
-		s.down = func(*node) bool { return down }
+		s.platformDown = func(*node) bool { return down }
 	case "network":
 		split := d.HasArg("split")
 		s.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
 	case "endpoint":
-		s.behave(t, d)
+		s.setReaction(t, d)
 	case "ask":
-		s.asks(n, arg("service"), arg("key"), arg("home"))
+		s.ask(n, arg("service"), arg("key"), arg("home"))
 		s.run(200 * ms)
-		return s.answers(n)
+		return s.lastReply(n)
 	case "key":
 		s.keys[arg("name")] = s.key(n)
 	case "leave":
 		s.do(n, func(now time.Duration, out *Actions) { n.Leave(now, "a new release", out) })
 	case "stop":
-		return s.stops(n)
+		return s.stop(n)
 	case "start":
 		s.start(int(arg("vm")[0] - '0'))
 	case "status":
-		return s.serving()
+		return s.statusText()
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
 	}
@@ -113,8 +113,8 @@
 	return found
 }
 
-// behave lets one endpoint answer in one way, and all others as before.
-func (s *session) behave(t *testing.T, d *datadriven.TestData) {
+// setReaction lets one endpoint answer in one way, and all others as before.
+func (s *session) setReaction(t *testing.T, d *datadriven.TestData) {
 	var name, does string
 	d.ScanArgs(t, "name", &name)
 	d.ScanArgs(t, "does", &does)
@@ -136,8 +136,8 @@
 	}
 }
 
-// asks sends a request, under a key that was named before or a new one.
-func (s *session) asks(n *node, service, key, home string) {
+// ask sends a request, under a key that was named before or a new one.
+func (s *session) ask(n *node, service, key, home string) {
 	a := Arrival{Service: service, Caller: 1, HasKey: key != ""}
 	if a.HasKey {
 		if _, known := s.keys[key]; !known {
@@ -145,29 +145,29 @@
 		}
 		a.Key = s.keys[key]
 	}
-	s.requests = s.sendRequest(n, a)
+	s.lastRequest = s.sendRequest(n, a)
 }
 
-// answers returns what the latest caller of an entry was told.
-func (s *session) answers(n *node) string {
-	got := n.replies[s.requests]
+// lastReply returns what the latest caller of an entry was told.
+func (s *session) lastReply(n *node) string {
+	got := n.replies[s.lastRequest]
 	switch got.body {
 	case "":
 		return fmt.Sprintf("told %v (%v): %s\n", got.Outcome, got.Reason, got.Reason.Remedy())
-	case body(n.arrivals[s.requests]):
+	case body(n.arrivals[s.lastRequest]):
 		return fmt.Sprintf("told %v with its own answer\n", got.Outcome)
 	}
 	return "told another request's answer: " + got.body + "\n"
 }
 
-// stops ends a planned stop: the keys are sealed and handed over.
-func (s *session) stops(n *node) string {
+// stop ends a planned stop: the keys are sealed and handed over.
+func (s *session) stop(n *node) string {
 	n.SealKeys(s.now - n.started)
 	s.run(200 * ms)
 	taken := 0
 	for _, part := range n.Handover(10) {
 		for _, address := range n.SuccessorAddresses(part.Home)[:1] {
-			to := s.at(address)
+			to := s.nodeAt(address)
 			s.do(to, func(now time.Duration, out *Actions) { to.Adopt(now, &part, out) })
 			taken += len(part.Records)
 		}
@@ -178,11 +178,11 @@
 	return fmt.Sprintf("handed over %d keys with %d requests in flight\n", taken, n.InFlight())
 }
 
-// serving describes each entry in a line.
-func (s *session) serving() string {
+// statusText describes each entry in a line.
+func (s *session) statusText() string {
 	var b strings.Builder
 	for _, n := range s.nodes {
-		s.shown[n] = len(n.notes)
+		s.notesShown[n] = len(n.notes)
 		if n.dead {
 			continue
 		}
@@ -200,7 +200,7 @@
 func (s *session) notes() string {
 	var b strings.Builder
 	for _, n := range s.nodes {
-		for _, x := range n.notes[s.shown[n]:] {
+		for _, x := range n.notes[s.notesShown[n]:] {
 			fmt.Fprintf(&b, "%s: %s", n.hello.Name, x.Subject+" "+x.Action)
 			if x.From+x.To != "" {
 				fmt.Fprintf(&b, " (%s -> %s)", x.From, x.To)
@@ -210,7 +210,7 @@
 			}
 			b.WriteByte('\n')
 		}
-		s.shown[n] = len(n.notes)
+		s.notesShown[n] = len(n.notes)
 	}
 	return b.String()
 }
--- a/internal/core/silent_test.go
+++ b/internal/core/silentconnections_test.go
@@ -9,7 +9,7 @@
 // machine had opened a dozen of them to an entry's endpoints, and each takes a read with
 // it. Retries are paid from what successes have earned, five at the most: the other reads
 // were told "endpoint-lost" although idle endpoints stood by.
-func TestEveryReadOnSilentConnectionsIsSentAgain(t *testing.T) {
+func TestReadsOnSilentConnectionsAreRetried(t *testing.T) {
 	const dead = 12
 	r := settled(t, 1, sixCounts...)
 	r.bad(reaction{})
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -13,7 +13,7 @@
 // All entries start again after a loss of power, and callers wait for the first one
 // that serves. The platform is always current, so its two answers make an entry ready
 // within the tick that follows them, not with the next round over the members.
-func TestReadyAtOnceAfterPowerLoss(t *testing.T) {
+func TestEntryReadyInOneTickAfterPowerLoss(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
 	r.list(1, "counts/c1")
@@ -43,11 +43,11 @@
 // An entry is replaced in a fleet of 130. It read the platform itself, eleven calls, before its
 // first link was open, though every peer holds what it needs; a rolling restart of all cost
 // 1,400. It waits a quarter of a second for a peer's word, and asks that peer at once.
-func TestEntryThatStartsAsksPeersFirst(t *testing.T) {
+func TestStartingEntryAsksPeersFirst(t *testing.T) {
 	start := func(meets bool) (fetches []FetchFrom) {
 		r := settled(t, 2, "counts/c1")
-		r.config = func(cfg *Config) { cfg.StartLeave = 250 * ms }
-		peer := r.nodes[0].greeting()
+		r.config = func(cfg *Config) { cfg.StartFetchDelay = 250 * ms }
+		peer := r.nodes[0].currentHello()
 		n := r.start(2)
 		for at := ms; at < 400*ms; at += 5 * ms {
 			var out Actions
@@ -70,7 +70,7 @@
 // A fleet of 60 starts, and the operator has published nothing yet, so nobody serves. Duties
 // were divided among those that serve: each entry took itself for the only one, read the whole
 // list when it came, and told all others that it reads. Those that start can read as well.
-func TestEntriesThatStartDivideTheDutyToRead(t *testing.T) {
+func TestStartingEntriesAreAssignedAsReaders(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.docs = map[string]published.Value{}
 	r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
@@ -80,7 +80,7 @@
 	for _, a := range r.nodes {
 		for _, b := range r.nodes {
 			if a != b {
-				r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.greeting(), out) })
+				r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 // one of them: were it told of that one only until the other's first heartbeat, half a
 // second later, all callers would crowd there. The greeting says that both serve. What
 // the greeting says is not newer than an update that was sent before it and comes after.
-func TestGreetingSaysWhoServes(t *testing.T) {
+func TestHelloCarriesEntryState(t *testing.T) {
 	r := newClusterHarness(t, 2)
 	r.list(1, "counts/c1")
 	a, b := r.nodes[0], r.nodes[1]
@@ -109,7 +109,7 @@
 		r.offer(n, r.docs[published.VMsValue], assign.Platform)
 		r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall, out) })
 	}
-	greeting := b.greeting()
+	greeting := b.currentHello()
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Fatalf("names %v before they met", got)
 	}
@@ -131,7 +131,7 @@
 
 // An entry that has just begun to serve may know no other yet. Callers that took its word
 // for seconds would all crowd there; they ask again soon, and later on as seldom as usual.
-func TestFirstAnswersAreShortLived(t *testing.T) {
+func TestFirstAnswersHaveShortTTL(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AnswersTTL = 3 * sec }
 	r.list(1, "counts/c1")
@@ -155,7 +155,7 @@
 // Each entry asked the platform again and again meanwhile: 92 of the 246 calls of a quiet
 // day with 19 entries, and 1,400 with 126. Now those ask that read for all, and the others
 // are told; if no reader is answered, everybody asks for itself in the end.
-func TestFirstStartLeavesThePlatformToReaders(t *testing.T) {
+func TestOnlyReadersAskPlatformOnFirstStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		mute bool
@@ -169,8 +169,8 @@
 			r.start(i)
 		}
 		readers := map[uint64]bool{}
-		r.mute = func(n *node) bool { return c.mute && readers[n.hello.Incarnation] }
-		r.down = func(n *node) bool {
+		r.platformMute = func(n *node) bool { return c.mute && readers[n.hello.Incarnation] }
+		r.platformDown = func(n *node) bool {
 			if !n.Reader() {
 				asked[n.hello.Name]++
 			}
@@ -179,7 +179,7 @@
 		for _, a := range r.nodes {
 			for _, b := range r.nodes {
 				if a != b {
-					r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.greeting(), out) })
+					r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
 				}
 			}
 		}
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -30,7 +30,7 @@
 
 // direct carries out one step of a request.
 func (r *clusterHarness) direct(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
+	t := attemptKey{d.ID, d.Attempt}
 	answer := reply{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
 	switch d.Step {
 	case StepDispatch:
@@ -63,7 +63,7 @@
 
 // write is the moment before the first byte of an attempt is sent.
 func (r *clusterHarness) write(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
+	t := attemptKey{d.ID, d.Attempt}
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // answer brings back what an endpoint answered.
-func (r *clusterHarness) answer(n *node, t tried, re reaction, text string) {
+func (r *clusterHarness) answer(n *node, t attemptKey, re reaction, text string) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -113,7 +113,7 @@
 	r.end(n, t, end)
 }
 
-func (r *clusterHarness) end(n *node, t tried, e End) {
+func (r *clusterHarness) end(n *node, t attemptKey, e End) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -125,8 +125,8 @@
 
 // forward sends a request on to another entry and brings its answer back.
 func (r *clusterHarness) forward(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
-	home := r.at(d.Address)
+	t := attemptKey{d.ID, d.Attempt}
+	home := r.nodeAt(d.Address)
 	if !r.reaches(n, home) {
 		r.end(n, t, End{Kind: EndNotWritten, DialFailed: true})
 		return
@@ -146,7 +146,7 @@
 }
 
 // relayed passes on another entry's answer as it is.
-func (r *clusterHarness) relayed(n *node, t tried, answer reply) {
+func (r *clusterHarness) relayed(n *node, t attemptKey, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
 	}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -97,8 +97,8 @@
 	Limited int
 	// ViewWrong: most endpoints look bad, so none is ejected.
 	ViewWrong bool
-	// WatchShare is the share of slot time that all entries may spend on probes.
-	WatchShare float64
+	// HealthProbeShare is the share of slot time that all entries may spend on probes.
+	HealthProbeShare float64
 	// ProbesLeft is how many probes could be sent at once.
 	ProbesLeft float64
 	// Probes and ProbeTime are what was spent, ProbesDenied the times at which a
@@ -251,15 +251,15 @@
 func (c *Core) viewPool(now time.Duration, p *pool) PoolView {
 	spent := p.healthProbes.Spent()
 	v := PoolView{
-		Name:         p.Name,
-		Slots:        p.Slots(),
-		Outstanding:  p.Outstanding(),
-		Waiting:      p.queue.Len(),
-		WatchShare:   p.healthProbes.Share(),
-		ProbesLeft:   p.healthProbes.Left(),
-		Probes:       spent.Probes,
-		ProbesDenied: spent.Denied,
-		ProbeTime:    spent.SlotTime,
+		Name:             p.Name,
+		Slots:            p.Slots(),
+		Outstanding:      p.Outstanding(),
+		Waiting:          p.queue.Len(),
+		HealthProbeShare: p.healthProbes.Share(),
+		ProbesLeft:       p.healthProbes.Left(),
+		Probes:           spent.Probes,
+		ProbesDenied:     spent.Denied,
+		ProbeTime:        spent.SlotTime,
 	}
 	for i := range p.Endpoints {
 		v.count(&p.Endpoints[i], quota.IsCold(now, &p.Pool, &p.Endpoints[i]))
--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -211,7 +211,7 @@
 		gauge(poolMetric(p.Name, "cold_owned"), float64(p.Owned)),
 		gauge(poolMetric(p.Name, "limited"), float64(p.Limited)),
 		flag(poolMetric(p.Name, "view_wrong"), p.ViewWrong),
-		gauge(poolMetric(p.Name, "watch_share"), p.WatchShare),
+		gauge(poolMetric(p.Name, "watch_share"), p.HealthProbeShare),
 		total(poolMetric(p.Name, "probes"), p.Probes),
 		total(poolMetric(p.Name, "probes_denied"), p.ProbesDenied),
 		total(poolMetric(p.Name, "probe_time_ms"), p.ProbeTime.Milliseconds()),
--- a/internal/entry/views_status.go
+++ b/internal/entry/views_status.go
@@ -219,7 +219,7 @@
 		Ejected:     p.Ejected,
 		Endpoints:   p.Live + p.Leaving,
 		ViewWrong:   p.ViewWrong,
-		Watch:       admin.BudgetView{Share: p.WatchShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
+		Watch:       admin.BudgetView{Share: p.HealthProbeShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
 	}
 	for i := range p.Services {
 		s := &p.Services[i]
