--- a/internal/core/auditnotes.go
+++ b/internal/core/auditnotes.go
@@ -7,13 +7,14 @@
 	"github.com/tealhall/tealhall/internal/core/member"
 )
 
-// maxSeparateNotes is up to how many changes of a kind that come together each have a line of their own
-// in the audit trail. Where a fleet starts or a failure domain goes, hundreds of lines at each
-// of hundreds of entries would cost more than the changes, and the bound on the log would leave
-// out what else happens.
+// maxSeparateNotes is the largest number of simultaneous changes of one kind that get a line each
+// in the audit trail. When a fleet starts or a failure domain is lost, hundreds of lines at each of
+// hundreds of entries would cost more than the changes themselves, and the bound on the log would
+// drop other lines.
 const maxSeparateNotes = 8
 
-// auditChanges notes changed beliefs, many of one kind as one.
+// auditChanges writes membership changes to the audit trail. Many changes of one kind are combined
+// into one note.
 func auditChanges(changes []member.Change, actor string, out *Actions) {
 	var count [member.KindCount]int
 	for i := range changes {
@@ -33,7 +34,7 @@
 	}
 }
 
-// otherNames names a few of the VMs that changed as the first one did.
+// otherNames names a few of the VMs whose change is of the same kind as the first one.
 func otherNames(changes []member.Change) string {
 	var names []string
 	for i := range changes[1:] {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -13,15 +13,14 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// The two-year size of one region as a benchmark uses it.
+// Size of one region expected in two years.
 const (
 	benchServices  = 46
 	benchEndpoints = 560
 	benchPeers     = 30
 )
 
-// benchCore returns a core at the two-year size that serves, with one pool for
-// each service.
+// benchCore returns a core that serves at that size, with one pool for each service.
 func benchCore(b *testing.B) (*Core, *Actions) {
 	var text strings.Builder
 	text.WriteString("format = 1\n[profile.read]\nkind = \"read\"\n")
@@ -52,8 +51,8 @@
 	return c, out
 }
 
-// BenchmarkRequest is what the core spends on one request: its arrival, the
-// choice, the head of the answer and its end.
+// BenchmarkRequest measures the core's cost of one request: its arrival, the choice of an endpoint,
+// the head of the answer and its end.
 func BenchmarkRequest(b *testing.B) {
 	c, out := benchCore(b)
 	now := 15 * time.Second
@@ -76,8 +75,8 @@
 	}
 }
 
-// BenchmarkTick is the mean of a tick, taken over the systems that run less
-// often too, while peers' heartbeats come in. It is called every 5 ms.
+// BenchmarkTick measures the mean cost of a tick while peers' heartbeats come in, including the
+// work that runs less often than every tick. Ticks are 5 ms apart.
 func BenchmarkTick(b *testing.B) {
 	c, out := benchCore(b)
 	now, sequence := 15*time.Second, uint64(0)
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -19,46 +19,45 @@
 const (
 	ms  = time.Millisecond
 	sec = time.Second
-	// lag is the time of a message on its way.
+	// lag is the delay of a message between two entries.
 	lag = ms
 )
 
-// clusterHarness is a few cores, the messages under way between them, and what endpoints
-// and the platform do. A test may replace any of its functions.
+// clusterHarness runs a few cores with the messages between them and simulates endpoints and the
+// platform. A test may replace any of its functions.
 type clusterHarness struct {
 	testing.TB
 	now    time.Duration
 	wall   time.Time // at time 0
 	config func(*Config)
-	// tick is how often the cores run their systems.
+	// tick is the time between two ticks of the cores.
 	tick     time.Duration
 	nodes    []*node
 	underWay []delivery
 	docs     map[string]published.Value
 	nextID   RequestID
 	keysMade uint64
-	// cut says that nothing gets from one entry to another, down that an entry
-	// can't reach the platform.
+	// cut says that no message gets from one entry to another.
 	cut func(from, to *node) bool
-	// lose says that a link takes a message and loses it.
+	// lose says that a link accepts a message and loses it.
 	lose         func(from, to *node, u *message.Update) bool
 	platformDown func(n *node) bool
 	// platformMute says that the service leaves an entry's calls without an answer.
 	platformMute func(n *node) bool
-	// probeTime is how long a probe takes, probed when each one began.
+	// probeTime is how long a probe takes, probedAt when each probe began.
 	probeTime time.Duration
 	probedAt  []time.Duration
-	// dial is the time from a decision to the first byte.
+	// dial returns the time from the dispatch of a request to its first byte.
 	dial func() time.Duration
-	// refuses says that an endpoint takes no connections.
+	// refuses says that an endpoint accepts no connections.
 	refuses func(name string) bool
-	// endpoint says what becomes of a request at an endpoint.
+	// endpoint returns an endpoint's reaction to a request.
 	endpoint func(name string, a Arrival) reaction
 	written  map[string]int // requests written, by endpoint
 	ran      map[string]int // requests run, by their body
 }
 
-// reaction is what an endpoint does with a request.
+// reaction is how an endpoint reacts to a request.
 type reaction struct {
 	after   time.Duration
 	head    Head
@@ -66,7 +65,7 @@
 	ignores bool // the request is not run
 }
 
-// delivery is something under way to an entry.
+// delivery is a message or result on its way to an entry.
 type delivery struct {
 	at     time.Duration
 	to     *node
@@ -78,7 +77,7 @@
 	n  Attempt
 }
 
-// node is an entry process: a core and what its driver holds.
+// node is an entry process: a core and its driver's state.
 type node struct {
 	*Core
 	hello        message.Hello
@@ -94,7 +93,7 @@
 	probes       []Probe
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller got.
 type reply struct {
 	Outcome Outcome
 	Reason  Reason
@@ -126,7 +125,7 @@
 	return r
 }
 
-// start starts an entry's process on VM i; one that ran there is dead.
+// start starts an entry's process on VM i; a process that ran there is dead.
 func (r *clusterHarness) start(i int) *node {
 	incarnation := uint64(len(r.nodes) + 1)
 	h := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
@@ -143,12 +142,12 @@
 	return n
 }
 
-// publish puts a value into the platform's service.
+// publish stores a value on the platform.
 func (r *clusterHarness) publish(name string, revision uint64, text string) {
 	r.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
-// addressOf turns an endpoint's name, a letter and a number, into an address.
+// addressOf returns the address of an endpoint, whose name is a letter and a number.
 func addressOf(name string) string { return fmt.Sprintf("10.0.%d.%s:80", name[0], name[1:]) }
 
 func nameOf(address string) (name string) {
@@ -157,9 +156,9 @@
 	return fmt.Sprintf("%c%d", letter, number)
 }
 
-// list publishes the VMs: all entries, and endpoints given as "pool/name" with
-// "#incarnation" or ",leaving" behind.
-func (r *clusterHarness) list(revision uint64, endpoints ...string) {
+// publishVMs publishes the VM list: all entries, and endpoints given as "pool/name", optionally
+// followed by "#incarnation" or ",leaving".
+func (r *clusterHarness) publishVMs(revision uint64, endpoints ...string) {
 	var l published.VMList
 	for i, n := range r.nodes {
 		if n.dead {
@@ -183,12 +182,12 @@
 	r.publish(published.VMsValue, revision, string(published.EncodeVMs(l)))
 }
 
-// post puts something under way; an entry that sleeps gets it when it wakes.
+// post schedules a delivery to an entry; a sleeping entry gets it when it wakes up.
 func (r *clusterHarness) post(after time.Duration, to *node, read func()) {
 	r.underWay = append(r.underWay, delivery{r.now + after, to, read})
 }
 
-// do feeds an event to an entry and carries out what it asks for.
+// do passes an event to an entry and carries out the resulting actions.
 func (r *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
 	var out Actions
 	event(r.now-n.started, &out)
@@ -216,7 +215,7 @@
 	return out
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (r *clusterHarness) run(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.tick
@@ -239,18 +238,18 @@
 	}
 }
 
-// deliver hands over what has arrived.
+// deliver runs the deliveries that are due.
 func (r *clusterHarness) deliver() {
 	var later []delivery
 	for len(r.underWay) > 0 {
 		due := r.underWay
 		r.underWay = nil
-		for _, l := range due {
+		for _, d := range due {
 			switch {
-			case l.at > r.now || l.to.asleep:
-				later = append(later, l)
-			case !l.to.dead:
-				l.handle()
+			case d.at > r.now || d.to.asleep:
+				later = append(later, d)
+			case !d.to.dead:
+				d.handle()
 			}
 		}
 	}
@@ -279,7 +278,7 @@
 	}
 }
 
-// nodeAt returns the process that answers at an address, or nil.
+// nodeAt returns the running process with a peer or caller address, or nil.
 func (r *clusterHarness) nodeAt(address string) *node {
 	for _, n := range r.nodes {
 		if !n.dead && (n.hello.PeerAddress == address || n.hello.CallerAddress == address) {
@@ -289,14 +288,14 @@
 	return nil
 }
 
-// currentHello is how an entry introduces itself on a link.
+// currentHello returns the hello that the entry sends on a link now.
 func (n *node) currentHello() message.Hello {
 	h := n.hello
 	h.Status, h.Records = n.OwnStatus(), n.RecordSet()
 	return h
 }
 
-// pull asks a peer for the records that an entry lacks, if it wants them.
+// pull fetches the records that an entry lacks from a peer, if a pull is due.
 func (r *clusterHarness) pull(n *node) {
 	p, due := n.PullDue(r.now - n.started)
 	if !due {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,12 +1,11 @@
-// Package core is the decision core of an entry. It is pure and deterministic:
-// entities live in tables (VMs, pools of endpoints, services, requests, keys,
-// peers), systems run over them; inputs are events with an explicit monotonic
-// time, outputs are Actions for the driver. It holds no goroutine, lock, clock
-// or I/O, so that any driver can run many cores in one process.
+// Package core is the decision core of an entry. It is pure and deterministic: its state is held in
+// tables (VMs, pools of endpoints, services, requests, keys, peers), its inputs are events with an
+// explicit monotonic time, and its outputs are Actions for the driver. It has no goroutine, lock,
+// clock or I/O, so a driver can run many cores in one process.
 //
-// A driver calls one method at a time (it owns the lock if it needs one),
-// carries out the appended actions and reports their results as further
-// events. Times are durations since the process started; they never go back.
+// A driver calls one method at a time (it owns the lock if it needs one), carries out the appended
+// actions and reports their results as further events. Times are durations since the process
+// started; they never go back.
 package core
 
 import (
@@ -22,69 +21,70 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// The periods of the systems that run less often than every tick.
+// Periods of the periodic work that runs less often than every tick, and bounds of the core.
 const (
 	healthPeriod = 100 * time.Millisecond
 	probePeriod  = 50 * time.Millisecond
 	memberPeriod = 100 * time.Millisecond
-	// pauseGap is the time between two ticks from which on the process is taken
-	// to have slept: its beliefs about others are stale.
+	// pauseGap is the time between two ticks from which the process is assumed to have been
+	// suspended, so that its knowledge of other entries and endpoints is stale.
 	pauseGap = time.Second
-	// lateTick is the time between two ticks of a busy entry from which on a tick is late:
-	// ten times as long as they are apart.
+	// lateTick is the time between two ticks of a busy entry from which a tick counts as late: ten
+	// times the usual distance.
 	lateTick = 150 * time.Millisecond
-	// defaultCallsPerSecond is what a small entry VM carries.
+	// defaultCallsPerSecond is the capacity of a small entry VM.
 	defaultCallsPerSecond = 5000
-	// maxDepth is how deep calls between services may be nested.
+	// maxDepth is the maximum nesting depth of calls between services.
 	maxDepth = 6
 )
 
-// Config holds what a core needs to know at its start.
+// Config is the configuration of a core.
 type Config struct {
 	// Self identifies this entry to its peers and callers.
 	Self message.Hello
 	// Policy names the endpoint choice policy (see package balance).
 	Policy string
-	// MaxInFlight bounds the requests that this entry holds at a time.
+	// MaxInFlight bounds the concurrent requests of this entry.
 	MaxInFlight int
-	// CallsPerSecond, in requests of callers, is what one entry is taken to carry, for its weight in the
-	// answers to callers.
+	// CallsPerSecond is the assumed capacity of one entry, in callers' requests. It determines the
+	// entry's weight in the answers to callers.
 	CallsPerSecond float64
-	// LargestFleet is the number of entries that the watching budget is
-	// divided by. It is never derived from the peers seen.
+	// LargestFleet is the number of entries that the health probe budget is divided by. It is never
+	// derived from the peers seen.
 	LargestFleet int
-	// Keys bounds the idempotency table.
+	// Keys bounds the idempotency key table.
 	Keys idem.Config
-	// AnswersTTL is the longest that a caller may keep the answer which entries
-	// to use; 0 stands for the default of package directory.
+	// AnswersTTL is the longest time for which a caller may cache the answer to which entries it
+	// should use; 0 means the default of package directory.
 	AnswersTTL time.Duration
 	// ReadersPerDomain is how many entries of a failure domain read the platform.
 	ReadersPerDomain int
-	// PeerBytesPerSecond and PeerMessagesPerSecond bound what is sent to all peers
-	// together; 0 stands for the defaults of package gossip.
+	// PeerBytesPerSecond and PeerMessagesPerSecond bound the traffic sent to all peers together; 0
+	// means the defaults of package gossip.
 	PeerBytesPerSecond    float64
 	PeerMessagesPerSecond float64
-	// ProbeCost is the slot time that a probe takes at an endpoint.
+	// ProbeCost is the slot time that a probe uses at an endpoint.
 	ProbeCost time.Duration
-	// Repeats bounds what all entries together send beyond the first attempts.
+	// Repeats bounds the attempts that all entries together send beyond the first attempts.
 	Repeats budget.RepeatBound
-	// LoadProbesPerEndpoint bounds how often a second all entries together look at an
-	// endpoint; 0 for no bound.
+	// LoadProbesPerEndpoint bounds the load probes per second that all entries together send to an
+	// endpoint; 0 means no bound.
 	LoadProbesPerEndpoint float64
-	// WarmupOver and WarmupSlack bound what all entries together send to a cold endpoint in any
-	// second: WarmupOver times the rate published for it, and WarmupSlack more.
+	// WarmupOver and WarmupSlack bound the requests that all entries together send to a cold
+	// endpoint in any second: WarmupOver times its published rate, plus WarmupSlack.
 	WarmupOver, WarmupSlack float64
-	// CheckEvery is the shortest time between two reads of the platform by an entry
-	// that others read for; 0 stands for the default of package assign.
+	// CheckEvery is the shortest time between two reads of the platform by an entry that relies on
+	// other readers; 0 means the default of package assign.
 	CheckEvery time.Duration
-	// FirstStart says that the whole fleet starts, and no caller comes for seconds.
+	// FirstStart says that the whole fleet starts for the first time, and that no caller comes for
+	// seconds.
 	FirstStart bool
-	// StartFetchDelay is how long this entry, which starts, leaves the platform to others that may
-	// hold what it needs already, or read it now.
+	// StartFetchDelay is how long this entry waits after its start before it asks the platform:
+	// peers may already have what it needs, or may be reading it.
 	StartFetchDelay time.Duration
-	// AlwaysCurrent is that of package assign's Tracker.
+	// AlwaysCurrent is passed to assign.TrackerConfig.
 	AlwaysCurrent bool
-	// ListIsFinal, MissingAfter and KeepLast are those of package member.
+	// ListIsFinal, MissingAfter and KeepLast are passed to member.Config.
 	ListIsFinal            bool
 	MissingAfter, KeepLast time.Duration
 }
@@ -111,19 +111,19 @@
 	snapshot *profile.Snapshot
 	closing  bool
 	services map[string]*service
-	// serviceRows holds the services by their index; a removed service keeps its row.
+	// serviceRows lists the services by index; a removed service keeps its row.
 	serviceRows []*service
 	pools       map[string]*pool
 	poolRows    []*pool
-	// splits choose among the services of routes that lead to several.
+	// splits choose among the services of routes that lead to several services.
 	splits map[string]*split
-	// probing are the requests with a round of load probes under way, supervised those whose
-	// attempt is looked after.
+	// probing lists the requests with a probe round under way, supervised the requests whose
+	// running attempt is supervised.
 	probing    []RequestID
 	supervised []supervisedAttempt
-	// lateProbes and dueAttempts are scratch memory of the two.
+	// lateProbes and dueAttempts are scratch memory for probing and supervised.
 	lateProbes, dueAttempts []RequestID
-	// delayedRounds are the requests that wait for their next round of looks beside the queue,
+	// delayedRounds lists the requests that wait for their next probe round outside the queue;
 	// delayedDue is scratch memory.
 	delayedRounds []delayedRound
 	delayedDue    []RequestID
@@ -131,26 +131,27 @@
 	requests map[RequestID]*request
 	free     []*request
 	keys     *idem.Table
-	// waiters are the requests that wait for a running one with the same key,
-	// joined lists them all for their deadlines.
+	// waiters are the requests that wait for a running request with the same key; joined lists all
+	// of them for their deadlines.
 	waiters map[idem.Key][]RequestID
 	joined  []RequestID
 
-	// quarantine knows the requests under which endpoints crashed, broken are the attempts whose
-	// endpoint is asked whether it has, unspreadCrashes the crashes of which the fleet is not told yet.
+	// quarantine records the requests under which endpoints crashed. broken lists the attempts
+	// whose endpoint gets crash probes, unspreadCrashes the crashes that are not yet spread to the
+	// fleet.
 	quarantine      *quarantine.Table
 	broken          []brokenAttempt
 	unspreadCrashes []unspreadCrash
 
-	// limits are those of endpoints by their names and incarnations.
+	// limits has the rate limits of endpoints by name and incarnation.
 	limits map[endpointID]knownLimit
 
 	fleet fleet
 	state message.EntryState
-	// servingSince is when this entry began to serve.
+	// servingSince is when this entry became ready to serve.
 	servingSince time.Duration
 
-	// now is the time of the latest event of a request.
+	// now is the time of the latest tick or request event.
 	now        time.Duration
 	lastTick   time.Duration
 	nextHealth time.Duration
@@ -158,33 +159,33 @@
 	nextMember time.Duration
 	wall       time.Time
 	counters   Counters
-	// lastStale is the latest note about a stale or conflicting value.
+	// lastStale is the latest note about a stale or conflicting value, kept to avoid repeating it.
 	lastStale Note
 	// healthEvents is scratch memory of the health sweep.
 	healthEvents []health.Event
 	explained    explanations
 }
 
-// Counters count what the core did since its start.
+// Counters count events since the start of the core.
 type Counters struct {
 	Arrived, Done, NotRun, Unknown uint64
 	Dispatched, Retried, Hedged    uint64
 	Queued, Forwarded, Replayed    uint64
 	Probes, ProbesDenied, Pauses   uint64
-	// TicksLate counts ticks that came long after the one before: the process was short of
+	// TicksLate counts ticks that came long after the previous one because the process was short of
 	// processor time.
 	TicksLate                     uint64
 	LoadProbes                    uint64
 	EndpointNotRun, RetriesDenied uint64
 	Ejections, Readmissions       uint64
-	// Crashes counts what was heard of endpoints that crashed under a request.
+	// Crashes counts the known crashes of endpoints under a request.
 	Crashes                         uint64
 	StaleProfiles, RefusedDocuments uint64
-	// Refused counts answers of tealhall's own by reason.
+	// Refused counts the answers that this program gave in place of an endpoint, by reason.
 	Refused [reasonCount]uint64
 }
 
-// New returns a core that is starting: it has no profiles and knows no VM.
+// New returns a core in the starting state, without profiles and VMs.
 func New(cfg Config, rng *rand.Rand) *Core {
 	c := &Core{
 		cfg:      cfg,
@@ -204,14 +205,14 @@
 	return c
 }
 
-// Counters returns what the core counted so far.
+// Counters returns the current counters.
 func (c *Core) Counters() Counters { return c.counters }
 
-// InFlight returns the number of requests that the core holds.
+// InFlight returns the number of requests that the core has.
 func (c *Core) InFlight() int { return len(c.requests) }
 
-// Tick runs the systems that are due. The driver calls it every few
-// milliseconds; wall is used only for the calendar of closes.
+// Tick runs the periodic work that is due. The driver calls it every few milliseconds; wall is used
+// only for the calendar of closes.
 func (c *Core) Tick(now time.Duration, wall time.Time, out *Actions) {
 	c.wall, c.now = wall, now
 	c.notePause(now, out)
@@ -253,10 +254,10 @@
 	c.drainQueues(now, out)
 }
 
-// notePause handles a process that slept (a frozen VM, a long stop). It shows
-// as a gap between two ticks. What the core believed of others is then as old
-// as the gap: sightings and samples lapse at once; requests whose deadline
-// passed are answered by the expiry that follows, before anything is sent.
+// notePause handles a process that was suspended (a frozen VM, a long stop), which shows as a gap
+// between two ticks. What the core knows of others is then as old as the gap, so load reports and
+// samples expire at once. Requests whose deadline has passed are answered by the expiry that
+// follows, before anything is sent.
 func (c *Core) notePause(now time.Duration, out *Actions) {
 	gap := now - c.lastTick
 	if gap >= lateTick {
@@ -273,5 +274,5 @@
 	c.fleet.profiles.Pause(now, gap)
 	c.fleet.vms.Pause(now, gap)
 	out.note(Note{Subject: c.cfg.Self.Name, Action: "pause", To: gap.Round(time.Millisecond).String(),
-		Why: "the process did not run for this time; sightings and peers' states are taken as stale"})
+		Why: "the process did not run for this time; load reports and peers' states are treated as stale"})
 }
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -270,7 +270,7 @@
 			living = append(living, "counts/"+name)
 		}
 	}
-	r.list(2, living...)
+	r.publishVMs(2, living...)
 	r.run(sec)
 	id := r.sendRequest(r.nodes[0], Arrival{Service: "counts", Caller: 1, Content: 8})
 	r.run(100 * ms)
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -53,7 +53,7 @@
 			r.tick = 2 * ms
 			r.bad(re, "c2")
 			if drains {
-				r.list(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
+				r.publishVMs(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 			}
 			r.traffic(Arrival{Service: "counts"}, 2*ms, 5*sec)
 			clear(r.written)
@@ -133,7 +133,7 @@
 			for vm := range 3 {
 				r.start(vm)
 			}
-			r.list(1, sixCounts...)
+			r.publishVMs(1, sixCounts...)
 			r.run(3 * sec)
 			r.tick = 2 * ms
 			r.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
--- a/internal/core/evidencecost_test.go
+++ b/internal/core/evidencecost_test.go
@@ -9,7 +9,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// newHarnessWithFleet returns an entry that knows a fleet and its endpoints.
+// newHarnessWithFleet returns a harness whose first entry knows a fleet and its endpoints.
 func newHarnessWithFleet(t testing.TB, entries, endpoints int) (*clusterHarness, published.VMList) {
 	r := newClusterHarness(t, entries)
 	list := published.VMList{Revision: 1}
@@ -29,12 +29,12 @@
 	return r, list
 }
 
-// One of 141 entries sent a read to an endpoint that had reported 2.6 s before that it leaves.
-// It has 0.16 of a core, and each piece of news about any VM made it divide the duties among
-// all entries and order all endpoints anew: 3.7 ms of a whole core at 141 entries and 421
-// endpoints, 0.08 ms at 15 and 33. The 26 endpoints that left together, first leaving and then
-// gone, were 1.2 s of such an entry's time, and it passes news on. What a piece costs is told
-// here by allocations, which don't depend on the machine.
+// Guards against evidence on any one VM whose cost grows with the fleet: each piece made an entry
+// assign all services anew and sort all endpoints. That took 3.7 ms of a whole core at 141 entries
+// and 421 endpoints, against 0.08 ms at 15 and 33. The departure of 26 endpoints at once, first
+// leaving and then gone, took 1.2 s of an entry with 0.16 of a core. Such an entry spread evidence
+// so late that one of 141 entries sent a read to an endpoint that had reported 2.6 s before that it
+// was leaving. The test counts allocations, which don't depend on the machine.
 func TestEvidenceCostDoesNotGrowWithFleet(t *testing.T) {
 	cost := func(entries, endpoints int) float64 {
 		r, list := newHarnessWithFleet(t, entries, endpoints)
@@ -53,6 +53,6 @@
 	small, large := cost(15, 33), cost(141, 421)
 	t.Logf("%.0f allocations at 15 entries, %.0f at 141", small, large)
 	if large > 2*small || large > 60 {
-		t.Errorf("%.0f allocations for a piece of news at 141 entries and 421 endpoints, %.0f at 15 and 33", large, small)
+		t.Errorf("%.0f allocations for one piece of evidence at 141 entries and 421 endpoints, %.0f at 15 and 33", large, small)
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -17,83 +17,86 @@
 // fleet is what this entry knows of VMs and of the other entries.
 type fleet struct {
 	members *member.Table
-	// entriesVersion is the version of the member table's entries that the lists below were made at.
+	// entriesVersion is the version of the member table's entries from which the lists below were
+	// made.
 	entriesVersion uint64
 	entries        []member.Entry
-	// byIncarnation and byAssignID are the indexes in entries by incarnation and by assignID.
+	// byIncarnation and byAssignID map incarnations and assign IDs to indexes in entries.
 	byIncarnation, byAssignID map[uint64]int
-	// assignedVersion is the version at which work was last divided among the entries, assignedAt when.
+	// assignedVersion is the entriesVersion at which services were last assigned, assignedAt the
+	// time.
 	assignedVersion uint64
 	assignedAt      time.Duration
-	// assignMembers are the entries that duties are divided among. They are
-	// known there by assignID, so that a restart moves no duty.
+	// assignMembers are the entries among which work is divided. They are identified by assignID,
+	// so that a restart of an entry moves no assignment.
 	assignMembers []assign.Member
-	// readerCandidates are those among whom the duty to read the platform is: entries that start
-	// read as well, so that a fleet that starts does not read as many single entries.
+	// readerCandidates are the entries among which readers are chosen. Entries that start are
+	// included: otherwise each entry of a starting fleet would take itself for the only reader.
 	readerCandidates []assign.Member
 	selfAssignID     uint64
 	peers            map[uint64]*peer
 	profiles         *assign.Tracker
 	vms              *assign.Tracker
 	nextCheck        time.Duration
-	// evacuated are the failure domains whose endpoints get nothing, with since when.
+	// evacuated lists the failure domains whose endpoints get no new work.
 	evacuated []Evacuation
-	// remembered are the entries that count for who owns cold endpoints, by assignID, as of a version
-	// of the entries; settled says that this entry knows what others do.
+	// remembered are the entries that count for the ownership of cold endpoints, by assignID, as of
+	// rememberedVersion of the entries. settled says that this entry knows the state of the others.
 	remembered        map[uint64]remembered
 	rememberedVersion uint64
 	settled           bool
-	// rows finds an endpoint's row by the VM's name.
+	// rows finds the row of an endpoint by the VM's name.
 	rows   map[string]endpointRef
 	gossip *gossip.Scheduler
-	// maxEntriesSeen is the largest number of entries known at a time so far, this one
+	// maxEntriesSeen is the largest number of entries ever known at the same time, this one
 	// included.
 	maxEntriesSeen int
-	// ownShare is this entry's part of the fleet's requests.
+	// ownShare is this entry's share of the fleet's requests.
 	ownShare float64
-	// poolPeers are the entries that serve a pool which this entry serves.
+	// poolPeers are the entries that serve a pool which this entry also serves.
 	poolPeers map[uint64]bool
 	// gossipPeers is scratch memory.
 	gossipPeers []gossip.Peer
-	// due, fresh and loadReports are scratch memory of composeUpdates.
+	// due, newEvidence and loadReports are scratch memory of composeUpdates.
 	due         []uint64
 	newEvidence []message.Evidence
 	loadReports []message.LoadReport
-	// heardAt is when any other entry was last heard.
+	// heardAt is when a message from any other entry last arrived, or one was acknowledged.
 	heardAt time.Duration
-	// rate is this entry's calls per second, last sampled at rateAt.
+	// rate is this entry's calls per second. It was last sampled at rateAt, when Counters.Arrived
+	// was rateArrived.
 	rate        uint32
 	rateAt      time.Duration
 	rateArrived uint64
-	// reader says that this entry is assigned to watch the platform.
+	// reader says that this entry is assigned to read the platform.
 	reader  bool
 	readers readers
-	// ownRecord is this entry's record as the others know it, since announcedAt; epochDue is when its epoch
-	// last differed first.
+	// ownRecord is this entry's record as announced to the others at announcedAt. epochDue is when
+	// a changed epoch is announced, 0 if it has not changed.
 	ownRecord   message.Record
 	announcedAt time.Duration
 	epochDue    time.Duration
-	// reportedSilent says that another entry told that this one is silent, as of version silentVersion of
-	// its record.
+	// reportedSilent says that another entry reported this one as silent, as of version
+	// silentVersion of its record.
 	reportedSilent bool
 	silentVersion  uint32
-	// watchedVersion is the version of the links at which members were last told whom this entry
-	// watches.
+	// watchedVersion is the version of the links at which the member table was last updated with
+	// the entries that this one watches.
 	watchedVersion uint64
-	// reachable are the entries that can be asked, as of a version of the links.
+	// reachable are the entries that can be asked, as of reachableVersion of the links.
 	reachable        []uint64
 	reachableVersion uint64
-	// acked are the entries that have taken a message since the last tick.
+	// acked are the entries that acknowledged a message since the last tick.
 	acked []uint64
 }
 
-// endpointRef is where an endpoint's row is.
+// endpointRef locates the row of an endpoint.
 type endpointRef struct {
 	pool  *pool
 	index int
 }
 
-// peer is what another entry said last.
+// peer is the latest status of another entry.
 type peer struct {
 	update message.Update
 	heard  time.Duration
@@ -133,7 +136,7 @@
 	c.announce(0)
 }
 
-// vmOf is an entry as it describes itself, in the form of the platform's list.
+// vmOf converts an entry's hello to a VM of the platform's list.
 func vmOf(h message.Hello) published.VM {
 	return published.VM{
 		Name:        h.Name,
@@ -147,7 +150,7 @@
 	}
 }
 
-// entry returns the entry of an incarnation, or nil.
+// entry returns the entry with the given incarnation, or nil.
 func (f *fleet) entry(incarnation uint64) *member.Entry {
 	if i, known := f.byIncarnation[incarnation]; known {
 		return &f.entries[i]
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// callerAddressOf returns where the entry of an incarnation serves callers.
+// callerAddressOf returns the address at which the entry with the given incarnation serves callers.
 func (f *fleet) callerAddressOf(incarnation uint64) (string, bool) {
 	if e := f.entry(incarnation); e != nil {
 		return e.VM.Address, true
@@ -163,12 +166,12 @@
 	return "", false
 }
 
-// knows reports whether the entry of an incarnation may still run.
+// knows reports whether the entry with the given incarnation may still run.
 func (f *fleet) knows(incarnation uint64) bool {
 	return f.entry(incarnation) != nil
 }
 
-// refreshEntries makes the derived lists anew after a change of members.
+// refreshEntries rebuilds the derived lists after a change of members.
 func (c *Core) refreshEntries() {
 	f := &c.fleet
 	f.entriesVersion = f.members.EntriesVersion()
@@ -203,11 +206,11 @@
 	f.readers.stale = true
 }
 
-// assignID is an entry's number in the division of duties. It is made from the
-// name and not from the incarnation.
+// assignID identifies an entry in the division of work. It is derived from the name and not from
+// the incarnation, so that it survives a restart.
 func assignID(name string) uint64 { return xxhash.Sum64String(name) }
 
-// incarnationsOf turns numbers of duties into incarnations.
+// incarnationsOf converts assign IDs to incarnations.
 func (c *Core) incarnationsOf(ids []uint64) []uint64 {
 	var out []uint64
 	for _, id := range ids {
@@ -218,8 +221,8 @@
 	return out
 }
 
-// NoteHello feeds the first message on a peer link. What a peer says of itself counts
-// until its first update; later on its updates are the newer word.
+// HelloReceived processes the first message on a peer link. The status in the hello counts until
+// the peer's first update; from then on its updates are newer.
 func (c *Core) HelloReceived(now time.Duration, h message.Hello, out *Actions) {
 	c.applyChanges(now, c.fleet.members.HelloReceived(now, vmOf(h)), "peer "+h.Name, out)
 	if !c.fleet.members.Knows(h.Incarnation) {
@@ -236,13 +239,13 @@
 	c.takeUpdate(now, p, &h.Status, out)
 }
 
-// NoteHelloAnswer feeds the answer to this entry's own first message on a link.
+// HelloAnswered processes the answer to this entry's own hello.
 func (c *Core) HelloAnswered(now time.Duration, h message.Hello, out *Actions) {
 	c.HelloReceived(now, h, out)
 	c.fleet.gossip.NoteHelloAnswer(h.Incarnation, h.Records)
 }
 
-// applyEvidence feeds evidence about VMs; what it says of requests and limits is left out.
+// applyEvidence applies evidence about VMs. Evidence about requests and limits is skipped.
 func (c *Core) applyEvidence(now time.Duration, out *Actions, evidence ...message.Evidence) {
 	var changes []member.Change
 	for _, ev := range evidence {
@@ -253,14 +256,14 @@
 	c.applyChanges(now, changes, "evidence", out)
 }
 
-// assignInterval is the time between two divisions of services among the entries. A fleet that
-// starts or is replaced changes at each message, and a division walks over all entries for
-// each service; entries that divide differently for a moment only meet at some endpoints.
+// assignInterval is the shortest time between two assignments of services to the entries. A fleet
+// that starts or is replaced changes with each message, and an assignment walks over all entries
+// for each service. Entries whose assignments differ for a moment only send to some of the same
+// endpoints.
 const assignInterval = 50 * time.Millisecond
 
-// applyChanges carries changed beliefs into the pools and the audit trail. The
-// table may also have changed without a change that is worth a note, such as an
-// entry that has become ready.
+// applyChanges carries membership changes into the pools and the audit trail. The table may also
+// have changed without a change worth a note, for instance when an entry becomes ready.
 func (c *Core) applyChanges(now time.Duration, changes []member.Change, actor string, out *Actions) {
 	entriesChanged := c.fleet.members.EntriesVersion() != c.fleet.entriesVersion
 	if len(changes) == 0 && !entriesChanged {
@@ -321,8 +324,9 @@
 	}
 }
 
-// setEvacuated marks the endpoints of a failure domain. What runs there goes on. One that is
-// taken back has done nothing for a while and is taken for cold until it tells more.
+// setEvacuated sets whether the endpoints of a failure domain are evacuated. Requests that run
+// there go on. An endpoint that returns has been idle for a while and is treated as cold until it
+// reports otherwise.
 func (c *Core) setEvacuated(now time.Duration, domain string, evacuated bool) {
 	for _, p := range c.poolRows {
 		for i := range p.Endpoints {
@@ -338,7 +342,7 @@
 	}
 }
 
-// rowOfVM returns the row of one incarnation of an endpoint, or nil.
+// rowOfVM returns the row of the given incarnation of an endpoint, or nil.
 func (c *Core) rowOfVM(vm *published.VM) *table.Endpoint {
 	ref, ok := c.fleet.rows[vm.Name]
 	if !ok {
@@ -347,7 +351,7 @@
 	return ref.pool.endpointAt(ref.index, vm.Incarnation)
 }
 
-// tickFleet ages the beliefs about VMs and asks for published values.
+// tickFleet expires what is known of VMs and fetches published values.
 func (c *Core) tickFleet(now time.Duration, out *Actions) {
 	c.noteAcked(now, out)
 	c.applyChanges(now, c.fleet.members.Tick(now), "silence", out)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// until runs the harness until all running entries fulfil ok, and returns how long
-// that took, at most limit.
+// until runs the harness until ok holds for all running entries, and returns how long that took, at
+// most limit.
 func (r *clusterHarness) until(limit time.Duration, ok func(n *node) bool) time.Duration {
 	r.Helper()
 	began := r.now
@@ -27,7 +27,7 @@
 	return r.now - began
 }
 
-// separatesHalves cuts the fleet into entries of even and odd VMs.
+// separatesHalves cuts the links between entries with even and odd numbers.
 func separatesHalves(from, to *node) bool {
 	half := func(n *node) byte { return n.hello.Name[len(n.hello.Name)-1] % 2 }
 	return half(from) != half(to)
@@ -37,7 +37,7 @@
 	return func(n *node) bool { return n.InForce(published.ProfilesValue).Revision == revision }
 }
 
-// entriesNamed returns the entries that an entry names to callers, by name.
+// entriesNamed returns the numbers of the entries that an entry names to callers of a service.
 func (n *node) entriesNamed(service string) string {
 	var names []string
 	choices, _, _ := n.EntriesFor(n.lastTick, directory.Request{Service: service, Domain: "d0"})
@@ -48,23 +48,23 @@
 	return strings.Join(names, " ")
 }
 
-// An endpoint drains at noon while the platform's list still calls it live. It
-// says so on one answer to one entry; requests that others keep sending to it
-// would be cut off when it goes. Whatever happens to the messages between
-// entries, three seconds after the first evidence, or after a first message
-// gets through, nobody sends it new work, and what it works on is finished.
+// Guards against new work for an endpoint that drains while the platform's list still has it as
+// live. The endpoint reports the drain in one answer to one entry; requests that other entries send
+// to it later would be cut off when it stops. Whatever happens to messages between entries, three
+// seconds after the first evidence, or after a first message gets through, no entry sends it new
+// work, and its running requests finish.
 func TestDrainReachesAllEntriesWithinSeconds(t *testing.T) {
-	one := func(from, to *node) bool { return from.hello.Name == "entry-0" && to.hello.Name == "entry-4" }
+	oneLink := func(from, to *node) bool { return from.hello.Name == "entry-0" && to.hello.Name == "entry-4" }
 	for _, tt := range []struct {
 		name string
 		cut  func(from, to *node) bool
-		lost bool          // the link takes one message to each entry and loses it
+		lost bool          // each link loses the first message with evidence
 		heal time.Duration // after the evidence
 	}{
-		{name: "alone"},
-		{name: "one direction of one link is dead", cut: one, heal: time.Hour},
-		{name: "a partition", cut: separatesHalves, heal: 20 * sec},
-		{name: "links take messages and lose them", lost: true},
+		{name: "no message is lost"},
+		{name: "one direction of one link fails", cut: oneLink, heal: time.Hour},
+		{name: "partition", cut: separatesHalves, heal: 20 * sec},
+		{name: "links lose accepted messages", lost: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := settled(t, 6, "counts/c1", "counts/c2")
@@ -109,11 +109,11 @@
 			}
 			for _, n := range r.nodes {
 				if n.state("c2") != table.EndpointLeaving {
-					t.Errorf("%s holds the endpoint as %v", n.hello.Name, n.state("c2"))
+					t.Errorf("%s has the endpoint as %v", n.hello.Name, n.state("c2"))
 				}
 				for id, got := range n.replies {
 					if got.Outcome != OutcomeDone {
-						t.Fatalf("%s: request %d was told %+v", n.hello.Name, id, got)
+						t.Fatalf("%s: request %d: reply %+v", n.hello.Name, id, got)
 					}
 				}
 			}
@@ -121,11 +121,10 @@
 	}
 }
 
-// A booking is given to an endpoint while the way there hangs; the endpoint
-// begins to drain, and four seconds later the connection opens. The booking
-// would be new work for an endpoint that may stop at any moment. It is sent to
-// the other one, although no success has paid for a second try: the first sent
-// nothing.
+// Guards against new work for a draining endpoint, which may stop at any moment. A request waits
+// for a connection that takes four seconds to open, and the endpoint begins to drain meanwhile. The
+// request goes to the other endpoint, although no success has earned a retry, since the first
+// attempt sent nothing.
 func TestNoWorkSentToEndpointThatDrainsWhileConnecting(t *testing.T) {
 	r := settled(t, 1, "waste/w1", "waste/w2")
 	n := r.nodes[0]
@@ -136,21 +135,20 @@
 		if d.Address == addressOf("w2") {
 			drains, stays = stays, drains
 		}
-		r.list(2, "waste/"+drains+",leaving", "waste/"+stays)
+		r.publishVMs(2, "waste/"+drains+",leaving", "waste/"+stays)
 		r.run(sec)
 		r.dial = func() time.Duration { return lag }
 		r.run(4 * sec)
 		if got := n.replies[id]; got.Outcome != OutcomeDone || r.written[drains] != 0 {
-			t.Errorf("told %+v, sent to %v", got, r.written)
+			t.Errorf("reply %+v, requests written %v", got, r.written)
 		}
 	}
 }
 
-// An operator publishes a profile; some entries would use the old one for
-// minutes, because only one entry per failure domain reads the service, or only
-// one of all can reach it, whichever that is. 15 entries must have it within 2 s,
-// or 4 s when one alone reaches the service, bounded by the time until it sees
-// that no reader does, one read and the hops of news.
+// Guards against entries that use an old profile for minutes because only one entry per failure
+// domain reads the platform, or because only a single entry can reach it. 15 entries must have a
+// published profile within 2 s. If a single entry reaches the platform, 4 s are allowed: the time
+// until it sees that no reader does, one read, and the spread through the fleet.
 func TestProfileIsInForceEverywhereWithinSeconds(t *testing.T) {
 	for only := -1; only < 15; only++ {
 		r := settled(t, 15, "counts/c1")
@@ -161,16 +159,15 @@
 			limit = 4 * sec
 		}
 		if took := r.until(20*sec, atRevision(2)); took > limit {
-			t.Errorf("only entry %d reaches the service (-1: all do): in force after %v", only, took)
+			t.Errorf("only entry %d reaches the platform (-1: all do): in force only after %v", only, took)
 		}
 	}
 }
 
-// The service is down from the afternoon through the whole close. Tablets would
-// see ordinary limits during the close if it had to be read for that. The
-// calendar is in the document, so the close begins and ends on time everywhere,
-// also at an entry that is replaced meanwhile and has only peers to ask. Half
-// way a replica comes back with an older document, which changes nothing.
+// Guards against ordinary limits during a close because the platform is down. The calendar is part
+// of the document, so the close begins and ends on time at all entries, also at one that is
+// replaced meanwhile and has only peers to ask. A replica that comes back with an older document
+// during the close changes nothing.
 func TestCloseBeginsAndEndsWithoutPlatform(t *testing.T) {
 	r := settled(t, 4, "counts/c1")
 	r.republish(2, "queue_limit = 96", "queue_limit = 200")
@@ -198,11 +195,11 @@
 	fresh := r.start(1)
 	took := r.until(10*sec, limits(200))
 	if took > 3*sec {
-		t.Errorf("a fresh entry knew of the close after %v", took)
+		t.Errorf("a new entry knew of the close after %v", took)
 	}
 	took += r.until(10*sec, func(n *node) bool { ready, _ := n.ReadyReason(r.now); return n != fresh || ready })
 	if _, why := fresh.ReadyReason(r.now); took > 3*sec {
-		t.Errorf("the fresh entry was ready after %v: %s", took, why)
+		t.Errorf("the new entry was ready after %v: %s", took, why)
 	}
 	old.Revision, old.Data = 1, []byte("format = 1")
 	for _, n := range r.nodes {
@@ -222,12 +219,11 @@
 	}
 }
 
-// The network splits the fleet and both halves serve their callers. A profile
-// reaches one half only, half of the entries are replaced, and the service goes
-// down before the network heals. Nobody is on call. The halves name only
-// entries that they hear; 4 s after the network heals (a back-off of 2 s, a
-// heartbeat, a fetch) all entries have the profile, hear each other and name
-// all of them to callers.
+// Checks that a partition needs no operator. Both halves serve their callers, a profile reaches
+// only one half, half of the entries are replaced, and the platform goes down before the network
+// heals. The halves name only entries that they hear. Within 4 s after the network heals (2 s of
+// back-off, a heartbeat, a fetch) all entries have the profile, hear each other and name all
+// entries to callers.
 func TestPartitionHealsByItself(t *testing.T) {
 	r := settled(t, 6, "counts/c1", "counts/c2")
 	r.cut = separatesHalves
@@ -254,11 +250,11 @@
 		id := r.sendRequest(n, Arrival{Service: "counts"})
 		r.run(100 * ms)
 		if got := n.replies[id]; got.Outcome != OutcomeDone {
-			t.Errorf("%s told %+v during the partition", n.hello.Name, got)
+			t.Errorf("%s: reply %+v during the partition", n.hello.Name, got)
 		}
 	}
 	r.cut = func(_, _ *node) bool { return false }
-	calm := func(n *node) bool {
+	healed := func(n *node) bool {
 		for i := range n.fleet.entries {
 			if e := &n.fleet.entries[i]; !e.Usable() {
 				return false
@@ -266,43 +262,42 @@
 		}
 		return atRevision(2)(n) && n.UsableEntries() == 6
 	}
-	if took := r.until(20*sec, calm); took > 4*sec {
-		t.Errorf("calm %v after the network healed", took)
+	if took := r.until(20*sec, healed); took > 4*sec {
+		t.Errorf("all entries agree %v after the network healed, want within 4s", took)
 		for _, n := range r.nodes {
 			t.Log(n.hello.Name, n.dead, n.InForce(published.ProfilesValue).Revision, n.UsableEntries(), n.fleet.entries)
 		}
 	}
 }
 
-// Entry 0 hears all others and nobody hears entry 0. Callers would be sent to
-// an entry whose peers can't tell whether it lives; and it must not be dropped,
-// since it serves its callers well. The others suspect it within four seconds
-// and name it no more; it goes on serving. Two seconds after the loss ends it
-// is named again.
+// Entry 0 hears all others but no entry hears entry 0. Callers must not be sent to an entry that
+// its peers can't see alive, but entry 0 must go on serving the callers that it has. The others
+// suspect it within four seconds and stop naming it. Two seconds after the loss ends they name it
+// again.
 func TestUnheardEntryIsNotNamedToCallers(t *testing.T) {
 	r := settled(t, 3, "counts/c1")
-	deaf := r.nodes[0]
-	r.cut = func(from, _ *node) bool { return from == deaf }
+	unheard := r.nodes[0]
+	r.cut = func(from, _ *node) bool { return from == unheard }
 	named := func(want bool) func(n *node) bool {
-		return func(n *node) bool { return n == deaf || strings.Contains(n.entriesNamed("counts"), "0") == want }
+		return func(n *node) bool { return n == unheard || strings.Contains(n.entriesNamed("counts"), "0") == want }
 	}
 	if took := r.until(20*sec, named(false)); took > 4*sec {
-		t.Errorf("named to callers for %v", took)
+		t.Errorf("still named to callers after %v", took)
 	}
-	id := r.sendRequest(deaf, Arrival{Service: "counts"})
+	id := r.sendRequest(unheard, Arrival{Service: "counts"})
 	r.run(30 * sec)
-	if got := deaf.replies[id]; got.Outcome != OutcomeDone || deaf.entriesNamed("counts") == "0" {
-		t.Errorf("told %+v, names %q", got, deaf.entriesNamed("counts"))
+	if got := unheard.replies[id]; got.Outcome != OutcomeDone || unheard.entriesNamed("counts") == "0" {
+		t.Errorf("reply %+v, names %q", got, unheard.entriesNamed("counts"))
 	}
 	r.cut = func(_, _ *node) bool { return false }
 	if took := r.until(20*sec, named(true)); took > 2*sec {
-		t.Errorf("named again after %v", took)
+		t.Errorf("named again only after %v", took)
 	}
 }
 
-// A fresh entry tells that it starts, some other VM comes, and then it tells that
-// it serves. Its peers would send no callers there until yet another VM changes:
-// the change of state was not carried into the lists made from the table.
+// Guards against a new entry that gets no callers although it serves: it reports that it starts,
+// another VM is added, then it reports that it serves, and this change of state did not reach the
+// lists derived from the member table until yet another VM changed.
 func TestNewEntryIsNamedAsSoonAsItServes(t *testing.T) {
 	r := settled(t, 2, "counts/c1")
 	n := r.nodes[0]
@@ -311,7 +306,7 @@
 	for sequence, state := range []message.EntryState{message.EntryStarting, message.EntryServing} {
 		u := message.Update{From: 77, Sequence: uint64(sequence + 1), State: state, Epoch: 1}
 		r.do(n, func(now time.Duration, out *Actions) { n.PeerUpdate(now, &u, out) })
-		r.list(uint64(2+sequence), "counts/c1", "counts/c2")
+		r.publishVMs(uint64(2+sequence), "counts/c1", "counts/c2")
 		r.run(200 * ms)
 		if got, want := n.entriesNamed("counts"), []string{"0 1", "0 1 2"}[sequence]; got != want {
 			t.Errorf("state %v: named %q, want %q", state, got, want)
@@ -319,11 +314,10 @@
 	}
 }
 
-// A tablet got an answer under revision 2 from one entry and asks another one
-// that still has revision 1. It would see the old limits again. The entry
-// fetches at once, in the very event; with the service down it has the revision
-// from a peer a heartbeat later. A caller that makes revisions up costs a few
-// calls of the service and not one per request.
+// Guards against a caller that got an answer under revision 2 and sees the old limits again at an
+// entry that still has revision 1. The entry fetches while it processes the request; with the
+// platform down it gets the revision from a peer one heartbeat later. A caller that invents
+// revisions causes a few calls to the platform and not one per request.
 func TestLaterRevisionOfCallerIsFetched(t *testing.T) {
 	r := settled(t, 3, "counts/c1")
 	n := r.nodes[0]
@@ -342,11 +336,11 @@
 	if took := r.until(5*sec, func(x *node) bool { return x != n || atRevision(3)(x) }); took > sec {
 		t.Errorf("from a peer after %v", took)
 	}
-	fresh := r.start(1) // a revision made up must not keep an entry from starting
+	fresh := r.start(1) // an invented revision must not keep an entry from starting
 	r.sendRequest(fresh, Arrival{Service: "counts", Revision: 99})
 	r.platformDown = func(*node) bool { return true }
 	if took := r.until(20*sec, func(x *node) bool { ready, _ := x.ReadyReason(r.now); return ready }); took > 6*sec {
-		t.Errorf("a fresh entry is ready after %v", took)
+		t.Errorf("a new entry is ready only after %v", took)
 	}
 	r.platformDown = func(*node) bool { return false }
 	fetches := 0
@@ -358,6 +352,6 @@
 		r.run(10 * ms)
 	}
 	if fetches > 12 {
-		t.Errorf("%d fetches in 10 s for made-up revisions", fetches)
+		t.Errorf("%d fetches in 10 s for invented revisions", fetches)
 	}
 }
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -17,7 +17,7 @@
 	for _, slow := range []time.Duration{0, 50 * ms} {
 		r := newClusterHarness(t, entries)
 		r.probeTime = r.probeTime + slow
-		r.list(1, sixCounts...)
+		r.publishVMs(1, sixCounts...)
 		r.cut = func(from, to *node) bool { return r.now < 10*sec || r.now > 30*sec && separatesHalves(from, to) }
 		for range 6 {
 			r.run(5 * sec)
@@ -54,7 +54,7 @@
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("waste/w%d", i+1))
 	}
-	r.list(1, names...)
+	r.publishVMs(1, names...)
 	r.run(2 * time.Minute)
 	seen := map[string]int{}
 	for _, p := range r.nodes[0].probes {
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -204,7 +204,7 @@
 		for i := range 3 {
 			m.start(i)
 		}
-		m.list(1, "waste/w1", "waste/w2", "shared/s1", "counts/c1")
+		m.publishVMs(1, "waste/w1", "waste/w2", "shared/s1", "counts/c1")
 		m.run(sec)
 		for range 60 {
 			if m.pick("step", 4) == 0 {
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -74,8 +74,8 @@
 		byAddress[e.hello.CallerAddress] = e
 	}
 	for i, address := range named {
-		if e := byAddress[address]; f.share(e.vm) != 0.8 || e.hello.Domain != "d0" {
-			t.Errorf("%s of %s with %v of a core is named", e.hello.Name, e.hello.Domain, f.share(e.vm))
+		if e := byAddress[address]; f.cpuShare(e.vm) != 0.8 || e.hello.Domain != "d0" {
+			t.Errorf("%s of %s with %v of a core is named", e.hello.Name, e.hello.Domain, f.cpuShare(e.vm))
 		} else if i%2 == 0 {
 			e.dead = true
 		}
@@ -205,8 +205,8 @@
 				case "mute":
 					f.cut = func(from, _ int) bool { return ill(from) }
 				case "slow":
-					healthy := f.share
-					f.share = func(vm int) float64 {
+					healthy := f.cpuShare
+					f.cpuShare = func(vm int) float64 {
 						if ill(vm) {
 							return healthy(vm) / 10
 						}
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -14,10 +14,10 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// What events of a simulated entry take of a whole core, above what a daemon takes for a message
-// with its wake-up, and eight times what both ends of a greeting take (BenchmarkGreeting of
-// package peer). An entry with a share of a core takes so much longer, and what comes meanwhile
-// waits.
+// Time that a simulated entry needs for an event with a whole core. The times are above those of a
+// daemon for a message with its wake-up, and eight times those of both ends of a hello (see the
+// benchmarks of package peer). An entry with a share of a core takes longer in proportion, and
+// later events wait.
 const (
 	tickCost    = 100 * time.Microsecond
 	messageCost = 250 * time.Microsecond
@@ -25,8 +25,8 @@
 	dialCost    = 250 * time.Microsecond
 )
 
-// largeFleet runs hundreds of cores with the links that they ask for, seeds, and VMs that have
-// a part of a core. Time is simulated and nothing depends on the machine.
+// largeFleet simulates hundreds of cores on VMs with a share of a core each, with seeds and with
+// the links that the cores ask for. Time is simulated, so that results don't depend on the machine.
 type largeFleet struct {
 	testing.TB
 	now       time.Duration
@@ -35,21 +35,21 @@
 	vms       []*largeEntry // by VM; the latest process of each
 	byAddress map[string]*largeEntry
 	rng       *rand.Rand
-	// cut says that nothing gets from one VM to another.
+	// cut says that no message gets from one VM to another.
 	cut func(from, to int) bool
-	// share is the part of a core that a VM has.
-	share func(vm int) float64
+	// cpuShare returns the share of a core that a VM has.
+	cpuShare func(vm int) float64
 }
 
-// largeEntry is one process.
+// largeEntry is one process of an entry.
 type largeEntry struct {
 	*Core
 	vm             int
 	hello          message.Hello
 	startedAt      time.Duration
 	dead           bool
-	frozenUntil    time.Duration // until then it does not run
-	busyUntil      time.Duration // until then it works on what came before
+	frozenUntil    time.Duration // end of the time in which the process is suspended
+	busyUntil      time.Duration // end of the work on earlier events
 	knownAddresses map[string]bool
 	linked         map[string]bool
 	linksVersion   uint64
@@ -85,11 +85,11 @@
 	redialDelay = 300 * time.Millisecond
 )
 
-// newLargeFleet starts n entries within 0.3 s; the first three are the seeds of all.
+// newLargeFleet starts n entries within 0.3 s; the first three are the seeds of all entries.
 func newLargeFleet(t testing.TB, n int) *largeFleet {
 	f := &largeFleet{TB: t, byAddress: map[string]*largeEntry{}, rng: rand.New(rand.NewPCG(7, uint64(n))), vms: make([]*largeEntry, n)}
 	f.cut = func(int, int) bool { return false }
-	f.share = func(vm int) float64 { return []float64{0.16, 0.32, 0.8}[vm%3] }
+	f.cpuShare = func(vm int) float64 { return []float64{0.16, 0.32, 0.8}[vm%3] }
 	for vm := range n {
 		f.post(time.Duration(f.rng.IntN(300))*ms, func() { f.start(vm) })
 	}
@@ -115,11 +115,11 @@
 
 func peerAddressAt(vm int) string { return fmt.Sprintf("10.0.%d.%d:81", vm/200, vm%200) }
 
-// start starts a process on a VM; one that ran there is dead.
+// start starts a process on a VM; a process that ran there is dead.
 func (f *largeFleet) start(vm int) {
 	incarnation := uint64(f.now/ms)<<20 + uint64(vm) + 1
 	h := message.Hello{Name: fmt.Sprintf("entry-%03d", vm), Incarnation: incarnation, Region: "r", Domain: fmt.Sprint("d", vm%5),
-		CallerAddress: fmt.Sprintf("10.0.%d.%d:80", vm/200, vm%200), PeerAddress: peerAddressAt(vm), Capacity: uint32(1000 * f.share(vm))}
+		CallerAddress: fmt.Sprintf("10.0.%d.%d:80", vm/200, vm%200), PeerAddress: peerAddressAt(vm), Capacity: uint32(1000 * f.cpuShare(vm))}
 	e := &largeEntry{Core: New(DefaultConfig(h), rand.New(rand.NewPCG(1, incarnation))), vm: vm, hello: h, startedAt: f.now,
 		knownAddresses: map[string]bool{}, linked: map[string]bool{}}
 	for seed := range 3 {
@@ -133,7 +133,7 @@
 	f.tick(e)
 }
 
-// killMany kills 55 of 100 entries, which start again half a second later or a little after.
+// killMany kills 55 of 100 entries, which restart 0.5 to 0.8 s later.
 func (f *largeFleet) killMany() {
 	for vm, e := range f.vms {
 		if vm%20 < 11 {
@@ -143,13 +143,13 @@
 	}
 }
 
-// schedule runs something on an entry when it is through with what came before.
+// schedule runs a function on an entry once the entry has finished its earlier events.
 func (f *largeFleet) schedule(e *largeEntry, cost time.Duration, run func()) {
 	if e.dead {
 		return
 	}
 	begin := max(f.now, e.busyUntil, e.frozenUntil)
-	e.busyUntil = begin + time.Duration(float64(cost)/f.share(e.vm))
+	e.busyUntil = begin + time.Duration(float64(cost)/f.cpuShare(e.vm))
 	f.post(e.busyUntil-f.now, func() {
 		switch {
 		case e.dead:
@@ -185,7 +185,7 @@
 	return to != nil && !to.dead && !f.cut(from.vm, to.vm)
 }
 
-// updateLinks greets those with whom the entry wants a link and has none.
+// updateLinks drops the links that the entry no longer wants and dials the ones that it lacks.
 func (f *largeFleet) updateLinks(e *largeEntry) {
 	starting := f.now-e.startedAt < 3*sec || !e.KnowsOthers()
 	if version := e.LinksVersion(); version != e.linksVersion || f.now >= e.redialAt {
@@ -217,7 +217,7 @@
 	}
 }
 
-// dial greets an address, and tries again while it is wanted.
+// dial opens a link to an address, and tries again later if that fails.
 func (f *largeFleet) dial(e *largeEntry, address string) {
 	e.linked[address] = false
 	to := f.byAddress[address]
@@ -307,7 +307,7 @@
 	})
 }
 
-// until runs until ok holds for all running entries that count, and returns how long that took.
+// until runs until ok holds for all running entries, and returns how long that took, at most limit.
 func (f *largeFleet) until(limit time.Duration, ok func(e *largeEntry) bool) time.Duration {
 	began := f.now
 	for f.now-began < limit {
@@ -323,7 +323,7 @@
 	return f.now - began
 }
 
-// usable counts the entries that one believes to serve, itself included.
+// usable counts the entries that this entry takes for usable, itself included.
 func (e *largeEntry) usable() int {
 	n := 0
 	for i := range e.fleet.entries {
@@ -334,7 +334,7 @@
 	return n
 }
 
-// entryOn returns what an entry believes of the one on a VM, or nil.
+// entryOn returns this entry's knowledge of the entry on a VM, or nil.
 func (e *largeEntry) entryOn(vm int) *member.Entry {
 	for i := range e.fleet.entries {
 		if e.fleet.entries[i].VM.Name == fmt.Sprintf("entry-%03d", vm) {
--- a/internal/core/lifetime_test.go
+++ b/internal/core/lifetime_test.go
@@ -30,7 +30,7 @@
 	if r.written["c1"] > 0 {
 		t.Fatalf("the leaving one got %d requests", r.written["c1"])
 	}
-	r.list(2, "counts/c1#6", "counts/c2#5")
+	r.publishVMs(2, "counts/c1#6", "counts/c2#5")
 	r.run(sec)
 	i := p.find("c1", 6)
 	if i < 0 {
@@ -60,7 +60,7 @@
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 3 * sec, end: End{Kind: EndLost}} }
 	id := r.sendRequest(n, Arrival{Service: "counts"})
 	r.run(200 * ms)
-	r.list(2, "counts/c1#6")
+	r.publishVMs(2, "counts/c1#6")
 	r.run(sec)
 	p := n.pools["counts"]
 	if i := p.find("c1", 6); i < 0 || p.Endpoints[i].Outstanding != 0 {
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -144,7 +144,7 @@
 	use(sec)
 	want(2.5)
 	late := r.start(3)
-	r.list(2, "counts/c1", "counts/c2")
+	r.publishVMs(2, "counts/c1", "counts/c2")
 	r.run(4 * sec)
 	if got := limitOf(late, "c1"); got != 2.5 {
 		t.Errorf("an entry that has started: limit %v", got)
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -8,12 +8,12 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// LinksVersion grows with each change of what LinkAddresses and PeerAddresses return.
+// LinksVersion grows with each change of the results of LinkAddresses and PeerAddresses.
 func (c *Core) LinksVersion() uint64 {
 	return c.fleet.entriesVersion + c.fleet.gossip.Version() + uint64(c.state)
 }
 
-// LinkAddresses appends the addresses of the entries to hold links with.
+// LinkAddresses appends the addresses of the entries to keep links with.
 func (c *Core) LinkAddresses(out []string) []string {
 	for _, incarnation := range c.fleet.gossip.Links(nil) {
 		if address, known := c.peerAddressOf(incarnation); known && address != "" {
@@ -21,7 +21,7 @@
 		}
 	}
 	if c.state >= message.EntryLeaving {
-		// They take over its keys, and those that it adopted.
+		// The successors adopt this entry's keys and the keys that it has adopted.
 		out = append(out, c.SuccessorAddresses(c.cfg.Self.Incarnation)...)
 		for _, adopted := range c.keys.ExportAdopted() {
 			out = append(out, c.SuccessorAddresses(adopted.Home)...)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// PeerAddresses appends the addresses of all other entries that are known.
+// PeerAddresses appends the addresses of all other known entries.
 func (c *Core) PeerAddresses(out []string) []string {
 	for i := range c.fleet.entries {
 		e := &c.fleet.entries[i]
@@ -41,20 +41,20 @@
 	return out
 }
 
-// KnowsOthers reports whether any other entry is known that is not suspected.
+// KnowsOthers reports whether any other entry is known and not suspected.
 func (c *Core) KnowsOthers() bool {
 	return slices.ContainsFunc(c.fleet.entries, func(e member.Entry) bool {
 		return e.VM.Incarnation != c.cfg.Self.Incarnation && !e.Suspected
 	})
 }
 
-// lostDialers is how many entries dial an address at which an entry was or may be that nobody
-// knows now. With three, two of them may be on the wrong side of a partition or dead.
+// lostDialers is how many entries dial an address at which no entry is known now but was, or may
+// be. With three dialers, two of them may be dead or on the wrong side of a partition.
 const lostDialers = 3
 
-// DialsLost reports whether this entry is one of those that dial an address at which no entry is
-// known. Guards against a fleet in which all dial each one that is lost: after a partition
-// into halves that is a quarter of the square of the fleet.
+// DialsLost reports whether this entry is one of the few that dial an address at which no entry is
+// known. If all entries dialed every lost one, a partition into halves would cause dials in the
+// order of a quarter of the square of the fleet's size.
 func (c *Core) DialsLost(address string) bool {
 	key, before := assign.Key("finds", address), 0
 	own := assign.Score(key, c.fleet.selfAssignID)
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -48,7 +48,7 @@
 			batch := r.sendRequest(n, Arrival{Service: "photos"})
 			clear(r.written)
 			if more {
-				r.list(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
+				r.publishVMs(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 				r.republish(2, `deadline = "8s"`, `deadline = "7s"`)
 				r.platformDown = func(n *node) bool { return r.now > 15*sec }
 			}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,8 +15,8 @@
 // ratePeriod is how often the call rate is sampled.
 const ratePeriod = time.Second
 
-// assignServices divides the services among the entries and tells each pool's policy, and
-// the scheduler which peers serve the same pools.
+// assignServices assigns the services to the entries. It updates each pool's policy, and tells the
+// gossip scheduler which peers serve the same pools.
 func (c *Core) assignServices(now time.Duration) {
 	c.fleet.assignedVersion, c.fleet.assignedAt = c.fleet.entriesVersion, now
 	clear(c.fleet.poolPeers)
@@ -25,7 +25,7 @@
 		p.serving = deciders[c.cfg.Self.Incarnation]
 		c.setDeciders(now, p, deciders)
 		if !p.serving || p.usesLoadProbes() {
-			continue // nobody tells loads there: endpoints are looked at before each choice
+			continue // no load reports are sent there: endpoints get a load probe before each choice
 		}
 		for incarnation := range deciders {
 			c.fleet.poolPeers[incarnation] = true
@@ -34,7 +34,7 @@
 	c.fleet.gossip.SetPeers(now, c.gossipPeers())
 }
 
-// notifyNewRows tells the policies of pools that have new rows.
+// notifyNewRows notifies the policies of pools that have new rows.
 func (c *Core) notifyNewRows(now time.Duration) {
 	for _, p := range c.poolRows {
 		if p.newRows {
@@ -44,7 +44,8 @@
 	}
 }
 
-// decidersOf returns the entries to which callers of the pool's services are sent.
+// decidersOf returns the pool's deciders: the entries to which callers of its services are sent,
+// and which therefore choose among its endpoints.
 func (c *Core) decidersOf(p *pool) map[uint64]bool {
 	chosen := make(map[uint64]bool)
 	for _, sv := range p.services {
@@ -62,7 +63,7 @@
 	return c.incarnationsOf(assign.ServiceEntries(sv.name, c.fleet.assignMembers, sv.policy.EntriesPerDomain))
 }
 
-// setDeciders lists the deciders in the order of the entries' names.
+// setDeciders stores the pool's deciders in the order of the entries' names.
 func (c *Core) setDeciders(now time.Duration, p *pool, chosen map[uint64]bool) {
 	p.deciders, p.deciderNames, p.newRows = p.deciders[:0], p.deciderNames[:0], false
 	for i := range c.fleet.entries {
@@ -93,7 +94,7 @@
 	return peers
 }
 
-// composeUpdates sends the messages to peers that are due.
+// composeUpdates composes the messages to peers that are due.
 func (c *Core) composeUpdates(now time.Duration, out *Actions) {
 	f := &c.fleet
 	c.sampleRate(now)
@@ -111,14 +112,14 @@
 	}
 }
 
-// spreadEvidence has evidence passed on that was learned here since the last time.
+// spreadEvidence spreads the evidence that this entry has learned since the last call.
 func (c *Core) spreadEvidence(now time.Duration) {
 	f := &c.fleet
 	f.newEvidence = f.members.TakeEvidence(f.newEvidence[:0])
 	f.gossip.Spread(now, f.newEvidence)
 }
 
-// ownState is what this entry tells of itself.
+// ownState returns this entry's current state for the gossip scheduler.
 func (c *Core) ownState() gossip.State {
 	return gossip.State{
 		State:    c.state,
@@ -131,10 +132,10 @@
 	}
 }
 
-// OwnEvidenceDigest digests all evidence that is held to be passed on.
+// OwnEvidenceDigest returns the digest of all evidence that this entry has stored.
 func (c *Core) OwnEvidenceDigest() uint64 { return c.fleet.gossip.Digest() }
 
-// OwnStatus returns what this entry tells of itself to a peer that it meets.
+// OwnStatus returns this entry's current state, as its hello reports it to a peer.
 func (c *Core) OwnStatus() message.Update {
 	c.fleet.gossip.SetState(c.ownState())
 	return c.fleet.gossip.OwnStatus()
@@ -154,7 +155,7 @@
 	out.Updates = append(out.Updates, Outgoing{To: to, Address: address, Update: u})
 }
 
-// UpdateDone says how an update to a peer ended.
+// UpdateDone records how an update to a peer ended.
 func (c *Core) UpdateDone(now time.Duration, to, sequence uint64, r message.Receipt) {
 	c.fleet.gossip.Done(now, to, sequence, r)
 	if r.Acked {
@@ -165,7 +166,7 @@
 	}
 }
 
-// sampleRate measures the calls per second of this entry.
+// sampleRate measures this entry's calls per second.
 func (c *Core) sampleRate(now time.Duration) {
 	f := &c.fleet
 	if now < f.rateAt+ratePeriod {
@@ -177,13 +178,13 @@
 	f.ownShare = c.requestShare()
 }
 
-// maxOwnShare bounds an entry's part of the fleet's requests as a multiple of an equal
-// part, by the largest fleet that was seen: in a partition each side knows of its own
-// requests only, and would take the whole for its part.
+// maxOwnShare bounds an entry's share of the fleet's requests, as a multiple of an equal share in
+// the largest fleet seen. In a partition each side knows only its own requests and would otherwise
+// take all of them for its share.
 const maxOwnShare = 4.0
 
-// requestShare returns this entry's part of what all entries tell of their rates.
-// One request a second is added to each, so that an idle entry has a part as well.
+// requestShare returns this entry's share of the rates that all entries report. One request per
+// second is added to each rate, so that an idle entry has a share as well.
 func (c *Core) requestShare() float64 {
 	f := &c.fleet
 	own, all := float64(f.rate)+1, 0.0
@@ -195,9 +196,9 @@
 	return min(own/(own+all), maxOwnShare/float64(max(1, f.maxEntriesSeen)))
 }
 
-// collectLoadReports lists what this entry knows of the endpoints of the pools
-// that it serves. Where endpoints are looked at right before each choice, what a peer
-// saw is older than any look, and nobody would use it.
+// collectLoadReports collects load reports on the endpoints of the pools that this entry serves.
+// Pools whose endpoints get a load probe before each choice are skipped: a peer's load report is
+// older than the probed load, so no entry would use it.
 func (c *Core) collectLoadReports(now time.Duration) {
 	f := &c.fleet
 	f.loadReports = f.loadReports[:0]
@@ -227,8 +228,8 @@
 	return report
 }
 
-// peerHeard tells the choice policies that what an entry last told of its own
-// attempts still holds but for what follows.
+// peerHeard notifies the policies that a peer's last load reports are still valid, except for the
+// ones that its current message replaces.
 func (c *Core) peerHeard(now time.Duration, from uint64) {
 	for _, p := range c.poolRows {
 		if i := c.deciderIndex(p, from); i >= 0 {
@@ -237,7 +238,7 @@
 	}
 }
 
-// peerLoadReport takes in what a peer says of one endpoint.
+// peerLoadReport records a peer's load report on one endpoint.
 func (c *Core) peerLoadReport(now time.Duration, from uint64, report *message.LoadReport) {
 	ref, ok := c.fleet.rows[report.Endpoint]
 	if !ok {
@@ -253,7 +254,7 @@
 	ref.pool.picker.PeerReported(now, &ref.pool.Pool, ref.index, balance.PeerLoad{From: decider, Own: int32(report.Own), At: at})
 }
 
-// deciderIndex returns the place of an entry among the pool's deciders, or -1.
+// deciderIndex returns the index of an entry among the pool's deciders, or -1.
 func (c *Core) deciderIndex(p *pool, incarnation uint64) int {
 	for i, known := range p.deciders {
 		if known == incarnation {
@@ -263,8 +264,8 @@
 	return -1
 }
 
-// PeerUpdate feeds a regular message from another entry. It reports whether
-// the sender is known; an unknown one has to introduce itself first.
+// PeerUpdate processes a regular message from another entry. It reports whether the sender is
+// known; an unknown sender has to send a hello first.
 func (c *Core) PeerUpdate(now time.Duration, u *message.Update, out *Actions) bool {
 	f := &c.fleet
 	if u.From == c.cfg.Self.Incarnation || !f.members.Knows(u.From) {
@@ -282,7 +283,7 @@
 	return true
 }
 
-// takeUpdate takes in what a peer tells, which is the newest that it told.
+// takeUpdate applies an update that is newer than all earlier ones of the peer.
 func (c *Core) takeUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
 	f := &c.fleet
 	p.update, p.heard = *u, now
@@ -302,20 +303,20 @@
 	c.fetchDue(now, out)
 }
 
-// The patience with which a later revision is fetched from a peer. Bytes between failure
-// domains are dear, and an entry of the own domain mostly has the revision a moment later;
-// an entry that reads the platform gets it from there, once news that come together are
-// over. Both are far below the seconds within which a revision has to be in force.
+// Delays before a later revision is fetched from a peer. Traffic between failure domains is
+// expensive, and a peer in the same domain usually has the revision a moment later. An entry that
+// reads the platform gets the revision from there, once a series of changes is over. Both delays
+// are far below the seconds within which a revision has to be in force.
 const (
 	farSourceDelay    = 150 * time.Millisecond
 	readerSourceDelay = 450 * time.Millisecond
 )
 
-// sourceOf says how a peer is to be asked for a revision that it holds.
+// sourceOf describes a peer as a source of a revision, with the delay before it is asked.
 func (c *Core) sourceOf(peer uint64, t *assign.Tracker) assign.Source {
 	source := assign.Source{Peer: peer, Near: c.isNear(peer)}
 	switch {
-	case t.InForce().Revision == 0: // it starts, and waits for nobody
+	case t.InForce().Revision == 0: // an entry that starts asks without delay
 	case c.reachesPlatform():
 		source.Delay = readerSourceDelay
 	case !source.Near:
@@ -324,7 +325,7 @@
 	return source
 }
 
-// isNear reports whether an entry lies in this one's failure domain.
+// isNear reports whether an entry is in this entry's failure domain.
 func (c *Core) isNear(incarnation uint64) bool {
 	e := c.fleet.entry(incarnation)
 	return e != nil && e.VM.Domain == c.cfg.Self.Domain
--- a/internal/core/profilechange_test.go
+++ b/internal/core/profilechange_test.go
@@ -8,20 +8,19 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// republish publishes the profiles with some of their text replaced.
+// republish publishes the profiles with parts of their text replaced.
 func (r *clusterHarness) republish(revision uint64, oldNew ...string) {
 	text := string(r.docs[published.ProfilesValue].Data)
 	changed := strings.NewReplacer(oldNew...).Replace(text)
 	if changed == text {
-		r.Fatalf("nothing to replace: %q", oldNew)
+		r.Fatalf("no text to replace: %q", oldNew)
 	}
 	r.publish(published.ProfilesValue, revision, changed)
 }
 
-// A steward's entries wait for a slot when the operators move the service to
-// another pool. The new profile comes into force, and each waiting entry is
-// booked several times: the queue of the old pool still held the request, and
-// what went to the new pool was never taken out of it.
+// Guards against waiting requests that run several times when a published profile moves their
+// service to another pool: the queue of the old pool kept the requests, and requests sent to the
+// new pool were never removed from it.
 func TestServiceMovesToAnotherPoolWhileRequestsWait(t *testing.T) {
 	r := settled(t, 1, "waste/w1", "counts/c1", "counts/c2", "counts/c3")
 	n := r.nodes[0]
@@ -34,7 +33,7 @@
 	r.run(3 * sec)
 	for id := range r.nextID {
 		if got := n.replies[id+1]; got.Outcome != OutcomeDone || got.twice {
-			t.Errorf("request %d: told %+v", id+1, got)
+			t.Errorf("request %d: reply %+v", id+1, got)
 		}
 	}
 	for what, times := range r.ran {
@@ -43,14 +42,13 @@
 		}
 	}
 	if n.pools["waste"].Outstanding()+n.pools["counts"].Outstanding()+n.InFlight() != 0 {
-		t.Error("slots or requests are held although nothing runs")
+		t.Error("slots are in use or requests are in flight although nothing runs")
 	}
 }
 
-// Two endpoints turn one tablet's request away as not run. From then on every
-// tablet of the kitchen waits for its deadline although both endpoints are
-// idle: the request at the head of the queue had tried them all, and nothing
-// passes the head.
+// Guards against a queue that is blocked by a request which all endpoints have refused as not run:
+// nothing passes the head of the queue, so all other requests wait for their deadlines although the
+// endpoints are idle.
 func TestRequestThatTriedAllEndpointsDoesNotBlockQueue(t *testing.T) {
 	r := settled(t, 1, "counts/c1", "counts/c2")
 	n := r.nodes[0]
@@ -66,18 +64,17 @@
 	other := r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
 	r.run(50 * ms)
 	if _, answered := n.replies[other]; !answered {
-		t.Error("another caller's request waits behind one that no endpoint is left for")
+		t.Error("another caller's request waits behind a request that has no endpoint left to try")
 	}
 	r.run(sec)
 	if got := n.replies[refused]; got.Outcome != OutcomeNotRun || got.Reason != ReasonEndpointsRefuse {
-		t.Errorf("the refused request: told %+v", got)
+		t.Errorf("the refused request: reply %+v", got)
 	}
 }
 
-// A close begins and more entries serve waste entries, but these don't tell each
-// other which slots they use until some VM comes or goes: stewards meet at the
-// same endpoints all evening. The calendar had switched the policies without
-// dividing the work anew.
+// Guards against a close that changes the policies without assigning the services anew. More
+// entries then serve the "waste" service, but they don't report their slots in use to each other
+// until some VM changes, and send to the same endpoints.
 func TestCloseReassignsServices(t *testing.T) {
 	r := settled(t, 6, "waste/w1")
 	r.platformDown = func(*node) bool { return true }
@@ -85,6 +82,6 @@
 	r.wall = r.wall.Add(6 * time.Hour)
 	r.run(sec)
 	if after := len(r.nodes[0].pools["waste"].deciders); before != 3 || after != 6 {
-		t.Errorf("%d entries decide on ordinary days and %d during the close, want 3 and 6", before, after)
+		t.Errorf("%d deciders on ordinary days and %d during the close, want 3 and 6", before, after)
 	}
 }
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -12,9 +12,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Offered is a published value that the driver got from the platform or a
-// peer, already parsed. Parsing depends on the text alone, so that all entries
-// accept and refuse alike.
+// Offered is a parsed published value that the driver got from the platform or a peer. Parsing
+// depends only on the text, so all entries accept and refuse the same values.
 type Offered struct {
 	// Name is published.ProfilesValue or published.VMsValue.
 	Name string
@@ -35,8 +34,8 @@
 	return c.fleet.profiles
 }
 
-// Offer feeds a published value. Only a later revision than the one in force
-// that is valid as a whole comes into force.
+// Offer processes a published value. It is put in force only if its revision is later than the one
+// in force and it is valid as a whole.
 func (c *Core) Offer(now time.Duration, o Offered, out *Actions) {
 	t := c.tracker(o.Name)
 	from := t.InForce().Revision
@@ -64,8 +63,8 @@
 	}
 }
 
-// Unreadable notes that what the platform holds can't be read. What is in force stays, until the
-// platform gives something else.
+// Unreadable records that the value on the platform can't be read. The revision in force stays
+// until the platform returns another value.
 func (c *Core) Unreadable(name string, problem error, out *Actions) {
 	text := problemText(problem)
 	if c.explained.unreadable[name] == text {
@@ -76,7 +75,8 @@
 	out.note(Note{Actor: "platform", Subject: name, Action: "refused", From: revisionText(c.InForce(name).Revision), Why: text})
 }
 
-// noteOnce keeps a fault that repeats with every read from filling the trail.
+// noteOnce drops a note that equals the last one, so that a fault which repeats with every read
+// does not fill the audit trail.
 func (c *Core) noteOnce(last *Note, n Note, out *Actions) {
 	if *last == n {
 		return
@@ -116,8 +116,8 @@
 	c.drainQueues(now, out)
 }
 
-// problemText lists what is wrong with a document, without the remedy that goes
-// with every one.
+// problemText lists what is wrong with a document, without the remedy, which is the same for all
+// documents.
 func problemText(problem error) string {
 	var list *profile.DocumentError
 	if errors.As(problem, &list) {
@@ -126,23 +126,23 @@
 	return problem.Error()
 }
 
-// Confirm says that the platform holds no later revision than the one in force.
+// Confirm records that the platform has no later revision than the one in force.
 func (c *Core) Confirm(now time.Duration, name string) {
 	c.tracker(name).Confirm(now)
 }
 
-// InForce returns the mark of the revision in force of a value.
+// InForce returns the mark of the value's revision in force.
 func (c *Core) InForce(name string) message.Mark { return c.tracker(name).InForce() }
 
-// FetchDone says that a fetch ended. What it brought was offered before.
+// FetchDone records that a fetch ended. A fetched value has been offered before.
 func (c *Core) FetchDone(now time.Duration, f FetchFrom, answered bool) {
 	c.tracker(f.Name).Done(now, assign.Fetch{From: f.Source, After: f.After}, answered, c.rng)
 }
 
-// noteCallerRevision notes the revision that a caller carries: when it is later than
-// the one in force here, this entry is behind and fetches at once. An entry that
-// starts asks the platform and its peers anyway; a revision that a caller made
-// up would keep it from getting ready for as long as the platform is down.
+// noteCallerRevision records the revision that a caller sent. If it is later than the one in force,
+// this entry is behind and fetches at once. A starting entry ignores it: it asks the platform and
+// its peers anyway, and an invented revision would keep it from becoming ready for as long as the
+// platform is down.
 func (c *Core) noteCallerRevision(now time.Duration, revision uint64, out *Actions) {
 	if c.state == message.EntryStarting || revision <= c.fleet.profiles.InForce().Revision {
 		return
@@ -151,8 +151,8 @@
 	c.fetchDue(now, out)
 }
 
-// fetchDue asks for published values that exist in a later revision, and, at a
-// slow rate of its own, for any that a wrong belief could hide.
+// fetchDue fetches published values of which a later revision is known. It also runs the periodic
+// check, which finds revisions that wrong knowledge of peers could hide.
 func (c *Core) fetchDue(now time.Duration, out *Actions) {
 	peers := c.reachablePeers()
 	c.fetchNext(now, published.ProfilesValue, peers, out)
@@ -176,8 +176,8 @@
 	out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
 }
 
-// periodicCheck reads the platform itself from time to time although others do it
-// for all, so that a wrong belief about who reads can't last.
+// periodicCheck reads the platform at a low rate even if other entries are the readers, so that
+// wrong knowledge of who reads can't last.
 func (c *Core) periodicCheck(now time.Duration, out *Actions) {
 	if now < c.fleet.nextCheck {
 		return
@@ -198,8 +198,8 @@
 	}
 }
 
-// reachablePeers lists the entries that can be asked, since a link is held with them, those of
-// the own failure domain first.
+// reachablePeers returns the entries that can be asked because a link to them is open, with entries
+// of the own failure domain first.
 func (c *Core) reachablePeers() []uint64 {
 	f := &c.fleet
 	version := c.LinksVersion()
@@ -222,7 +222,7 @@
 	return f.reachable
 }
 
-// peerAddressOf returns the peer address of an incarnation; the platform's is "".
+// peerAddressOf returns the peer address of an incarnation; the platform's address is "".
 func (c *Core) peerAddressOf(incarnation uint64) (string, bool) {
 	if incarnation == assign.Platform {
 		return "", true
@@ -250,8 +250,8 @@
 	return "revision " + published.RevisionText(revision)
 }
 
-// becomeReady lets a starting entry serve once it knows the latest revision
-// that it can learn of.
+// becomeReady moves a starting entry to serving once it has the latest revision that it can learn
+// of.
 func (c *Core) becomeReady(now time.Duration, out *Actions) {
 	if c.state != message.EntryStarting {
 		return
@@ -265,7 +265,7 @@
 		Revision: c.InForce(published.ProfilesValue).Revision})
 }
 
-// ReadyReason reports whether this entry may be given to callers, and if not why.
+// ReadyReason reports whether callers may be sent to this entry, and if not, why.
 func (c *Core) ReadyReason(now time.Duration) (bool, string) {
 	switch c.state {
 	case message.EntryServing:
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -10,18 +10,18 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Guards against an entry that takes itself for behind for good: it reads the platform no more
-// since it read a text that it could not use, and has a later one from a peer.
+// Guards against an entry that reports itself behind forever: it once read an unreadable text from
+// the platform, does not read the platform any more, and has a later revision from a peer.
 func TestEntryIsNotBehindOnceUnreadableTextIsReplaced(t *testing.T) {
 	y := newEntryHarness(t, idle(1, "d0")...)
 	y.publish(1, harnessRoutes())
 	reason := func() Reason { return y.AdmitRoute("nowhere", "/x").Reason }
 	if got := reason(); got != ReasonUnknownService {
-		t.Fatalf("at first: %v", got)
+		t.Fatalf("before the unreadable text: %v", got)
 	}
 	y.do(func(out *Actions) { y.Unreadable(published.ProfilesValue, errors.New("cut short"), out) })
 	if got := reason(); got != ReasonBehind {
-		t.Errorf("while the platform holds what can't be read: %v", got)
+		t.Errorf("while the platform's text is unreadable: %v", got)
 	}
 	bound := y.snapshot
 	y.do(func(out *Actions) {
@@ -29,6 +29,6 @@
 		y.Offer(y.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: bound}, out)
 	})
 	if got := reason(); got != ReasonUnknownService {
-		t.Errorf("with a later revision of a peer: %v", got)
+		t.Errorf("with a later revision from a peer: %v", got)
 	}
 }
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -41,7 +41,7 @@
 		r.slots(func(Arrival) time.Duration { return 25 * ms })
 		r.traffic(Arrival{Service: "counts"}, 50*ms, sec)
 		if drains {
-			r.list(2, "counts/c1", "counts/c2,leaving")
+			r.publishVMs(2, "counts/c1", "counts/c2,leaving")
 			r.run(200 * ms)
 		}
 		refused := map[Reason]int{}
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -9,48 +9,48 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// readerSilence is how long no reader of this region may have reached the
-// platform before this entry tries for itself. It is short: a reader says at once
-// that it reaches it no more, and until another reads, published changes wait.
-// startSilence is the same for an entry that has just started and hears its
-// peers one by one.
+// readerSilence is how long no reader of this region may have reached the platform before this
+// entry reads by itself. It is short, because a reader reports at once when it no longer reaches
+// the platform, and published changes are delayed until another entry reads. startSilence replaces
+// it for an entry that has just started and hears its peers one by one.
 const (
 	readerSilence = 400 * time.Millisecond
-	// standbyGap is the time between the turns in which entries go back to a platform that is
-	// answering again: several times what it takes to tell all others.
+	// standbyGap is the time between the standby groups in which entries return to a platform that
+	// answers again: several times what it takes to notify all other entries.
 	standbyGap   = 100 * time.Millisecond
 	startSilence = 1500 * time.Millisecond
-	// firstStartSilence is the same where the whole fleet starts for the first time: enough for
-	// hundreds of entries to meet, and less than the seconds until callers come.
+	// firstStartSilence replaces startSilence when the whole fleet starts for the first time:
+	// enough for hundreds of entries to connect, and less than the seconds until callers come.
 	firstStartSilence = 4 * time.Second
 )
 
-// readers is who reads the platform for all, and whether that works.
+// readers records which entries read the platform for the fleet, and whether that works.
 //
-// The duty is divided by what entries know of each other, not by who reaches the
-// platform. Guards against a platform that can be reached by some entries only,
-// none of them a reader: a published profile would come into force when one of
-// them makes its slow check, after ten seconds or more. When no reader says that
-// it reaches the platform, others try, a few of each failure domain first and after them all,
-// and those that reach it read on until a reader does again. If all tried at once, the calls
-// of a change of readers would grow with the fleet.
+// Readers are assigned by what entries know of each other, not by who reaches the platform. If only
+// entries that are not readers reach it, a published profile would come into force only with the
+// periodic check of one of them, after ten seconds or more. Therefore, when no reader reports that
+// it reaches the platform, further entries try: a few of each failure domain first and all others
+// later. An entry that reaches the platform goes on reading until an assigned reader reaches it
+// again. If all entries tried at once, the calls caused by a change of readers would grow with the
+// fleet.
 type readers struct {
 	// assigned are the incarnations of this region's readers.
 	assigned []uint64
-	// stale says that entries changed since the duty was divided.
+	// stale says that the entries have changed since readers were assigned.
 	stale bool
-	// standbyGroup is after how many spans of silence this entry tries.
+	// standbyGroup is the number of silence periods after which this entry tries to read.
 	standbyGroup int
-	// platformAnswered says that the platform answered this entry's latest call, and platformSilent
-	// that it did not answer the latest glance in time.
+	// platformAnswered says that the platform answered this entry's latest call, platformSilent
+	// that it did not answer the latest liveness check in time.
 	platformAnswered, platformSilent bool
-	// reachedAt is when a reader last was known to reach the platform.
-	reachedAt     time.Duration
+	// reachedAt is when a reader was last known to reach the platform.
+	reachedAt time.Duration
+	// standbyActive says that this entry reads although it is not an assigned reader.
 	standbyActive bool
 }
 
-// assignReaders divides the duty to read anew after a change of entries. It is called when the
-// division is asked for: of the changes of a fleet that starts, most come together.
+// assignReaders assigns the readers anew after a change of entries. It runs only when the
+// assignment is needed, since most changes of a starting fleet arrive together.
 func (c *Core) assignReaders() {
 	f, r := &c.fleet, &c.fleet.readers
 	if !r.stale {
@@ -71,11 +71,13 @@
 	}
 }
 
-// lastStandbyGroup is the turn of those who try last: all entries but a few of each failure domain.
+// lastStandbyGroup is the standby group that tries last: all entries except a few of each failure
+// domain.
 const lastStandbyGroup = 3
 
-// standbyGroupOf is after how many spans of silence the entry of a rank in its failure domain tries to
-// read: twice as many as are assigned try first, then three times as many, then all.
+// standbyGroupOf returns the standby group of the entry with the given rank in its failure domain.
+// Group 0 has the assigned readers, group 1 twice as many entries, group 2 three times as many as
+// group 1, and lastStandbyGroup all others.
 func standbyGroupOf(rank, assigned int) int {
 	const growth = 3
 	group := 0
@@ -91,20 +93,23 @@
 	return c.fleet.reader || c.fleet.readers.standbyActive
 }
 
-// AssignedReader reports whether reading the platform is this entry's duty, whoever answers.
+// AssignedReader reports whether this entry is an assigned reader, whether or not the platform
+// answers it.
 func (c *Core) AssignedReader() bool {
 	c.assignReaders()
 	return c.fleet.reader
 }
 
-// standbyLiveness bounds how often those glance who try last, all together: a fleet that waits for a
-// platform which is down asked it a hundred times a second otherwise. Whoever is answered
-// first tells all others, so it is found at once however many ask.
+// standbyLiveness bounds the liveness checks of the last standby group as a whole. Without the
+// bound, a fleet that waits for a platform which is down called it a hundred times a second. The
+// first entry that gets an answer notifies all others, so recovery is found at once however many
+// entries check.
 var standbyLiveness = assign.CheckLimits{Longest: 10 * time.Second, FleetRate: 20, Values: 1}
 
-// LivenessPause returns the time between two glances of this entry, for which it also waits before
-// its first one if it is spread: one of those who try last, unless it is cut off from the others,
-// who can tell it nothing. usual is the pause of all others.
+// LivenessPause returns the time between two liveness checks of this entry. usual is the pause of
+// an entry that is an assigned reader, is not in the last standby group, or is cut off from the
+// others, which then can't notify it. All other entries get a longer pause, with spread true: they
+// wait for it also before their first liveness check.
 func (c *Core) LivenessPause(now, usual time.Duration) (pause time.Duration, spread bool) {
 	c.assignReaders()
 	if c.fleet.reader || c.fleet.readers.standbyGroup < lastStandbyGroup || c.isCutOff(now) {
@@ -115,20 +120,19 @@
 	return assign.CheckPeriod(len(c.fleet.assignMembers), limits), true
 }
 
-// PlatformAnswered notes whether the platform answered this entry's latest call.
+// PlatformAnswered records whether the platform answered this entry's latest call.
 func (c *Core) PlatformAnswered(ok bool) { c.fleet.readers.platformAnswered = ok }
 
-// PlatformAlive notes whether the platform answered this entry's latest glance in
-// time.
+// PlatformAlive records whether the platform answered this entry's latest liveness check in time.
 func (c *Core) PlatformAlive(ok bool) { c.fleet.readers.platformSilent = !ok }
 
-// reachesPlatform reports whether this entry reads the platform and is answered.
+// reachesPlatform reports whether this entry reads the platform and gets answers.
 func (c *Core) reachesPlatform() bool {
 	r := &c.fleet.readers
 	return c.Reader() && r.platformAnswered && !r.platformSilent
 }
 
-// checkReaders decides whether this entry has to read although others should.
+// checkReaders decides whether this entry has to read although it is not an assigned reader.
 func (c *Core) checkReaders(now time.Duration) {
 	c.assignReaders()
 	r := &c.fleet.readers
@@ -137,8 +141,8 @@
 		return
 	}
 	if c.anyEntryReaches(now) && !(r.standbyActive && c.reachesPlatform()) {
-		// Another one reads. Those that tried in vain leave it to that one: a platform
-		// that comes back would get the reads of all at once.
+		// Another entry reads. Entries that tried without success stop: otherwise a platform that
+		// recovers would get the reads of all of them at once.
 		r.reachedAt, r.standbyActive = now, false
 		return
 	}
@@ -147,26 +151,27 @@
 	}
 	group := max(r.standbyGroup, 1)
 	if c.isCutOff(now) {
-		group = 0 // nobody else tries in its place
+		group = 0 // no other entry can read for this one
 	}
 	r.standbyActive = now >= max(r.reachedAt+time.Duration(group)*readerSilence, c.startReadDelay())
 }
 
-// mayRead reports whether another entry can be counted on to read the platform: it was heard,
-// and starts or serves.
+// mayRead reports whether another entry can be expected to read the platform: it was heard, and it
+// is starting or serving.
 func (c *Core) mayRead(e *member.Entry) bool {
 	_, heard := c.fleet.peers[e.VM.Incarnation]
 	return heard && !e.Suspected && e.State <= message.EntryServing && e.VM.State == published.Live
 }
 
-// isCutOff reports whether this entry hears no other one. In a large fleet it watches a few
-// neighbours, and takes all others for live until one that watches them says otherwise: what they
-// said last, that they read the platform for instance, would hold for good.
+// isCutOff reports whether this entry hears no other one. In a large fleet an entry watches only a
+// few neighbors and takes all others for live until an entry that watches them reports otherwise.
+// Without this check their last status, for instance that they read the platform, would count
+// forever.
 func (c *Core) isCutOff(now time.Duration) bool {
 	return now-c.fleet.heardAt >= c.fleet.members.SuspectAfter()
 }
 
-// anyEntryReaches reports whether any entry of this region says that it reaches the platform.
+// anyEntryReaches reports whether any entry of this region reports that it reaches the platform.
 func (c *Core) anyEntryReaches(now time.Duration) bool {
 	f := &c.fleet
 	if c.isCutOff(now) {
@@ -181,8 +186,8 @@
 	return false
 }
 
-// ReadDelay is how long this entry leaves the platform to those assigned to read it once it
-// is back: they tell all others that they reach it.
+// ReadDelay returns how long this entry leaves the platform to the assigned readers after the
+// platform has recovered: they notify all others once they reach it.
 func (c *Core) ReadDelay() time.Duration {
 	c.assignReaders()
 	if c.fleet.reader {
@@ -191,9 +196,9 @@
 	return time.Duration(c.fleet.readers.standbyGroup) * standbyGap
 }
 
-// startReadDelay is how long an entry that starts leaves the platform to those that read it
-// for all. While its peers hold other records than it does, it may just not have heard of
-// those: 472 entries that lost power together would each read 1.5 s later.
+// startReadDelay returns how long a starting entry leaves the platform to the readers. While its
+// peers have other records than this entry, it may simply not have heard of the readers yet: 472
+// entries that lost power together would each read 1.5 s later.
 func (c *Core) startReadDelay() time.Duration {
 	if c.cfg.FirstStart || !c.RecordsAgree() {
 		return firstStartSilence
@@ -201,11 +206,11 @@
 	return startSilence
 }
 
-// waitsForReaders reports whether an entry that knows no revision of a value yet waits for
-// the word of others. Guards against a fleet that starts: each of its entries asked the
-// platform for what one in each failure domain reads and tells anyway, again and again
-// until the operator had published it. An entry that starts alone has it from the first peer
-// that it meets; so have most of those that lost power together, from the few that read.
+// waitsForReaders reports whether an entry that knows no revision of a value yet waits for other
+// entries to report one. Without it, each entry of a starting fleet asked the platform again and
+// again, until the operator had published the value, for what one reader in each failure domain
+// reads and passes on anyway. An entry that starts alone gets the value from the first peer that it
+// connects to; after a power loss most entries get it from the few readers.
 func (c *Core) waitsForReaders(now time.Duration, t *assign.Tracker) bool {
 	if t.InForce().Revision != 0 || t.Wanted() != 0 {
 		return false
@@ -216,7 +221,7 @@
 	return now < c.cfg.StartFetchDelay
 }
 
-// assignedReaderReaches reports whether an assigned reader reaches the platform.
+// assignedReaderReaches reports whether an assigned reader of this region reaches the platform.
 func (c *Core) assignedReaderReaches(now time.Duration) bool {
 	c.assignReaders()
 	f := &c.fleet
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// The platform stops answering just those entries that read it for all, and an operator
-// publishes a profile in that moment: it would come into force only when their watches
-// time out. They notice by a glance within 0.7 s and say so at once; others take over.
-// The rest of 2 s is for that.
+// Guards against a published profile that comes into force only after the readers' watches time
+// out, because the platform has just stopped answering the readers. Their liveness checks fail
+// within 0.7 s, they report that at once, and other entries take over within the rest of 2 s.
 func TestOthersReadWhenReadersGetNoAnswer(t *testing.T) {
 	r := settled(t, 15, "counts/c1")
 	silent := map[*node]bool{}
@@ -18,7 +17,7 @@
 		}
 	}
 	if len(silent) == 0 || len(silent) > 8 {
-		t.Fatalf("%d entries read for all", len(silent))
+		t.Fatalf("%d readers, want 1 to 8", len(silent))
 	}
 	r.platformMute = func(n *node) bool { return silent[n] }
 	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
@@ -36,15 +35,14 @@
 	r.run(2 * sec)
 	for _, n := range r.nodes {
 		if n.Reader() != silent[n] {
-			t.Errorf("%s reads: %v, though the readers are answered again", n.hello.Name, n.Reader())
+			t.Errorf("%s reads: %v, although the assigned readers get answers again", n.hello.Name, n.Reader())
 		}
 	}
 }
 
-// The platform stops answering the entries that read it for all. All 59 others tried to read
-// in their place, each told all others that it did, and the calls to the platform grew with
-// the fleet. A few of each failure domain are enough; where these are turned away as well,
-// further ones come a moment later.
+// Guards against calls to the platform that grow with the fleet when it stops answering the
+// readers: all 59 other entries tried to read, and each reported so to all others. A few entries of
+// each failure domain are enough; if they get no answer either, further ones follow a moment later.
 func TestFewEntriesTakeOverFromSilentReaders(t *testing.T) {
 	for _, alsoSilent := range []bool{false, true} {
 		r := settled(t, 60, "counts/c1")
@@ -79,15 +77,15 @@
 			most = 60
 		}
 		if len(tried) > most || took > 0 {
-			t.Errorf("the first to take over silent too: %v: %d entries tried to read; not in force everywhere after 2 s but %v later", alsoSilent, len(tried), took)
+			t.Errorf("first group silent too: %v: %d entries tried to read; in force everywhere %v after the first 2 s, want 0s", alsoSilent, len(tried), took)
 		}
 	}
 }
 
-// The platform is silent for all entries until each of them tries to read it. When it comes
-// back, it answers the first of those that try, which are not the ones assigned to it. All 59
-// others read it too, one after the other, until an assigned entry has noticed: a store that
-// just came back gets the reads of a whole fleet, at the moment at which it can bear them least.
+// Guards against a store that gets the reads of a whole fleet right after its recovery, when it can
+// bear them least. The platform is silent for all entries until each of them tries to read. On
+// recovery it first answers an entry that is not an assigned reader, and all 59 others read as
+// well, one after the other, until an assigned reader noticed.
 func TestFewEntriesReadRecoveredPlatform(t *testing.T) {
 	r := settled(t, 60, "counts/c1")
 	r.run(5 * sec)
@@ -101,7 +99,7 @@
 		n.PlatformAnswered(false)
 	}
 	if took := r.until(10*sec, (*node).Reader); took >= 10*sec {
-		t.Fatal("not all entries try to read, though nobody does")
+		t.Fatal("not all entries try to read although no reader gets an answer")
 	}
 	var first *node
 	for _, n := range r.nodes {
@@ -118,22 +116,22 @@
 			reading++
 		}
 	}
-	const few = 12 // as many as may take over
+	const few = 12 // the number of entries that may take over
 	if reading > few || !first.Reader() {
-		t.Errorf("%d entries that are not assigned read or try to, want at most %d; the one that is answered: %v", reading, few, first.Reader())
+		t.Errorf("%d entries that are not assigned read or try to, want at most %d; the entry that gets answers reads: %v", reading, few, first.Reader())
 	}
 	r.platformMute = silent
 	first.PlatformAnswered(false)
 	if took := r.until(5*sec, (*node).Reader); took >= 5*sec {
-		t.Error("the one that read is answered no more, and others do not try again")
+		t.Error("other entries do not try again although the only reading entry gets no answers any more")
 	}
 }
 
-// The platform is silent for eight seconds, and all entries of a fleet try to read in the end.
-// Each glanced every 0.4 s: a hundred calls a second and more to a platform that is down. All
-// that are not assigned to read, and are not next in turn, may make 20 a second together.
+// Guards against liveness checks of a platform that is down whose rate grows with the fleet: after
+// eight seconds of silence each entry checked every 0.4 s, more than a hundred calls a second. All
+// entries of the last standby group together may make 20 checks a second.
 func TestLivenessChecksDoNotGrowWithFleet(t *testing.T) {
-	const usual, next, together = 400 * ms, 24, 20.0
+	const usual, earlierGroups, maxRate = 400 * ms, 24, 20.0
 	for _, entries := range []int{6, 15, 60} {
 		r := settled(t, entries, "counts/c1")
 		rate, spread := 0.0, 0
@@ -142,39 +140,39 @@
 			pause, last := n.LivenessPause(r.now-n.started, usual)
 			if !last {
 				if pause != usual {
-					t.Errorf("%d entries: one that tries first glances every %v, want %v", entries, pause, usual)
+					t.Errorf("%d entries: an entry of an early group checks every %v, want %v", entries, pause, usual)
 				}
 				continue
 			}
 			spread++
 			rate += float64(time.Second) / float64(pause)
 		}
-		if rate > together || entries-spread > 3+next {
-			t.Errorf("%d entries: %d that try last glance %.0f times a second, want %.0f", entries, spread, rate, together)
+		if rate > maxRate || entries-spread > 3+earlierGroups {
+			t.Errorf("%d entries: %d of the last group check %.0f times a second, want at most %.0f", entries, spread, rate, maxRate)
 		}
 	}
 }
 
-// An entry is cut off from all others while the platform answers it and callers reach it, and a
-// profile is published. It watches nine of 59 others and took the rest for live, so that what
-// they had said last, that some of them read the platform, held for good: it served by the old
-// profile until its slow check, a minute or two later.
+// Guards against an entry that serves by an old profile because it is cut off from all others while
+// callers and the platform reach it. It watches nine of 59 others and took the rest for live. Their
+// last status, that some of them read the platform, stayed valid, so the entry got a new profile
+// only with its periodic check, a minute or two later.
 func TestIsolatedEntryReadsPlatform(t *testing.T) {
 	r := settled(t, 60, "counts/c1")
-	var alone *node
+	var isolated *node
 	for _, n := range r.nodes {
 		n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
 		if _, last := n.LivenessPause(r.now-n.started, 400*ms); last {
-			alone = n
+			isolated = n
 		}
 	}
-	r.cut = func(from, to *node) bool { return from == alone || to == alone }
+	r.cut = func(from, to *node) bool { return from == isolated || to == isolated }
 	r.run(4 * sec)
 	const usual = 400 * ms
-	if pause, spread := alone.LivenessPause(r.now-alone.started, usual); spread || pause != usual {
-		t.Errorf("an entry that hears nobody glances every %v, want %v", pause, usual)
+	if pause, spread := isolated.LivenessPause(r.now-isolated.started, usual); spread || pause != usual {
+		t.Errorf("the isolated entry checks every %v, want %v", pause, usual)
 	}
-	if !alone.Reader() {
-		t.Error("an entry that hears nobody does not read")
+	if !isolated.Reader() {
+		t.Error("the isolated entry does not read the platform")
 	}
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -9,10 +9,10 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// When this entry's record is told anew. Its state, and whether it reads the platform, count at
-// once. Its rate weighs answers to callers and shares of bounds, for which a quarter more or
-// less is near enough. The epoch of its keys may lag by one of the five that are kept: entries
-// that started together would otherwise all tell it in the same moment.
+// Rules for announcing this entry's record again. A change of its state, or of whether it reads the
+// platform, is announced at once. Its rate weighs answers to callers and shares of bounds, where a
+// deviation of a quarter does little harm. The epoch of its keys may lag by one of the five epochs
+// that are kept; the lag spreads the announcements of entries that started together.
 const (
 	rateEvery  = 2 * time.Second
 	rateChange = 0.25
@@ -20,7 +20,7 @@
 	epochLag   = time.Minute
 )
 
-// recordOf is the record that an entry's greeting stands for.
+// recordOf converts a hello to a record.
 func recordOf(h message.Hello) message.Record {
 	return message.Record{
 		Name: h.Name, Incarnation: h.Incarnation, Version: h.Status.Version,
@@ -29,7 +29,7 @@
 	}
 }
 
-// vmOfRecord is the entry of a record, in the form of the platform's list.
+// vmOfRecord converts an entry's record to a VM of the platform's list.
 func vmOfRecord(r *message.Record) published.VM {
 	return published.VM{
 		Name: r.Name, Incarnation: r.Incarnation, Role: published.EntryRole, State: published.Live,
@@ -37,8 +37,8 @@
 	}
 }
 
-// announce tells the fleet what this entry says of itself, if that differs from what it said
-// last, or if another entry said that it is silent.
+// announce gives this entry's record to the fleet if it differs from the last announced one, or if
+// another entry reported this one as silent.
 func (c *Core) announce(now time.Duration) {
 	f := &c.fleet
 	h := c.cfg.Self
@@ -56,7 +56,7 @@
 	f.gossip.Announce(now, next)
 }
 
-// recordDue reports whether the others are to be told the next form of this entry's record.
+// recordDue reports whether the next version of this entry's record is to be announced.
 func (c *Core) recordDue(now time.Duration, next *message.Record) bool {
 	f := &c.fleet
 	if f.ownRecord.Version == 0 || next.State != f.ownRecord.State || next.Reader != f.ownRecord.Reader {
@@ -73,15 +73,15 @@
 	return change >= rateLeast && change >= rateChange*float64(f.ownRecord.Rate) && now-f.announcedAt >= rateEvery
 }
 
-// takeRecords takes in what entries tell of themselves by way of others, after the scheduler did:
-// what counts is the latest that it holds.
+// takeRecords applies records that arrived through other entries, after the gossip scheduler stored
+// them. Only the latest stored record of each entry counts.
 func (c *Core) takeRecords(now time.Duration, records []message.Record, out *Actions) {
 	f := &c.fleet
 	var changes []member.Change
 	for i := range records {
 		r := f.gossip.Latest(records[i].Name)
 		if r == nil {
-			continue // it is known to have ended
+			continue // the entry is known to have ended
 		}
 		if r.Incarnation == c.cfg.Self.Incarnation {
 			f.reportedSilent = f.reportedSilent || r.Silent
@@ -99,7 +99,7 @@
 	c.applyChanges(now, changes, "peer", out)
 }
 
-// noteRecord keeps what a record says, unless the entry itself said something later.
+// noteRecord stores the state in a record, unless the entry's own status is newer.
 func (c *Core) noteRecord(now time.Duration, r *message.Record) {
 	p := c.fleet.peers[r.Incarnation]
 	if p == nil {
@@ -113,7 +113,7 @@
 	u.From, u.Version, u.State, u.Epoch, u.Reader, u.Rate = r.Incarnation, r.Version, r.State, r.Epoch, r.Reader, r.Rate
 }
 
-// noteAcked takes in which entries took a message.
+// noteAcked passes the entries that acknowledged a message to the member table.
 func (c *Core) noteAcked(now time.Duration, out *Actions) {
 	f := &c.fleet
 	var changes []member.Change
@@ -124,7 +124,7 @@
 	c.applyChanges(now, changes, "peer", out)
 }
 
-// watchLinks tells the members whom this entry watches, after a change of links.
+// watchLinks updates the set of entries that this one watches after a change of links.
 func (c *Core) watchLinks(now time.Duration) {
 	f := &c.fleet
 	if f.watchedVersion != f.gossip.Version() {
@@ -133,22 +133,22 @@
 	}
 }
 
-// spreadSilent tells the fleet whose silence showed here.
+// spreadSilent reports to the fleet the entries that this entry found silent.
 func (c *Core) spreadSilent(now time.Duration) {
 	for _, s := range c.fleet.members.TakeSilent(nil) {
 		c.fleet.gossip.ReportSilent(now, s.Name, s.Incarnation, s.Version)
 	}
 }
 
-// Pull is a peer to ask for the records that this entry lacks.
+// Pull is a request to a peer for the records that this entry lacks.
 type Pull struct {
 	From    uint64
 	Address string
-	// Marks are those of the records that it has.
+	// Marks identify the records that this entry has.
 	Marks []uint32
 }
 
-// PullDue returns the peer to ask now, if any. The driver ends each pull with Pulled.
+// PullDue returns the pull to run now, if any. The driver ends each pull with Pulled.
 func (c *Core) PullDue(now time.Duration) (Pull, bool) {
 	from, due := c.fleet.gossip.PullFrom(now)
 	if !due {
@@ -162,17 +162,17 @@
 	return Pull{From: from, Address: address, Marks: c.fleet.gossip.Marks(nil)}, true
 }
 
-// Pulled ends a pull with the records that the peer gave, if it answered.
+// Pulled ends a pull with the records that the peer returned, if it answered.
 func (c *Core) Pulled(now time.Duration, p Pull, records []message.Record, answered bool, out *Actions) {
 	c.fleet.gossip.Pulled(now, p.From, records, answered)
 	c.takeRecords(now, records, out)
 }
 
-// RecordsBeyond returns the records held that are not among those marked.
+// RecordsBeyond returns the stored records that are not among the marked ones.
 func (c *Core) RecordsBeyond(marks []uint32) []message.Record { return c.fleet.gossip.Beyond(marks) }
 
-// RecordsAgree reports whether the peers from which this entry has heard hold the same records.
+// RecordsAgree reports whether the peers from which this entry has heard have the same records.
 func (c *Core) RecordsAgree() bool { return c.fleet.gossip.RecordsAgree() }
 
-// RecordSet says which records this entry holds.
+// RecordSet describes the set of records that this entry has.
 func (c *Core) RecordSet() message.RecordSet { return c.fleet.gossip.RecordSet() }
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -13,18 +13,18 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// session is a cluster harness that a golden file drives.
+// session is a cluster harness that is driven by a golden file.
 type session struct {
 	*clusterHarness
 	keys map[string]idem.Key
-	// lastRequest is the latest request.
+	// lastRequest is the request that was sent last.
 	lastRequest RequestID
-	// notesShown is how many notes of each entry were printed.
+	// notesShown is the number of notes of each entry that were printed.
 	notesShown map[*node]int
 }
 
-// The golden files hold whole sessions of a fleet: what happens from outside,
-// and after each step what the entries note in their audit trails.
+// TestSessions runs the sessions in testdata/sessions. Each file has a series of external events,
+// and after each step the expected notes of all entries' audit trails.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		var s *session
@@ -33,7 +33,7 @@
 				var entries int
 				d.ScanArgs(t, "entries", &entries)
 				s = &session{clusterHarness: newClusterHarness(t, entries), keys: map[string]idem.Key{}, notesShown: map[*node]int{}}
-				s.list(1, strings.Fields(d.Input)...)
+				s.publishVMs(1, strings.Fields(d.Input)...)
 				s.run(2 * sec)
 				return s.statusText()
 			}
@@ -43,7 +43,7 @@
 	})
 }
 
-// step does what a line of a file says and returns what a person would see.
+// step runs one command of a file and returns its output.
 func (s *session) step(t *testing.T, d *datadriven.TestData) string {
 	arg := func(name string) (value string) {
 		if d.HasArg(name) {
@@ -69,13 +69,13 @@
 	case "list":
 		var revision uint64
 		d.ScanArgs(t, "rev", &revision)
-		s.list(revision, strings.Fields(d.Input)...)
+		s.publishVMs(revision, strings.Fields(d.Input)...)
 	case "publish":
 		var revision uint64
 		d.ScanArgs(t, "rev", &revision)
 		before, after, _ := strings.Cut(d.Input, " => ")
 		s.republish(revision, before, after)
-	case "service":
+	case "platform":
 		down := d.HasArg("down")
 		s.platformDown = func(*node) bool { return down }
 	case "network":
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// find returns the process that runs on an entry's VM.
+// find returns the running process of an entry's VM.
 func (s *session) find(vm string) (found *node) {
 	for _, n := range s.nodes {
 		if !n.dead && n.hello.Name == "entry-"+vm {
@@ -113,7 +113,7 @@
 	return found
 }
 
-// setReaction lets one endpoint answer in one way, and all others as before.
+// setReaction changes the reaction of one endpoint.
 func (s *session) setReaction(t *testing.T, d *datadriven.TestData) {
 	var name, does string
 	d.ScanArgs(t, "name", &name)
@@ -136,7 +136,7 @@
 	}
 }
 
-// ask sends a request, under a key that was named before or a new one.
+// ask sends a request, under a key with a known name or a new key.
 func (s *session) ask(n *node, service, key, home string) {
 	a := Arrival{Service: service, Caller: 1, HasKey: key != ""}
 	if a.HasKey {
@@ -148,19 +148,19 @@
 	s.lastRequest = s.sendRequest(n, a)
 }
 
-// lastReply returns what the latest caller of an entry was told.
+// lastReply describes the reply to the last request.
 func (s *session) lastReply(n *node) string {
 	got := n.replies[s.lastRequest]
 	switch got.body {
 	case "":
-		return fmt.Sprintf("told %v (%v): %s\n", got.Outcome, got.Reason, got.Reason.Remedy())
+		return fmt.Sprintf("outcome %v (%v): %s\n", got.Outcome, got.Reason, got.Reason.Remedy())
 	case body(n.arrivals[s.lastRequest]):
-		return fmt.Sprintf("told %v with its own answer\n", got.Outcome)
+		return fmt.Sprintf("outcome %v with its own answer\n", got.Outcome)
 	}
-	return "told another request's answer: " + got.body + "\n"
+	return "another request's answer: " + got.body + "\n"
 }
 
-// stop ends a planned stop: the keys are sealed and handed over.
+// stop ends a planned stop: it seals the keys and hands them over.
 func (s *session) stop(n *node) string {
 	n.SealKeys(s.now - n.started)
 	s.run(200 * ms)
@@ -178,7 +178,7 @@
 	return fmt.Sprintf("handed over %d keys with %d requests in flight\n", taken, n.InFlight())
 }
 
-// statusText describes each entry in a line.
+// statusText describes each running entry in a line.
 func (s *session) statusText() string {
 	var b strings.Builder
 	for _, n := range s.nodes {
--- a/internal/core/silentconnections_test.go
+++ b/internal/core/silentconnections_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// A network forgets all open connections to the endpoints while callers rest. A busy
-// machine had opened a dozen of them to an entry's endpoints, and each takes a read with
-// it. Retries are paid from what successes have earned, five at the most: the other reads
-// were told "endpoint-lost" although idle endpoints stood by.
+// Guards against reads that fail with "endpoint-lost" although idle endpoints could run them. A
+// network drops the state of all idle connections to the endpoints, of which a busy machine had
+// opened a dozen, and each loses one read. Ordinary retries are limited to the budget that
+// successes have earned, five at most, which is too few for these reads.
 func TestReadsOnSilentConnectionsAreRetried(t *testing.T) {
 	const dead = 12
 	r := settled(t, 1, sixCounts...)
@@ -25,7 +25,7 @@
 	all := r.traffic(Arrival{Service: "counts"}, 5*ms, 200*ms)
 	r.run(2 * sec)
 	if len(lost) < dead {
-		t.Fatalf("%d reads met silent connections", len(lost))
+		t.Fatalf("only %d reads used silent connections", len(lost))
 	}
 	if done := count(all, OutcomeDone); done != len(all) {
 		t.Errorf("%d of %d reads were answered", done, len(all))
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("a pool that starts as a whole has %d slots, want 4", p.Slots())
 	}
 	r.run(2 * slowStart)
-	r.list(2, "counts/c1", "counts/c2", "counts/c3")
+	r.publishVMs(2, "counts/c1", "counts/c2", "counts/c3")
 	r.run(sec)
 	most := int32(0)
 	r.endpoint = func(name string, _ Arrival) reaction {
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -10,13 +10,13 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// All entries start again after a loss of power, and callers wait for the first one
-// that serves. The platform is always current, so its two answers make an entry ready
-// within the tick that follows them, not with the next round over the members.
+// Guards against a late start after a power loss, while callers wait for the first entry that
+// serves. The platform is always current, so its two answers make an entry ready in the tick that
+// follows them, not only in the next tick of the fleet.
 func TestEntryReadyInOneTickAfterPowerLoss(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
-	r.list(1, "counts/c1")
+	r.publishVMs(1, "counts/c1")
 	for vm := range 3 {
 		n := r.start(vm)
 		for peer := range 3 {
@@ -40,9 +40,9 @@
 	}
 }
 
-// An entry is replaced in a fleet of 130. It read the platform itself, eleven calls, before its
-// first link was open, though every peer holds what it needs; a rolling restart of all cost
-// 1,400. It waits a quarter of a second for a peer's word, and asks that peer at once.
+// Guards against entries that read the platform before their first link is open although every peer
+// has the values. In a fleet of 130 a replaced entry made eleven calls, and a rolling restart of
+// all entries 1,400. An entry waits a quarter of a second for a peer and asks that peer at once.
 func TestStartingEntryAsksPeersFirst(t *testing.T) {
 	start := func(meets bool) (fetches []FetchFrom) {
 		r := settled(t, 2, "counts/c1")
@@ -60,16 +60,17 @@
 		return fetches
 	}
 	if alone := start(false); len(alone) == 0 || alone[0].Source != assign.Platform {
-		t.Errorf("alone: %+v, want the platform after a while", alone)
+		t.Errorf("without a peer: fetches %+v, want the platform after a delay", alone)
 	}
 	if met := start(true); len(met) == 0 || met[0].Source == assign.Platform {
-		t.Errorf("with a peer: %+v, want the peer first", met)
+		t.Errorf("with a peer: fetches %+v, want the peer first", met)
 	}
 }
 
-// A fleet of 60 starts, and the operator has published nothing yet, so nobody serves. Duties
-// were divided among those that serve: each entry took itself for the only one, read the whole
-// list when it came, and told all others that it reads. Those that start can read as well.
+// Guards against a starting fleet in which each entry takes itself for the only reader. With
+// nothing published no entry serves yet, and readers were assigned only among serving entries: each
+// of 60 entries read the whole list once it was published, and reported to all others that it
+// reads.
 func TestStartingEntriesAreAssignedAsReaders(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.docs = map[string]published.Value{}
@@ -96,72 +97,73 @@
 	}
 }
 
-// Two entries were started again after a loss of power and have just met. A caller asks
-// one of them: were it told of that one only until the other's first heartbeat, half a
-// second later, all callers would crowd there. The greeting says that both serve. What
-// the greeting says is not newer than an update that was sent before it and comes after.
+// Guards against callers that crowd at one of two entries which have just restarted and connected:
+// without the state in the hello, each entry names only itself until the other's first heartbeat,
+// half a second later. The hello does not override an update that was sent before it and arrives
+// later.
 func TestHelloCarriesEntryState(t *testing.T) {
 	r := newClusterHarness(t, 2)
-	r.list(1, "counts/c1")
+	r.publishVMs(1, "counts/c1")
 	a, b := r.nodes[0], r.nodes[1]
 	for _, n := range r.nodes {
 		r.offer(n, r.docs[published.ProfilesValue], assign.Platform)
 		r.offer(n, r.docs[published.VMsValue], assign.Platform)
 		r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall, out) })
 	}
-	greeting := b.currentHello()
+	hello := b.currentHello()
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
-		t.Fatalf("names %v before they met", got)
+		t.Fatalf("names %v before the hello", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, greeting, out) })
+	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 2 {
-		t.Errorf("names %v after the greeting", got)
+		t.Errorf("names %v after the hello", got)
 	}
 	late := b.OwnStatus()
 	late.Sequence, late.State = 1, message.EntryLeaving
 	r.do(a, func(now time.Duration, out *Actions) { a.PeerUpdate(now, &late, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
-		t.Errorf("names %v though the other leaves", got)
+		t.Errorf("names %v although the other entry leaves", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, greeting, out) })
+	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
-		t.Errorf("names %v after an old greeting", got)
+		t.Errorf("names %v after an old hello", got)
 	}
 }
 
-// An entry that has just begun to serve may know no other yet. Callers that took its word
-// for seconds would all crowd there; they ask again soon, and later on as seldom as usual.
+// Guards against callers that crowd at an entry which has just begun to serve and may know no other
+// entry yet. Its first answers have a short TTL so that callers ask again soon; later answers have
+// the configured TTL.
 func TestFirstAnswersHaveShortTTL(t *testing.T) {
 	r := newClusterHarness(t, 0)
 	r.config = func(cfg *Config) { cfg.AnswersTTL = 3 * sec }
-	r.list(1, "counts/c1")
+	r.publishVMs(1, "counts/c1")
 	n := r.start(0)
 	if ttl := n.AnswersTTL(0); ttl > 500*ms {
-		t.Errorf("%v before it serves", ttl)
+		t.Errorf("TTL %v before the entry serves, want at most 500ms", ttl)
 	}
 	if r.until(10*sec, func(n *node) bool { return n.noted("ready") }) >= 10*sec {
-		t.Fatal("never ready")
+		t.Fatal("not ready after 10 s")
 	}
 	if ttl := n.AnswersTTL(r.now); ttl > 500*ms {
-		t.Errorf("%v at first", ttl)
+		t.Errorf("TTL %v at first, want at most 500ms", ttl)
 	}
 	r.run(2 * sec)
 	if ttl := n.AnswersTTL(r.now); ttl != 3*sec {
-		t.Errorf("%v later on", ttl)
+		t.Errorf("TTL %v later on, want 3s", ttl)
 	}
 }
 
-// A fleet starts for the first time, and the operator publishes the profiles seconds later.
-// Each entry asked the platform again and again meanwhile: 92 of the 246 calls of a quiet
-// day with 19 entries, and 1,400 with 126. Now those ask that read for all, and the others
-// are told; if no reader is answered, everybody asks for itself in the end.
+// Guards against repeated calls of all entries to the platform when a fleet starts for the first
+// time and the profiles are published seconds later: 92 of the 246 calls of a quiet day with 19
+// entries, and 1,400 calls with 126. Only readers ask, and the other entries get the values from
+// peers; if no reader gets an answer, all entries ask in the end.
 func TestOnlyReadersAskPlatformOnFirstStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		mute bool
-	}{{"readers are answered", false}, {"no reader is answered", true}} {
+	}{{"readers get answers", false}, {"no reader gets an answer", true}} {
 		r := newClusterHarness(t, 0)
-		later := r.docs
+		laterDocs := r.docs
 		r.docs = map[string]published.Value{}
 		r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 		asked := map[string]int{}
@@ -187,16 +189,16 @@
 			readers[n.hello.Incarnation] = n.Reader()
 		}
 		r.run(3 * sec)
-		r.docs = later
-		r.list(1, sixCounts...)
+		r.docs = laterDocs
+		r.publishVMs(1, sixCounts...)
 		r.run(3 * sec)
 		for _, n := range r.nodes {
 			if n.InForce(published.ProfilesValue).Revision == 0 || n.InForce(published.VMsValue).Revision == 0 {
-				t.Fatalf("%s: %s knows nothing after 6 s", c.name, n.hello.Name)
+				t.Fatalf("%s: %s has no profiles or no VM list after 6 s", c.name, n.hello.Name)
 			}
 		}
 		if !c.mute && len(asked) > 0 {
-			t.Errorf("%s: asked the platform though others read: %v", c.name, asked)
+			t.Errorf("%s: entries asked the platform although readers do: %v", c.name, asked)
 		}
 	}
 }
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -166,7 +166,7 @@
 func settled(t testing.TB, entries int, endpoints ...string) *clusterHarness {
 	t.Helper()
 	r := newClusterHarness(t, entries)
-	r.list(1, endpoints...)
+	r.publishVMs(1, endpoints...)
 	for range 100 {
 		r.run(100 * ms)
 		serving := 0
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -18,159 +18,157 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// View is a copy of what operators may want to know of a core. It shares no
-// memory with the core but for what never changes, such as the snapshot.
+// View is a copy of the core's state for operators. It shares only immutable memory with the core,
+// such as the snapshot.
 type View struct {
 	State message.EntryState
-	// Ready and NotReadyWhy are those of ReadyReason.
+	// Ready and NotReadyWhy are the results of ReadyReason.
 	Ready       bool
 	NotReadyWhy string
 	// Policy is the balance policy in use.
 	Policy   string
 	Counters Counters
-	// InFlight counts the requests held, and Rate the arrivals per second.
+	// InFlight counts the requests in the core, and Rate the arrivals per second.
 	InFlight int
 	Rate     uint32
-	// Reader says that this entry watches the platform itself.
+	// Reader says that this entry reads the platform itself.
 	Reader bool
-	// Snapshot is the document in force, nil before the first.
+	// Snapshot is the document in force, nil before the first one.
 	Snapshot *profile.Snapshot
-	// Closing says that a close is on.
+	// Closing says that a close is under way.
 	Closing       bool
 	Profiles, VMs PublishedView
 	// ListHeld says that the losses of the latest VM list do not count yet.
 	ListHeld bool
-	// Evidence tells how evidence gets through the fleet.
+	// Evidence describes how evidence spreads through the fleet.
 	Evidence   gossip.Stats
 	Keys       idem.Stats
 	KeysSealed bool
-	// Suspects counts the contents of requests under which endpoints crashed; Quarantined are the
+	// Suspects counts the request contents under which endpoints crashed; Quarantined lists the
 	// requests that are not sent.
 	Suspects    int
 	Quarantined []quarantine.Request
-	// Entries are in the order of their names, Pools and Endpoints in no order
-	// that means anything before Sort.
+	// Entries are ordered by name. Pools and Endpoints have no defined order before Sort.
 	Pools     []PoolView
 	Evacuated []Evacuation
 	Entries   []EntryView
 	Endpoints []EndpointView
 }
 
-// PublishedView is what is known of a published value.
+// PublishedView describes a published value.
 type PublishedView struct {
 	InForce message.Mark
 	// Wanted is a later revision that is known to exist, or 0.
 	Wanted uint64
-	// Refused is the latest revision that was found invalid, or 0, and
-	// RefusedWhy what is wrong with it.
+	// Refused is the latest revision that was found invalid, or 0, and RefusedWhy the reason.
 	Refused    uint64
 	RefusedWhy string
-	// ConfirmedAt is when the platform last said that the revision in force is
-	// its latest; valid if Confirmed.
+	// ConfirmedAt is when the platform last confirmed that the revision in force is the latest;
+	// valid if Confirmed.
 	ConfirmedAt time.Duration
 	Confirmed   bool
 	// StaleAt is when an older revision than the one in force was last offered;
 	// valid if Stale.
 	StaleAt time.Duration
 	Stale   bool
-	// Problems are what was set right in the document in force or left out of it.
+	// Problems lists what was corrected in the document in force or left out of it.
 	Problems []string
-	// Unreadable says why what the platform holds now can't be read, "" if it can.
+	// Unreadable says why the platform's current value can't be read, "" if it can.
 	Unreadable string
 }
 
-// PoolView is a pool with its queue and budgets.
+// PoolView describes a pool with its queue and budgets.
 type PoolView struct {
 	Name string
-	// Services are those in force that use the pool, by name.
+	// Services are the services in force that use the pool, by name.
 	Services []ServiceView
-	// Slots counts those of live endpoints, Outstanding this entry's attempts.
+	// Slots counts the slots of live endpoints, Outstanding this entry's attempts.
 	Slots, Outstanding int
 	// Waiting is the length of this entry's queue.
 	Waiting int
-	// Live, Leaving, Ejected and Evacuated count endpoints; those ejected or evacuated are live
-	// too.
+	// Live, Leaving, Ejected and Evacuated count endpoints; ejected and evacuated endpoints also
+	// count as live.
 	Live, Leaving, Ejected, Evacuated int
-	// Cold counts the endpoints that are cold, Owned those of them that this entry may send to.
+	// Cold counts the cold endpoints, Owned the ones among them to which this entry may send.
 	Cold, Owned int
-	// Limited counts the endpoints that name a limit of the requests that they take.
+	// Limited counts the endpoints that report a rate limit.
 	Limited int
-	// ViewWrong: most endpoints look bad, so none is ejected.
+	// ViewWrong says that most endpoints look bad, so that none is ejected.
 	ViewWrong bool
-	// HealthProbeShare is the share of slot time that all entries may spend on probes.
+	// HealthProbeShare is the share of slot time that all entries may spend on health probes.
 	HealthProbeShare float64
-	// ProbesLeft is how many probes could be sent at once.
+	// ProbesLeft is how many health probes the budget allows at once.
 	ProbesLeft float64
-	// Probes and ProbeTime are what was spent, ProbesDenied the times at which a
-	// probe had to be put off.
+	// Probes and ProbeTime are what health probes have used, ProbesDenied how often a probe had to
+	// be put off.
 	Probes, ProbesDenied uint64
 	ProbeTime            time.Duration
 }
 
-// ServiceView is a service with its treatment in the mode in force.
+// ServiceView describes a service with its policy in the mode in force.
 type ServiceView struct {
 	Name string
 	// Policy must not be changed.
 	Policy *profile.Policy
-	// InUse counts attempts in flight, Waiting requests in the queue.
+	// InUse counts the slots in use by attempts, Waiting the requests in the queue.
 	InUse, Waiting int
-	// RetriesLeft is the retry budget saved up, in attempts. Retries counts what
-	// was spent of it, and RetriesDenied the attempts that it did not allow.
+	// RetriesLeft is the retry budget left, in attempts. Retries counts the attempts paid from it,
+	// and RetriesDenied the attempts that it did not allow.
 	RetriesLeft            float64
 	Retries, RetriesDenied uint64
 }
 
-// EndpointView is an endpoint with what is believed of it.
+// EndpointView describes an endpoint.
 type EndpointView struct {
 	table.Endpoint
 	Pool string
-	// Quota says whether it may get a request now.
+	// Quota says whether this entry may send a request to the endpoint now.
 	Quota quota.Status
-	// Missing says that the platform's list has lost the endpoint.
+	// Missing says that the endpoint is no longer on the platform's list.
 	Missing bool
 	// Ejection is nil unless the endpoint is ejected.
 	Ejection *EjectionView
 }
 
-// Evacuation is a failure domain whose endpoints get nothing.
+// Evacuation is a failure domain whose endpoints get no new work.
 type Evacuation struct {
 	Domain string
 	// Since is when this entry learned of it.
 	Since time.Duration
 }
 
-// EjectionView says why an endpoint is ejected and what ends that.
+// EjectionView says why an endpoint is ejected and what ends the ejection.
 type EjectionView struct {
 	Why, Clears string
-	// For is how much longer no ordinary work is sent, TrialIn how long until the
-	// next trial request may be.
+	// For is how much longer no ordinary work is sent, TrialIn the time until the next trial
+	// request is allowed.
 	For, TrialIn time.Duration
 	// InARow counts ejections in a row.
 	InARow int
 }
 
-// EntryView is an entry with what it said last.
+// EntryView describes an entry with its last reported state.
 type EntryView struct {
 	member.Entry
 	Self   bool
 	Reader bool
-	// Profiles and VMs are the revisions in force there, Rate its calls per
-	// second, as it said last. HeardAt is when; valid if Heard.
+	// Profiles and VMs are the revisions in force at the entry and Rate its calls per second, as
+	// last reported. HeardAt is when the entry was last heard; valid if Heard.
 	Profiles, VMs uint64
 	Rate          uint32
 	HeardAt       time.Duration
 	Heard         bool
 }
 
-// explanations are kept for views only; no decision depends on them.
+// explanations are kept only for views; no decision depends on them.
 type explanations struct {
-	// ejected says why the endpoint in a row was ejected last.
-	ejected map[poolRow]health.Event
-	// refused says what is wrong with the latest invalid text of a value, and
-	// staleAt when an older revision of it was last offered.
+	// ejections is the event of the last ejection of the endpoint in a row.
+	ejections map[poolRow]health.Event
+	// refused says what is wrong with the latest invalid text of a value, and staleAt is when an
+	// older revision of it was last offered.
 	refused map[string]string
 	staleAt map[string]time.Duration
-	// unreadable says why what the platform holds now can't be read.
+	// unreadable says why the platform's current value can't be read.
 	unreadable map[string]string
 }
 
@@ -181,15 +179,15 @@
 
 func newExplanations() explanations {
 	return explanations{
-		ejected:    make(map[poolRow]health.Event),
+		ejections:  make(map[poolRow]health.Event),
 		refused:    make(map[string]string),
 		staleAt:    make(map[string]time.Duration),
 		unreadable: make(map[string]string),
 	}
 }
 
-// View returns a copy of the core's tables. It takes time in proportion to the
-// endpoints and entries; no request path may call it.
+// View returns a copy of the core's tables. Its cost is proportional to the number of endpoints and
+// entries, so it must not be called on a request path.
 func (c *Core) View(now time.Duration) View {
 	v := View{
 		State:      c.state,
@@ -222,8 +220,8 @@
 	return v
 }
 
-// Sort orders pools by name and endpoints by pool and name. It is apart from
-// Core.View so that a driver's lock on the core need not be held meanwhile.
+// Sort orders pools by name and endpoints by pool and name. It is separate from Core.View so that a
+// driver need not lock the core meanwhile.
 func (v *View) Sort() {
 	slices.SortFunc(v.Pools, func(a, b PoolView) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(v.Endpoints, func(a, b EndpointView) int {
@@ -341,7 +339,7 @@
 	if e.State != table.EndpointLive || e.Health.EjectedUntil == 0 {
 		return nil
 	}
-	why := c.explained.ejected[poolRow{p, index}]
+	why := c.explained.ejections[poolRow{p, index}]
 	return &EjectionView{
 		Why:     why.Why,
 		Clears:  why.Clears,
@@ -351,13 +349,13 @@
 	}
 }
 
-// explainEjection keeps why an endpoint is ejected for as long as it is.
+// explainEjection keeps the reason of an ejection for as long as it lasts.
 func (c *Core) explainEjection(p *pool, ev health.Event) {
 	switch ev.Kind {
 	case health.Ejection:
-		c.explained.ejected[poolRow{p, ev.Endpoint}] = ev
+		c.explained.ejections[poolRow{p, ev.Endpoint}] = ev
 	case health.Readmission:
-		delete(c.explained.ejected, poolRow{p, ev.Endpoint})
+		delete(c.explained.ejections, poolRow{p, ev.Endpoint})
 	}
 }
 
--- a/internal/core/view_test.go
+++ b/internal/core/view_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkView is how long an operator's page holds the core's lock at the
-// two-year size, during which requests wait.
+// BenchmarkView measures how long an operator's page locks the core, during which requests wait, at
+// the size expected in two years.
 func BenchmarkView(b *testing.B) {
 	c, _ := benchCore(b)
 	b.ReportAllocs()
