--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -68,7 +68,7 @@
 
 // AnswersTTL returns how long callers may keep an answer about which entries to use.
 func (c *Core) AnswersTTL(now time.Duration) time.Duration {
-	if c.state == message.EntryStarting || now < c.servesSince+settlingTime {
+	if c.state == message.EntryStarting || now < c.servingSince+settlingTime {
 		return min(c.cfg.AnswersTTL, settlingTTL)
 	}
 	return c.cfg.AnswersTTL
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -19,46 +19,45 @@
 const (
 	ms  = time.Millisecond
 	sec = time.Second
-	// lag is the time of a message on its way.
+	// lag is the delay of a message between two entries.
 	lag = ms
 )
 
-// clusterHarness is a few cores, the messages under way between them, and what endpoints
-// and the platform do. A test may replace any of its functions.
+// clusterHarness runs a few cores with the messages between them and simulates endpoints and the
+// platform. A test may replace any of its functions.
 type clusterHarness struct {
 	testing.TB
 	now    time.Duration
 	wall   time.Time // at time 0
 	config func(*Config)
-	// tick is how often the cores run their systems.
+	// tick is the time between two ticks of the cores.
 	tick     time.Duration
 	nodes    []*node
 	underWay []delivery
 	docs     map[string]published.Value
 	nextID   RequestID
 	keysMade uint64
-	// cut says that nothing gets from one entry to another, down that an entry
-	// can't reach the platform.
+	// cut says that no message gets from one entry to another.
 	cut func(from, to *node) bool
-	// lose says that a link takes a message and loses it.
-	lose func(from, to *node, u *message.Update) bool
-	down func(n *node) bool
-	// mute says that the service leaves an entry's calls without an answer.
-	mute func(n *node) bool
-	// probeTime is how long a probe takes, probed when each one began.
+	// lose says that a link accepts a message and loses it.
+	lose         func(from, to *node, u *message.Update) bool
+	platformDown func(n *node) bool
+	// platformMute says that the service leaves an entry's calls without an answer.
+	platformMute func(n *node) bool
+	// probeTime is how long a probe takes, probedAt when each probe began.
 	probeTime time.Duration
-	probed    []time.Duration
-	// dial is the time from a decision to the first byte.
+	probedAt  []time.Duration
+	// dial returns the time from the dispatch of a request to its first byte.
 	dial func() time.Duration
-	// refuses says that an endpoint takes no connections.
+	// refuses says that an endpoint accepts no connections.
 	refuses func(name string) bool
-	// endpoint says what becomes of a request at an endpoint.
+	// endpoint returns an endpoint's reaction to a request.
 	endpoint func(name string, a Arrival) reaction
 	written  map[string]int // requests written, by endpoint
 	ran      map[string]int // requests run, by their body
 }
 
-// reaction is what an endpoint does with a request.
+// reaction is how an endpoint reacts to a request.
 type reaction struct {
 	after   time.Duration
 	head    Head
@@ -66,26 +65,26 @@
 	ignores bool // the request is not run
 }
 
-// delivery is something under way to an entry.
+// delivery is a message or result on its way to an entry.
 type delivery struct {
-	at   time.Duration
-	to   *node
-	read func()
+	at     time.Duration
+	to     *node
+	handle func()
 }
 
-type tried struct {
+type attemptKey struct {
 	id RequestID
 	n  Attempt
 }
 
-// node is an entry process: a core and what its driver holds.
+// node is an entry process: a core and its driver's state.
 type node struct {
 	*Core
 	hello        message.Hello
 	started      time.Duration
 	asleep, dead bool
 	arrivals     map[RequestID]Arrival
-	open         map[tried]Directive
+	open         map[attemptKey]Directive
 	replies      map[RequestID]reply
 	relays       map[RequestID]func(reply)
 	docs         map[string]published.Value
@@ -94,7 +93,7 @@
 	probes       []Probe
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller got.
 type reply struct {
 	Outcome Outcome
 	Reason  Reason
@@ -111,9 +110,9 @@
 	r.cut = func(_, _ *node) bool { return false }
 	r.lose = func(_, _ *node, _ *message.Update) bool { return false }
 	r.dial = func() time.Duration { return lag }
-	r.down = func(*node) bool { return false }
+	r.platformDown = func(*node) bool { return false }
 	r.refuses = func(string) bool { return false }
-	r.mute = func(*node) bool { return false }
+	r.platformMute = func(*node) bool { return false }
 	r.endpoint = func(string, Arrival) reaction { return reaction{after: 10 * ms} }
 	text, err := os.ReadFile("testdata/profiles.toml")
 	if err != nil {
@@ -126,7 +125,7 @@
 	return r
 }
 
-// start starts an entry's process on VM i; one that ran there is dead.
+// start starts an entry's process on VM i; a process that ran there is dead.
 func (r *clusterHarness) start(i int) *node {
 	incarnation := uint64(len(r.nodes) + 1)
 	h := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
@@ -134,7 +133,7 @@
 	cfg := DefaultConfig(h)
 	r.config(&cfg)
 	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: h, started: r.now,
-		arrivals: map[RequestID]Arrival{}, open: map[tried]Directive{}, replies: map[RequestID]reply{},
+		arrivals: map[RequestID]Arrival{}, open: map[attemptKey]Directive{}, replies: map[RequestID]reply{},
 		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
 	for _, old := range r.nodes {
 		old.dead = old.dead || old.hello.Name == h.Name
@@ -143,12 +142,12 @@
 	return n
 }
 
-// publish puts a value into the platform's service.
+// publish stores a value on the platform.
 func (r *clusterHarness) publish(name string, revision uint64, text string) {
 	r.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
-// addressOf turns an endpoint's name, a letter and a number, into an address.
+// addressOf returns the address of an endpoint, whose name is a letter and a number.
 func addressOf(name string) string { return fmt.Sprintf("10.0.%d.%s:80", name[0], name[1:]) }
 
 func nameOf(address string) (name string) {
@@ -157,9 +156,9 @@
 	return fmt.Sprintf("%c%d", letter, number)
 }
 
-// list publishes the VMs: all entries, and endpoints given as "pool/name" with
-// "#incarnation" or ",leaving" behind.
-func (r *clusterHarness) list(revision uint64, endpoints ...string) {
+// publishVMs publishes the VM list: all entries, and endpoints given as "pool/name", optionally
+// followed by "#incarnation" or ",leaving".
+func (r *clusterHarness) publishVMs(revision uint64, endpoints ...string) {
 	var l published.VMList
 	for i, n := range r.nodes {
 		if n.dead {
@@ -183,12 +182,12 @@
 	r.publish(published.VMsValue, revision, string(published.EncodeVMs(l)))
 }
 
-// post puts something under way; an entry that sleeps gets it when it wakes.
+// post schedules a delivery to an entry; a sleeping entry gets it when it wakes up.
 func (r *clusterHarness) post(after time.Duration, to *node, read func()) {
 	r.underWay = append(r.underWay, delivery{r.now + after, to, read})
 }
 
-// do feeds an event to an entry and carries out what it asks for.
+// do passes an event to an entry and carries out the resulting actions.
 func (r *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
 	var out Actions
 	event(r.now-n.started, &out)
@@ -204,7 +203,7 @@
 	n.notes = append(n.notes, out.Notes...)
 	n.suspects = append(n.suspects, out.SuspectAddresses...)
 	for _, p := range out.Probes {
-		n.probes, r.probed = append(n.probes, p), append(r.probed, r.now)
+		n.probes, r.probedAt = append(n.probes, p), append(r.probedAt, r.now)
 		end := ProbeEnd{Probe: p, OK: true, Latency: r.probeTime, Load: Load{Known: true, Slots: 2}}
 		if r.refuses(p.Endpoint) {
 			end = ProbeEnd{Probe: p, Refused: true, Latency: r.probeTime}
@@ -216,7 +215,7 @@
 	return out
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (r *clusterHarness) run(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.tick
@@ -227,11 +226,11 @@
 			}
 			r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall.Add(r.now), out) })
 			r.pull(n)
-			if !n.Reader() || r.now%(100*ms) != 0 || r.mute(n) {
+			if !n.Reader() || r.now%(100*ms) != 0 || r.platformMute(n) {
 				continue
 			}
-			n.PlatformAnswered(!r.down(n))
-			if !r.down(n) {
+			n.PlatformAnswered(!r.platformDown(n))
+			if !r.platformDown(n) {
 				r.read(n, published.ProfilesValue)
 				r.read(n, published.VMsValue)
 			}
@@ -239,18 +238,18 @@
 	}
 }
 
-// deliver hands over what has arrived.
+// deliver runs the deliveries that are due.
 func (r *clusterHarness) deliver() {
 	var later []delivery
 	for len(r.underWay) > 0 {
 		due := r.underWay
 		r.underWay = nil
-		for _, l := range due {
+		for _, d := range due {
 			switch {
-			case l.at > r.now || l.to.asleep:
-				later = append(later, l)
-			case !l.to.dead:
-				l.read()
+			case d.at > r.now || d.to.asleep:
+				later = append(later, d)
+			case !d.to.dead:
+				d.handle()
 			}
 		}
 	}
@@ -279,8 +278,8 @@
 	}
 }
 
-// at returns the process that answers at an address, or nil.
-func (r *clusterHarness) at(address string) *node {
+// nodeAt returns the running process with a peer or caller address, or nil.
+func (r *clusterHarness) nodeAt(address string) *node {
 	for _, n := range r.nodes {
 		if !n.dead && (n.hello.PeerAddress == address || n.hello.CallerAddress == address) {
 			return n
@@ -289,14 +288,14 @@
 	return nil
 }
 
-// greeting is how an entry introduces itself on a link.
-func (n *node) greeting() message.Hello {
+// currentHello returns the hello that the entry sends on a link now.
+func (n *node) currentHello() message.Hello {
 	h := n.hello
 	h.Status, h.Records = n.OwnStatus(), n.RecordSet()
 	return h
 }
 
-// pull asks a peer for the records that an entry lacks, if it wants them.
+// pull fetches the records that an entry lacks from a peer, if a pull is due.
 func (r *clusterHarness) pull(n *node) {
 	p, due := n.PullDue(r.now - n.started)
 	if !due {
@@ -304,7 +303,7 @@
 	}
 	r.post(2*lag, n, func() {
 		var records []message.Record
-		to := r.at(p.Address)
+		to := r.nodeAt(p.Address)
 		answered := r.reaches(n, to) && r.reaches(to, n) && !to.asleep
 		if answered {
 			records = to.RecordsBeyond(p.Marks)
@@ -316,15 +315,15 @@
 func (r *clusterHarness) reaches(from, to *node) bool { return to != nil && !r.cut(from, to) }
 
 func (r *clusterHarness) update(from *node, u Outgoing) {
-	to := r.at(u.Address)
+	to := r.nodeAt(u.Address)
 	acked := r.reaches(from, to) && !to.asleep && r.reaches(to, from)
 	if r.reaches(from, to) && !r.lose(from, to, &u.Update) {
 		r.post(0, to, func() {
 			known := false
 			r.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
 			if !known && r.reaches(to, from) {
-				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.greeting(), out) })
-				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.greeting(), out) })
+				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.currentHello(), out) })
+				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.currentHello(), out) })
 			}
 		})
 	}
@@ -338,8 +337,8 @@
 }
 
 func (r *clusterHarness) fetch(n *node, f FetchFrom) {
-	peer := r.at(f.Address)
-	answered := f.Source == assign.Platform && !r.down(n)
+	peer := r.nodeAt(f.Address)
+	answered := f.Source == assign.Platform && !r.platformDown(n)
 	v := r.docs[f.Name]
 	if f.Source != assign.Platform {
 		answered = r.reaches(n, peer) && r.reaches(peer, n) && !peer.asleep
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -86,7 +86,7 @@
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
 	h.publishWarmup(2)
 	h.endpoint("d0-1").coldUntil = h.now + 30*sec
-	for h.now < h.servesSince+settlingTime-200*ms {
+	for h.now < h.servingSince+settlingTime-200*ms {
 		h.sendReads(20*ms, 20*ms)
 	}
 	if n := h.peakPerSecond("d0-1"); n > 0 {
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -62,14 +62,14 @@
 // assignProbes computes which endpoints of a pool this entry probes. It runs once after each
 // membership change, since it hashes each pair of entry and endpoint.
 func (c *Core) assignProbes(p *pool) {
-	if p.probeAssignedVersion == c.fleet.version && len(p.probeAssigned) == len(p.Endpoints) {
+	if p.probeAssignedVersion == c.fleet.entriesVersion && len(p.probeAssigned) == len(p.Endpoints) {
 		return
 	}
-	p.probeAssignedVersion = c.fleet.version
+	p.probeAssignedVersion = c.fleet.entriesVersion
 	p.probeAssigned = p.probeAssigned[:0]
 	for i := range p.Endpoints {
 		owner := assign.ProbeOwner(c.fleet.assignMembers, p.Endpoints[i].Name)
-		p.probeAssigned = append(p.probeAssigned, owner == c.fleet.selfID)
+		p.probeAssigned = append(p.probeAssigned, owner == c.fleet.selfAssignID)
 	}
 }
 
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -16,7 +16,7 @@
 	for _, slow := range []time.Duration{0, 50 * ms} {
 		r := newClusterHarness(t, entries)
 		r.probeTime = r.probeTime + slow
-		r.list(1, sixCounts...)
+		r.publishVMs(1, sixCounts...)
 		r.cut = func(from, to *node) bool { return r.now < 10*sec || r.now > 30*sec && separatesHalves(from, to) }
 		for range 6 {
 			r.run(5 * sec)
@@ -24,16 +24,16 @@
 		r.start(3)
 		r.run(30 * sec)
 		total := 0
-		for first := range r.probed {
+		for first := range r.probedAt {
 			spent := time.Duration(0)
-			for _, at := range r.probed[first:] {
-				if at-r.probed[first] >= 10*sec {
+			for _, at := range r.probedAt[first:] {
+				if at-r.probedAt[first] >= 10*sec {
 					break
 				}
 				spent += r.probeTime
 			}
 			if limit := time.Duration(share * slots * float64(10*sec)); spent > limit {
-				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, r.probed[first], limit)
+				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, r.probedAt[first], limit)
 			}
 			total++
 		}
@@ -52,7 +52,7 @@
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("waste/w%d", i+1))
 	}
-	r.list(1, names...)
+	r.publishVMs(1, names...)
 	r.run(2 * time.Minute)
 	seen := map[string]int{}
 	for _, p := range r.nodes[0].probes {
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -145,7 +145,7 @@
 	m.run(time.Duration(m.draw("sealed", 4)) * 500 * ms)
 	for _, part := range n.Handover(1 + m.draw("size", 3)) {
 		for _, address := range n.SuccessorAddresses(part.Home) {
-			if to := m.at(address); m.reaches(n, to) && m.draw("lost", 6) > 0 {
+			if to := m.nodeAt(address); m.reaches(n, to) && m.draw("lost", 6) > 0 {
 				m.post(time.Duration(m.draw("slow", 3)-1)*sec, to, func() {
 					m.do(to, func(now time.Duration, out *Actions) { to.Adopt(now, &part, out) })
 				})
@@ -205,7 +205,7 @@
 		for i := range 3 {
 			m.start(i)
 		}
-		m.list(1, "waste/w1", "waste/w2", "shared/s1", "counts/c1")
+		m.publishVMs(1, "waste/w1", "waste/w2", "shared/s1", "counts/c1")
 		m.run(sec)
 		for range 60 {
 			if m.draw("step", 4) == 0 {
--- a/internal/core/large_test.go
+++ b/internal/core/large_test.go
@@ -76,8 +76,8 @@
 		byAddress[e.hello.CallerAddress] = e
 	}
 	for i, address := range named {
-		if e := byAddress[address]; f.share(e.vm) != 0.8 || e.hello.Domain != "d0" {
-			t.Errorf("%s of %s with %v of a core is named", e.hello.Name, e.hello.Domain, f.share(e.vm))
+		if e := byAddress[address]; f.cpuShare(e.vm) != 0.8 || e.hello.Domain != "d0" {
+			t.Errorf("%s of %s with %v of a core is named", e.hello.Name, e.hello.Domain, f.cpuShare(e.vm))
 		} else if i%2 == 0 {
 			e.dead = true
 		}
@@ -173,7 +173,7 @@
 	victim := n / 2
 	f.vms[victim].dead = true
 	took := f.until(30*sec, func(e *largeEntry) bool {
-		b := e.believes(victim)
+		b := e.entryOn(victim)
 		return b == nil || b.Suspected
 	})
 	if t.Logf("%d entries suspect it after %v", n, took); took > within {
@@ -203,15 +203,15 @@
 				for i, e := range f.vms {
 					began[i] = len(e.notes)
 					if fault == "frozen" && faulty(i) {
-						e.frozen = f.now + 3*sec
+						e.frozenUntil = f.now + 3*sec
 					}
 				}
 				switch fault {
 				case "mute":
 					f.cut = func(from, _ int) bool { return faulty(from) }
 				case "slow":
-					healthy := f.share
-					f.share = func(vm int) float64 {
+					healthy := f.cpuShare
+					f.cpuShare = func(vm int) float64 {
 						if faulty(vm) {
 							return healthy(vm) / 10
 						}
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -145,7 +145,7 @@
 	use(sec)
 	want(2.5)
 	late := r.start(3)
-	r.list(2, "counts/c1", "counts/c2")
+	r.publishVMs(2, "counts/c1", "counts/c2")
 	r.run(4 * sec)
 	if got := limitOf(late, "c1"); got != 2.5 {
 		t.Errorf("started entry: limit %v", got)
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -40,7 +40,7 @@
 		r.simulateSlots(func(Arrival) time.Duration { return 25 * ms })
 		r.sendTraffic(Arrival{Service: "counts"}, 50*ms, sec)
 		if drains {
-			r.list(2, "counts/c1", "counts/c2,leaving")
+			r.publishVMs(2, "counts/c1", "counts/c2,leaving")
 			r.run(200 * ms)
 		}
 		refused := map[Reason]int{}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -204,7 +204,7 @@
 		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
 		learned:      placement.NewPoolState(),
 	}
-	p.repeats.SetFleet(c.fleet.mostEntries)
+	p.repeats.SetFleet(c.fleet.maxEntriesSeen)
 	c.pools[name] = p
 	c.poolRows = append(c.poolRows, p)
 	return p
@@ -309,7 +309,7 @@
 		c.applyMode(sv)
 	}
 	c.regroupPools()
-	c.announceDeciders(now)
+	c.assignServices(now)
 	mode := modeName(closing)
 	out.note(Note{Subject: "mode", Action: "switch", From: modeName(!closing), To: mode, Revision: c.snapshot.Revision(),
 		Why: closeReason(cl, closing)})
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -30,7 +30,7 @@
 
 // carryOut carries out one step of a request.
 func (r *clusterHarness) carryOut(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
+	t := attemptKey{d.ID, d.Attempt}
 	answer := reply{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
 	switch d.Step {
 	case StepDispatch:
@@ -64,7 +64,7 @@
 
 // write runs at the moment before the first byte of an attempt is sent.
 func (r *clusterHarness) write(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
+	t := attemptKey{d.ID, d.Attempt}
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // answer delivers an endpoint's answer to an entry.
-func (r *clusterHarness) answer(n *node, t tried, re reaction, text string) {
+func (r *clusterHarness) answer(n *node, t attemptKey, re reaction, text string) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 // end reports the end of an attempt to an entry.
-func (r *clusterHarness) end(n *node, t tried, e End) {
+func (r *clusterHarness) end(n *node, t attemptKey, e End) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -127,8 +127,8 @@
 
 // forward sends a request to another entry and returns that entry's answer.
 func (r *clusterHarness) forward(n *node, d Directive) {
-	t := tried{d.ID, d.Attempt}
-	home := r.at(d.Address)
+	t := attemptKey{d.ID, d.Attempt}
+	home := r.nodeAt(d.Address)
 	if !r.reaches(n, home) {
 		r.end(n, t, End{Kind: EndNotWritten, DialFailed: true})
 		return
@@ -148,7 +148,7 @@
 }
 
 // relayReply passes on another entry's answer unchanged.
-func (r *clusterHarness) relayReply(n *node, t tried, answer reply) {
+func (r *clusterHarness) relayReply(n *node, t attemptKey, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
 	}
@@ -168,7 +168,7 @@
 func newServingCluster(t testing.TB, entries int, endpoints ...string) *clusterHarness {
 	t.Helper()
 	r := newClusterHarness(t, entries)
-	r.list(1, endpoints...)
+	r.publishVMs(1, endpoints...)
 	for range 100 {
 		r.run(100 * ms)
 		serving := 0
