--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -7,35 +7,35 @@
 
 import "time"
 
-// rounding lowers every rate by a millionth, so that rounding errors of
+// roundingMargin lowers every rate by a millionth, so that rounding errors of
 // floating-point sums can never exceed a bound.
-const rounding = 1 - 1e-6
+const roundingMargin = 1 - 1e-6
 
 // bucket is a token bucket. Tokens are earned with time up to a capacity. It
 // may be in debt. A clock that stands still or goes back earns nothing.
 type bucket struct {
-	tokens   float64
-	capacity float64
-	at       time.Duration
-	started  bool
+	tokens     float64
+	capacity   float64
+	refilledAt time.Duration
+	started    bool
 }
 
-// earn adds the tokens since the last call at a rate per second. The first
+// refill adds the tokens since the last call at a rate per second. The first
 // call only starts the clock: a process that has just started has earned
 // nothing, whatever its clock says.
-func (b *bucket) earn(now time.Duration, rate float64) {
+func (b *bucket) refill(now time.Duration, rate float64) {
 	if !b.started {
 		b.started = true
-		b.at = now
+		b.refilledAt = now
 		return
 	}
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
 	if rate > 0 {
-		b.add((now - b.at).Seconds() * rate * rounding)
+		b.add((now - b.refilledAt).Seconds() * rate * roundingMargin)
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
 func (b *bucket) add(tokens float64) {
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -13,8 +13,8 @@
 	started time.Duration
 }
 
-// moment is what all entries together spent at one time.
-type moment struct {
+// spending is what all entries together spent at one time.
+type spending struct {
 	at     time.Duration
 	probes int
 	share  float64
@@ -22,10 +22,10 @@
 
 // checkWindows fails if in any window of at least cfg.Window the probes cost
 // more than the largest share in force in it.
-func checkWindows(t *rapid.T, moments []moment, cfg HealthProbeConfig, slots float64) {
-	for i, first := range moments {
+func checkWindows(t *rapid.T, spendings []spending, cfg HealthProbeConfig, slots float64) {
+	for i, first := range spendings {
 		probes, share := 0, 0.0
-		for _, last := range moments[i:] {
+		for _, last := range spendings[i:] {
 			probes += last.probes
 			share = max(share, last.share)
 			window := max(cfg.Window, last.at-first.at).Seconds()
@@ -40,7 +40,7 @@
 // agreed. All entries start at once, are replaced one after the other, sleep
 // and wake up, poll rarely or often, and see other or no peers; the share
 // changes as the close begins. No order of these may break the bound.
-func TestWatchBoundHoldsForAnySchedule(t *testing.T) {
+func TestHealthProbeBoundHoldsForAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 24
 		fleet := rapid.IntRange(1, 8).Draw(t, "fleet")
@@ -56,11 +56,11 @@
 		for i := range entries {
 			entries[i] = start()
 		}
-		moments := []moment{{share: cfg.Share}}
+		spendings := []spending{{share: cfg.Share}}
 		anyEntry := rapid.IntRange(0, fleet-1)
 		poll := func(i int) {
 			for e := entries[i]; e.TrySpend(now-e.started, slots); {
-				moments = append(moments, moment{now, 1, cfg.Share})
+				spendings = append(spendings, spending{now, 1, cfg.Share})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -81,28 +81,28 @@
 			},
 			"change share": func(t *rapid.T) {
 				cfg.Share = rapid.SampledFrom([]float64{0, 0.004, 0.01, 0.1}).Draw(t, "share")
-				moments = append(moments, moment{now, 0, cfg.Share})
+				spendings = append(spendings, spending{now, 0, cfg.Share})
 				for _, e := range entries {
 					e.SetShare(cfg.Share)
 				}
 			},
 		})
-		checkWindows(t, moments, cfg, slots)
+		checkWindows(t, spendings, cfg, slots)
 	})
 }
 
 // A bound that is kept by never probing is of no use: an entry that polls all
 // the time gets nearly its whole part of the budget. A probe of a straggler
 // that takes 100 ms instead of 6 is paid before the next one.
-func TestWatchBudgetIsUsed(t *testing.T) {
+func TestHealthProbeBudgetIsUsed(t *testing.T) {
 	for _, excess := range []time.Duration{0, 94 * time.Millisecond} {
-		w := NewHealthProbes(HealthProbeConfig{Share: 0.01, LargestFleet: 15})
+		b := NewHealthProbes(HealthProbeConfig{Share: 0.01, LargestFleet: 15})
 		for now := time.Duration(0); now <= 1000*time.Second; now += 10 * time.Millisecond {
-			if w.TrySpend(now, 32) {
-				w.Charge(excess)
+			if b.TrySpend(now, 32) {
+				b.Charge(excess)
 			}
 		}
-		if used := w.Spent().SlotTime.Seconds() / (0.01 * 32 * 1000 / 15); used > 1 || used < 0.95 {
+		if used := b.Spent().SlotTime.Seconds() / (0.01 * 32 * 1000 / 15); used > 1 || used < 0.95 {
 			t.Errorf("excess %v: spent %.3f of the budget", excess, used)
 		}
 	}
@@ -112,7 +112,7 @@
 // callers see a short fault become a long one: each failed request was tried
 // again twice, endpoints that came back got three times their load and failed
 // again. With the budget the arrivals stay below 1.1 times what was offered.
-func TestRetryStorm(t *testing.T) {
+func TestRetryBudgetLimitsRetryStorm(t *testing.T) {
 	const entries, attempts, calm, storm = 15, 3, 60000, 2000 // in ms
 	for _, slots := range []float64{12, 32, 38} {
 		budgets := make([]*Retry, entries)
--- a/internal/core/budget/healthprobes.go
+++ b/internal/core/budget/healthprobes.go
@@ -68,47 +68,47 @@
 // Rate returns the slot time per second that this entry may spend in the long
 // run. It is zero if the pool is too small for the window; then this entry
 // never probes, and a longer window or a larger share is the remedy.
-func (w *HealthProbes) Rate(slots int) float64 {
-	part := w.config.Share * float64(slots) / float64(w.config.LargestFleet)
-	return max(0, part-w.config.ProbeCost.Seconds()/w.config.Window.Seconds())
+func (b *HealthProbes) Rate(slots int) float64 {
+	ownShare := b.config.Share * float64(slots) / float64(b.config.LargestFleet)
+	return max(0, ownShare-b.config.ProbeCost.Seconds()/b.config.Window.Seconds())
 }
 
 // TrySpend takes the cost of one probe if it is there. slots is the number of
 // slots of the pool's endpoints; the bound holds for the largest number that
 // any entry passes in the window.
-func (w *HealthProbes) TrySpend(now time.Duration, slots int) bool {
-	w.bucket.earn(now, w.Rate(slots))
-	if !w.bucket.take(w.config.ProbeCost.Seconds()) {
-		w.spent.Denied++
+func (b *HealthProbes) TrySpend(now time.Duration, slots int) bool {
+	b.bucket.refill(now, b.Rate(slots))
+	if !b.bucket.take(b.config.ProbeCost.Seconds()) {
+		b.spent.Denied++
 		return false
 	}
-	w.spent.Probes++
-	w.spent.SlotTime += w.config.ProbeCost
+	b.spent.Probes++
+	b.spent.SlotTime += b.config.ProbeCost
 	return true
 }
 
 // Charge accounts for a probe that took longer than its cost, for example at a
 // slow endpoint. The excess is paid before the next probe.
-func (w *HealthProbes) Charge(excess time.Duration) {
+func (b *HealthProbes) Charge(excess time.Duration) {
 	if excess <= 0 {
 		return
 	}
-	w.bucket.tokens -= excess.Seconds()
-	w.spent.SlotTime += excess
+	b.bucket.tokens -= excess.Seconds()
+	b.spent.SlotTime += excess
 }
 
 // SetShare changes the share, for example when a close begins. In a window
 // that spans the change the larger of the two shares holds: what the first
 // call afterwards earns at the new rate for the time before is within the one
 // probe that the bucket holds.
-func (w *HealthProbes) SetShare(share float64) { w.config.Share = share }
+func (b *HealthProbes) SetShare(share float64) { b.config.Share = share }
 
 // Share returns the share of the pool's slot time that all entries may spend.
-func (w *HealthProbes) Share() float64 { return w.config.Share }
+func (b *HealthProbes) Share() float64 { return b.config.Share }
 
 // Left returns how many probes were saved up when a probe was last asked for;
 // below zero while the excess of a slow one is paid off.
-func (w *HealthProbes) Left() float64 { return w.bucket.tokens / w.config.ProbeCost.Seconds() }
+func (b *HealthProbes) Left() float64 { return b.bucket.tokens / b.config.ProbeCost.Seconds() }
 
 // Spent returns what was spent since the process started.
-func (w *HealthProbes) Spent() Spending { return w.spent }
+func (b *HealthProbes) Spent() Spending { return b.spent }
--- a/internal/core/budget/window.go
+++ b/internal/core/budget/repeats.go
@@ -24,9 +24,9 @@
 		w.counts, w.total = [windowSteps + 1]float64{}, 0
 	} else {
 		for s := w.step + 1; s <= step; s++ {
-			slot := &w.counts[s%(windowSteps+1)]
-			w.total -= *slot
-			*slot = 0
+			bin := &w.counts[s%(windowSteps+1)]
+			w.total -= *bin
+			*bin = 0
 		}
 	}
 	w.step = step
@@ -49,10 +49,10 @@
 	Slack float64
 }
 
-// repeatReserve is the part of the bound that is used. The rest covers requests
+// usableRepeatShare is the part of the bound that is used. The rest covers requests
 // that one entry counts in a window and an observer counts in the next one; the part of
 // the slack that no entry gets, since fewer run than may, covers them as well.
-const repeatReserve = 0.9
+const usableRepeatShare = 0.9
 
 // Repeats keeps the attempts beyond the first of each request within a bound that
 // holds for all entries together, without a message between them: each spends its
@@ -62,8 +62,8 @@
 // restarts can add to it.
 type Repeats struct {
 	bound             RepeatBound
-	largest           int
-	fleet             int
+	largestFleet      int
+	knownFleet        int
 	started           time.Duration
 	requests, repeats window
 	// wanted are the repeats that requests of each rank asked for, granted or not, and
@@ -83,11 +83,11 @@
 		return nil
 	}
 	b := &Repeats{
-		bound:    bound,
-		started:  started,
-		largest:  max(1, largestFleet),
-		requests: window{span: bound.Window},
-		repeats:  window{span: bound.Window},
+		bound:        bound,
+		started:      started,
+		largestFleet: max(1, largestFleet),
+		requests:     window{span: bound.Window},
+		repeats:      window{span: bound.Window},
 	}
 	for rank := range Ranks {
 		b.wanted[rank].span, b.spent[rank].span = bound.Window, bound.Window
@@ -106,7 +106,7 @@
 // that has grown beyond the setting.
 func (b *Repeats) SetFleet(entries int) {
 	if b != nil {
-		b.fleet = entries
+		b.knownFleet = entries
 	}
 }
 
@@ -114,9 +114,9 @@
 func (b *Repeats) Left(now time.Duration) float64 {
 	b.requests.advance(now)
 	b.repeats.advance(now)
-	slack := b.bound.Slack / float64(max(b.largest, b.fleet))
+	slack := b.bound.Slack / float64(max(b.largestFleet, b.knownFleet))
 	earned := slack * min(1, float64(now-b.started)/float64(b.bound.Window))
-	return repeatReserve*(b.bound.Share*b.requests.total+earned) - b.repeats.total
+	return usableRepeatShare*(b.bound.Share*b.requests.total+earned) - b.repeats.total
 }
 
 // leftFor returns how many more attempts requests of a rank may send now. What those of
@@ -132,12 +132,12 @@
 	return left
 }
 
-func rankIn(rank int) int { return min(max(rank, 0), Ranks-1) }
+func clampRank(rank int) int { return min(max(rank, 0), Ranks-1) }
 
-// May reports whether one more attempt is allowed for a request of a rank, without
+// MaySpend reports whether one more attempt is allowed for a request of a rank, without
 // spending it.
-func (b *Repeats) May(now time.Duration, rank int) bool {
-	return b == nil || b.leftFor(now, rankIn(rank)) >= 1
+func (b *Repeats) MaySpend(now time.Duration, rank int) bool {
+	return b == nil || b.leftFor(now, clampRank(rank)) >= 1
 }
 
 // TrySpend takes one attempt for a request of a rank if it is there.
@@ -145,7 +145,7 @@
 	if b == nil {
 		return true
 	}
-	rank = rankIn(rank)
+	rank = clampRank(rank)
 	b.wanted[rank].add(now, 1)
 	if b.leftFor(now, rank) < 1 {
 		b.denied++
@@ -165,15 +165,15 @@
 }
 
 // loadProbeBurst is how much of the bound on looks may be saved up. Together with
-// loadProbeReserve it keeps the looks of any ten seconds within the bound.
+// usableLoadProbeShare it keeps the looks of any ten seconds within the bound.
 const loadProbeBurst = time.Second
 
-// loadProbeReserve is the part of the bound on looks that is used, since entries may
+// usableLoadProbeShare is the part of the bound on looks that is used, since entries may
 // know of each other late.
-const loadProbeReserve = 0.9
+const usableLoadProbeShare = 0.9
 
-// savedLoadProbes bounds how many looks may be saved up from requests.
-const savedLoadProbes = 64
+// maxSavedLoadProbes bounds how many looks may be saved up from requests.
+const maxSavedLoadProbes = 64
 
 // LoadProbes keeps the looks at endpoints within two bounds. One follows the requests,
 // so that a fleet that is partitioned, or restarted as a whole, looks no more than
@@ -184,7 +184,7 @@
 	// 0 for no bound.
 	perEndpoint float64
 	saved       float64
-	paced       bucket
+	rateBucket  bucket
 	total       uint64
 	denied      uint64
 }
@@ -195,19 +195,19 @@
 // first request on, which would otherwise be sent without a look. The bound on what may
 // be saved keeps a restart of the whole fleet within one second's worth.
 func NewLoadProbes(perEndpoint float64) *LoadProbes {
-	return &LoadProbes{perEndpoint: perEndpoint, paced: bucket{started: true}}
+	return &LoadProbes{perEndpoint: perEndpoint, rateBucket: bucket{started: true}}
 }
 
 // Request earns the looks of one request.
-func (b *LoadProbes) Request(looks int) { b.saved = min(savedLoadProbes, b.saved+float64(looks)) }
+func (b *LoadProbes) Request(probes int) { b.saved = min(maxSavedLoadProbes, b.saved+float64(probes)) }
 
 // TrySpend takes one look if it is there. endpoints is the number of endpoints of
 // the pool, part this entry's part of the fleet's requests.
-func (b *LoadProbes) TrySpend(now time.Duration, endpoints int, part float64) bool {
-	rate := loadProbeReserve * b.perEndpoint * float64(endpoints) * part
-	b.paced.capacity = max(1, rate*loadProbeBurst.Seconds())
-	b.paced.earn(now, rate)
-	if b.saved < 1 || b.perEndpoint > 0 && !b.paced.take(1) {
+func (b *LoadProbes) TrySpend(now time.Duration, endpoints int, ownShare float64) bool {
+	rate := usableLoadProbeShare * b.perEndpoint * float64(endpoints) * ownShare
+	b.rateBucket.capacity = max(1, rate*loadProbeBurst.Seconds())
+	b.rateBucket.refill(now, rate)
+	if b.saved < 1 || b.perEndpoint > 0 && !b.rateBucket.take(1) {
 		b.denied++
 		return false
 	}
--- a/internal/core/budget/window_test.go
+++ b/internal/core/budget/repeats_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// sent is an attempt or a request of one entry.
-type sent struct {
+// sentAttempt is an attempt or a request of one entry.
+type sentAttempt struct {
 	at     time.Duration
 	repeat bool
 }
@@ -22,7 +22,7 @@
 		bound := RepeatBound{Share: rapid.Float64Range(0.05, 0.5).Draw(rt, "share"), Window: 10 * time.Second, Slack: 58}
 		const largest = 12
 		entries := rapid.IntRange(1, largest).Draw(rt, "entries")
-		var log []sent
+		var log []sentAttempt
 		fleet := make([]*Repeats, entries)
 		now := time.Duration(0)
 		for i := range fleet {
@@ -36,11 +36,11 @@
 			}
 			if rapid.Bool().Draw(rt, "request") {
 				fleet[i].Request(now)
-				log = append(log, sent{now, false})
+				log = append(log, sentAttempt{now, false})
 			}
 			for rank := range rapid.IntRange(0, 3).Draw(rt, "wanted") {
 				if fleet[i].TrySpend(now, rank) {
-					log = append(log, sent{now, true})
+					log = append(log, sentAttempt{now, true})
 				}
 			}
 		}
@@ -62,10 +62,10 @@
 	})
 }
 
-func TestNoBoundOnRepeats(t *testing.T) {
+func TestRepeatsWithoutBoundAreAllowed(t *testing.T) {
 	var none *Repeats
 	none.Request(0)
-	if NewRepeats(RepeatBound{}, 1, 0) != nil || !none.May(0, 0) || !none.TrySpend(0, 0) || none.Denied() != 0 {
+	if NewRepeats(RepeatBound{}, 1, 0) != nil || !none.MaySpend(0, 0) || !none.TrySpend(0, 0) || none.Denied() != 0 {
 		t.Error("without a bound something is denied")
 	}
 }
@@ -73,18 +73,18 @@
 // A service's traffic doubles, and with it the looks that entries take before they
 // choose. The bound per endpoint holds over ten seconds for all entries together, also
 // when the whole fleet has just started anew, while each gets its part of it.
-func TestLooksOfAFleetStayWithinTheBound(t *testing.T) {
+func TestLoadProbesOfAFleetStayWithinTheBound(t *testing.T) {
 	const perEndpoint, endpoints, window = 60.0, 8, 10 * time.Second
-	parts := []float64{0.4, 0.3, 0.2, 0.1}
-	fleet := make([]*LoadProbes, len(parts))
+	shares := []float64{0.4, 0.3, 0.2, 0.1}
+	fleet := make([]*LoadProbes, len(shares))
 	for i := range fleet {
 		fleet[i] = NewLoadProbes(perEndpoint)
 	}
-	spent := make([]int, len(parts))
+	spent := make([]int, len(shares))
 	for now := time.Duration(0); now < window; now += time.Millisecond {
 		for i, b := range fleet {
 			b.Request(18)
-			for b.TrySpend(now, endpoints, parts[i]) {
+			for b.TrySpend(now, endpoints, shares[i]) {
 				spent[i]++
 			}
 		}
@@ -92,7 +92,7 @@
 	all := 0
 	for i, n := range spent {
 		all += n
-		if want := parts[i] * perEndpoint * endpoints * window.Seconds() * loadProbeReserve; float64(n) < 0.9*want {
+		if want := shares[i] * perEndpoint * endpoints * window.Seconds() * usableLoadProbeShare; float64(n) < 0.9*want {
 			t.Errorf("entry %d got %d looks, its part is %.0f", i, n, want)
 		}
 	}
@@ -140,7 +140,7 @@
 	for range 4000 {
 		step(false)
 	}
-	if most := 4000 * 4 * 0.2 * repeatReserve; float64(granted[1]) < 0.8*most {
+	if most := 4000 * 4 * 0.2 * usableRepeatShare; float64(granted[1]) < 0.8*most {
 		t.Errorf("alone the lower rank got %d of %v", granted[1], most)
 	}
 }
--- a/internal/core/budget/retry.go
+++ b/internal/core/budget/retry.go
@@ -50,7 +50,7 @@
 
 // TrySpend takes one attempt if it is there.
 func (r *Retry) TrySpend(now time.Duration) bool {
-	r.bucket.earn(now, r.config.MinPerSecond/float64(r.config.LargestFleet))
+	r.bucket.refill(now, r.config.MinPerSecond/float64(r.config.LargestFleet))
 	if !r.bucket.take(1) {
 		r.denied++
 		return false
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -230,7 +230,7 @@
 		c.nextMember = now + memberPeriod
 		c.tickFleet(now, out)
 		c.expirePeerSlots(now)
-		c.quarantine.Forget(now)
+		c.quarantine.Expire(now)
 		c.forgetLimits(now)
 	}
 	if now >= c.nextHealth {
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -140,7 +140,7 @@
 
 // noteCompleted clears a request that has run, and has the fleet told if it knows of a crash.
 func (c *Core) noteCompleted(now time.Duration, request quarantine.Request, out *Actions) {
-	if !c.quarantine.Knows(request) {
+	if !c.quarantine.Known(request) {
 		return
 	}
 	crashes := c.quarantine.Crashes(request)
@@ -194,10 +194,10 @@
 	at := now - time.Duration(e.AgeMillis)*time.Millisecond
 	request := quarantine.Request{Content: e.Content, Caller: e.Caller}
 	if e.Kind == message.EvidenceCompleted {
-		return c.quarantine.Completed(now, at, request)
+		return c.quarantine.RecordCompletion(now, at, request)
 	}
 	began := at - time.Duration(e.RanMillis)*time.Millisecond
-	news = c.quarantine.Crashed(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
+	news = c.quarantine.RecordCrash(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
 	if news {
 		c.counters.Crashes++
 	}
@@ -260,12 +260,12 @@
 }
 
 func (c *Core) isQuarantined(now time.Duration, r *request) bool {
-	return c.quarantine.Of(now, r.identity()) == quarantine.Quarantined
+	return c.quarantine.Verdict(now, r.identity()) == quarantine.Quarantined
 }
 
 // isSuspect reports whether endpoints crashed while they ran the same request: it isn't repeated.
 func (c *Core) isSuspect(now time.Duration, r *request) bool {
-	return c.quarantine.Of(now, r.identity()) != quarantine.Sound
+	return c.quarantine.Verdict(now, r.identity()) != quarantine.Clear
 }
 
 func millis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -37,9 +37,9 @@
 // Handover returns this entry's sealed table and what it adopted from others,
 // in parts of at most size records.
 func (c *Core) Handover(size int) []message.Handover {
-	parts := handoverParts(c.cfg.Self.Incarnation, c.keys.Oldest(), c.keys.Export(), size)
+	parts := handoverParts(c.cfg.Self.Incarnation, c.keys.OldestEpoch(), c.keys.Export(), size)
 	for _, a := range c.keys.ExportAdopted() {
-		rest := handoverParts(a.Home, a.Oldest, a.Records, size)
+		rest := handoverParts(a.Home, a.OldestEpoch, a.Records, size)
 		for i := range rest {
 			rest[i].Total = a.Total
 		}
--- a/internal/core/health/eject.go
+++ b/internal/core/health/eject.go
@@ -48,8 +48,8 @@
 	return l
 }
 
-// most returns how many of the live endpoints may be ejected.
-func (l Limits) most(live int) int {
+// maxEjected returns how many of the live endpoints may be ejected.
+func (l Limits) maxEjected(live int) int {
 	if l.MaxShare <= 0 {
 		return 0
 	}
@@ -58,24 +58,24 @@
 
 // How an ejected endpoint comes back.
 const (
-	// trials is how many trial requests readmit an endpoint.
-	trials = 3
-	// trialFailures is the failure rate that two failures in three trials, or
+	// requiredTrials is how many trial requests readmit an endpoint.
+	requiredTrials = 3
+	// trialFailureLimit is the failure rate that two failures in three trials, or
 	// the first two, always pass. A single one may be chance.
-	trialFailures = 0.25
+	trialFailureLimit = 0.25
 	// trialGap is the time between two trial requests.
 	trialGap = 250 * time.Millisecond
 	// trialTimeout is how long the next trial is waited for. Where no request
 	// is idempotent, an endpoint comes back without a trial.
 	trialTimeout = 5 * time.Second
-	// jitter is the part of an ejection's time that is left to chance, so that
+	// ejectionJitter is the part of an ejection's time that is left to chance, so that
 	// entries that ejected an endpoint together don't return to it together.
-	jitter = 0.5
-	// mostDoublings keeps the growth within the range of a duration.
-	mostDoublings = 20
+	ejectionJitter = 0.5
+	// maxDoublings keeps the growth within the range of a duration.
+	maxDoublings = 20
 )
 
-var clears = fmt.Sprintf("%d good trial requests, or %s without one that is suited", trials, trialTimeout)
+var ejectionClears = fmt.Sprintf("%d good trial requests, or %s without one that is suited", requiredTrials, trialTimeout)
 
 // Ejected reports whether the endpoint gets no ordinary work.
 func Ejected(now time.Duration, e *table.Endpoint) bool {
@@ -100,7 +100,7 @@
 func Pause(now, gap time.Duration, p *table.Pool) {
 	for i := range p.Endpoints {
 		h := &p.Endpoints[i].Health
-		reset(h)
+		resetMeasurements(h)
 		h.JudgeFrom = now
 		// Time asleep is neither time without failures nor time for trials.
 		h.CalmSince += gap
@@ -110,8 +110,8 @@
 	}
 }
 
-// reset drops what was measured of an endpoint.
-func reset(h *table.Health) {
+// resetMeasurements drops what was measured of an endpoint.
+func resetMeasurements(h *table.Health) {
 	h.Samples, h.SlowSamples = 0, 0
 	h.FailureRate, h.Slowness = 0, 0
 }
@@ -128,25 +128,25 @@
 	if h.EjectedUntil == 0 {
 		s.ejected++
 	}
-	h.TrialAt = s.now + s.duration(h.Ejections)
+	h.TrialAt = s.now + s.ejectionTime(h.Ejections)
 	h.EjectedUntil = h.TrialAt + trialTimeout
 	if !cold(s.now, e) {
-		h.Ejections = min(h.Ejections+1, mostDoublings)
+		h.Ejections = min(h.Ejections+1, maxDoublings)
 	}
-	reset(h)
+	resetMeasurements(h)
 	h.JudgeFrom = s.now
 	// From the limit, the trials alone decide to which side it goes.
 	h.Slowness = s.limits.SlowFactor * s.medianSlowness
-	s.out = append(s.out, Event{Endpoint: i, Kind: Ejection, Why: why, Clears: clears, Until: h.TrialAt})
+	s.out = append(s.out, Event{Endpoint: i, Kind: Ejection, Why: why, Clears: ejectionClears, Until: h.TrialAt})
 }
 
-// duration returns the time of the ejection after so many others in a row.
-func (s *sweep) duration(ejections int32) time.Duration {
+// ejectionTime returns the time of the ejection after so many others in a row.
+func (s *sweep) ejectionTime(ejections int32) time.Duration {
 	grown := s.limits.Base
 	for range ejections {
 		grown = min(2*grown, s.limits.Max)
 	}
-	return time.Duration(float64(grown) * (1 - jitter*s.rng.Float64()))
+	return time.Duration(float64(grown) * (1 - ejectionJitter*s.rng.Float64()))
 }
 
 func (s *sweep) readmit(i int, why string) {
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	ms       = time.Millisecond
-	start    = time.Minute
-	ordinary = 15 * ms
+	ms            = time.Millisecond
+	start         = time.Minute
+	normalLatency = 15 * ms
 )
 
-// fleet drives a pool as an entry would: requests to the endpoints in turn,
+// simulation drives a pool as an entry would: requests to the endpoints in turn,
 // trials when due, a sweep every 100 ms.
-type fleet struct {
+type simulation struct {
 	now, step, sweepAt time.Duration
 	pool               table.Pool
 	limits             Limits
@@ -28,15 +28,15 @@
 	// behave says how endpoint i answers.
 	behave func(i int, now time.Duration) Observation
 	// noTrials: no request is idempotent.
-	noTrials bool
-	next     int
-	sent     []int
-	story    []string
-	times    []time.Duration // of ejections
+	noTrials      bool
+	next          int
+	sent          []int
+	events        []string
+	ejectionTimes []time.Duration // of ejections
 }
 
-func newFleet(n int, behave func(int, time.Duration) Observation) *fleet {
-	f := &fleet{now: start, step: 2 * ms, behave: behave, sent: make([]int, n), rng: rand.New(rand.NewPCG(1, 2))}
+func newSimulation(n int, behave func(int, time.Duration) Observation) *simulation {
+	f := &simulation{now: start, step: 2 * ms, behave: behave, sent: make([]int, n), rng: rand.New(rand.NewPCG(1, 2))}
 	f.limits = Limits{MaxShare: 0.34, Base: time.Second, Max: 20 * time.Second, Busy: 0.5}
 	f.pool.Endpoints = make([]table.Endpoint, n)
 	for i := range f.pool.Endpoints {
@@ -45,7 +45,7 @@
 	return f
 }
 
-func (f *fleet) run(d time.Duration) *fleet {
+func (f *simulation) run(d time.Duration) *simulation {
 	for end := f.now + d; f.now < end; f.now += f.step {
 		if f.now >= f.sweepAt {
 			f.sweep()
@@ -55,17 +55,17 @@
 	return f
 }
 
-func (f *fleet) sweep() {
+func (f *simulation) sweep() {
 	f.sweepAt = f.now + 100*ms
 	for _, e := range Sweep(f.now, &f.pool, f.limits, f.rng, nil) {
-		f.story = append(f.story, fmt.Sprint(e.Kind, " ", e.Endpoint))
+		f.events = append(f.events, fmt.Sprint(e.Kind, " ", e.Endpoint))
 		if e.Kind == Ejection {
-			f.times = append(f.times, e.Until-f.now)
+			f.ejectionTimes = append(f.ejectionTimes, e.Until-f.now)
 		}
 	}
 }
 
-func (f *fleet) request() {
+func (f *simulation) request() {
 	for range f.pool.Endpoints {
 		i := f.next
 		f.next = (f.next + 1) % len(f.pool.Endpoints)
@@ -77,7 +77,7 @@
 			TrialSent(f.now, e)
 		}
 		o := f.behave(i, f.now)
-		o.Expected, o.Sent = ordinary, f.now
+		o.Expected, o.Sent = normalLatency, f.now
 		f.sent[i]++
 		Observe(f.now, e, o)
 		return
@@ -86,13 +86,13 @@
 
 func answer(latency time.Duration) Observation { return Observation{Latency: latency} }
 
-// only makes the first n endpoints behave badly for a time.
-func only(n int, d time.Duration, bad Observation) func(int, time.Duration) Observation {
+// firstEndpointsBad makes the first n endpoints behave badly for a time.
+func firstEndpointsBad(n int, d time.Duration, bad Observation) func(int, time.Duration) Observation {
 	return func(i int, now time.Duration) Observation {
 		if i < n && now < start+d {
 			return bad
 		}
-		return answer(ordinary)
+		return answer(normalLatency)
 	}
 }
 
@@ -108,61 +108,61 @@
 		name   string
 		n      int
 		behave func(int, time.Duration) Observation
-		change func(*fleet)
+		change func(*simulation)
 		run    time.Duration
 		want   string
 	}{
-		{"a straggler is ejected until its trials are quick", 6, only(1, always, answer(4*ordinary)), nil, 4 * time.Second, "eject 0, eject 0, eject 0"},
-		{"it comes back with nobody's help", 6, only(1, 600*ms, answer(4*ordinary)), nil, 10 * time.Second, "eject 0, readmit 0"},
-		{"it is found although it claims a long queue", 6, only(1, always, Observation{Latency: 10 * ordinary, Queued: 500}), nil, time.Second, "eject 0"},
-		{"plausible waiting is load, not a slow machine", 6, only(1, always, Observation{Latency: 4 * ordinary, Queued: 4}), nil, 10 * time.Second, ""},
+		{"a straggler is ejected until its trials are quick", 6, firstEndpointsBad(1, always, answer(4*normalLatency)), nil, 4 * time.Second, "eject 0, eject 0, eject 0"},
+		{"it comes back with nobody's help", 6, firstEndpointsBad(1, 600*ms, answer(4*normalLatency)), nil, 10 * time.Second, "eject 0, readmit 0"},
+		{"it is found although it claims a long queue", 6, firstEndpointsBad(1, always, Observation{Latency: 10 * normalLatency, Queued: 500}), nil, time.Second, "eject 0"},
+		{"plausible waiting is load, not a slow machine", 6, firstEndpointsBad(1, always, Observation{Latency: 4 * normalLatency, Queued: 4}), nil, 10 * time.Second, ""},
 		{"one long pause of a collector is no trend", 6, func(i int, now time.Duration) Observation {
 			if i == 0 && now%(3*time.Second) < 12*ms {
-				return answer(100 * ordinary)
+				return answer(100 * normalLatency)
 			}
-			return answer(ordinary)
+			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
 		{"chance ejects nobody", 16, func(int, time.Duration) Observation {
-			return answer(time.Duration(noise.ExpFloat64() * float64(ordinary)))
+			return answer(time.Duration(noise.ExpFloat64() * float64(normalLatency)))
 		}, nil, 10 * time.Minute, ""},
-		{"a straggler stays when the others can't carry the load", 6, only(1, always, answer(4*ordinary)),
-			func(f *fleet) { f.limits.Busy = 0.95 }, 10 * time.Second, ""},
-		{"a fail-fast endpoint goes at any load", 6, only(1, always, refused), func(f *fleet) { f.limits.Busy = 1 }, 500 * ms, "eject 0"},
-		{"also when it claims to be busy", 6, only(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
-		{"also in a pool of two", 2, only(1, always, refused), nil, 500 * ms, "eject 0"},
+		{"a straggler stays when the others can't carry the load", 6, firstEndpointsBad(1, always, answer(4*normalLatency)),
+			func(f *simulation) { f.limits.Busy = 0.95 }, 10 * time.Second, ""},
+		{"a fail-fast endpoint goes at any load", 6, firstEndpointsBad(1, always, refused), func(f *simulation) { f.limits.Busy = 1 }, 500 * ms, "eject 0"},
+		{"also when it claims to be busy", 6, firstEndpointsBad(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
+		{"also in a pool of two", 2, firstEndpointsBad(1, always, refused), nil, 500 * ms, "eject 0"},
 		{"shedding that hits all alike ejects nobody", 6, func(i int, now time.Duration) Observation {
 			if (int(now/(12*ms))+i)%5 < 2 {
 				return refused
 			}
-			return answer(ordinary)
+			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
-		{"a new VM may time out while its caches are cold", 6, only(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * ordinary}),
-			func(f *fleet) { f.pool.Endpoints[0].AdmittedAt = f.now }, 15 * time.Second, ""},
-		{"silent connections are not the endpoint's fault", 6, only(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
-		{"most bad means a wrong view", 6, only(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
+		{"a new VM may time out while its caches are cold", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
+			func(f *simulation) { f.pool.Endpoints[0].AdmittedAt = f.now }, 15 * time.Second, ""},
+		{"silent connections are not the endpoint's fault", 6, firstEndpointsBad(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
+		{"most bad means a wrong view", 6, firstEndpointsBad(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
 			10 * time.Second, "view-wrong -1, view-restored -1"},
 		{"a wrong view brings the ejected back", 6, func(i int, now time.Duration) Observation {
 			if i < 2 || i < 4 && now > start+time.Second {
 				return broken
 			}
-			return answer(ordinary)
-		}, func(f *fleet) { f.limits.Base = 20 * time.Second }, 2 * time.Second,
+			return answer(normalLatency)
+		}, func(f *simulation) { f.limits.Base = 20 * time.Second }, 2 * time.Second,
 			"eject 0, eject 1, view-wrong -1, readmit 0, readmit 1"},
-		{"the share is kept when others leave", 8, only(2, always, broken), func(f *fleet) {
+		{"the share is kept when others leave", 8, firstEndpointsBad(2, always, broken), func(f *simulation) {
 			f.run(300 * ms)
 			for i := 4; i < 8; i++ {
 				f.pool.Endpoints[i].State = table.EndpointLeaving
 			}
 		}, 100 * ms, "eject 0, eject 1, readmit 0"},
-		{"without idempotent requests it comes back by time", 6, only(1, time.Second, refused),
-			func(f *fleet) { f.noTrials = true }, 10 * time.Second, "eject 0, readmit 0"},
+		{"without idempotent requests it comes back by time", 6, firstEndpointsBad(1, time.Second, refused),
+			func(f *simulation) { f.noTrials = true }, 10 * time.Second, "eject 0, readmit 0"},
 	} {
-		f := newFleet(tt.n, tt.behave)
+		f := newSimulation(tt.n, tt.behave)
 		if tt.change != nil {
 			tt.change(f)
 		}
 		f.run(tt.run)
-		if got := strings.Join(f.story, ", "); got != tt.want {
+		if got := strings.Join(f.events, ", "); got != tt.want {
 			t.Errorf("%s: got %q, want %q", tt.name, got, tt.want)
 		}
 	}
@@ -172,23 +172,23 @@
 // errors twice a second all night if it came back at once each time. Its
 // ejections double up to the limit, it gets few requests, and when it has been
 // healthy for long a new fault counts as the first one.
-func TestFlappingEndpointIsEjectedForLonger(t *testing.T) {
+func TestFlappingEndpointIsEjectedLongerEachTime(t *testing.T) {
 	count := 0
-	f := newFleet(6, func(i int, now time.Duration) Observation {
+	f := newSimulation(6, func(i int, now time.Duration) Observation {
 		if i == 0 && now < start+4*time.Minute {
 			if count++; count%20 >= 10 {
 				return Observation{Outcome: Broken}
 			}
 		}
-		return answer(ordinary)
+		return answer(normalLatency)
 	}).run(4 * time.Minute)
-	for i, d := range f.times {
+	for i, d := range f.ejectionTimes {
 		if longest := min(f.limits.Base<<i, f.limits.Max); d > longest || d < longest/2 {
 			t.Errorf("ejection %d took %v, want %v to %v", i, d, longest/2, longest)
 		}
 	}
-	if share := float64(f.sent[0]) / float64(f.sent[1]); len(f.times) < 8 || share > 0.02 {
-		t.Errorf("%d ejections, %.3f of the requests of a good endpoint", len(f.times), share)
+	if share := float64(f.sent[0]) / float64(f.sent[1]); len(f.ejectionTimes) < 8 || share > 0.02 {
+		t.Errorf("%d ejections, %.3f of the requests of a good endpoint", len(f.ejectionTimes), share)
 	}
 	if h := &f.run(20 * time.Minute).pool.Endpoints[0].Health; h.EjectedUntil != 0 || h.Ejections != 0 {
 		t.Errorf("not forgiven: %+v", *h)
@@ -199,13 +199,13 @@
 // it had taken 30 s or timed out, and every endpoint would be judged by it. The
 // same holds for what was in flight when an endpoint was ejected: it would come
 // back, or stay away, without a trial.
-func TestOutcomesFromBeforeCountNothing(t *testing.T) {
-	f := newFleet(6, only(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
+func TestOutcomesFromBeforePauseOrEjectionAreIgnored(t *testing.T) {
+	f := newSimulation(6, firstEndpointsBad(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
 	sent := start
 	check := func(endpoints []table.Endpoint) {
 		for i := range endpoints {
-			Observe(f.now, &endpoints[i], Observation{Outcome: TimedOut, Sent: sent, Latency: f.now - sent, Expected: ordinary})
-			Observe(f.now, &endpoints[i], Observation{Latency: f.now - sent, Expected: ordinary})
+			Observe(f.now, &endpoints[i], Observation{Outcome: TimedOut, Sent: sent, Latency: f.now - sent, Expected: normalLatency})
+			Observe(f.now, &endpoints[i], Observation{Latency: f.now - sent, Expected: normalLatency})
 			if h := endpoints[i].Health; h.Samples != 0 || h.FailureRate != 0 {
 				t.Errorf("endpoint %d: %+v", i, h)
 			}
@@ -220,10 +220,10 @@
 // Whatever is observed, and whoever leaves: never more than the share is
 // ejected and never all, and once endpoints are healthy all of them are back
 // within a bound without anybody's help.
-func TestBoundsAndRecovery(t *testing.T) {
+func TestEjectionBoundsAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "endpoints")
-		f := newFleet(n, only(0, 0, Observation{}))
+		f := newSimulation(n, firstEndpointsBad(0, 0, Observation{}))
 		f.step = 20 * ms
 		f.limits.MaxShare = rapid.Float64Range(0, 0.5).Draw(t, "share")
 		f.limits.Busy = rapid.Float64Range(0, 1).Draw(t, "busy")
@@ -233,7 +233,7 @@
 				o := Observation{
 					Outcome: Outcome(rapid.IntRange(0, int(ConnSilent)).Draw(t, "outcome")),
 					Latency: time.Duration(rapid.IntRange(0, 900).Draw(t, "latency")) * ms,
-					Queued:  rapid.IntRange(0, 50).Draw(t, "queued"), Expected: ordinary, Sent: f.now,
+					Queued:  rapid.IntRange(0, 50).Draw(t, "queued"), Expected: normalLatency, Sent: f.now,
 				}
 				e := anyOf(t)
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
@@ -254,12 +254,12 @@
 		})
 		f.run(f.limits.Max + 3*trialTimeout)
 		if _, ejected := f.count(); ejected > 0 {
-			t.Fatalf("%d still ejected: %s", ejected, f.story)
+			t.Fatalf("%d still ejected: %s", ejected, f.events)
 		}
 	})
 }
 
-func (f *fleet) count() (live, ejected int) {
+func (f *simulation) count() (live, ejected int) {
 	for i := range f.pool.Endpoints {
 		if e := &f.pool.Endpoints[i]; e.State == table.EndpointLive {
 			live++
@@ -275,10 +275,10 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{6, 19, 560} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			f := newFleet(n, only(0, 0, Observation{})).run(20 * time.Second)
+			f := newSimulation(n, firstEndpointsBad(0, 0, Observation{})).run(20 * time.Second)
 			for b.ReportAllocs(); b.Loop(); {
 				for i := range f.pool.Endpoints {
-					Observe(f.now, &f.pool.Endpoints[i], Observation{Latency: ordinary, Expected: ordinary, Queued: 1})
+					Observe(f.now, &f.pool.Endpoints[i], Observation{Latency: normalLatency, Expected: normalLatency, Queued: 1})
 				}
 				Sweep(f.now, &f.pool, f.limits, f.rng, nil)
 			}
--- a/internal/core/health/observe.go
+++ b/internal/core/health/observe.go
@@ -63,18 +63,18 @@
 	// latencyWeight is the weight of the latest latency. It is small enough that
 	// service times that vary as much as their mean make no straggler.
 	latencyWeight = 0.08
-	// largestStep bounds a latency sample by a multiple of the present value.
+	// maxLatencyStep bounds a latency sample by a multiple of the present value.
 	// One pause of a neighbour on the host then can't make a straggler, while a
 	// lasting change passes in a few samples.
-	largestStep = 4.0
-	// largestExcuse bounds how far reported waiting explains a latency. An
+	maxLatencyStep = 4.0
+	// maxQueueDiscount bounds how far reported waiting explains a latency. An
 	// endpoint that always reports a long queue is still found to be slow.
-	largestExcuse = 2.0
-	// busyRefusal is what a refusal counts while requests are reported to
+	maxQueueDiscount = 2.0
+	// queuedRefusalWeight is what a refusal counts while requests are reported to
 	// wait. It stays above the limit of failures, so that an endpoint that
 	// refuses everything is found whatever it reports.
-	busyRefusal = 0.7
-	sampleCap   = 1000
+	queuedRefusalWeight = 0.7
+	maxSamples          = 1000
 )
 
 // ColdTime is how long a new endpoint may be slow without being judged by it:
@@ -93,7 +93,7 @@
 		return
 	}
 	h.SampledAt = now
-	h.Samples = min(h.Samples+1, sampleCap)
+	h.Samples = min(h.Samples+1, maxSamples)
 	h.FailureRate = smooth(h.FailureRate, failure(o), failureWeight)
 	if o.Outcome == Answered || o.Outcome == TimedOut {
 		observeLatency(now, e, o)
@@ -118,7 +118,7 @@
 		return 0
 	case RefusedNotRun:
 		if o.Queued > 0 {
-			return busyRefusal
+			return queuedRefusalWeight
 		}
 	}
 	return 1
@@ -128,8 +128,8 @@
 // out: an endpoint that fails quickly would look fast.
 func observeLatency(now time.Duration, e *table.Endpoint, o Observation) {
 	h := &e.Health
-	excuse := min(float64(max(0, o.Queued))/float64(max(1, e.Slots)), largestExcuse)
-	latency := float64(o.Latency) / (1 + excuse)
+	discount := min(float64(max(0, o.Queued))/float64(max(1, e.Slots)), maxQueueDiscount)
+	latency := float64(o.Latency) / (1 + discount)
 	h.LatencyNanos = smoothBounded(h.LatencyNanos, latency, latencyWeight)
 	if o.Expected <= 0 || cold(now, e) {
 		return
@@ -138,7 +138,7 @@
 		// Not the first sample: it may be the one late answer in a thousand.
 		h.Slowness = 1
 	}
-	h.SlowSamples = min(h.SlowSamples+1, sampleCap)
+	h.SlowSamples = min(h.SlowSamples+1, maxSamples)
 	h.Slowness = smoothBounded(h.Slowness, latency/float64(o.Expected), latencyWeight)
 }
 
@@ -147,7 +147,7 @@
 	if value <= 0 {
 		return sample
 	}
-	return smooth(value, min(sample, largestStep*value), weight)
+	return smooth(value, min(sample, maxLatencyStep*value), weight)
 }
 
 func cold(now time.Duration, e *table.Endpoint) bool {
--- a/internal/core/health/sample.go
+++ b/internal/core/health/sample.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// inlineSample is how many values are held without an allocation, which covers
+// inlineValues is how many values are held without an allocation, which covers
 // the pools of today.
-const inlineSample = 64
+const inlineValues = 64
 
 // sample holds values for a median.
 type sample []float64
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -12,15 +12,15 @@
 const (
 	// failureLimit is the failure rate above which an endpoint looks bad.
 	failureLimit = 0.5
-	// failureGap is how far above the pool's median it must be to be ejected.
-	failureGap = 0.3
-	// failureSamples and slowSamples are how many outcomes it takes.
-	failureSamples = 5
-	slowSamples    = 12
-	// medianOf is how many judged endpoints it takes to call one of them slow.
-	medianOf = 3
-	// carryLimit is the highest share of slots in use after an ejection.
-	carryLimit = 0.9
+	// failureMargin is how far above the pool's median it must be to be ejected.
+	failureMargin = 0.3
+	// minFailureSamples and minSlowSamples are how many outcomes it takes.
+	minFailureSamples = 5
+	minSlowSamples    = 12
+	// minCompared is how many judged endpoints it takes to call one of them slow.
+	minCompared = 3
+	// maxUtilization is the highest share of slots in use after an ejection.
+	maxUtilization = 0.9
 	// staleAfter: an endpoint that got no request for so long is judged anew.
 	staleAfter = 10 * time.Second
 )
@@ -73,14 +73,14 @@
 // it decided to out. Call it at each tick. Only live endpoints are judged.
 func Sweep(now time.Duration, p *table.Pool, lim Limits, rng *rand.Rand, out []Event) []Event {
 	s := sweep{now: now, pool: p, limits: lim.withDefaults(), rng: rng, out: out}
-	s.age()
-	s.survey()
+	s.expireMeasurements()
+	s.collect()
 	if s.viewWrong() {
 		s.readmitAll("most endpoints look bad, so all of them are used")
 		return s.out
 	}
 	s.endTrials()
-	s.keepLimit()
+	s.enforceLimit()
 	s.ejectWorst()
 	return s.out
 }
@@ -113,16 +113,16 @@
 	}
 }
 
-// age lets old knowledge lapse, so that an endpoint that was avoided for its
+// expireMeasurements lets old knowledge lapse, so that an endpoint that was avoided for its
 // past is tried again although nobody asks for it.
-func (s *sweep) age() {
+func (s *sweep) expireMeasurements() {
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		if h.EjectedUntil != 0 {
 			return
 		}
 		if h.Samples > 0 && stale(s.now, h) {
-			reset(h)
+			resetMeasurements(h)
 		}
 		if h.Ejections > 0 && s.now-h.CalmSince >= s.limits.Max {
 			h.Ejections--
@@ -131,9 +131,9 @@
 	})
 }
 
-func (s *sweep) survey() {
-	var store [2][inlineSample]float64
-	failures, slowness := sample(store[0][:0]), sample(store[1][:0])
+func (s *sweep) collect() {
+	var buffers [2][inlineValues]float64
+	failures, slowness := sample(buffers[0][:0]), sample(buffers[1][:0])
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		s.live++
@@ -146,13 +146,13 @@
 		if h.Samples > 0 {
 			failures = append(failures, h.FailureRate)
 		}
-		if h.Samples >= failureSamples {
+		if h.Samples >= minFailureSamples {
 			s.judged++
 			if h.FailureRate > failureLimit {
 				s.bad++
 			}
 		}
-		if h.SlowSamples >= slowSamples {
+		if h.SlowSamples >= minSlowSamples {
 			slowness = append(slowness, h.Slowness)
 		}
 	})
@@ -173,12 +173,12 @@
 		e.Health.ViewWrong = wrong
 	})
 	if wrong != was {
-		s.noteView(wrong)
+		s.reportView(wrong)
 	}
 	return wrong
 }
 
-func (s *sweep) noteView(wrong bool) {
+func (s *sweep) reportView(wrong bool) {
 	kind, why := ViewRestored, fmt.Sprintf("%d of %d judged endpoints look bad", s.bad, s.judged)
 	if wrong {
 		kind = ViewWrong
@@ -198,11 +198,11 @@
 			h.EjectedUntil = max(h.EjectedUntil, h.SampledAt+trialTimeout)
 		}
 		switch {
-		case h.FailureRate > trialFailures:
+		case h.FailureRate > trialFailureLimit:
 			s.eject(i, "trial requests failed")
 		case s.trialSlow(h):
 			s.eject(i, fmt.Sprintf("trial requests took %.1f times the pool's median", h.Slowness/s.medianSlowness))
-		case h.Samples >= trials:
+		case h.Samples >= requiredTrials:
 			s.readmit(i, fmt.Sprintf("%d trial requests went well", h.Samples))
 		case s.now >= h.EjectedUntil:
 			s.readmit(i, "no request was suited for a trial")
@@ -211,14 +211,14 @@
 }
 
 func (s *sweep) trialSlow(h *table.Health) bool {
-	return s.slowJudged > 0 && h.SlowSamples >= trials && h.Slowness > s.limits.SlowFactor*s.medianSlowness
+	return s.slowJudged > 0 && h.SlowSamples >= requiredTrials && h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// keepLimit readmits endpoints while more are ejected than may be, which
+// enforceLimit readmits endpoints while more are ejected than may be, which
 // happens when others leave the pool or the profile changes. Those that were
 // to return first go first.
-func (s *sweep) keepLimit() {
-	for s.ejected > s.limits.most(s.live) {
+func (s *sweep) enforceLimit() {
+	for s.ejected > s.limits.maxEjected(s.live) {
 		first := -1
 		s.each(func(i int, e *table.Endpoint) {
 			until := e.Health.EjectedUntil
@@ -233,7 +233,7 @@
 // ejectWorst ejects the endpoints that are much worse than the others, the
 // worst first, as far as the limits allow.
 func (s *sweep) ejectWorst() {
-	for s.ejected < s.limits.most(s.live) {
+	for s.ejected < s.limits.maxEjected(s.live) {
 		worst, worstScore := -1, 0.0
 		s.each(func(i int, e *table.Endpoint) {
 			if score := s.score(e); score > worstScore {
@@ -259,28 +259,28 @@
 		return 0
 	case s.failing(h):
 		return failingScore + h.FailureRate
-	case s.slow(e) && s.othersCarry():
+	case s.slow(e) && s.othersHaveCapacity():
 		return h.Slowness / s.medianSlowness
 	}
 	return 0
 }
 
 func (s *sweep) failing(h *table.Health) bool {
-	return h.Samples >= failureSamples && h.FailureRate > failureLimit &&
-		h.FailureRate > s.medianFailure+failureGap
+	return h.Samples >= minFailureSamples && h.FailureRate > failureLimit &&
+		h.FailureRate > s.medianFailure+failureMargin
 }
 
 func (s *sweep) slow(e *table.Endpoint) bool {
 	h := &e.Health
-	return s.slowJudged >= medianOf && h.SlowSamples >= slowSamples && !cold(s.now, e) &&
+	return s.slowJudged >= minCompared && h.SlowSamples >= minSlowSamples && !cold(s.now, e) &&
 		h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// othersCarry reports whether the endpoints that would be left can carry the
+// othersHaveCapacity reports whether the endpoints that would be left can carry the
 // load if one more is ejected.
-func (s *sweep) othersCarry() bool {
-	using := float64(s.live - s.ejected)
-	return s.limits.Busy*using <= carryLimit*(using-1)
+func (s *sweep) othersHaveCapacity() bool {
+	inUse := float64(s.live - s.ejected)
+	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
 }
 
 func (s *sweep) why(h *table.Health) string {
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// crashesMost is how many crashes, one after the other, put a request into quarantine.
-	crashesMost = 3
-	// callersLeast is under how many callers endpoints have crashed before a content is held against
+	// quarantineCrashes is how many crashes, one after the other, put a request into quarantine.
+	quarantineCrashes = 3
+	// minCallers is under how many callers endpoints have crashed before a content is held against
 	// all.
-	callersLeast = 2
-	// period is how long it is not sent after the latest of them. Then it may run again, and each
+	minCallers = 2
+	// quarantinePeriod is how long it is not sent after the latest of them. Then it may run again, and each
 	// further crash ends that for as long.
-	period = 5 * time.Minute
-	// keptFor is how long a crash counts.
-	keptFor = 2 * time.Hour
-	// completedFor is how long a completed run is remembered of which no crash is known: word of
+	quarantinePeriod = 5 * time.Minute
+	// crashRetention is how long a crash counts.
+	crashRetention = 2 * time.Hour
+	// completionRetention is how long a completed run is remembered of which no crash is known: word of
 	// the crash may come later.
-	completedFor = time.Minute
-	// mostRecords bounds the contents that are remembered, those of each caller and those of all, and
-	// mostCrashes the crashes of each.
-	mostRecords = 2048
-	mostCrashes = 64
+	completionRetention = time.Minute
+	// maxRecords bounds the contents that are remembered, those of each caller and those of all, and
+	// maxCrashes the crashes of each.
+	maxRecords = 2048
+	maxCrashes = 64
 )
 
 // Verdict is what is held of a request.
@@ -46,8 +46,8 @@
 
 // The verdicts.
 const (
-	// Sound: nothing speaks against it.
-	Sound Verdict = iota
+	// Clear: nothing speaks against it.
+	Clear Verdict = iota
 	// Suspected: endpoints have crashed while they ran it. It may run, but not be repeated.
 	Suspected
 	// Quarantined: it is not sent to any endpoint.
@@ -58,8 +58,8 @@
 // any.
 type Request struct{ Content, Caller uint64 }
 
-// ofAny is the request whoever sends it.
-func (r Request) ofAny() Request { return Request{Content: r.Content} }
+// withAnyCaller is the request whoever sends it.
+func (r Request) withAnyCaller() Request { return Request{Content: r.Content} }
 
 // Crash is an endpoint that crashed while it ran a request.
 type Crash struct {
@@ -79,8 +79,8 @@
 	// completedAt is when a run last completed.
 	completedAt time.Duration
 	completed   bool
-	// touchedAt is when something was last learned of it.
-	touchedAt time.Duration
+	// changedAt is when something was last learned of it.
+	changedAt time.Duration
 	// count is the number of crashes, one after the other, that speak against it.
 	count int
 }
@@ -88,67 +88,69 @@
 // Table remembers the requests under which endpoints crashed. It is not safe for concurrent use.
 type Table struct {
 	records map[Request]*record
-	// explained are the endpoints that crashed under a request with crashesMost crashes or more, and
+	// attributed are the endpoints that crashed under a request with quarantineCrashes crashes or more, and
 	// quarantined is how many such requests there are.
-	explained   map[endpoint]bool
+	attributed  map[endpoint]bool
 	quarantined int
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: make(map[Request]*record)} }
 
-// Crashed takes in a crash. It reports whether that was not known.
-func (t *Table) Crashed(now time.Duration, c Crash) bool {
-	if c.Content == 0 || c.Caller == 0 || now-c.At >= keptFor {
+// RecordCrash takes in a crash. It reports whether that was not known.
+func (t *Table) RecordCrash(now time.Duration, c Crash) bool {
+	if c.Content == 0 || c.Caller == 0 || now-c.At >= crashRetention {
 		return false
 	}
-	news, many := false, false
-	for _, request := range [...]Request{c.Request, c.ofAny()} {
+	added, limitReached := false, false
+	for _, request := range [...]Request{c.Request, c.withAnyCaller()} {
 		r := t.recordOf(request)
-		if !r.crashed(c) {
+		if !r.addCrash(c) {
 			continue
 		}
-		r.touchedAt, news = now, true
-		r.weigh(t.explained)
-		many = many || len(r.standing()) >= crashesMost
+		r.changedAt, added = now, true
+		r.countCrashes(t.attributed)
+		limitReached = limitReached || len(r.crashesSinceCompletion()) >= quarantineCrashes
 	}
-	if many {
-		t.judge() // it may explain what speaks against others
+	if limitReached {
+		t.recount() // it may explain what speaks against others
 	}
-	return news
+	return added
 }
 
-// crashed adds a crash and reports whether it was not known.
-func (r *record) crashed(c Crash) bool {
+// addCrash adds a crash and reports whether it was not known.
+func (r *record) addCrash(c Crash) bool {
 	if slices.ContainsFunc(r.crashes, func(o Crash) bool { return o.endpoint() == c.endpoint() && o.Caller == c.Caller }) {
 		return false
 	}
-	if len(r.crashes) >= mostCrashes {
+	if len(r.crashes) >= maxCrashes {
 		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
 	r.crashes = append(r.crashes, c)
-	slices.SortFunc(r.crashes, byEnd)
+	slices.SortFunc(r.crashes, compareEnds)
 	return true
 }
 
-// Knows reports whether anything is known of a request.
-func (t *Table) Knows(r Request) bool { return t.records[r] != nil || t.records[r.ofAny()] != nil }
+// Known reports whether anything is known of a request.
+func (t *Table) Known(r Request) bool {
+	return t.records[r] != nil || t.records[r.withAnyCaller()] != nil
+}
 
-// Completed takes in that a run of the request completed. It reports whether crashes spoke against
+// RecordCompletion takes in that a run of the request completed. It reports whether crashes spoke against
 // the request that don't any more.
-func (t *Table) Completed(now, at time.Duration, request Request) bool {
+func (t *Table) RecordCompletion(now, at time.Duration, request Request) bool {
 	cleared := false
-	for _, request := range [...]Request{request, request.ofAny()} {
+	for _, request := range [...]Request{request, request.withAnyCaller()} {
 		r := t.recordOf(request)
 		if r.completed && r.completedAt >= at {
 			continue
 		}
-		before := len(r.standing())
-		r.completed, r.completedAt, r.touchedAt = true, at, now
-		cleared = cleared || len(r.standing()) != before
+		before := len(r.crashesSinceCompletion())
+		r.completed, r.completedAt, r.changedAt = true, at, now
+		cleared = cleared || len(r.crashesSinceCompletion()) != before
 	}
 	if cleared {
-		t.judge()
+		t.recount()
 	}
 	return cleared
 }
@@ -156,19 +158,19 @@
 // Active reports whether crashes have put any request into quarantine.
 func (t *Table) Active() bool { return t.quarantined > 0 }
 
-// Of returns the verdict on a request.
-func (t *Table) Of(now time.Duration, r Request) Verdict {
+// Verdict returns the verdict on a request.
+func (t *Table) Verdict(now time.Duration, r Request) Verdict {
 	if len(t.records) == 0 {
-		return Sound
+		return Clear
 	}
-	return max(t.records[r].verdict(now), t.records[r.ofAny()].verdict(now))
+	return max(t.records[r].verdict(now), t.records[r.withAnyCaller()].verdict(now))
 }
 
 func (r *record) verdict(now time.Duration) Verdict {
 	switch {
 	case r == nil || r.count == 0:
-		return Sound
-	case r.count >= crashesMost && now < r.until():
+		return Clear
+	case r.count >= quarantineCrashes && now < r.until():
 		return Quarantined
 	}
 	return Suspected
@@ -176,8 +178,8 @@
 
 // Until returns when a request in quarantine may run again.
 func (t *Table) Until(request Request) (until time.Duration) {
-	for _, request := range [...]Request{request, request.ofAny()} {
-		if r := t.records[request]; r != nil && r.count >= crashesMost {
+	for _, request := range [...]Request{request, request.withAnyCaller()} {
+		if r := t.records[request]; r != nil && r.count >= quarantineCrashes {
 			until = max(until, r.until())
 		}
 	}
@@ -187,9 +189,9 @@
 // Crashes returns the crashes that speak against a request or against all with its content, by their
 // ends.
 func (t *Table) Crashes(request Request) (crashes []Crash) {
-	for _, request := range [...]Request{request, request.ofAny()} {
-		if r := t.records[request]; r != nil && len(r.standing()) > len(crashes) {
-			crashes = slices.Clone(r.standing())
+	for _, request := range [...]Request{request, request.withAnyCaller()} {
+		if r := t.records[request]; r != nil && len(r.crashesSinceCompletion()) > len(crashes) {
+			crashes = slices.Clone(r.crashesSinceCompletion())
 		}
 	}
 	return crashes
@@ -213,8 +215,8 @@
 	return cmp.Or(cmp.Compare(r.Content, o.Content), cmp.Compare(r.Caller, o.Caller))
 }
 
-// Suspects counts the contents that are suspected or in quarantine.
-func (t *Table) Suspects() int {
+// SuspectCount counts the contents that are suspected or in quarantine.
+func (t *Table) SuspectCount() int {
 	contents := make(map[uint64]bool)
 	for request, r := range t.records {
 		if r.count > 0 {
@@ -224,19 +226,19 @@
 	return len(contents)
 }
 
-// Forget drops what is too old to count.
-func (t *Table) Forget(now time.Duration) {
+// Expire drops what is too old to count.
+func (t *Table) Expire(now time.Duration) {
 	changed := false
 	for request, r := range t.records {
 		before := len(r.crashes)
-		r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return now-c.At >= keptFor })
+		r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return now-c.At >= crashRetention })
 		changed = changed || len(r.crashes) != before
-		if len(r.crashes) == 0 && now-r.touchedAt >= completedFor {
+		if len(r.crashes) == 0 && now-r.changedAt >= completionRetention {
 			delete(t.records, request)
 		}
 	}
 	if changed {
-		t.judge()
+		t.recount()
 	}
 }
 
@@ -244,38 +246,38 @@
 func (t *Table) recordOf(request Request) *record {
 	r := t.records[request]
 	if r == nil {
-		t.makeRoom()
+		t.evictIfFull()
 		r = &record{request: request}
 		t.records[request] = r
 	}
 	return r
 }
 
-// makeRoom drops the record of least worth if the table is full: the least spoken against, of these
+// evictIfFull drops the record of least worth if the table is full: the least spoken against, of these
 // the one that was touched first.
-func (t *Table) makeRoom() {
-	if len(t.records) < mostRecords {
+func (t *Table) evictIfFull() {
+	if len(t.records) < maxRecords {
 		return
 	}
 	var least *record
 	for _, r := range t.records {
-		if least == nil || worth(r, least) < 0 {
+		if least == nil || compareValue(r, least) < 0 {
 			least = r
 		}
 	}
 	delete(t.records, least.request)
 }
 
-func worth(a, b *record) int {
-	return cmp.Or(cmp.Compare(a.count, b.count), cmp.Compare(a.touchedAt, b.touchedAt), a.request.compare(b.request))
+func compareValue(a, b *record) int {
+	return cmp.Or(cmp.Compare(a.count, b.count), cmp.Compare(a.changedAt, b.changedAt), a.request.compare(b.request))
 }
 
-func byEnd(a, b Crash) int {
+func compareEnds(a, b Crash) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Caller, b.Caller))
 }
 
-// standing returns the crashes since the last run that completed.
-func (r *record) standing() []Crash {
+// crashesSinceCompletion returns the crashes since the last run that completed.
+func (r *record) crashesSinceCompletion() []Crash {
 	if !r.completed {
 		return r.crashes
 	}
@@ -289,7 +291,7 @@
 }
 
 // until is the end of a quarantine.
-func (r *record) until() time.Duration { return r.crashes[len(r.crashes)-1].At + period }
+func (r *record) until() time.Duration { return r.crashes[len(r.crashes)-1].At + quarantinePeriod }
 
 // endpoint names one incarnation of an endpoint.
 type endpoint struct {
@@ -299,51 +301,51 @@
 
 func (c *Crash) endpoint() endpoint { return endpoint{c.Endpoint, c.Incarnation} }
 
-// judge counts anew what speaks against each request, the most suspect first. Guards against a request
+// recount counts anew what speaks against each request, the most suspect first. Guards against a request
 // that was at several endpoints together with one that crashes them.
-func (t *Table) judge() {
+func (t *Table) recount() {
 	suspects := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
 		r.count = 0
-		if len(r.standing()) > 0 {
+		if len(r.crashesSinceCompletion()) > 0 {
 			suspects = append(suspects, r)
 		}
 	}
 	slices.SortFunc(suspects, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(len(b.standing()), len(a.standing())), a.request.compare(b.request))
+		return cmp.Or(cmp.Compare(len(b.crashesSinceCompletion()), len(a.crashesSinceCompletion())), a.request.compare(b.request))
 	})
-	t.explained, t.quarantined = make(map[endpoint]bool), 0
+	t.attributed, t.quarantined = make(map[endpoint]bool), 0
 	for _, r := range suspects {
-		if r.weigh(t.explained); r.count < crashesMost {
+		if r.countCrashes(t.attributed); r.count < quarantineCrashes {
 			continue
 		}
 		t.quarantined++
-		for _, c := range r.standing() {
-			t.explained[c.endpoint()] = true
+		for _, c := range r.crashesSinceCompletion() {
+			t.attributed[c.endpoint()] = true
 		}
 	}
 }
 
-// weigh counts what speaks against a request.
-func (r *record) weigh(explained map[endpoint]bool) {
-	n, callers := inSuccession(r.standing(), explained)
-	if r.count = n; r.request.Caller == 0 && callers < callersLeast {
+// countCrashes counts what speaks against a request.
+func (r *record) countCrashes(attributed map[endpoint]bool) {
+	n, callers := countSuccessive(r.crashesSinceCompletion(), attributed)
+	if r.count = n; r.request.Caller == 0 && callers < minCallers {
 		r.count = 0
 	}
 }
 
-// inSuccession counts the crashes that no other request explains, as many as have runs that don't
+// countSuccessive counts the crashes that no other request explains, as many as have runs that don't
 // overlap, and the callers of these. Guards against a request that often comes and was at many endpoints
 // when they crashed together, as when a failure domain loses power: its next runs complete.
-func inSuccession(crashes []Crash, explained map[endpoint]bool) (n, callers int) {
-	seen := make(map[uint64]bool)
-	last := time.Duration(0)
+func countSuccessive(crashes []Crash, attributed map[endpoint]bool) (n, callers int) {
+	seenCallers := make(map[uint64]bool)
+	previousEnd := time.Duration(0)
 	for i := range crashes {
 		c := &crashes[i]
-		if explained[c.endpoint()] || n > 0 && c.Began < last {
+		if attributed[c.endpoint()] || n > 0 && c.Began < previousEnd {
 			continue
 		}
-		n, last, seen[c.Caller] = n+1, c.At, true
+		n, previousEnd, seenCallers[c.Caller] = n+1, c.At, true
 	}
-	return n, len(seen)
+	return n, len(seenCallers)
 }
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -14,90 +14,90 @@
 	sec = time.Second
 )
 
-// by is the content as one caller sends it.
-func by(content uint64) Request { return Request{content, 1} }
+// requestOf is the content as one caller sends it.
+func requestOf(content uint64) Request { return Request{content, 1} }
 
 func crash(content uint64, endpoint int, began, at time.Duration) Crash {
-	return Crash{Request: by(content), Endpoint: fmt.Sprint("e", endpoint), Incarnation: 1, Began: began, At: at}
+	return Crash{Request: requestOf(content), Endpoint: fmt.Sprint("e", endpoint), Incarnation: 1, Began: began, At: at}
 }
 
-func want(t *testing.T, table *Table, now time.Duration, verdicts map[uint64]Verdict) {
+func wantVerdicts(t *testing.T, table *Table, now time.Duration, verdicts map[uint64]Verdict) {
 	t.Helper()
 	for content, verdict := range verdicts {
-		if got := table.Of(now, by(content)); got != verdict {
+		if got := table.Verdict(now, requestOf(content)); got != verdict {
 			t.Errorf("request %d at %v: verdict %d, want %d", content, now, got, verdict)
 		}
 	}
 }
 
 // Guards against a request that crashes one endpoint after the other and is sent on.
-func TestThreeCrashesInSuccession(t *testing.T) {
+func TestThreeSuccessiveCrashesQuarantine(t *testing.T) {
 	table := NewTable()
-	want(t, table, sec, map[uint64]Verdict{7: Sound})
+	wantVerdicts(t, table, sec, map[uint64]Verdict{7: Clear})
 	for i := range 2 {
 		at := time.Duration(i+1) * sec
-		if !table.Crashed(at, crash(7, i, at-100*ms, at)) || table.Crashed(at, crash(7, i, at-100*ms, at)) {
+		if !table.RecordCrash(at, crash(7, i, at-100*ms, at)) || table.RecordCrash(at, crash(7, i, at-100*ms, at)) {
 			t.Errorf("crash %d: known before, or not after", i)
 		}
-		want(t, table, at, map[uint64]Verdict{7: Suspected, 8: Sound})
-	}
-	table.Crashed(3*sec, crash(7, 2, 2*sec, 3*sec))
-	want(t, table, 3*sec, map[uint64]Verdict{7: Quarantined, 8: Sound})
-	want(t, table, 3*sec+period, map[uint64]Verdict{7: Suspected})
-	table.Crashed(4*sec+period, crash(7, 3, 3*sec+period, 4*sec+period))
-	want(t, table, 4*sec+period, map[uint64]Verdict{7: Quarantined})
-	table.Forget(4*sec + period + keptFor)
-	want(t, table, 4*sec+period+keptFor, map[uint64]Verdict{7: Sound})
+		wantVerdicts(t, table, at, map[uint64]Verdict{7: Suspected, 8: Clear})
+	}
+	table.RecordCrash(3*sec, crash(7, 2, 2*sec, 3*sec))
+	wantVerdicts(t, table, 3*sec, map[uint64]Verdict{7: Quarantined, 8: Clear})
+	wantVerdicts(t, table, 3*sec+quarantinePeriod, map[uint64]Verdict{7: Suspected})
+	table.RecordCrash(4*sec+quarantinePeriod, crash(7, 3, 3*sec+quarantinePeriod, 4*sec+quarantinePeriod))
+	wantVerdicts(t, table, 4*sec+quarantinePeriod, map[uint64]Verdict{7: Quarantined})
+	table.Expire(4*sec + quarantinePeriod + crashRetention)
+	wantVerdicts(t, table, 4*sec+quarantinePeriod+crashRetention, map[uint64]Verdict{7: Clear})
 	if len(table.records) != 0 {
 		t.Errorf("%d requests are remembered for good", len(table.records))
 	}
 }
 
 // Guards against a request that is refused for good although it runs again.
-func TestRunThatCompletesClears(t *testing.T) {
+func TestCompletedRunEndsQuarantine(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		at := time.Duration(i+1) * sec
-		table.Crashed(at, crash(7, i, at-100*ms, at))
+		table.RecordCrash(at, crash(7, i, at-100*ms, at))
 	}
-	if table.Completed(4*sec, 500*ms, by(7)) {
+	if table.RecordCompletion(4*sec, 500*ms, requestOf(7)) {
 		t.Error("a run that completed before the first crash says something")
 	}
-	want(t, table, 4*sec, map[uint64]Verdict{7: Quarantined})
-	if !table.Completed(4*sec, 3500*ms, by(7)) || table.Completed(4*sec, 3500*ms, by(7)) || table.Completed(4*sec, 4*sec, by(8)) {
+	wantVerdicts(t, table, 4*sec, map[uint64]Verdict{7: Quarantined})
+	if !table.RecordCompletion(4*sec, 3500*ms, requestOf(7)) || table.RecordCompletion(4*sec, 3500*ms, requestOf(7)) || table.RecordCompletion(4*sec, 4*sec, requestOf(8)) {
 		t.Error("whether a completed run says something new is told wrongly")
 	}
-	want(t, table, 4*sec, map[uint64]Verdict{7: Sound})
-	table.Crashed(5*sec, crash(7, 9, 4*sec, 5*sec))
-	want(t, table, 5*sec, map[uint64]Verdict{7: Suspected})
+	wantVerdicts(t, table, 4*sec, map[uint64]Verdict{7: Clear})
+	table.RecordCrash(5*sec, crash(7, 9, 4*sec, 5*sec))
+	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Suspected})
 }
 
 // Guards against a request that comes often and was at many endpoints of a failure domain when all
 // of them lost power.
-func TestCrashesTogetherAreOne(t *testing.T) {
+func TestOverlappingCrashesCountOnce(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
-		table.Crashed(2*sec, crash(7, i, time.Duration(i)*ms, sec+time.Duration(i%3)*ms))
+		table.RecordCrash(2*sec, crash(7, i, time.Duration(i)*ms, sec+time.Duration(i%3)*ms))
 	}
-	want(t, table, 2*sec, map[uint64]Verdict{7: Suspected})
+	wantVerdicts(t, table, 2*sec, map[uint64]Verdict{7: Suspected})
 }
 
 // Guards against a request that was three times beside one that crashes endpoints.
-func TestCrashesAreExplainedByTheMostSuspect(t *testing.T) {
+func TestCrashIsAttributedToMostSuspectedRequest(t *testing.T) {
 	table := NewTable()
 	for i := range 4 {
 		at := time.Duration(i+1) * sec
-		table.Crashed(at, crash(7, i, at-100*ms, at))
+		table.RecordCrash(at, crash(7, i, at-100*ms, at))
 		if i < 3 {
-			table.Crashed(at, crash(3, i, at-100*ms, at))
+			table.RecordCrash(at, crash(3, i, at-100*ms, at))
 		}
 	}
-	want(t, table, 5*sec, map[uint64]Verdict{7: Quarantined, 3: Sound})
+	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Quarantined, 3: Clear})
 }
 
 // Guards against entries that hold different requests for the culprit: whatever the order in which
 // the same events are learned, the verdicts are the same.
-func TestOrderOfLearningDoesNotMatter(t *testing.T) {
+func TestVerdictsDoNotDependOnOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type event struct {
 			Crash
@@ -112,9 +112,9 @@
 		}
 		learn := func(table *Table, e event) {
 			if e.completed {
-				table.Completed(4*sec, e.At, e.Request)
+				table.RecordCompletion(4*sec, e.At, e.Request)
 			} else {
-				table.Crashed(4*sec, e.Crash)
+				table.RecordCrash(4*sec, e.Crash)
 			}
 		}
 		first, second := NewTable(), NewTable()
@@ -138,7 +138,7 @@
 		for content := uint64(1); content <= 4; content++ {
 			for caller := range uint64(3) {
 				r := Request{content, caller + 1}
-				if a, b := first.Of(4*sec, r), second.Of(4*sec, r); a != b {
+				if a, b := first.Verdict(4*sec, r), second.Verdict(4*sec, r); a != b {
 					t.Fatalf("request %v: %d and %d", r, a, b)
 				}
 			}
@@ -148,24 +148,24 @@
 
 // Guards against a request that crashes endpoints under one name of its caller after the other; and
 // against one caller who has the same refused to all others.
-func TestCallersOfAContent(t *testing.T) {
+func TestQuarantineForOneCallerAndForAll(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		at := time.Duration(i+1) * sec
-		table.Crashed(at, crash(7, i, at-100*ms, at))
+		table.RecordCrash(at, crash(7, i, at-100*ms, at))
 	}
-	verdict := func(content, caller uint64) Verdict { return table.Of(4*sec, Request{content, caller}) }
+	verdict := func(content, caller uint64) Verdict { return table.Verdict(4*sec, Request{content, caller}) }
 	if verdict(7, 1) != Quarantined || verdict(7, 2) == Quarantined {
 		t.Errorf("after crashes under caller 1: %d, and of another %d", verdict(7, 1), verdict(7, 2))
 	}
 	c := crash(7, 3, 3500*ms, 3600*ms)
 	c.Caller = 2
-	table.Crashed(4*sec, c)
-	if verdict(7, 3) != Quarantined || verdict(8, 3) != Sound {
+	table.RecordCrash(4*sec, c)
+	if verdict(7, 3) != Quarantined || verdict(8, 3) != Clear {
 		t.Errorf("after a crash under another caller: a third %d, and for another content %d", verdict(7, 3), verdict(8, 3))
 	}
-	table.Completed(4*sec, 3900*ms, Request{7, 4})
-	if verdict(7, 3) != Sound || verdict(7, 1) != Quarantined {
+	table.RecordCompletion(4*sec, 3900*ms, Request{7, 4})
+	if verdict(7, 3) != Clear || verdict(7, 1) != Quarantined {
 		t.Errorf("after it completed for a fourth caller: a third %d, the first %d", verdict(7, 3), verdict(7, 1))
 	}
 }
@@ -176,37 +176,37 @@
 	table := NewTable()
 	for i := range 3 {
 		at := time.Duration(i+1) * sec
-		table.Crashed(at, crash(7, i, at-100*ms, at))
+		table.RecordCrash(at, crash(7, i, at-100*ms, at))
 	}
-	for i := range uint64(mostRecords) {
-		table.Crashed(4*sec, crash(1000+i, int(i), 3*sec, 4*sec))
+	for i := range uint64(maxRecords) {
+		table.RecordCrash(4*sec, crash(1000+i, int(i), 3*sec, 4*sec))
 	}
-	for i := range 2 * mostCrashes {
+	for i := range 2 * maxCrashes {
 		at := 5*sec + time.Duration(i)*100*ms
-		table.Crashed(at, crash(7, 100_000+i, at-50*ms, at))
+		table.RecordCrash(at, crash(7, 100_000+i, at-50*ms, at))
 	}
-	if len(table.records) != mostRecords || len(table.Crashes(by(7))) != mostCrashes {
-		t.Errorf("%d requests, %d crashes of one", len(table.records), len(table.Crashes(by(7))))
+	if len(table.records) != maxRecords || len(table.Crashes(requestOf(7))) != maxCrashes {
+		t.Errorf("%d requests, %d crashes of one", len(table.records), len(table.Crashes(requestOf(7))))
 	}
-	want(t, table, 20*sec, map[uint64]Verdict{7: Quarantined})
+	wantVerdicts(t, table, 20*sec, map[uint64]Verdict{7: Quarantined})
 }
 
 // Guards against quarantine by bad luck: of endpoints crash some for another reason all the time, and
 // requests with a content of their own and such with one that often comes are under way there.
-func TestCrashesByAnotherCauseHoldNobody(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		rng := rand.New(rand.NewPCG(3, rapid.Uint64().Draw(t, "seed")))
 		for i := range 40 {
 			now := time.Duration(i+1) * 700 * ms
 			for content := uint64(1); content <= 3; content++ { // each is there, and completes elsewhere
-				table.Crashed(now, crash(content, i, now-time.Duration(rng.IntN(200))*ms, now))
-				if table.Of(now, by(content)) == Quarantined {
+				table.RecordCrash(now, crash(content, i, now-time.Duration(rng.IntN(200))*ms, now))
+				if table.Verdict(now, requestOf(content)) == Quarantined {
 					t.Fatalf("request %d is in quarantine at %v", content, now)
 				}
-				table.Completed(now, now+time.Duration(rng.IntN(300))*ms, by(content))
+				table.RecordCompletion(now, now+time.Duration(rng.IntN(300))*ms, requestOf(content))
 			}
-			table.Crashed(now, crash(uint64(100+i), i, now-100*ms, now))
+			table.RecordCrash(now, crash(uint64(100+i), i, now-100*ms, now))
 		}
 		if got := table.Quarantined(30*sec, nil); len(got) != 0 {
 			t.Fatalf("in quarantine: %v", got)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -177,7 +177,7 @@
 	if a.Depth > maxDepth {
 		return ReasonTooDeep
 	}
-	if c.quarantine.Of(c.now, a.identity()) == quarantine.Quarantined {
+	if c.quarantine.Verdict(c.now, a.identity()) == quarantine.Quarantined {
 		return ReasonQuarantined
 	}
 	if len(c.requests) >= c.cfg.MaxInFlight {
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -145,7 +145,7 @@
 // maySpendRepeat reports whether spendRepeat would, without spending anything.
 func (c *Core) maySpendRepeat(now time.Duration, r *request) bool {
 	if r.pool.repeats != nil {
-		return r.policy.RetryBudget > 0 && r.pool.repeats.May(now, r.repeatRank(now))
+		return r.policy.RetryBudget > 0 && r.pool.repeats.MaySpend(now, r.repeatRank(now))
 	}
 	return r.service.retry.Level() >= 1
 }
--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -10,9 +10,9 @@
 // tables are empty.
 const maxAdoptedHomes = 256
 
-// adoptedAnswerShare is the part of the bytes for answers, one in this many,
+// adoptedAnswerDivisor is the part of the bytes for answers, one in this many,
 // that adopted answers may take, so that the table's own find room.
-const adoptedAnswerShare = 2
+const adoptedAnswerDivisor = 2
 
 // UnknownTotal stands for a hand-over whose number of records isn't known. It
 // is never reached, so that missing keys are told "unknown".
@@ -27,8 +27,8 @@
 // adoptedHome holds the keys of a home that was sealed.
 type adoptedHome struct {
 	home uint64
-	// oldest: of earlier epochs nothing is known.
-	oldest uint32
+	// oldestEpoch: of earlier epochs nothing is known.
+	oldestEpoch uint32
 	// total is how many keys the home handed over, or UnknownTotal.
 	total   int
 	rows    map[adoptedKey]row
@@ -66,16 +66,16 @@
 // oldest kept epoch (Oldest). complete says that records is the whole result
 // of its Export: missing keys are then told "not run", else "unknown". A
 // hand-over that comes in parts goes through AdoptPart.
-func (t *Table) Adopt(now time.Duration, home uint64, oldest uint32, records []Record, complete bool) {
+func (t *Table) Adopt(now time.Duration, home uint64, oldestEpoch uint32, records []Record, complete bool) {
 	if !complete {
-		t.AdoptPart(now, home, oldest, UnknownTotal, records)
+		t.AdoptPart(now, home, oldestEpoch, UnknownTotal, records)
 		return
 	}
 	if h := t.adopted.find(home); h != nil {
 		// What came before may be of an unknown total, which can't be counted.
 		t.forgetHome(h)
 	}
-	t.AdoptPart(now, home, oldest, len(records), records)
+	t.AdoptPart(now, home, oldestEpoch, len(records), records)
 }
 
 // AdoptPart takes over some of the keys of a home that was sealed. total is
@@ -86,7 +86,7 @@
 // The keys are answered for as long as the table keeps its own. When there is
 // no room the homes adopted first are forgotten, and of a table that alone is
 // too large only a part is kept, which leaves it incomplete.
-func (t *Table) AdoptPart(now time.Duration, home uint64, oldest uint32, total int, records []Record) {
+func (t *Table) AdoptPart(now time.Duration, home uint64, oldestEpoch uint32, total int, records []Record) {
 	t.forgetAdopted(now)
 	if home == t.cfg.Self {
 		return
@@ -95,7 +95,7 @@
 	if h == nil {
 		h = t.addHome(now, home)
 	}
-	h.oldest = max(h.oldest, oldest)
+	h.oldestEpoch = max(h.oldestEpoch, oldestEpoch)
 	h.total = max(h.total, total)
 	for i := range records {
 		t.adoptRecord(h, &records[i])
@@ -129,13 +129,13 @@
 	if known && (old.result == Done || !old.matches(rec.Caller, rec.Digest)) {
 		return
 	}
-	if !known && !t.makeAdoptedRoom(h) {
+	if !known && !t.makeAdoptedKeyRoom(h) {
 		return
 	}
 	r := row{caller: rec.Caller, digest: rec.Digest, result: Unknown}
 	if rec.Result == Done {
 		r.result = Done
-		r.answer = t.keepAdopted(h, rec.Answer)
+		r.answer = t.keepAdoptedAnswer(h, rec.Answer)
 	}
 	if !known {
 		t.adopted.keys++
@@ -143,8 +143,8 @@
 	h.rows[k] = r
 }
 
-// makeAdoptedRoom forgets the homes adopted first until one more key of h fits.
-func (t *Table) makeAdoptedRoom(h *adoptedHome) bool {
+// makeAdoptedKeyRoom forgets the homes adopted first until one more key of h fits.
+func (t *Table) makeAdoptedKeyRoom(h *adoptedHome) bool {
 	for t.adopted.keys >= t.cfg.MaxAdopted {
 		first := t.adopted.order[0]
 		if first == h {
@@ -155,15 +155,15 @@
 	return true
 }
 
-// keepAdopted returns a if there is room for it. It takes no room from the
+// keepAdoptedAnswer returns a if there is room for it. It takes no room from the
 // table's own answers, which are asked for more often.
-func (t *Table) keepAdopted(h *adoptedHome, a *Answer) *Answer {
+func (t *Table) keepAdoptedAnswer(h *adoptedHome, a *Answer) *Answer {
 	if a == nil {
 		return nil
 	}
 	cost := a.cost()
-	room := t.cfg.MaxAnswerTotal/adoptedAnswerShare - t.adopted.answers
-	if cost > room || !t.fits(cost) || t.answerBytes()+cost > t.cfg.MaxAnswerTotal {
+	room := t.cfg.MaxAnswerTotal/adoptedAnswerDivisor - t.adopted.answers
+	if cost > room || !t.answerFits(cost) || t.answerBytes()+cost > t.cfg.MaxAnswerTotal {
 		t.stats.AnswersDropped++
 		return nil
 	}
@@ -179,10 +179,10 @@
 		return Decision{Kind: NotHome, Home: k.Home}
 	}
 	if r, ok := h.rows[adoptedKey{epoch: k.Epoch, random: k.Random}]; ok {
-		return t.known(&r, k, caller, d)
+		return t.beginKnown(&r, k, caller, d)
 	}
 	switch {
-	case k.Epoch < h.oldest:
+	case k.Epoch < h.oldestEpoch:
 		return Decision{Kind: Expired, Home: k.Home}
 	case h.complete():
 		return Decision{Kind: SealedNotRun, Home: k.Home}
@@ -193,8 +193,8 @@
 
 // Adoption is what a table holds of a home that handed over to it.
 type Adoption struct {
-	Home   uint64
-	Oldest uint32
+	Home        uint64
+	OldestEpoch uint32
 	// Total is how many records the home handed over, for AdoptPart. It may
 	// be more than are left of them.
 	Total   int
@@ -213,7 +213,7 @@
 }
 
 func (h *adoptedHome) export() Adoption {
-	a := Adoption{Home: h.home, Oldest: h.oldest, Total: h.total}
+	a := Adoption{Home: h.home, OldestEpoch: h.oldestEpoch, Total: h.total}
 	a.Records = make([]Record, 0, len(h.rows))
 	for k, r := range h.rows {
 		a.Records = append(a.Records, r.record(Key{Home: h.home, Epoch: k.epoch, Random: k.random}))
--- a/internal/idem/answers.go
+++ b/internal/idem/answers.go
@@ -21,18 +21,18 @@
 	return t.answers + t.adopted.answers
 }
 
-// fits reports whether an answer is small enough to be kept at all.
-func (t *Table) fits(cost int64) bool {
+// answerFits reports whether an answer is small enough to be kept at all.
+func (t *Table) answerFits(cost int64) bool {
 	return cost <= int64(t.cfg.MaxAnswerBytes)
 }
 
-// keep returns a if it can be kept for key k, or nil.
-func (t *Table) keep(rows *epochRows, k Key, a *Answer) *Answer {
+// keepAnswer returns a if it can be kept for key k, or nil.
+func (t *Table) keepAnswer(rows *epochRows, k Key, a *Answer) *Answer {
 	if a == nil {
 		return nil
 	}
 	cost := a.cost()
-	if !t.fits(cost) || !t.makeRoom(cost) {
+	if !t.answerFits(cost) || !t.makeAnswerRoom(cost) {
 		t.stats.AnswersDropped++
 		return nil
 	}
@@ -41,9 +41,9 @@
 	return a
 }
 
-// makeRoom drops the oldest answers of the table's own keys until cost more
+// makeAnswerRoom drops the oldest answers of the table's own keys until cost more
 // bytes fit: a caller that lost its answer asks again soon or not at all.
-func (t *Table) makeRoom(cost int64) bool {
+func (t *Table) makeAnswerRoom(cost int64) bool {
 	limit := t.cfg.MaxAnswerTotal - t.adopted.answers
 	if cost > limit {
 		return false
--- a/internal/idem/bench_test.go
+++ b/internal/idem/bench_test.go
@@ -98,7 +98,7 @@
 		perKey("own-B/key", func() *Table { fill(own, benchKeys, nil); return own })
 		perKey("adopted-B/key", func() *Table {
 			t := NewTable(DefaultConfig(2))
-			t.Adopt(0, 1, own.Oldest(), own.Export(), true)
+			t.Adopt(0, 1, own.OldestEpoch(), own.Export(), true)
 			return t
 		})
 		own = NewTable(DefaultConfig(1))
--- a/internal/idem/decision.go
+++ b/internal/idem/decision.go
@@ -62,9 +62,9 @@
 }
 
 // String returns the kind's name as it stands in logs and the audit trail.
-func (v DecisionKind) String() string {
-	if int(v) < len(decisionNames) && decisionNames[v] != "" {
-		return decisionNames[v]
+func (k DecisionKind) String() string {
+	if int(k) < len(decisionNames) && decisionNames[k] != "" {
+		return decisionNames[k]
 	}
 	return "invalid"
 }
@@ -85,8 +85,8 @@
 )
 
 // Outcome returns the strongest statement that the verdict supports.
-func (v DecisionKind) Outcome() Outcome {
-	switch v {
+func (k DecisionKind) Outcome() Outcome {
+	switch k {
 	case Run, Join, NotHome:
 		return Pending
 	case Replay, DoneNoAnswer:
--- a/internal/idem/epoch.go
+++ b/internal/idem/epoch.go
@@ -41,7 +41,7 @@
 // recorded, and a request that joined it has to learn the result. The bound on
 // all keys holds for it too.
 func (t *Table) forgetEpochs() {
-	oldest := t.Oldest()
+	oldest := t.OldestEpoch()
 	t.epochs = slices.DeleteFunc(t.epochs, func(rows *epochRows) bool {
 		if rows.epoch >= oldest || rows.running > 0 {
 			return false
--- a/internal/idem/fleet_test.go
+++ b/internal/idem/fleetmodel_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// identity is one request as its caller means it.
-type identity struct {
+// callerRequest is one request as its caller means it.
+type callerRequest struct {
 	key    Key
 	caller uint64
 	digest Digest
@@ -20,7 +20,7 @@
 // job is a request that an entry holds after the verdict Run. It stays in the
 // list when it has ended: a timer that wakes late still points to it.
 type job struct {
-	id   identity
+	id   callerRequest
 	sent bool
 }
 
@@ -31,41 +31,41 @@
 	jobs                  []*job
 }
 
-// mail is a message on its way to an entry, or to an endpoint if to is nil.
-type mail struct {
+// modelMessage is a message on its way to an entry, or to an endpoint if to is nil.
+type modelMessage struct {
 	to      *fleetNode
-	arrives func()
+	deliver func()
 }
 
-// fleet is entries, endpoints and callers. pick draws a number below n and is
+// fleetModel is entries, endpoints and callers. pick draws a number below n and is
 // the only source of choice. fault names what is done wrong on purpose, and
 // bad holds the first broken promise.
-type fleet struct {
-	pick     func(n int) int
-	fault    string
-	bad      string
-	now      time.Duration
-	nodes    [3]*fleetNode
-	mails    []mail
-	requests []identity
-	ran      map[Key]identity
-	notRun   map[identity]bool
-	made     uint64
+type fleetModel struct {
+	pick      func(n int) int
+	fault     string
+	violation string
+	now       time.Duration
+	nodes     [3]*fleetNode
+	messages  []modelMessage
+	requests  []callerRequest
+	ran       map[Key]callerRequest
+	notRun    map[callerRequest]bool
+	made      uint64
 }
 
-// walk lets steps things happen and returns the first broken promise.
-func walk(pick func(n int) int, fault string, steps int) string {
-	f := &fleet{pick: pick, fault: fault, ran: map[Key]identity{}, notRun: map[identity]bool{}}
+// runModel lets steps things happen and returns the first broken promise.
+func runModel(pick func(n int) int, fault string, steps int) string {
+	f := &fleetModel{pick: pick, fault: fault, ran: map[Key]callerRequest{}, notRun: map[callerRequest]bool{}}
 	for i := range f.nodes {
 		f.replace(i)
 	}
 	for range steps {
 		f.step()
 	}
-	return f.bad
+	return f.violation
 }
 
-func (f *fleet) replace(i int) {
+func (f *fleetModel) replace(i int) {
 	if f.nodes[i] != nil {
 		f.nodes[i].down = true
 	}
@@ -74,31 +74,33 @@
 		KeepEpochs: 2, MaxKeys: 3, MaxAnswerBytes: 300, MaxAnswerTotal: 500, MaxAdopted: 6})}
 }
 
-func (f *fleet) clock(n *fleetNode) time.Duration { return f.now - n.started }
+func (f *fleetModel) clock(n *fleetNode) time.Duration { return f.now - n.started }
 
-func (f *fleet) post(to *fleetNode, arrives func()) { f.mails = append(f.mails, mail{to, arrives}) }
+func (f *fleetModel) post(to *fleetNode, arrives func()) {
+	f.messages = append(f.messages, modelMessage{to, arrives})
+}
 
-func (f *fleet) check(ok bool, format string, args ...any) {
-	if !ok && f.bad == "" {
-		f.bad = fmt.Sprintf(format, args...)
+func (f *fleetModel) check(ok bool, format string, args ...any) {
+	if !ok && f.violation == "" {
+		f.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // step lets one thing happen. Messages are lost, late or out of order by being
 // dropped or left in flight, which covers partitions too.
-func (f *fleet) step() {
+func (f *fleetModel) step() {
 	i := f.pick(len(f.nodes))
 	n := f.nodes[i]
-	switch what := f.pick(16); {
-	case what < 4:
+	switch action := f.pick(16); {
+	case action < 4:
 		f.send(n)
-	case what < 11:
+	case action < 11:
 		f.deliver()
-	case what < 14 && len(n.jobs) > 0 && !n.paused:
-		f.work(n, n.jobs[f.pick(len(n.jobs))])
-	case what == 14:
+	case action < 14 && len(n.jobs) > 0 && !n.paused:
+		f.wakeJob(n, n.jobs[f.pick(len(n.jobs))])
+	case action == 14:
 		f.disturb(i)
-	case what == 15 && !n.paused:
+	case action == 15 && !n.paused:
 		f.handOver(i, f.nodes[f.pick(len(f.nodes))])
 	}
 	s := n.Stats()
@@ -106,11 +108,11 @@
 }
 
 // send lets a caller send a request, often one that it sent before, to any entry.
-func (f *fleet) send(n *fleetNode) {
+func (f *fleetModel) send(n *fleetNode) {
 	if len(f.requests) == 0 || f.pick(3) == 0 {
 		home := f.nodes[f.pick(len(f.nodes))]
 		k := Key{home.cfg.Self, max(home.Epoch()+1-uint32(f.pick(10)+4)/5, firstEpoch), [16]byte{byte(f.pick(4))}}
-		f.requests = append(f.requests, identity{k, uint64(f.pick(3) / 2), Digest{byte(f.pick(3) / 2)}})
+		f.requests = append(f.requests, callerRequest{k, uint64(f.pick(3) / 2), Digest{byte(f.pick(3) / 2)}})
 	}
 	id := f.requests[len(f.requests)-1-f.pick(min(len(f.requests), 8))]
 	if f.pick(2) == 0 {
@@ -120,7 +122,7 @@
 }
 
 // homeOf returns the home of a key if it is still there, or any entry.
-func (f *fleet) homeOf(id identity) *fleetNode {
+func (f *fleetModel) homeOf(id callerRequest) *fleetNode {
 	i := slices.IndexFunc(f.nodes[:], func(n *fleetNode) bool { return n.cfg.Self == id.key.Home })
 	if i < 0 {
 		i = f.pick(len(f.nodes))
@@ -128,56 +130,56 @@
 	return f.nodes[i]
 }
 
-func (f *fleet) arrive(n *fleetNode, id identity, forwarded bool) {
-	v := n.Begin(f.clock(n), id.key, id.caller, id.digest)
+func (f *fleetModel) arrive(n *fleetNode, id callerRequest, forwarded bool) {
+	decision := n.Begin(f.clock(n), id.key, id.caller, id.digest)
 	rows := n.rowsOf(id.key.Epoch)
 	switch {
-	case v.Kind == Full && f.fault == "forgets keys it had no room for":
+	case decision.Kind == Full && f.fault == "forgets keys it had no room for":
 		rows.spent = filter{}
-	case v.Kind == Expired && f.fault == "runs expired keys", v.Kind == NotHome && f.fault == "runs foreign keys",
-		v.Kind == OutcomeUnknown && f.fault == "runs unknown keys again":
+	case decision.Kind == Expired && f.fault == "runs expired keys", decision.Kind == NotHome && f.fault == "runs foreign keys",
+		decision.Kind == OutcomeUnknown && f.fault == "runs unknown keys again":
 		f.runAt(n, &job{id: id})
-	case v.Kind == Mismatch && f.fault == "answers anyone" && n.cfg.Self == id.key.Home:
+	case decision.Kind == Mismatch && f.fault == "answers anyone" && n.cfg.Self == id.key.Home:
 		r := rows.byRandom[id.key.Random]
-		v = r.decision(id.key.Home)
+		decision = r.decision(id.key.Home)
 	}
-	told := v.Kind.Outcome()
+	outcome := decision.Kind.Outcome()
 	switch {
-	case v.Kind == Run:
+	case decision.Kind == Run:
 		n.jobs = append(n.jobs, &job{id: id})
-	case v.Kind == NotHome && !forwarded:
+	case decision.Kind == NotHome && !forwarded:
 		to := f.homeOf(id)
 		f.post(to, func() { f.arrive(to, id, true) })
-	case told == ReplyNotRun:
-		f.replyNotRun(id, v.Kind)
-	case told == ReplyDone:
-		f.check(f.ran[id.key] == id, "told %v of a request that did not run", v.Kind)
-		f.check(v.Answer == nil || string(v.Answer.Body) == fmt.Sprint(id), "replayed another request's answer")
+	case outcome == ReplyNotRun:
+		f.replyNotRun(id, decision.Kind)
+	case outcome == ReplyDone:
+		f.check(f.ran[id.key] == id, "told %v of a request that did not run", decision.Kind)
+		f.check(decision.Answer == nil || string(decision.Answer.Body) == fmt.Sprint(id), "replayed another request's answer")
 	}
 }
 
-func (f *fleet) replyNotRun(id identity, kind DecisionKind) {
+func (f *fleetModel) replyNotRun(id callerRequest, kind DecisionKind) {
 	f.notRun[id] = true
 	f.check(f.ran[id.key] != id, "told %v of a request that ran", kind)
 }
 
-func (f *fleet) deliver() {
-	if len(f.mails) == 0 {
+func (f *fleetModel) deliver() {
+	if len(f.messages) == 0 {
 		return
 	}
-	i := f.pick(len(f.mails))
-	m := f.mails[i]
+	i := f.pick(len(f.messages))
+	m := f.messages[i]
 	if m.to != nil && !m.to.down && m.to.paused {
 		return
 	}
-	f.mails = slices.Delete(f.mails, i, i+1)
+	f.messages = slices.Delete(f.messages, i, i+1)
 	if f.pick(6) > 0 && (m.to == nil || !m.to.down) {
-		m.arrives()
+		m.deliver()
 	}
 }
 
-// work wakes a job of n, which may come long after the job has ended.
-func (f *fleet) work(n *fleetNode, j *job) {
+// wakeJob wakes a job of n, which may come long after the job has ended.
+func (f *fleetModel) wakeJob(n *fleetNode, j *job) {
 	k := j.id.key
 	switch {
 	case j.sent && f.pick(2) == 0:
@@ -196,7 +198,7 @@
 }
 
 // runAt is the request's arrival at an endpoint, which may refuse it.
-func (f *fleet) runAt(n *fleetNode, j *job) {
+func (f *fleetModel) runAt(n *fleetNode, j *job) {
 	if f.pick(4) == 0 {
 		f.post(n, func() { j.sent = false })
 		return
@@ -209,7 +211,7 @@
 }
 
 // disturb crashes, pauses or wakes an entry, or lets time pass for all.
-func (f *fleet) disturb(i int) {
+func (f *fleetModel) disturb(i int) {
 	switch f.pick(6) {
 	case 0:
 		f.replace(i)
@@ -222,7 +224,7 @@
 
 // handOver seals an entry and sends its keys to another, whole or in parts
 // that may get lost or mix with those of an earlier hand-over; or ends it.
-func (f *fleet) handOver(i int, to *fleetNode) {
+func (f *fleetModel) handOver(i int, to *fleetNode) {
 	n := f.nodes[i]
 	if n.leaving && f.pick(2) == 0 {
 		f.replace(i)
@@ -232,7 +234,7 @@
 		return
 	}
 	n.leaving = true
-	home, oldest, records := n.cfg.Self, n.Oldest(), n.Export()
+	home, oldest, records := n.cfg.Self, n.OldestEpoch(), n.Export()
 	switch f.fault {
 	case "exports without a seal":
 		n.sealed = false
@@ -249,49 +251,49 @@
 	}
 }
 
-func (f *fleet) postParts(to *fleetNode, a Adoption) {
+func (f *fleetModel) postParts(to *fleetNode, a Adoption) {
 	switch f.fault {
 	case "takes a part for the whole":
 		a.Total = 0
 	case "ignores forgotten epochs":
-		a.Oldest = 0
+		a.OldestEpoch = 0
 	}
 	cut := f.pick(len(a.Records) + 1)
 	for _, part := range [][]Record{a.Records[:cut], a.Records[cut:]} {
-		f.post(to, func() { to.AdoptPart(f.clock(to), a.Home, a.Oldest, a.Total, part) })
+		f.post(to, func() { to.AdoptPart(f.clock(to), a.Home, a.OldestEpoch, a.Total, part) })
 	}
 }
 
-// TestFleetKeepsPromises drives entries, callers and endpoints at random. A
+// TestFleetModelKeepsGuarantees drives entries, callers and endpoints at random. A
 // caller retries a booking through other entries while answers are lost and
 // entries crash, sleep, are cut off, stop and hand over. No key may run twice,
 // no "not run" be false, then or later, and no answer reach another request.
-func TestFleetKeepsPromises(t *testing.T) {
+func TestFleetModelKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if bad := walk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }, "", 300); bad != "" {
-			t.Fatal(bad)
+		if violation := runModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }, "", 300); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// TestFleetModelCatches proves that the model can fail: each fault, made on
+// TestFleetModelDetectsInjectedFaults proves that the model can fail: each fault, made on
 // purpose, breaks a promise in walks that keep all promises without a fault.
-func TestFleetModelCatches(t *testing.T) {
-	firstBreach := func(fault string) (bad string) {
-		for seed := uint64(0); seed < 300 && bad == ""; seed++ {
-			bad = walk(rand.New(rand.NewPCG(seed, 1)).IntN, fault, 1000)
+func TestFleetModelDetectsInjectedFaults(t *testing.T) {
+	firstViolation := func(fault string) (violation string) {
+		for seed := uint64(0); seed < 300 && violation == ""; seed++ {
+			violation = runModel(rand.New(rand.NewPCG(seed, 1)).IntN, fault, 1000)
 		}
-		return bad
+		return violation
 	}
-	if bad := firstBreach(""); bad != "" {
-		t.Fatalf("without a fault: %s", bad)
+	if violation := firstViolation(""); violation != "" {
+		t.Fatalf("without a fault: %s", violation)
 	}
 	for _, fault := range []string{
 		"runs expired keys", "runs unknown keys again", "runs foreign keys", "answers anyone",
 		"forgets keys it had no room for", "forgets released keys", "sends after a late wake-up",
 		"exports without a seal", "leaves out running keys", "takes a part for the whole", "ignores forgotten epochs",
 	} {
-		if bad := firstBreach(fault); bad == "" {
+		if violation := firstViolation(fault); violation == "" {
 			t.Errorf("a fleet that %s is not noticed", fault)
 		}
 	}
--- a/internal/idem/faults_test.go
+++ b/internal/idem/scenarios_test.go
@@ -13,11 +13,11 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// faults are sessions of entries a, b, c with epochs of a minute, two kept,
+// faultScenarios are sessions of entries a, b, c with epochs of a minute, two kept,
 // room for three keys and not quite two large answers. A key is written
 // HOME.EPOCH.NAME; a step names the result that it must have, if any. begin2
 // comes from another caller, begin3 with another request.
-var faults = []struct{ name, steps string }{
+var faultScenarios = []struct{ name, steps string }{
 	// A cook logs a tray, the answer is lost on the way, the tablet sends the
 	// same key through entry b. b names the home, which replays the answer.
 	// Cause: a connection that broke after the run.
@@ -78,13 +78,13 @@
 		a begin a.1.k2 = done-no-answer; a begin a.1.k3 = replay`},
 }
 
-func TestFaults(t *testing.T) {
-	for _, c := range faults {
+func TestFaultScenarios(t *testing.T) {
+	for _, c := range faultScenarios {
 		t.Run(c.name, func(t *testing.T) {
-			s := session{}
+			s := scenarioEntries{}
 			for step := range strings.FieldsFuncSeq(c.steps, func(r rune) bool { return r == ';' || r == '\n' }) {
 				command, want, _ := strings.Cut(step, " = ")
-				if got := s.play(strings.Fields(command)); got != want {
+				if got := s.runStep(strings.Fields(command)); got != want {
 					t.Fatalf("%s: got %q, want %q", command, got, want)
 				}
 			}
@@ -92,23 +92,23 @@
 	}
 }
 
-// session holds the entries that a test has named and their clocks.
-type session map[string]*sessionNode
+// scenarioEntries holds the entries that a test has named and their clocks.
+type scenarioEntries map[string]*scenarioEntry
 
-type sessionNode struct {
+type scenarioEntry struct {
 	*Table
 	now time.Duration
 }
 
-func (s session) node(name string) *sessionNode {
+func (s scenarioEntries) entry(name string) *scenarioEntry {
 	if s[name] == nil {
-		s[name] = &sessionNode{Table: NewTable(Config{Self: uint64(name[0]), EpochLength: time.Minute,
+		s[name] = &scenarioEntry{Table: NewTable(Config{Self: uint64(name[0]), EpochLength: time.Minute,
 			KeepEpochs: 2, MaxKeys: 3, MaxAnswerBytes: 150, MaxAnswerTotal: 290, MaxAdopted: 4})}
 	}
 	return s[name]
 }
 
-func sessionKey(text string) Key {
+func scenarioKey(text string) Key {
 	parts := strings.Split(text, ".")
 	epoch, _ := strconv.ParseUint(parts[1], 10, 32)
 	k := Key{Home: uint64(parts[0][0]), Epoch: uint32(epoch)}
@@ -116,41 +116,41 @@
 	return k
 }
 
-// play takes one step and returns its result, or "".
-func (s session) play(f []string) string {
-	n, op, arg := s.node(f[0]), f[1], append(f[2:], "")[0]
+// runStep takes one step and returns its result, or "".
+func (s scenarioEntries) runStep(f []string) string {
+	n, op, arg := s.entry(f[0]), f[1], append(f[2:], "")[0]
 	switch op {
 	case "begin":
-		return n.Begin(n.now, sessionKey(arg), 1, Digest{1}).Kind.String()
+		return n.Begin(n.now, scenarioKey(arg), 1, Digest{1}).Kind.String()
 	case "begin2":
-		return n.Begin(n.now, sessionKey(arg), 2, Digest{1}).Kind.String()
+		return n.Begin(n.now, scenarioKey(arg), 2, Digest{1}).Kind.String()
 	case "begin3":
-		return n.Begin(n.now, sessionKey(arg), 1, Digest{3}).Kind.String()
+		return n.Begin(n.now, scenarioKey(arg), 1, Digest{3}).Kind.String()
 	case "may":
-		return fmt.Sprint(n.MayDispatch(sessionKey(arg)))
+		return fmt.Sprint(n.MayDispatch(scenarioKey(arg)))
 	case "release":
-		n.Release(sessionKey(arg))
+		n.Release(scenarioKey(arg))
 	case "finish":
 		result, size := Done, map[string]int{"large": 150, "too-large": 151}[f[3]]
 		if f[3] == "unknown" {
 			result = Unknown
 		}
-		n.Finish(sessionKey(arg), result, &Answer{Body: make([]byte, max(size-answerOverhead, 0))})
+		n.Finish(scenarioKey(arg), result, &Answer{Body: make([]byte, max(size-answerOverhead, 0))})
 	case "at":
 		n.now, _ = time.ParseDuration(arg)
 		n.Tick(n.now)
 	case "seal":
 		n.Seal(n.now)
 	case "hand":
-		to := s.node(arg)
-		to.Adopt(to.now, n.cfg.Self, n.Oldest(), n.Export(), true)
+		to := s.entry(arg)
+		to.Adopt(to.now, n.cfg.Self, n.OldestEpoch(), n.Export(), true)
 		for _, a := range n.ExportAdopted() {
-			to.AdoptPart(to.now, a.Home, a.Oldest, a.Total, a.Records)
+			to.AdoptPart(to.now, a.Home, a.OldestEpoch, a.Total, a.Records)
 		}
 	case "part":
-		to, all := s.node(arg), n.Export()
+		to, all := s.entry(arg), n.Export()
 		from, until := int(f[3][0]-'0'), int(f[4][0]-'0')
-		to.AdoptPart(to.now, n.cfg.Self, n.Oldest(), len(all), all[from:until])
+		to.AdoptPart(to.now, n.cfg.Self, n.OldestEpoch(), len(all), all[from:until])
 	case "keys":
 		return fmt.Sprint(n.Stats().Keys)
 	case "epoch":
@@ -159,7 +159,7 @@
 	return ""
 }
 
-func TestKeyHasOneText(t *testing.T) {
+func TestKeyHasOneTextForm(t *testing.T) {
 	k, err := NewKey(0xabc, 7, bytes.NewReader([]byte("0123456789abcdef")))
 	const want = "th1.0000000000000abc.7.30313233343536373839616263646566"
 	if err != nil || k.String() != want {
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -83,9 +83,9 @@
 // Epoch returns the current epoch. It never goes back.
 func (t *Table) Epoch() uint32 { return t.epoch }
 
-// Oldest returns the oldest epoch of which nothing was forgotten. It goes
+// OldestEpoch returns the oldest epoch of which nothing was forgotten. It goes
 // with the records of Export into a hand-over.
-func (t *Table) Oldest() uint32 {
+func (t *Table) OldestEpoch() uint32 {
 	keep := uint32(t.cfg.KeepEpochs)
 	if t.epoch < firstEpoch+keep {
 		return firstEpoch
@@ -103,7 +103,7 @@
 func (t *Table) Stats() Stats {
 	s := t.stats
 	s.Epoch = t.epoch
-	s.OldestEpoch = t.Oldest()
+	s.OldestEpoch = t.OldestEpoch()
 	s.Keys = t.keys
 	s.Running = t.running
 	s.AnswerBytes = t.answerBytes()
@@ -140,15 +140,15 @@
 	rows := t.rowsOf(k.Epoch)
 	if rows != nil {
 		if r, ok := rows.byRandom[k.Random]; ok {
-			return t.known(&r, k, caller, d)
+			return t.beginKnown(&r, k, caller, d)
 		}
 	}
 	return t.beginNew(rows, k, caller, d)
 }
 
-// known answers for a key that has a row. The caller is compared before
+// beginKnown answers for a key that has a row. The caller is compared before
 // anything else, so that nobody learns the state of another caller's request.
-func (t *Table) known(r *row, k Key, caller uint64, d Digest) Decision {
+func (t *Table) beginKnown(r *row, k Key, caller uint64, d Digest) Decision {
 	if !r.matches(caller, d) {
 		t.stats.RefusedMismatch++
 		return Decision{Kind: Mismatch, Home: k.Home}
@@ -162,7 +162,7 @@
 	case rows != nil && rows.spent.has(k.Random):
 		t.stats.RefusedSpent++
 		return Decision{Kind: Spent, Home: k.Home}
-	case k.Epoch < t.Oldest():
+	case k.Epoch < t.OldestEpoch():
 		return Decision{Kind: Expired, Home: k.Home}
 	case t.sealed:
 		return Decision{Kind: Sealed, Home: k.Home}
@@ -208,7 +208,7 @@
 	rows.spent.add(k.Random)
 	t.keys--
 	t.stats.Released++
-	t.ended(rows)
+	t.countEnded(rows)
 }
 
 // Finish records the result of a running key, Done or Unknown. a may be nil;
@@ -225,15 +225,15 @@
 	}
 	wasRunning := r.result == Running
 	r.result = result
-	r.answer = t.keep(rows, k, a)
+	r.answer = t.keepAnswer(rows, k, a)
 	rows.byRandom[k.Random] = r
 	if wasRunning {
-		t.ended(rows)
+		t.countEnded(rows)
 	}
 }
 
-// ended counts a key of rows that is no longer running.
-func (t *Table) ended(rows *epochRows) {
+// countEnded counts a key of rows that is no longer running.
+func (t *Table) countEnded(rows *epochRows) {
 	rows.running--
 	t.running--
 }
