--- a/internal/core/health/eject.go
+++ b/internal/core/health/eject.go
@@ -7,23 +7,22 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Limits bound ejection in one pool, from the profiles. Zero durations and
-// factors take the defaults.
+// Limits bound ejection in one pool. They come from the profiles. Zero durations and factors take
+// the defaults.
 type Limits struct {
-	// MaxShare is the largest share of the live endpoints that may be ejected
-	// at a time. If it is above 0, one endpoint of a pool of two or more always
-	// may; never all.
+	// MaxShare is the largest share of the live endpoints that may be ejected at the same time.
+	// If it is above 0, at least one endpoint of a pool of two or more may be ejected, but never
+	// all endpoints.
 	MaxShare float64
-	// Base and Max are the shortest and longest time of an ejection. The time
-	// doubles with each ejection in a row.
+	// Base and Max are the durations, before jitter, of the first and the longest ejection. The duration
+	// doubles with each successive ejection.
 	Base, Max time.Duration
-	// SlowFactor: an endpoint is a straggler when its answers take more than
-	// this factor of the pool's median.
+	// SlowFactor is the multiple of the pool's median latency above which an endpoint is a
+	// straggler.
 	SlowFactor float64
-	// Busy is the share of the slots of the endpoints in use that is taken.
-	// Stragglers are not ejected if the others could not carry the load: a slow
-	// slot is better than a queue. Endpoints that fail carry nothing, so they
-	// may always go.
+	// Busy is the utilization of the slots of all endpoints that are not ejected. A straggler is
+	// not ejected if the remaining endpoints lack the capacity for the load, because a slow slot
+	// is better than a queue. Failing endpoints add no capacity, so they are ejected at any load.
 	Busy float64
 }
 
@@ -56,53 +55,53 @@
 	return max(0, min(live-1, max(1, int(l.MaxShare*float64(live)))))
 }
 
-// How an ejected endpoint comes back.
+// Rules for the readmission of an ejected endpoint.
 const (
-	// requiredTrials is how many trial requests readmit an endpoint.
+	// requiredTrials is the number of successful trial requests that readmit an endpoint.
 	requiredTrials = 3
-	// trialFailureLimit is the failure rate that two failures in three trials, or
-	// the first two, always pass. A single one may be chance.
+	// trialFailureLimit is the failure rate above which an endpoint is ejected again. Two failures
+	// in three trials, or two failures at the start, always exceed it; a single failure may be
+	// chance.
 	trialFailureLimit = 0.25
-	// trialGap is the time between two trial requests.
+	// trialGap is the shortest time between two trial requests.
 	trialGap = 250 * time.Millisecond
-	// trialTimeout is how long the next trial is waited for. Where no request
-	// is idempotent, an endpoint comes back without a trial.
+	// trialTimeout is how long an ejected endpoint waits for its next trial before it is readmitted
+	// without one, as in a service that has no idempotent requests.
 	trialTimeout = 5 * time.Second
-	// ejectionJitter is the part of an ejection's time that is left to chance, so that
-	// entries that ejected an endpoint together don't return to it together.
+	// ejectionJitter is the random fraction of an ejection's duration. It keeps entries that
+	// ejected an endpoint at the same time from returning to it at the same time.
 	ejectionJitter = 0.5
-	// maxDoublings keeps the growth within the range of a duration.
+	// maxDoublings keeps the growth within the range of time.Duration.
 	maxDoublings = 20
 )
 
-var ejectionClears = fmt.Sprintf("%d good trial requests, or %s without one that is suited", requiredTrials, trialTimeout)
+var ejectionClears = fmt.Sprintf("%d good trial requests, or %s without a suitable request", requiredTrials, trialTimeout)
 
-// Ejected reports whether the endpoint gets no ordinary work.
+// Ejected reports whether the endpoint is ejected and gets no requests except trials.
 func Ejected(now time.Duration, e *table.Endpoint) bool {
 	return now < e.Health.EjectedUntil
 }
 
-// TrialDue reports whether an idempotent request should go to the ejected
-// endpoint to find out whether it works again.
+// TrialDue reports whether the next idempotent request should go to the ejected endpoint to test
+// whether it works again.
 func TrialDue(now time.Duration, e *table.Endpoint) bool {
 	return Ejected(now, e) && now >= e.Health.TrialAt
 }
 
-// TrialSent notes that a trial request was sent.
+// TrialSent records that a trial request was sent.
 func TrialSent(now time.Duration, e *table.Endpoint) {
 	e.Health.TrialAt = now + trialGap
 }
 
-// Pause notes that the process slept for the time gap up to now. What was
-// measured is stale, and the outcomes of requests sent before the pause tell
-// about the pause and not about the endpoints; without this a late wake-up
-// would eject healthy endpoints for being slow.
+// Pause records that the process was suspended for the time gap up to now. It discards the
+// measurements, which are stale, and the outcomes of requests sent before the pause, whose latency
+// includes the pause: otherwise a late wake-up would eject healthy endpoints for being slow.
 func Pause(now, gap time.Duration, p *table.Pool) {
 	for i := range p.Endpoints {
 		h := &p.Endpoints[i].Health
 		resetMeasurements(h)
 		h.JudgeFrom = now
-		// Time asleep is neither time without failures nor time for trials.
+		// The pause counts neither as time without failures nor as time for trials.
 		h.CalmSince += gap
 		if h.EjectedUntil != 0 {
 			h.EjectedUntil = max(h.EjectedUntil, now+trialTimeout)
@@ -110,7 +109,7 @@
 	}
 }
 
-// resetMeasurements drops what was measured of an endpoint.
+// resetMeasurements discards the measurements of an endpoint.
 func resetMeasurements(h *table.Health) {
 	h.Samples, h.SlowSamples = 0, 0
 	h.FailureRate, h.Slowness = 0, 0
@@ -120,8 +119,8 @@
 	return now-h.SampledAt > staleAfter
 }
 
-// eject takes the endpoint out of use. Outcomes of requests already sent don't
-// count any more: its trials decide.
+// eject takes endpoint i out of use. Outcomes of requests already sent no longer count: only its
+// trials decide on readmission.
 func (s *sweep) eject(i int, why string) {
 	e := &s.pool.Endpoints[i]
 	h := &e.Health
@@ -135,12 +134,13 @@
 	}
 	resetMeasurements(h)
 	h.JudgeFrom = s.now
-	// From the limit, the trials alone decide to which side it goes.
+	// Slowness starts at the limit, so that the trials alone decide whether it rises or falls.
 	h.Slowness = s.limits.SlowFactor * s.medianSlowness
 	s.out = append(s.out, Event{Endpoint: i, Kind: Ejection, Why: why, Clears: ejectionClears, Until: h.TrialAt})
 }
 
-// ejectionTime returns the time of the ejection after so many others in a row.
+// ejectionTime returns the duration of an ejection that follows the given number of successive
+// ejections.
 func (s *sweep) ejectionTime(ejections int32) time.Duration {
 	grown := s.limits.Base
 	for range ejections {
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -18,21 +18,21 @@
 	normalLatency = 15 * ms
 )
 
-// simulation drives a pool as an entry would: requests to the endpoints in turn,
-// trials when due, a sweep every 100 ms.
+// simulation drives a pool as an entry does: it sends requests to the endpoints in turn, sends
+// trials when they are due, and calls Sweep every 100 ms.
 type simulation struct {
 	now, step, sweepAt time.Duration
 	pool               table.Pool
 	limits             Limits
 	rng                *rand.Rand
-	// behave says how endpoint i answers.
+	// behave returns the outcome of a request to endpoint i.
 	behave func(i int, now time.Duration) Observation
-	// noTrials: no request is idempotent.
+	// noTrials means that no request is idempotent, so that none can serve as a trial.
 	noTrials      bool
 	next          int
 	sent          []int
 	events        []string
-	ejectionTimes []time.Duration // of ejections
+	ejectionTimes []time.Duration // durations of the ejections, in order
 }
 
 func newSimulation(n int, behave func(int, time.Duration) Observation) *simulation {
@@ -86,7 +86,7 @@
 
 func answer(latency time.Duration) Observation { return Observation{Latency: latency} }
 
-// firstEndpointsBad makes the first n endpoints behave badly for a time.
+// firstEndpointsBad returns a behaviour with which the first n endpoints return bad for the time d.
 func firstEndpointsBad(n int, d time.Duration, bad Observation) func(int, time.Duration) Observation {
 	return func(i int, now time.Duration) Observation {
 		if i < n && now < start+d {
@@ -96,10 +96,10 @@
 	}
 }
 
-// An endpoint answers late, breaks, or turns everything away at once, and the
-// callers whose requests come to it wait or see errors for as long as it gets
-// its part. The other cases look alike, but ejecting would do harm: the fault
-// is load, chance, coldness, the path, or on this side.
+// Guards against an endpoint that answers late, breaks connections or refuses every request, but
+// keeps its share of the traffic. In the cases without an ejection the symptoms are alike, but the
+// cause is load, chance, a cold start, the network path or the entry itself, and an ejection would
+// do harm.
 func TestSweep(t *testing.T) {
 	const always = time.Hour
 	refused, broken := Observation{Outcome: RefusedNotRun, Latency: ms}, Observation{Outcome: Broken}
@@ -112,49 +112,49 @@
 		run    time.Duration
 		want   string
 	}{
-		{"a straggler is ejected until its trials are quick", 6, firstEndpointsBad(1, always, answer(4*normalLatency)), nil, 4 * time.Second, "eject 0, eject 0, eject 0"},
-		{"it comes back with nobody's help", 6, firstEndpointsBad(1, 600*ms, answer(4*normalLatency)), nil, 10 * time.Second, "eject 0, readmit 0"},
-		{"it is found although it claims a long queue", 6, firstEndpointsBad(1, always, Observation{Latency: 10 * normalLatency, Queued: 500}), nil, time.Second, "eject 0"},
-		{"plausible waiting is load, not a slow machine", 6, firstEndpointsBad(1, always, Observation{Latency: 4 * normalLatency, Queued: 4}), nil, 10 * time.Second, ""},
-		{"one long pause of a collector is no trend", 6, func(i int, now time.Duration) Observation {
+		{"a straggler stays ejected while its trials are slow", 6, firstEndpointsBad(1, always, answer(4*normalLatency)), nil, 4 * time.Second, "eject 0, eject 0, eject 0"},
+		{"a recovered straggler is readmitted automatically", 6, firstEndpointsBad(1, 600*ms, answer(4*normalLatency)), nil, 10 * time.Second, "eject 0, readmit 0"},
+		{"a straggler that reports a long queue is ejected", 6, firstEndpointsBad(1, always, Observation{Latency: 10 * normalLatency, Queued: 500}), nil, time.Second, "eject 0"},
+		{"a latency explained by a short queue ejects no endpoint", 6, firstEndpointsBad(1, always, Observation{Latency: 4 * normalLatency, Queued: 4}), nil, 10 * time.Second, ""},
+		{"a rare garbage collection pause ejects no endpoint", 6, func(i int, now time.Duration) Observation {
 			if i == 0 && now%(3*time.Second) < 12*ms {
 				return answer(100 * normalLatency)
 			}
 			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
-		{"chance ejects nobody", 16, func(int, time.Duration) Observation {
+		{"random variation ejects no endpoint", 16, func(int, time.Duration) Observation {
 			return answer(time.Duration(noise.ExpFloat64() * float64(normalLatency)))
 		}, nil, 10 * time.Minute, ""},
-		{"a straggler stays when the others can't carry the load", 6, firstEndpointsBad(1, always, answer(4*normalLatency)),
+		{"a straggler is not ejected when the others lack capacity", 6, firstEndpointsBad(1, always, answer(4*normalLatency)),
 			func(f *simulation) { f.limits.Busy = 0.95 }, 10 * time.Second, ""},
-		{"a fail-fast endpoint goes at any load", 6, firstEndpointsBad(1, always, refused), func(f *simulation) { f.limits.Busy = 1 }, 500 * ms, "eject 0"},
-		{"also when it claims to be busy", 6, firstEndpointsBad(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
-		{"also in a pool of two", 2, firstEndpointsBad(1, always, refused), nil, 500 * ms, "eject 0"},
-		{"shedding that hits all alike ejects nobody", 6, func(i int, now time.Duration) Observation {
+		{"an endpoint that fails fast is ejected at any load", 6, firstEndpointsBad(1, always, refused), func(f *simulation) { f.limits.Busy = 1 }, 500 * ms, "eject 0"},
+		{"an endpoint that fails fast and reports a queue is ejected", 6, firstEndpointsBad(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
+		{"an endpoint that fails fast is ejected in a pool of two", 2, firstEndpointsBad(1, always, refused), nil, 500 * ms, "eject 0"},
+		{"load shedding by all endpoints ejects no endpoint", 6, func(i int, now time.Duration) Observation {
 			if (int(now/(12*ms))+i)%5 < 2 {
 				return refused
 			}
 			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
-		{"a new VM may time out while its caches are cold", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
+		{"timeouts of a cold endpoint don't eject it", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
 			func(f *simulation) { f.pool.Endpoints[0].AdmittedAt = f.now }, 15 * time.Second, ""},
-		{"silent connections are not the endpoint's fault", 6, firstEndpointsBad(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
-		{"most bad means a wrong view", 6, firstEndpointsBad(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
+		{"silent connections eject no endpoint", 6, firstEndpointsBad(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
+		{"no endpoint is ejected while most look bad", 6, firstEndpointsBad(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
 			10 * time.Second, "view-wrong -1, view-restored -1"},
-		{"a wrong view brings the ejected back", 6, func(i int, now time.Duration) Observation {
+		{"ejected endpoints are readmitted when most look bad", 6, func(i int, now time.Duration) Observation {
 			if i < 2 || i < 4 && now > start+time.Second {
 				return broken
 			}
 			return answer(normalLatency)
 		}, func(f *simulation) { f.limits.Base = 20 * time.Second }, 2 * time.Second,
 			"eject 0, eject 1, view-wrong -1, readmit 0, readmit 1"},
-		{"the share is kept when others leave", 8, firstEndpointsBad(2, always, broken), func(f *simulation) {
+		{"an endpoint is readmitted when others leave and the limit falls", 8, firstEndpointsBad(2, always, broken), func(f *simulation) {
 			f.run(300 * ms)
 			for i := 4; i < 8; i++ {
 				f.pool.Endpoints[i].State = table.EndpointLeaving
 			}
 		}, 100 * ms, "eject 0, eject 1, readmit 0"},
-		{"without idempotent requests it comes back by time", 6, firstEndpointsBad(1, time.Second, refused),
+		{"without idempotent requests an endpoint is readmitted after a timeout", 6, firstEndpointsBad(1, time.Second, refused),
 			func(f *simulation) { f.noTrials = true }, 10 * time.Second, "eject 0, readmit 0"},
 	} {
 		f := newSimulation(tt.n, tt.behave)
@@ -168,10 +168,9 @@
 	}
 }
 
-// One endpoint fails ten requests after every ten good ones. Callers would see
-// errors twice a second all night if it came back at once each time. Its
-// ejections double up to the limit, it gets few requests, and when it has been
-// healthy for long a new fault counts as the first one.
+// Guards against an endpoint that alternates between ten good and ten failed requests and is
+// readmitted quickly each time: callers would see errors twice a second without end. Ejections must
+// double up to the limit, and after a long healthy time a new fault must count as the first one.
 func TestFlappingEndpointIsEjectedLongerEachTime(t *testing.T) {
 	count := 0
 	f := newSimulation(6, func(i int, now time.Duration) Observation {
@@ -191,14 +190,13 @@
 		t.Errorf("%d ejections, %.3f of the requests of a good endpoint", len(f.ejectionTimes), share)
 	}
 	if h := &f.run(20 * time.Minute).pool.Endpoints[0].Health; h.EjectedUntil != 0 || h.Ejections != 0 {
-		t.Errorf("not forgiven: %+v", *h)
+		t.Errorf("past ejections still count after a long healthy time: %+v", *h)
 	}
 }
 
-// The entry's VM was stopped for 30 s. On waking, what was in flight looks as if
-// it had taken 30 s or timed out, and every endpoint would be judged by it. The
-// same holds for what was in flight when an endpoint was ejected: it would come
-// back, or stay away, without a trial.
+// Guards against outcomes of requests that were in flight when the entry's VM was suspended for
+// 30 s: they seem to have taken 30 s or timed out, and would make every endpoint look bad. Outcomes
+// of requests in flight at an ejection must not decide on readmission in place of the trials either.
 func TestOutcomesFromBeforePauseOrEjectionAreIgnored(t *testing.T) {
 	f := newSimulation(6, firstEndpointsBad(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
 	sent := start
@@ -207,7 +205,7 @@
 			Observe(f.now, &endpoints[i], Observation{Outcome: TimedOut, Sent: sent, Latency: f.now - sent, Expected: normalLatency})
 			Observe(f.now, &endpoints[i], Observation{Latency: f.now - sent, Expected: normalLatency})
 			if h := endpoints[i].Health; h.Samples != 0 || h.FailureRate != 0 {
-				t.Errorf("endpoint %d: %+v", i, h)
+				t.Errorf("endpoint %d: an outcome of an earlier request counted: %+v", i, h)
 			}
 		}
 	}
@@ -217,9 +215,9 @@
 	check(f.pool.Endpoints)
 }
 
-// Whatever is observed, and whoever leaves: never more than the share is
-// ejected and never all, and once endpoints are healthy all of them are back
-// within a bound without anybody's help.
+// Guards against too many ejections and endpoints that never return. For any outcomes and departures,
+// at most the allowed share of the endpoints is ejected and never all of them, and all endpoints are
+// readmitted within a bounded time after they have recovered.
 func TestEjectionBoundsAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "endpoints")
@@ -271,7 +269,7 @@
 	return live, ejected
 }
 
-// BenchmarkTick measures one outcome of each endpoint and one sweep.
+// BenchmarkTick measures one Observe call per endpoint and one Sweep.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{6, 19, 560} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/internal/core/health/sample.go
+++ b/internal/core/health/sample.go
@@ -2,15 +2,14 @@
 
 import "slices"
 
-// inlineValues is how many values are held without an allocation, which covers
-// the pools of today.
+// inlineValues is the number of values that fit without an allocation, enough for current pools.
 const inlineValues = 64
 
-// sample holds values for a median.
+// sample is a set of values of which the median is taken.
 type sample []float64
 
-// median sorts the values and returns the lower median, 0 if there are none.
-// The lower one makes the better of two endpoints the yardstick.
+// median sorts the values and returns the lower median, or 0 if there are none. With the lower
+// median, the better one of two endpoints is the reference.
 func (s sample) median() float64 {
 	if len(s) == 0 {
 		return 0
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -8,36 +8,38 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// What Sweep judges by.
+// Thresholds of Sweep.
 const (
-	// failureLimit is the failure rate above which an endpoint looks bad.
+	// failureLimit is the failure rate above which an endpoint counts as bad.
 	failureLimit = 0.5
-	// failureMargin is how far above the pool's median it must be to be ejected.
+	// failureMargin is how far above the pool's median the failure rate must be for an ejection.
 	failureMargin = 0.3
-	// minFailureSamples and minSlowSamples are how many outcomes it takes.
+	// minFailureSamples and minSlowSamples are the numbers of outcomes required to rate an
+	// endpoint by its failure rate and by its latency.
 	minFailureSamples = 5
 	minSlowSamples    = 12
-	// minCompared is how many judged endpoints it takes to call one of them slow.
+	// minCompared is the number of rated endpoints required to call one of them slow.
 	minCompared = 3
-	// maxUtilization is the highest share of slots in use after an ejection.
+	// maxUtilization is the highest allowed share of slots in use after an ejection for slowness.
 	maxUtilization = 0.9
-	// staleAfter: an endpoint that got no request for so long is judged anew.
+	// staleAfter is how long after an endpoint's latest outcome its measurements are discarded.
 	staleAfter = 10 * time.Second
 )
 
-// EventKind is what Sweep decided.
+// EventKind is the kind of a decision of Sweep.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	// Ejection: the endpoint gets no work until Event.Until, then trials.
+	// Ejection means that the endpoint gets no requests until Event.Until, and only trial requests
+	// after that.
 	Ejection EventKind = iota
-	// Readmission: the endpoint gets ordinary work again.
+	// Readmission means that the endpoint gets normal traffic again.
 	Readmission
-	// ViewWrong: most endpoints look bad, so the fault is taken to be on this
-	// side or in the service itself; all are used. Event.Endpoint is -1.
+	// ViewWrong means that most endpoints look bad, so that the fault probably lies in this entry,
+	// its network or the service itself. All endpoints are used. Event.Endpoint is -1.
 	ViewWrong
-	// ViewRestored: no longer so. Event.Endpoint is -1.
+	// ViewRestored means that most endpoints no longer look bad. Event.Endpoint is -1.
 	ViewRestored
 )
 
@@ -61,22 +63,22 @@
 	// Endpoint is the index in the pool, or -1 for the whole pool.
 	Endpoint int
 	Kind     EventKind
-	// Why says what was measured.
+	// Why states the measurements behind the decision.
 	Why string
-	// Clears says what ends an ejection.
+	// Clears states what ends an ejection.
 	Clears string
-	// Until is when the trials of an ejected endpoint begin.
+	// Until is when the trial requests to an ejected endpoint begin.
 	Until time.Duration
 }
 
-// Sweep judges the endpoints of a pool, changes their Health and appends what
-// it decided to out. Call it at each tick. Only live endpoints are judged.
+// Sweep rates the live endpoints of a pool, updates their Health and appends its decisions to out.
+// The driver calls it at each tick.
 func Sweep(now time.Duration, p *table.Pool, lim Limits, rng *rand.Rand, out []Event) []Event {
 	s := sweep{now: now, pool: p, limits: lim.withDefaults(), rng: rng, out: out}
 	s.expireMeasurements()
 	s.collect()
 	if s.viewWrong() {
-		s.readmitAll("most endpoints look bad, so all of them are used")
+		s.readmitAll("most endpoints look bad, so all endpoints are used")
 		return s.out
 	}
 	s.endTrials()
@@ -94,10 +96,10 @@
 	out    []Event
 
 	live, ejected int
-	// judged counts the live endpoints that something is known of, and bad
-	// those of them that fail or are ejected.
+	// judged counts the live endpoints that have enough samples or are ejected. bad counts those
+	// of them that fail or are ejected.
 	judged, bad int
-	// slowJudged counts those that can be compared by their latency.
+	// slowJudged counts the endpoints with enough latency samples to be compared.
 	slowJudged     int
 	medianFailure  float64
 	medianSlowness float64
@@ -113,8 +115,8 @@
 	}
 }
 
-// expireMeasurements lets old knowledge lapse, so that an endpoint that was avoided for its
-// past is tried again although nobody asks for it.
+// expireMeasurements discards stale measurements and reduces the count of successive ejections over
+// time, so that an endpoint that was avoided for past results is used again.
 func (s *sweep) expireMeasurements() {
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
@@ -131,6 +133,7 @@
 	})
 }
 
+// collect computes the counts and medians of the pool.
 func (s *sweep) collect() {
 	var buffers [2][inlineValues]float64
 	failures, slowness := sample(buffers[0][:0]), sample(buffers[1][:0])
@@ -161,10 +164,10 @@
 	s.medianSlowness = slowness.median()
 }
 
-// viewWrong reports whether most endpoints look bad. It guards against an
-// entry that is cut off from the endpoints, or a fault that all share, such as
-// a bad request that every endpoint answers with an error: ejecting would put
-// the whole load on the few that are left and break them too.
+// viewWrong reports whether most endpoints look bad, and records it in their Health. This happens
+// when the entry is cut off from the endpoints, or when all endpoints share a fault, such as a bad
+// request that each of them answers with an error. Ejections would then put the whole load on the
+// few remaining endpoints and overload these too.
 func (s *sweep) viewWrong() bool {
 	wrong := 2*s.judged > s.live && 2*s.bad > s.judged
 	was := false
@@ -182,12 +185,12 @@
 	kind, why := ViewRestored, fmt.Sprintf("%d of %d judged endpoints look bad", s.bad, s.judged)
 	if wrong {
 		kind = ViewWrong
-		why += "; all are used until most look good; check the paths from this entry and the service itself"
+		why += "; all endpoints are used until most look good; check the network paths from this entry and the service itself"
 	}
 	s.out = append(s.out, Event{Endpoint: -1, Kind: kind, Why: why})
 }
 
-// endTrials readmits or ejects again the endpoints whose trials are decided.
+// endTrials readmits or ejects again the endpoints whose trials have a result.
 func (s *sweep) endTrials() {
 	s.each(func(i int, e *table.Endpoint) {
 		h := &e.Health
@@ -203,9 +206,9 @@
 		case s.trialSlow(h):
 			s.eject(i, fmt.Sprintf("trial requests took %.1f times the pool's median", h.Slowness/s.medianSlowness))
 		case h.Samples >= requiredTrials:
-			s.readmit(i, fmt.Sprintf("%d trial requests went well", h.Samples))
+			s.readmit(i, fmt.Sprintf("%d trial requests succeeded", h.Samples))
 		case s.now >= h.EjectedUntil:
-			s.readmit(i, "no request was suited for a trial")
+			s.readmit(i, "no request was suitable for a trial")
 		}
 	})
 }
@@ -214,9 +217,9 @@
 	return s.slowJudged > 0 && h.SlowSamples >= requiredTrials && h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// enforceLimit readmits endpoints while more are ejected than may be, which
-// happens when others leave the pool or the profile changes. Those that were
-// to return first go first.
+// enforceLimit readmits endpoints while more are ejected than the limit allows, which happens when
+// other endpoints leave the pool or the profile changes. The endpoint whose ejection would end
+// first is readmitted first.
 func (s *sweep) enforceLimit() {
 	for s.ejected > s.limits.maxEjected(s.live) {
 		first := -1
@@ -230,8 +233,8 @@
 	}
 }
 
-// ejectWorst ejects the endpoints that are much worse than the others, the
-// worst first, as far as the limits allow.
+// ejectWorst ejects the endpoints that are much worse than the others, starting with the worst one,
+// as far as the limits allow.
 func (s *sweep) ejectWorst() {
 	for s.ejected < s.limits.maxEjected(s.live) {
 		worst, worstScore := -1, 0.0
@@ -247,11 +250,10 @@
 	}
 }
 
-// failingScore is above any score of a slow endpoint: one that answers late is
-// still better than one that does not answer.
+// failingScore is above the score of any slow endpoint, because a late answer is better than none.
 const failingScore = 1e6
 
-// score returns how bad an endpoint is, 0 if it is to stay.
+// score returns how bad an endpoint is, or 0 if it should not be ejected.
 func (s *sweep) score(e *table.Endpoint) float64 {
 	h := &e.Health
 	switch {
@@ -276,8 +278,8 @@
 		h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// othersHaveCapacity reports whether the endpoints that would be left can carry the
-// load if one more is ejected.
+// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more endpoint
+// is ejected.
 func (s *sweep) othersHaveCapacity() bool {
 	inUse := float64(s.live - s.ejected)
 	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
