--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -1,18 +1,17 @@
-// Package budget bounds what an entry may spend: slot time of endpoints on
-// probes, new connections, and retries.
+// Package budget bounds what an entry may spend on health probes, load probes, retries and hedges.
 //
-// The package is pure: the driver passes in the time since the process
-// started. Each value belongs to one goroutine at a time.
+// The package does no I/O and reads no clock: the driver passes in the time since the process
+// started. Values are not safe for concurrent use.
 package budget
 
 import "time"
 
-// roundingMargin lowers every rate by a millionth, so that rounding errors of
-// floating-point sums can never exceed a bound.
+// roundingMargin lowers every rate by a millionth, so that rounding errors of floating-point sums
+// never lead to spending above a bound.
 const roundingMargin = 1 - 1e-6
 
-// bucket is a token bucket. Tokens are earned with time up to a capacity. It
-// may be in debt. A clock that stands still or goes back earns nothing.
+// bucket is a token bucket. It is refilled over time up to its capacity, and its number of tokens
+// may be negative. A clock that stops or goes back adds no tokens.
 type bucket struct {
 	tokens     float64
 	capacity   float64
@@ -20,9 +19,9 @@
 	started    bool
 }
 
-// refill adds the tokens since the last call at a rate per second. The first
-// call only starts the clock: a process that has just started has earned
-// nothing, whatever its clock says.
+// refill adds the tokens for the time since the last call, at a rate per second. The first call
+// adds none and only records the time: a process that has just started has earned no tokens,
+// whatever its clock shows.
 func (b *bucket) refill(now time.Duration, rate float64) {
 	if !b.started {
 		b.started = true
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -13,15 +13,15 @@
 	started time.Duration
 }
 
-// spending is what all entries together spent at one time.
+// spending is the number of probes of all entries at one time and the share in force then.
 type spending struct {
 	at     time.Duration
 	probes int
 	share  float64
 }
 
-// checkWindows fails if in any window of at least cfg.Window the probes cost
-// more than the largest share in force in it.
+// checkWindows fails if the probes in any window of at least cfg.Window cost more than the largest
+// share in force in that window.
 func checkWindows(t *rapid.T, spendings []spending, cfg HealthProbeConfig, slots float64) {
 	for i, first := range spendings {
 		probes, share := 0, 0.0
@@ -30,16 +30,15 @@
 			share = max(share, last.share)
 			window := max(cfg.Window, last.at-first.at).Seconds()
 			if spent := float64(probes) * cfg.ProbeCost.Seconds(); spent > share*slots*window {
-				t.Fatalf("window %v to %v: %.3f s of slot time for probes", first.at, last.at, spent)
+				t.Fatalf("window %v to %v: probes took %.3f s of slot time, more than the bound", first.at, last.at, spent)
 			}
 		}
 	}
 }
 
-// During a close the operators see that probes take more slot time than was
-// agreed. All entries start at once, are replaced one after the other, sleep
-// and wake up, poll rarely or often, and see other or no peers; the share
-// changes as the close begins. No order of these may break the bound.
+// Guards against health probes that take more slot time than the bound. Entries start together, are
+// replaced one after the other, are suspended, and poll rarely or often, and the share changes when
+// a close begins. No order of these events may exceed the bound.
 func TestHealthProbeBoundHoldsForAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 24
@@ -91,9 +90,9 @@
 	})
 }
 
-// A bound that is kept by never probing is of no use: an entry that polls all
-// the time gets nearly its whole part of the budget. A probe of a straggler
-// that takes 100 ms instead of 6 is paid before the next one.
+// Guards against a budget that keeps its bound by allowing too few probes: an entry that polls all
+// the time must get nearly its whole share. A probe of a straggler that takes 100 ms instead of 6 ms
+// must delay the next one.
 func TestHealthProbeBudgetIsUsed(t *testing.T) {
 	for _, excess := range []time.Duration{0, 94 * time.Millisecond} {
 		b := NewHealthProbes(HealthProbeConfig{Share: 0.01, LargestFleet: 15})
@@ -108,10 +107,10 @@
 	}
 }
 
-// All endpoints of a service begin to turn everything away at 85 % load, and
-// callers see a short fault become a long one: each failed request was tried
-// again twice, endpoints that came back got three times their load and failed
-// again. With the budget the arrivals stay below 1.1 times what was offered.
+// Guards against a retry storm: all endpoints of a service start to refuse requests at 85 % load.
+// If each failed request were retried twice, recovering endpoints would get three times their load
+// and fail again, and a short fault would last. With the budget the arrivals stay below 1.1 times
+// the requests.
 func TestRetryBudgetLimitsRetryStorm(t *testing.T) {
 	const entries, attempts, calm, storm = 15, 3, 60000, 2000 // in ms
 	for _, slots := range []float64{12, 32, 38} {
@@ -142,11 +141,11 @@
 	}
 }
 
-// A service with one request in a minute earns next to nothing by success; the
-// first failure of the day must still be tried again, and only that one.
+// Guards against a service with one request per minute that earns almost no retries by successes:
+// its first failure must still be retried, and only that one.
 func TestQuietServiceMayRetry(t *testing.T) {
 	r := NewRetry(RetryConfig{Share: 0.1, MinPerSecond: 1, LargestFleet: 15})
 	if !r.TrySpend(16*time.Second) || r.TrySpend(17*time.Second) || !r.TrySpend(32*time.Second) {
-		t.Error("want one retry in 15 s")
+		t.Error("want exactly one retry per 15 s")
 	}
 }
--- a/internal/core/budget/repeats.go
+++ b/internal/core/budget/repeats.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// windowSteps is into how many steps a window is divided. An event is counted for
-// up to one step longer than the window, never shorter.
+// windowSteps is the number of steps of a window. An event is counted for up to one step longer than
+// the window's span, never shorter.
 const windowSteps = 20
 
-// window counts events of the last span.
+// window counts the events of the latest span.
 type window struct {
 	span   time.Duration
 	counts [windowSteps + 1]float64
@@ -14,7 +14,7 @@
 	step   int64
 }
 
-// advance forgets what is older than the span.
+// advance drops the events that are older than the span.
 func (w *window) advance(now time.Duration) {
 	step := int64(now / (w.span / windowSteps))
 	if step <= w.step {
@@ -38,46 +38,45 @@
 	w.total += n
 }
 
-// RepeatBound is what all entries together may send beyond the first attempt of
-// each request for one pool of endpoints.
+// RepeatBound bounds the repeats, the attempts beyond the first one of each request, that all
+// entries together may send to one pool.
 type RepeatBound struct {
-	// Share of the requests in the window; 0 for no bound.
+	// Share is the number of repeats per request in the window; 0 means no bound.
 	Share float64
-	// Window is the length of any window in which the bound holds.
+	// Window is the length of the windows in which the bound holds, wherever they begin.
 	Window time.Duration
-	// Slack is added to the share of the requests, for the fleet as a whole.
+	// Slack is the number of repeats that the whole fleet may send in addition to the share.
 	Slack float64
 }
 
-// usableRepeatShare is the part of the bound that is used. The rest covers requests
-// that one entry counts in a window and an observer counts in the next one; the part of
-// the slack that no entry gets, since fewer run than may, covers them as well.
+// usableRepeatShare is the share of the bound that entries use. The rest covers requests that an
+// entry counts in one window and an observer counts in the next one. The slack of entries that could
+// run but don't covers them as well.
 const usableRepeatShare = 0.9
 
-// Repeats keeps the attempts beyond the first of each request within a bound that
-// holds for all entries together, without a message between them: each spends its
-// share of its own requests, and the sum of the shares is the share of the sum.
-// The slack is divided by the largest fleet that may run, and each process earns its
-// part in the course of its first window, so that neither a partition nor any number of
-// restarts can add to it.
+// Repeats keeps the repeats of all entries together within a bound without messages between the
+// entries: each entry spends the share of its own requests, and these amounts add up to the share of
+// all requests. The slack is divided by the largest fleet that may run, and each process earns its
+// part of the slack during its first window, so that neither a partition nor any number of restarts
+// raises the total.
 type Repeats struct {
 	bound             RepeatBound
 	largestFleet      int
 	knownFleet        int
 	started           time.Duration
 	requests, repeats window
-	// wanted are the repeats that requests of each rank asked for, granted or not, and
-	// spent those granted.
+	// wanted counts the repeats that requests of each rank asked for, and spent those that were
+	// allowed.
 	wanted, spent [Ranks]window
 	denied        uint64
 }
 
-// Ranks is how many ranks of requests are told apart where repeats are scarce; 0 is the
-// highest. There is one for each of ten priorities, and one behind them for what is late.
+// Ranks is the number of ranks of requests among which scarce repeats are distributed. Rank 0 is the
+// highest. Each of the ten priorities has a rank, and the last rank is for late requests.
 const Ranks = 11
 
-// NewRepeats returns a budget for one pool of a process that started at a time; nil
-// where there is no bound.
+// NewRepeats returns a budget for one pool of a process that started at the given time, or nil if
+// there is no bound. A nil budget allows every repeat.
 func NewRepeats(bound RepeatBound, largestFleet int, started time.Duration) *Repeats {
 	if bound.Share <= 0 || bound.Window <= 0 {
 		return nil
@@ -95,22 +94,22 @@
 	return b
 }
 
-// Request counts a request of a caller for the pool.
+// Request counts a caller's request for the pool.
 func (b *Repeats) Request(now time.Duration) {
 	if b != nil {
 		b.requests.add(now, 1)
 	}
 }
 
-// SetFleet tells the largest number of entries known to have run at a time, for a fleet
-// that has grown beyond the setting.
+// SetFleet sets the largest number of entries known to have run at the same time. It takes effect if
+// the fleet has grown beyond the configured size.
 func (b *Repeats) SetFleet(entries int) {
 	if b != nil {
 		b.knownFleet = entries
 	}
 }
 
-// Left returns how many more attempts may be sent now.
+// Left returns how many repeats may be sent now.
 func (b *Repeats) Left(now time.Duration) float64 {
 	b.requests.advance(now)
 	b.repeats.advance(now)
@@ -119,8 +118,8 @@
 	return usableRepeatShare*(b.bound.Share*b.requests.total+earned) - b.repeats.total
 }
 
-// leftFor returns how many more attempts requests of a rank may send now. What those of
-// higher ranks asked for within the window in vain is left to them.
+// leftFor returns how many repeats may be sent now for requests of a rank. It reserves the repeats
+// that requests of higher ranks were denied within the window.
 func (b *Repeats) leftFor(now time.Duration, rank int) float64 {
 	left := b.Left(now)
 	for higher := range rank {
@@ -134,13 +133,12 @@
 
 func clampRank(rank int) int { return min(max(rank, 0), Ranks-1) }
 
-// MaySpend reports whether one more attempt is allowed for a request of a rank, without
-// spending it.
+// MaySpend reports whether the budget allows a repeat for a request of a rank, without spending it.
 func (b *Repeats) MaySpend(now time.Duration, rank int) bool {
 	return b == nil || b.leftFor(now, clampRank(rank)) >= 1
 }
 
-// TrySpend takes one attempt for a request of a rank if it is there.
+// TrySpend spends one repeat for a request of a rank and reports true if the budget allows it.
 func (b *Repeats) TrySpend(now time.Duration, rank int) bool {
 	if b == nil {
 		return true
@@ -156,7 +154,7 @@
 	return true
 }
 
-// Denied counts the attempts that the bound did not allow.
+// Denied returns how many repeats the bound did not allow.
 func (b *Repeats) Denied() uint64 {
 	if b == nil {
 		return 0
@@ -164,24 +162,24 @@
 	return b.denied
 }
 
-// loadProbeBurst is how much of the bound on looks may be saved up. Together with
-// usableLoadProbeShare it keeps the looks of any ten seconds within the bound.
+// loadProbeBurst is the time over which unused load probes may be saved up. Together with
+// usableLoadProbeShare it keeps the load probes of any ten seconds within the bound.
 const loadProbeBurst = time.Second
 
-// usableLoadProbeShare is the part of the bound on looks that is used, since entries may
-// know of each other late.
+// usableLoadProbeShare is the share of the bound on load probes that entries use. The rest covers
+// entries that do not know of each other yet.
 const usableLoadProbeShare = 0.9
 
-// maxSavedLoadProbes bounds how many looks may be saved up from requests.
+// maxSavedLoadProbes bounds how many load probes may be saved up from requests.
 const maxSavedLoadProbes = 64
 
-// LoadProbes keeps the looks at endpoints within two bounds. One follows the requests,
-// so that a fleet that is partitioned, or restarted as a whole, looks no more than
-// its requests warrant. The other is the pool's bound per endpoint, of which an
-// entry takes the part that it has of the fleet's requests.
+// LoadProbes keeps an entry's load probes within two bounds. The first is proportional to the
+// entry's requests, so that also a partitioned fleet, or a fleet that restarts as a whole, sends no
+// more load probes than its requests justify. The second is the pool's bound per endpoint, of which
+// each entry uses a share equal to its share of the fleet's requests.
 type LoadProbes struct {
-	// perEndpoint is how many looks a second all entries may spend on an endpoint;
-	// 0 for no bound.
+	// perEndpoint is the number of load probes per second that all entries together may send to an
+	// endpoint; 0 means no bound.
 	perEndpoint float64
 	saved       float64
 	rateBucket  bucket
@@ -191,18 +189,18 @@
 
 // NewLoadProbes returns a budget for one pool.
 //
-// What an entry may spend is saved up from the start of its process, and not from its
-// first request on, which would otherwise be sent without a look. The bound on what may
-// be saved keeps a restart of the whole fleet within one second's worth.
+// The bound per endpoint is earned from the start of the process. If it were earned from the first
+// request on, that request would be sent without a load probe. loadProbeBurst limits the load probes
+// after a restart of the whole fleet to those of one second.
 func NewLoadProbes(perEndpoint float64) *LoadProbes {
 	return &LoadProbes{perEndpoint: perEndpoint, rateBucket: bucket{started: true}}
 }
 
-// Request earns the looks of one request.
+// Request earns the load probes of one request.
 func (b *LoadProbes) Request(probes int) { b.saved = min(maxSavedLoadProbes, b.saved+float64(probes)) }
 
-// TrySpend takes one look if it is there. endpoints is the number of endpoints of
-// the pool, part this entry's part of the fleet's requests.
+// TrySpend spends one load probe and reports true if both bounds allow it. endpoints is the number
+// of endpoints of the pool, and ownShare is this entry's share of the fleet's requests.
 func (b *LoadProbes) TrySpend(now time.Duration, endpoints int, ownShare float64) bool {
 	rate := usableLoadProbeShare * b.perEndpoint * float64(endpoints) * ownShare
 	b.rateBucket.capacity = max(1, rate*loadProbeBurst.Seconds())
@@ -216,5 +214,5 @@
 	return true
 }
 
-// Spent returns how many looks were taken and denied since the process started.
+// Spent returns how many load probes were allowed and denied since the process started.
 func (b *LoadProbes) Spent() (spent, denied uint64) { return b.total, b.denied }
--- a/internal/core/budget/repeats_test.go
+++ b/internal/core/budget/repeats_test.go
@@ -7,16 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// sentAttempt is an attempt or a request of one entry.
+// sentAttempt is a request or, if repeat is set, a repeat of one entry.
 type sentAttempt struct {
 	at     time.Duration
 	repeat bool
 }
 
-// Endpoints slow down, every entry sends second attempts, and the extra load keeps the
-// endpoints slow. Entries don't see each other, some restart and some are cut off: still
-// all of them together must stay within the share of the requests plus the slack, in
-// every window, whenever it begins.
+// Guards against repeats that keep slow endpoints slow by their extra load. Entries know nothing of
+// each other, and some restart. Still the repeats of all of them together must stay within the share
+// of the requests plus the slack in every window, wherever it begins.
 func TestRepeatsOfAFleetStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		bound := RepeatBound{Share: rapid.Float64Range(0.05, 0.5).Draw(rt, "share"), Window: 10 * time.Second, Slack: 58}
@@ -66,13 +65,13 @@
 	var none *Repeats
 	none.Request(0)
 	if NewRepeats(RepeatBound{}, 1, 0) != nil || !none.MaySpend(0, 0) || !none.TrySpend(0, 0) || none.Denied() != 0 {
-		t.Error("without a bound something is denied")
+		t.Error("a repeat was denied although there is no bound")
 	}
 }
 
-// A service's traffic doubles, and with it the looks that entries take before they
-// choose. The bound per endpoint holds over ten seconds for all entries together, also
-// when the whole fleet has just started anew, while each gets its part of it.
+// Guards against load probes that grow without limit with a service's traffic. The bound per endpoint
+// must hold over ten seconds for all entries together, also right after a restart of the whole fleet,
+// and each entry must get its share of it.
 func TestLoadProbesOfAFleetStayWithinTheBound(t *testing.T) {
 	const perEndpoint, endpoints, window = 60.0, 8, 10 * time.Second
 	shares := []float64{0.4, 0.3, 0.2, 0.1}
@@ -93,22 +92,22 @@
 	for i, n := range spent {
 		all += n
 		if want := shares[i] * perEndpoint * endpoints * window.Seconds() * usableLoadProbeShare; float64(n) < 0.9*want {
-			t.Errorf("entry %d got %d looks, its part is %.0f", i, n, want)
+			t.Errorf("entry %d got %d load probes, its share is %.0f", i, n, want)
 		}
 	}
 	if limit := perEndpoint * endpoints * window.Seconds(); float64(all) > limit {
-		t.Errorf("%d looks in %v, the bound is %.0f", all, window, limit)
+		t.Errorf("%d load probes in %v, the bound is %.0f", all, window, limit)
 	}
 	idle := NewLoadProbes(perEndpoint)
 	if idle.TrySpend(time.Hour, endpoints, 1) {
-		t.Error("a look without a request")
+		t.Error("a load probe was allowed without a request")
 	}
 }
 
-// Endpoints shed half of what they get, and the bound pays for a part of the second
-// attempts only. Spent first come first served, most go to reads, of which there are most,
-// and bookings are refused. What those of a higher rank ask for is left to them; when they
-// ask for nothing, the others have it all.
+// Guards against repeats that go to frequent requests of a low rank while requests of a higher rank
+// are denied theirs: endpoints shed half of their requests, and the bound covers only a part of the
+// repeats. Requests of the higher rank must get their repeats first, and when they ask for none, the
+// lower rank may use the whole bound.
 func TestRepeatsGoToHigherRanksFirst(t *testing.T) {
 	b := NewRepeats(RepeatBound{Share: 0.2, Window: 10 * time.Second}, 1, 0)
 	var granted, asked [2]int
@@ -134,13 +133,13 @@
 		step(true)
 	}
 	if granted[0] < asked[0]*8/10 || granted[1] == 0 {
-		t.Errorf("granted %v of %v", granted, asked)
+		t.Errorf("repeats granted by rank: %v of %v", granted, asked)
 	}
 	granted, asked = [2]int{}, [2]int{}
 	for range 4000 {
 		step(false)
 	}
 	if most := 4000 * 4 * 0.2 * usableRepeatShare; float64(granted[1]) < 0.8*most {
-		t.Errorf("alone the lower rank got %d of %v", granted[1], most)
+		t.Errorf("without requests of the higher rank, the lower rank got %d of %v repeats", granted[1], most)
 	}
 }
