--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,18 +1,20 @@
-// Package quarantine finds requests that crash the endpoints that run them, and says which may not
-// be sent any more.
+// Package quarantine detects requests that crash the endpoints that run them, and decides which
+// requests may no longer be sent.
 //
-// A crash ends all requests that the endpoint held, most of which have nothing to do with it. So
-// a request is told from the others by what it does over several crashes: it was under way at
-// each of them, each of its runs began after the crash before, and none has completed since. A crash
-// under a request that is in quarantine speaks against no other one.
+// A crash ends all requests that the endpoint was running, most of which did not cause it. A request
+// that causes crashes shows over several of them: it was running at each crash, each of its runs
+// began after the previous crash, and none of its runs has completed since. A crash that is
+// attributed to a quarantined request does not count against any other request.
 //
-// A request is known by its content, once for each caller and once whoever sends it: the caller may be
-// what crashes endpoints, or have nothing to do with it, and a caller may have many addresses. For all
-// callers a content is in quarantine only if endpoints crashed under it for several of them.
+// A request is identified by its content. Crashes are recorded once for the content with its caller
+// and once for the content with any caller, because the caller may or may not be part of the cause,
+// and one caller may have many addresses. A content is quarantined for all callers only if endpoints
+// crashed while they ran it for several callers.
 //
-// What is known is a set of crashes and completed runs, and the verdicts follow from the set alone:
-// entries that know the same agree, in whatever order they learned it. The package is pure. Times are
-// durations since the process started; those of events that were learned from others may be negative.
+// The verdicts depend only on the set of known crashes and completed runs, so that entries with the
+// same set agree, in whatever order they learned of the events. The package does no I/O and reads no
+// clock. Times are durations since the process started; those of events that other entries reported
+// may be negative.
 package quarantine
 
 import (
@@ -22,74 +24,75 @@
 )
 
 const (
-	// quarantineCrashes is how many crashes, one after the other, put a request into quarantine.
+	// quarantineCrashes is the number of successive crashes that put a request into quarantine.
 	quarantineCrashes = 3
-	// minCallers is under how many callers endpoints have crashed before a content is held against
-	// all.
+	// minCallers is the number of callers whose requests must have crashed endpoints before a
+	// content is quarantined for all callers.
 	minCallers = 2
-	// quarantinePeriod is how long it is not sent after the latest of them. Then it may run again, and each
-	// further crash ends that for as long.
+	// quarantinePeriod is how long after its latest crash a request stays in quarantine. The
+	// request may run again after that, and each further crash starts a new period.
 	quarantinePeriod = 5 * time.Minute
 	// crashRetention is how long a crash counts.
 	crashRetention = 2 * time.Hour
-	// completionRetention is how long a completed run is remembered of which no crash is known: word of
-	// the crash may come later.
+	// completionRetention is how long the record of a request without a known crash is kept after
+	// a run completed, because evidence of an earlier crash may arrive later.
 	completionRetention = time.Minute
-	// maxRecords bounds the contents that are remembered, those of each caller and those of all, and
-	// maxCrashes the crashes of each.
+	// maxRecords bounds the records of all requests, and maxCrashes the crashes of each record.
 	maxRecords = 2048
 	maxCrashes = 64
 )
 
-// Verdict is what is held of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Clear: nothing speaks against it.
+	// Clear means that no crash counts against the request.
 	Clear Verdict = iota
-	// Suspected: endpoints have crashed while they ran it. It may run, but not be repeated.
+	// Suspected means that endpoints crashed while they ran the request. It may run, but must not
+	// be repeated.
 	Suspected
-	// Quarantined: it is not sent to any endpoint.
+	// Quarantined means that the request must not be sent to any endpoint.
 	Quarantined
 )
 
 // Request identifies a request by numbers for its content and its caller. A Caller of 0 stands for
-// any.
+// any caller.
 type Request struct{ Content, Caller uint64 }
 
-// withAnyCaller is the request whoever sends it.
+// withAnyCaller returns the request's content with any caller.
 func (r Request) withAnyCaller() Request { return Request{Content: r.Content} }
 
-// Crash is an endpoint that crashed while it ran a request.
+// Crash is the crash of an endpoint while it ran a request.
 type Crash struct {
 	Request
-	// Endpoint and Incarnation name the endpoint.
+	// Endpoint and Incarnation identify the endpoint.
 	Endpoint    string
 	Incarnation uint64
-	// Began and At are when the run began and ended.
+	// Began is when the run began, and At when the crash ended it.
 	Began, At time.Duration
 }
 
-// record is what is known of a request.
+// record holds the known crashes and the latest completed run of a request.
 type record struct {
 	request Request
-	// crashes are in the order of their ends.
+	// crashes is in the order of compareEnds.
 	crashes []Crash
 	// completedAt is when a run last completed.
 	completedAt time.Duration
 	completed   bool
-	// changedAt is when something was last learned of it.
+	// changedAt is when a crash or a completed run was last added.
 	changedAt time.Duration
-	// count is the number of crashes, one after the other, that speak against it.
+	// count is the number of successive crashes that count against the request.
 	count int
 }
 
-// Table remembers the requests under which endpoints crashed. It is not safe for concurrent use.
+// Table records the requests that endpoints were running when they crashed. It is not safe for
+// concurrent use.
 type Table struct {
 	records map[Request]*record
-	// attributed are the endpoints that crashed under a request with quarantineCrashes crashes or more, and
-	// quarantined is how many such requests there are.
+	// attributed contains the endpoints whose crashes are attributed to a request with at least
+	// quarantineCrashes crashes. quarantined is the number of such requests.
 	attributed  map[endpoint]bool
 	quarantined int
 }
@@ -97,7 +100,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: make(map[Request]*record)} }
 
-// RecordCrash takes in a crash. It reports whether that was not known.
+// RecordCrash records a crash and reports whether it was new.
 func (t *Table) RecordCrash(now time.Duration, c Crash) bool {
 	if c.Content == 0 || c.Caller == 0 || now-c.At >= crashRetention {
 		return false
@@ -113,12 +116,12 @@
 		limitReached = limitReached || len(r.crashesSinceCompletion()) >= quarantineCrashes
 	}
 	if limitReached {
-		t.recount() // it may explain what speaks against others
+		t.recount() // crashes counted against other requests may now be attributed to this one
 	}
 	return added
 }
 
-// addCrash adds a crash and reports whether it was not known.
+// addCrash adds a crash and reports whether it was new.
 func (r *record) addCrash(c Crash) bool {
 	if slices.ContainsFunc(r.crashes, func(o Crash) bool { return o.endpoint() == c.endpoint() && o.Caller == c.Caller }) {
 		return false
@@ -131,13 +134,13 @@
 	return true
 }
 
-// Known reports whether anything is known of a request.
+// Known reports whether the table has a record of the request or of its content.
 func (t *Table) Known(r Request) bool {
 	return t.records[r] != nil || t.records[r.withAnyCaller()] != nil
 }
 
-// RecordCompletion takes in that a run of the request completed. It reports whether crashes spoke against
-// the request that don't any more.
+// RecordCompletion records that a run of the request completed at the time at. It reports whether
+// this cleared crashes that counted against the request.
 func (t *Table) RecordCompletion(now, at time.Duration, request Request) bool {
 	cleared := false
 	for _, request := range [...]Request{request, request.withAnyCaller()} {
@@ -155,10 +158,12 @@
 	return cleared
 }
 
-// Active reports whether crashes have put any request into quarantine.
+// Active reports whether any request has enough crashes for quarantine, also if its quarantine has
+// ended since.
 func (t *Table) Active() bool { return t.quarantined > 0 }
 
-// Verdict returns the verdict on a request.
+// Verdict returns the verdict on a request, the stricter one of those for its caller and for all
+// callers.
 func (t *Table) Verdict(now time.Duration, r Request) Verdict {
 	if len(t.records) == 0 {
 		return Clear
@@ -176,7 +181,7 @@
 	return Suspected
 }
 
-// Until returns when a request in quarantine may run again.
+// Until returns when a request in quarantine may run again, or 0 if it has too few crashes.
 func (t *Table) Until(request Request) (until time.Duration) {
 	for _, request := range [...]Request{request, request.withAnyCaller()} {
 		if r := t.records[request]; r != nil && r.count >= quarantineCrashes {
@@ -186,8 +191,8 @@
 	return until
 }
 
-// Crashes returns the crashes that speak against a request or against all with its content, by their
-// ends.
+// Crashes returns the crashes since the last completed run, in order of time: those of the request
+// or those of its content with any caller, whichever are more.
 func (t *Table) Crashes(request Request) (crashes []Crash) {
 	for _, request := range [...]Request{request, request.withAnyCaller()} {
 		if r := t.records[request]; r != nil && len(r.crashesSinceCompletion()) > len(crashes) {
@@ -197,7 +202,7 @@
 	return crashes
 }
 
-// Quarantined appends the requests in quarantine to out, in order.
+// Quarantined appends the requests in quarantine to out, ordered by content and caller.
 func (t *Table) Quarantined(now time.Duration, out []Request) []Request {
 	if !t.Active() {
 		return out
@@ -215,7 +220,7 @@
 	return cmp.Or(cmp.Compare(r.Content, o.Content), cmp.Compare(r.Caller, o.Caller))
 }
 
-// SuspectCount counts the contents that are suspected or in quarantine.
+// SuspectCount returns the number of contents that are suspected or in quarantine.
 func (t *Table) SuspectCount() int {
 	contents := make(map[uint64]bool)
 	for request, r := range t.records {
@@ -226,7 +231,7 @@
 	return len(contents)
 }
 
-// Expire drops what is too old to count.
+// Expire drops crashes and records that are too old to count.
 func (t *Table) Expire(now time.Duration) {
 	changed := false
 	for request, r := range t.records {
@@ -242,7 +247,7 @@
 	}
 }
 
-// recordOf returns the record of a request, which it makes if need be.
+// recordOf returns the record of a request and creates it if there is none.
 func (t *Table) recordOf(request Request) *record {
 	r := t.records[request]
 	if r == nil {
@@ -253,8 +258,8 @@
 	return r
 }
 
-// evictIfFull drops the record of least worth if the table is full: the least spoken against, of these
-// the one that was touched first.
+// evictIfFull drops a record if the table is full: the one with the fewest successive crashes, and
+// among those the one that was changed least recently.
 func (t *Table) evictIfFull() {
 	if len(t.records) < maxRecords {
 		return
@@ -276,7 +281,7 @@
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Caller, b.Caller))
 }
 
-// crashesSinceCompletion returns the crashes since the last run that completed.
+// crashesSinceCompletion returns the crashes after the latest completed run.
 func (r *record) crashesSinceCompletion() []Crash {
 	if !r.completed {
 		return r.crashes
@@ -290,10 +295,10 @@
 	return r.crashes[i:]
 }
 
-// until is the end of a quarantine.
+// until returns the end of the quarantine.
 func (r *record) until() time.Duration { return r.crashes[len(r.crashes)-1].At + quarantinePeriod }
 
-// endpoint names one incarnation of an endpoint.
+// endpoint identifies one incarnation of an endpoint.
 type endpoint struct {
 	name        string
 	incarnation uint64
@@ -301,8 +306,9 @@
 
 func (c *Crash) endpoint() endpoint { return endpoint{c.Endpoint, c.Incarnation} }
 
-// recount counts anew what speaks against each request, the most suspect first. Guards against a request
-// that was at several endpoints together with one that crashes them.
+// recount counts the crashes against each request again. It starts with the request that has the most
+// crashes and attributes these to it, so that a request that ran on several endpoints beside one that
+// crashes them is not quarantined.
 func (t *Table) recount() {
 	suspects := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
@@ -326,7 +332,7 @@
 	}
 }
 
-// countCrashes counts what speaks against a request.
+// countCrashes updates the count of crashes against a request.
 func (r *record) countCrashes(attributed map[endpoint]bool) {
 	n, callers := countSuccessive(r.crashesSinceCompletion(), attributed)
 	if r.count = n; r.request.Caller == 0 && callers < minCallers {
@@ -334,9 +340,10 @@
 	}
 }
 
-// countSuccessive counts the crashes that no other request explains, as many as have runs that don't
-// overlap, and the callers of these. Guards against a request that often comes and was at many endpoints
-// when they crashed together, as when a failure domain loses power: its next runs complete.
+// countSuccessive counts the crashes that are not attributed to another request and whose runs don't
+// overlap, and the callers of these runs. Overlapping runs count once because a frequent request runs
+// on many endpoints when these crash together, as when a failure domain loses power; its next runs
+// complete.
 func countSuccessive(crashes []Crash, attributed map[endpoint]bool) (n, callers int) {
 	seenCallers := make(map[uint64]bool)
 	previousEnd := time.Duration(0)
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 	sec = time.Second
 )
 
-// requestOf is the content as one caller sends it.
+// requestOf returns the request with the content from caller 1.
 func requestOf(content uint64) Request { return Request{content, 1} }
 
 func crash(content uint64, endpoint int, began, at time.Duration) Crash {
@@ -30,14 +30,14 @@
 	}
 }
 
-// Guards against a request that crashes one endpoint after the other and is sent on.
+// Guards against a request that crashes one endpoint after another and is still sent.
 func TestThreeSuccessiveCrashesQuarantine(t *testing.T) {
 	table := NewTable()
 	wantVerdicts(t, table, sec, map[uint64]Verdict{7: Clear})
 	for i := range 2 {
 		at := time.Duration(i+1) * sec
 		if !table.RecordCrash(at, crash(7, i, at-100*ms, at)) || table.RecordCrash(at, crash(7, i, at-100*ms, at)) {
-			t.Errorf("crash %d: known before, or not after", i)
+			t.Errorf("crash %d: want it to be new the first time and known the second time", i)
 		}
 		wantVerdicts(t, table, at, map[uint64]Verdict{7: Suspected, 8: Clear})
 	}
@@ -49,11 +49,11 @@
 	table.Expire(4*sec + quarantinePeriod + crashRetention)
 	wantVerdicts(t, table, 4*sec+quarantinePeriod+crashRetention, map[uint64]Verdict{7: Clear})
 	if len(table.records) != 0 {
-		t.Errorf("%d requests are remembered for good", len(table.records))
+		t.Errorf("%d records are left after Expire", len(table.records))
 	}
 }
 
-// Guards against a request that is refused for good although it runs again.
+// Guards against a request that stays in quarantine although a later run completed.
 func TestCompletedRunEndsQuarantine(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
@@ -61,19 +61,19 @@
 		table.RecordCrash(at, crash(7, i, at-100*ms, at))
 	}
 	if table.RecordCompletion(4*sec, 500*ms, requestOf(7)) {
-		t.Error("a run that completed before the first crash says something")
+		t.Error("a run that completed before the first crash cleared crashes")
 	}
 	wantVerdicts(t, table, 4*sec, map[uint64]Verdict{7: Quarantined})
 	if !table.RecordCompletion(4*sec, 3500*ms, requestOf(7)) || table.RecordCompletion(4*sec, 3500*ms, requestOf(7)) || table.RecordCompletion(4*sec, 4*sec, requestOf(8)) {
-		t.Error("whether a completed run says something new is told wrongly")
+		t.Error("want only the first report of a completed run to clear crashes")
 	}
 	wantVerdicts(t, table, 4*sec, map[uint64]Verdict{7: Clear})
 	table.RecordCrash(5*sec, crash(7, 9, 4*sec, 5*sec))
 	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Suspected})
 }
 
-// Guards against a request that comes often and was at many endpoints of a failure domain when all
-// of them lost power.
+// Guards against the quarantine of a frequent request that was running on many endpoints of a failure
+// domain when all of them lost power.
 func TestOverlappingCrashesCountOnce(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
@@ -82,7 +82,7 @@
 	wantVerdicts(t, table, 2*sec, map[uint64]Verdict{7: Suspected})
 }
 
-// Guards against a request that was three times beside one that crashes endpoints.
+// Guards against the quarantine of a request that three times ran beside one that crashes endpoints.
 func TestCrashIsAttributedToMostSuspectedRequest(t *testing.T) {
 	table := NewTable()
 	for i := range 4 {
@@ -95,8 +95,8 @@
 	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Quarantined, 3: Clear})
 }
 
-// Guards against entries that hold different requests for the culprit: whatever the order in which
-// the same events are learned, the verdicts are the same.
+// Guards against entries that quarantine different requests after the same events: the verdicts must
+// not depend on the order in which an entry learns of the events.
 func TestVerdictsDoNotDependOnOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type event struct {
@@ -120,7 +120,7 @@
 		first, second := NewTable(), NewTable()
 		seen := map[string]bool{}
 		var set []event
-		for _, e := range events { // an endpoint crashes once, under each of its requests at the same time
+		for _, e := range events { // each endpoint crashes at most once under the same request
 			key := fmt.Sprint(e.Endpoint, e.Request, e.completed)
 			if !seen[key] {
 				seen[key] = true
@@ -139,15 +139,15 @@
 			for caller := range uint64(3) {
 				r := Request{content, caller + 1}
 				if a, b := first.Verdict(4*sec, r), second.Verdict(4*sec, r); a != b {
-					t.Fatalf("request %v: %d and %d", r, a, b)
+					t.Fatalf("request %v: verdicts %d and %d after the same events", r, a, b)
 				}
 			}
 		}
 	})
 }
 
-// Guards against a request that crashes endpoints under one name of its caller after the other; and
-// against one caller who has the same refused to all others.
+// Guards against a request that crashes endpoints under one caller name after another without being
+// quarantined, and against a single caller whose crashes quarantine the content for all callers.
 func TestQuarantineForOneCallerAndForAll(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
@@ -156,22 +156,22 @@
 	}
 	verdict := func(content, caller uint64) Verdict { return table.Verdict(4*sec, Request{content, caller}) }
 	if verdict(7, 1) != Quarantined || verdict(7, 2) == Quarantined {
-		t.Errorf("after crashes under caller 1: %d, and of another %d", verdict(7, 1), verdict(7, 2))
+		t.Errorf("after crashes under caller 1: verdict %d for caller 1, %d for caller 2", verdict(7, 1), verdict(7, 2))
 	}
 	c := crash(7, 3, 3500*ms, 3600*ms)
 	c.Caller = 2
 	table.RecordCrash(4*sec, c)
 	if verdict(7, 3) != Quarantined || verdict(8, 3) != Clear {
-		t.Errorf("after a crash under another caller: a third %d, and for another content %d", verdict(7, 3), verdict(8, 3))
+		t.Errorf("after a crash under caller 2: verdict %d for caller 3, %d for another content", verdict(7, 3), verdict(8, 3))
 	}
 	table.RecordCompletion(4*sec, 3900*ms, Request{7, 4})
 	if verdict(7, 3) != Clear || verdict(7, 1) != Quarantined {
-		t.Errorf("after it completed for a fourth caller: a third %d, the first %d", verdict(7, 3), verdict(7, 1))
+		t.Errorf("after a run for caller 4 completed: verdict %d for caller 3, %d for caller 1", verdict(7, 3), verdict(7, 1))
 	}
 }
 
-// Guards against callers that fill the memory with requests, and against one in quarantine that is
-// forgotten for them.
+// Guards against callers that fill the memory with requests, and against a quarantined request whose
+// record is evicted in favour of theirs.
 func TestMemoryIsBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
@@ -186,20 +186,20 @@
 		table.RecordCrash(at, crash(7, 100_000+i, at-50*ms, at))
 	}
 	if len(table.records) != maxRecords || len(table.Crashes(requestOf(7))) != maxCrashes {
-		t.Errorf("%d requests, %d crashes of one", len(table.records), len(table.Crashes(requestOf(7))))
+		t.Errorf("%d records, %d crashes of one request", len(table.records), len(table.Crashes(requestOf(7))))
 	}
 	wantVerdicts(t, table, 20*sec, map[uint64]Verdict{7: Quarantined})
 }
 
-// Guards against quarantine by bad luck: of endpoints crash some for another reason all the time, and
-// requests with a content of their own and such with one that often comes are under way there.
+// Guards against quarantine by coincidence: endpoints keep crashing for another reason while they run
+// unique requests and frequent ones.
 func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		rng := rand.New(rand.NewPCG(3, rapid.Uint64().Draw(t, "seed")))
 		for i := range 40 {
 			now := time.Duration(i+1) * 700 * ms
-			for content := uint64(1); content <= 3; content++ { // each is there, and completes elsewhere
+			for content := uint64(1); content <= 3; content++ { // each runs on the endpoint and completes elsewhere
 				table.RecordCrash(now, crash(content, i, now-time.Duration(rng.IntN(200))*ms, now))
 				if table.Verdict(now, requestOf(content)) == Quarantined {
 					t.Fatalf("request %d is in quarantine at %v", content, now)
