--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -6,47 +6,44 @@
 	"time"
 )
 
-// maxAdoptedHomes bounds the homes that a table answers for, also when their
-// tables are empty.
+// maxAdoptedHomes is the maximum number of adopted homes. It also bounds homes with empty tables.
 const maxAdoptedHomes = 256
 
-// adoptedAnswerDivisor is the part of the bytes for answers, one in this many,
-// that adopted answers may take, so that the table's own find room.
+// adoptedAnswerDivisor divides MaxAnswerTotal; the quotient is the maximum size of all adopted
+// answers, so that room is left for the table's own answers.
 const adoptedAnswerDivisor = 2
 
-// UnknownTotal stands for a hand-over whose number of records isn't known. It
-// is never reached, so that missing keys are told "unknown".
+// UnknownTotal is the total of a hand-over whose number of records is unknown. It is never reached, so
+// that the reply for missing keys is "unknown".
 const UnknownTotal = math.MaxInt
 
-// adoptedKey names a key of an adopted home.
+// adoptedKey identifies a key of an adopted home.
 type adoptedKey struct {
 	epoch  uint32
 	random [randomBytes]byte
 }
 
-// adoptedHome holds the keys of a home that was sealed.
+// adoptedHome contains the keys of a sealed home.
 type adoptedHome struct {
 	home uint64
-	// oldestEpoch: of earlier epochs nothing is known.
+	// oldestEpoch is the oldest epoch of which the home kept all keys.
 	oldestEpoch uint32
-	// total is how many keys the home handed over, or UnknownTotal.
+	// total is the number of keys that the home handed over, or UnknownTotal.
 	total   int
 	rows    map[adoptedKey]row
 	answers int64
 	until   time.Duration
 }
 
-// complete reports whether every key that the home ever began, from oldest on,
-// has a row. The rows are counted, not the parts: a part that is lost, comes
-// twice, comes late or belongs to an earlier export of the same home then
-// can't make a hand-over look complete. This holds because a sealed home's
-// later exports hold no key that an earlier one lacked, and total is the
-// largest seen.
+// complete reports whether every key that the home ever began, from oldestEpoch on, has a row. It
+// counts rows and not parts, so that a part that is lost, late, duplicated or from an earlier export
+// of the same home can't make a hand-over look complete. This is correct because later exports of a
+// sealed home contain no additional keys, and total is the largest total received.
 func (h *adoptedHome) complete() bool {
 	return len(h.rows) >= h.total
 }
 
-// adoptedHomes holds the homes in order of their adoption.
+// adoptedHomes contains the adopted homes in order of adoption.
 type adoptedHomes struct {
 	order   []*adoptedHome
 	keys    int
@@ -62,30 +59,27 @@
 	return nil
 }
 
-// Adopt takes over the keys of a home that was sealed. oldest is the home's
-// oldest kept epoch (Oldest). complete says that records is the whole result
-// of its Export: missing keys are then told "not run", else "unknown". A
-// hand-over that comes in parts goes through AdoptPart.
+// Adopt takes over the keys of a sealed home. oldestEpoch is the home's OldestEpoch. complete states
+// that records is the complete result of its Export: the reply for missing keys is then "not run",
+// otherwise "unknown". A hand-over in parts uses AdoptPart.
 func (t *Table) Adopt(now time.Duration, home uint64, oldestEpoch uint32, records []Record, complete bool) {
 	if !complete {
 		t.AdoptPart(now, home, oldestEpoch, UnknownTotal, records)
 		return
 	}
 	if h := t.adopted.find(home); h != nil {
-		// What came before may be of an unknown total, which can't be counted.
+		// An earlier hand-over may have had an unknown total, which would remain the largest.
 		t.forgetHome(h)
 	}
 	t.AdoptPart(now, home, oldestEpoch, len(records), records)
 }
 
-// AdoptPart takes over some of the keys of a home that was sealed. total is
-// the number of records of the export that they are from. Parts may come in
-// any order and more than once; once total different keys are held, missing
-// keys are told "not run".
+// AdoptPart takes over some of the keys of a sealed home. total is the number of records of the export
+// to which they belong. Parts may come in any order and more than once. As soon as total different
+// keys are recorded, the reply for missing keys is "not run".
 //
-// The keys are answered for as long as the table keeps its own. When there is
-// no room the homes adopted first are forgotten, and of a table that alone is
-// too large only a part is kept, which leaves it incomplete.
+// Adopted keys are kept as long as the table's own. If there is no room, the homes adopted first are
+// dropped. If a single hand-over is too large, only a part of it is kept and it stays incomplete.
 func (t *Table) AdoptPart(now time.Duration, home uint64, oldestEpoch uint32, total int, records []Record) {
 	t.forgetAdopted(now)
 	if home == t.cfg.Self {
@@ -115,7 +109,7 @@
 	return h
 }
 
-// keepTime returns the longest time for which a key is kept.
+// keepTime returns the maximum time for which a key is kept.
 func (t *Table) keepTime() time.Duration {
 	return time.Duration(t.cfg.KeepEpochs) * t.cfg.EpochLength
 }
@@ -143,7 +137,8 @@
 	h.rows[k] = r
 }
 
-// makeAdoptedKeyRoom forgets the homes adopted first until one more key of h fits.
+// makeAdoptedKeyRoom drops the homes adopted first until one more key of h fits, and reports whether
+// it does.
 func (t *Table) makeAdoptedKeyRoom(h *adoptedHome) bool {
 	for t.adopted.keys >= t.cfg.MaxAdopted {
 		first := t.adopted.order[0]
@@ -155,8 +150,8 @@
 	return true
 }
 
-// keepAdoptedAnswer returns a if there is room for it. It takes no room from the
-// table's own answers, which are asked for more often.
+// keepAdoptedAnswer keeps the answer a and returns it, or returns nil if there is no room. It drops
+// none of the table's own answers, which are requested more often.
 func (t *Table) keepAdoptedAnswer(h *adoptedHome, a *Answer) *Answer {
 	if a == nil {
 		return nil
@@ -172,7 +167,7 @@
 	return a
 }
 
-// beginAdopted answers for a key of another home. Such a key is never run.
+// beginAdopted decides on a request with a key of another home, which is never run.
 func (t *Table) beginAdopted(k Key, caller uint64, d Digest) Decision {
 	h := t.adopted.find(k.Home)
 	if h == nil {
@@ -191,19 +186,18 @@
 	}
 }
 
-// Adoption is what a table holds of a home that handed over to it.
+// Adoption contains the keys of an adopted home, for a hand-over to the next successor.
 type Adoption struct {
 	Home        uint64
 	OldestEpoch uint32
-	// Total is how many records the home handed over, for AdoptPart. It may
-	// be more than are left of them.
+	// Total is the number of records that the home handed over, for AdoptPart. It may be larger
+	// than the number of Records.
 	Total   int
 	Records []Record
 }
 
-// ExportAdopted returns what the table adopted, for the next successor, in
-// order of adoption. Without it a rolling restart would lose the keys of the
-// entries that stopped first when their successors stop in turn.
+// ExportAdopted returns the adopted homes for the next successor, in order of adoption. Without it, a
+// rolling restart would lose the keys of the entries that stopped first when their successors stop.
 func (t *Table) ExportAdopted() []Adoption {
 	adoptions := make([]Adoption, 0, len(t.adopted.order))
 	for _, h := range t.adopted.order {
@@ -222,7 +216,7 @@
 	return a
 }
 
-// forgetAdopted forgets the homes whose time has come.
+// forgetAdopted drops the adopted homes that have expired.
 func (t *Table) forgetAdopted(now time.Duration) {
 	for len(t.adopted.order) > 0 && t.adopted.order[0].until <= now {
 		t.forgetHome(t.adopted.order[0])
--- a/internal/idem/answers.go
+++ b/internal/idem/answers.go
@@ -1,13 +1,13 @@
 package idem
 
-// The memory that an answer takes besides its text, in bytes: its own
-// structure, and two string headers for each name and value.
+// Memory of an answer in addition to its text, in bytes: the Answer itself, and two string headers for
+// each pair of a name and a value.
 const (
 	answerOverhead = 64
 	headerOverhead = 32
 )
 
-// cost returns the bytes that an answer takes.
+// cost returns the memory of an answer in bytes.
 func (a *Answer) cost() int64 {
 	total := answerOverhead + len(a.Body)
 	for _, pair := range a.Header {
@@ -16,17 +16,17 @@
 	return int64(total)
 }
 
-// answerBytes returns the bytes of all kept answers, own and adopted.
+// answerBytes returns the size of all kept answers, own and adopted.
 func (t *Table) answerBytes() int64 {
 	return t.answers + t.adopted.answers
 }
 
-// answerFits reports whether an answer is small enough to be kept at all.
+// answerFits reports whether an answer of this cost is small enough to be kept.
 func (t *Table) answerFits(cost int64) bool {
 	return cost <= int64(t.cfg.MaxAnswerBytes)
 }
 
-// keepAnswer returns a if it can be kept for key k, or nil.
+// keepAnswer keeps the answer a of key k and returns it, or returns nil if there is no room.
 func (t *Table) keepAnswer(rows *epochRows, k Key, a *Answer) *Answer {
 	if a == nil {
 		return nil
@@ -41,8 +41,8 @@
 	return a
 }
 
-// makeAnswerRoom drops the oldest answers of the table's own keys until cost more
-// bytes fit: a caller that lost its answer asks again soon or not at all.
+// makeAnswerRoom drops the oldest answers of the table's own keys until cost more bytes fit. It drops
+// the oldest first because a caller that lost its answer retries soon or not at all.
 func (t *Table) makeAnswerRoom(cost int64) bool {
 	limit := t.cfg.MaxAnswerTotal - t.adopted.answers
 	if cost > limit {
@@ -66,7 +66,7 @@
 	rows.byRandom[random] = r
 }
 
-// dropAnswers takes the answers of an epoch that is forgotten out of the count.
+// dropAnswers subtracts the answers of a dropped epoch from the total.
 func (t *Table) dropAnswers(rows *epochRows) {
 	for _, random := range rows.kept[rows.keptFrom:] {
 		t.answers -= rows.byRandom[random].answer.cost()
--- a/internal/idem/bench_test.go
+++ b/internal/idem/bench_test.go
@@ -14,7 +14,7 @@
 	return k
 }
 
-// fill runs the first keys of a table to their end.
+// fill begins and finishes the given number of keys.
 func fill(t *Table, keys int, a *Answer) {
 	for i := range keys {
 		t.Begin(0, benchKey(i), 1, Digest{1})
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkRequest is one request: Begin, MayDispatch and Finish. The table is
-// renewed when full, which is counted: a key pays for the table's growth.
+// BenchmarkRequest measures one request: Begin, MayDispatch and Finish. A full table is replaced by an
+// empty one, so that the result includes the growth of the table.
 func BenchmarkRequest(b *testing.B) {
 	b.ReportAllocs()
 	a := &Answer{Status: 200, Body: make([]byte, 100)}
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkRetry is a retry that is answered from a full table.
+// BenchmarkRetry measures a retry that is answered from a full table.
 func BenchmarkRetry(b *testing.B) {
 	b.ReportAllocs()
 	t := NewTable(DefaultConfig(1))
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkRefuse is a new key that finds the table full.
+// BenchmarkRefuse measures the refusal of a new key by a full table.
 func BenchmarkRefuse(b *testing.B) {
 	b.ReportAllocs()
 	t := NewTable(DefaultConfig(1))
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkExport is a full table's export.
+// BenchmarkExport measures the export of a full table.
 func BenchmarkExport(b *testing.B) {
 	t := NewTable(DefaultConfig(1))
 	fill(t, benchKeys, nil)
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkAdoptPart takes over 256 keys at a time; the table is renewed when
-// all are there.
+// BenchmarkAdoptPart measures the adoption of 256 keys at a time. The table is replaced by an empty one
+// after the last part.
 func BenchmarkAdoptPart(b *testing.B) {
 	const part = 256
 	t := NewTable(DefaultConfig(1))
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a full table holds for each key, own
-// and adopted, without answers.
+// BenchmarkMemory reports the heap bytes per key of a full table, for own and adopted keys without
+// answers.
 func BenchmarkMemory(b *testing.B) {
 	perKey := func(name string, make func() *Table) {
 		before := heap()
--- a/internal/idem/config.go
+++ b/internal/idem/config.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// The defaults of a Table's bounds. With them a key is answered for eight to
-// ten minutes after it was made.
+// Defaults of Config. With them a key is kept for eight to ten minutes after it was made.
 const (
 	defaultEpochLength    = 2 * time.Minute
 	defaultKeepEpochs     = 5
@@ -15,24 +14,24 @@
 
 // Config bounds a Table.
 type Config struct {
-	// Self is the incarnation whose keys the table runs. No other process may
-	// ever have the same one (see Key.Home).
+	// Self is the incarnation whose keys the table runs. No other process may ever use the same
+	// number; see Key.Home.
 	Self uint64
-	// EpochLength is how long callers make keys of the same epoch.
+	// EpochLength is the duration of an epoch.
 	EpochLength time.Duration
-	// KeepEpochs counts the epochs that are kept, the current one included.
+	// KeepEpochs is the number of epochs that are kept, including the current one.
 	KeepEpochs int
-	// MaxKeys bounds the recorded keys of Self.
+	// MaxKeys is the maximum number of recorded keys of Self.
 	MaxKeys int
-	// MaxAnswerBytes bounds one kept answer.
+	// MaxAnswerBytes is the maximum size of a kept answer.
 	MaxAnswerBytes int
-	// MaxAnswerTotal bounds all kept answers together, in bytes.
+	// MaxAnswerTotal is the maximum size of all kept answers together, in bytes.
 	MaxAnswerTotal int64
-	// MaxAdopted bounds the recorded keys of all other homes together.
+	// MaxAdopted is the maximum number of recorded keys of all other homes together.
 	MaxAdopted int
 }
 
-// DefaultConfig returns the bounds that an entry uses.
+// DefaultConfig returns the default bounds for the incarnation self.
 func DefaultConfig(self uint64) Config {
 	return Config{
 		Self:           self,
@@ -45,7 +44,7 @@
 	}
 }
 
-// withDefaults replaces bounds that can't work.
+// withDefaults replaces invalid bounds.
 func (c Config) withDefaults() Config {
 	if c.EpochLength <= 0 {
 		c.EpochLength = defaultEpochLength
--- a/internal/idem/decision.go
+++ b/internal/idem/decision.go
@@ -1,46 +1,46 @@
 package idem
 
-// DecisionKind says what becomes of a request that brings a key.
+// DecisionKind is the kind of a decision on a request with a key.
 type DecisionKind uint8
 
-// The kinds of verdicts.
+// The kinds of decisions.
 const (
-	// Run: the key is recorded as running. Whoever called Begin ends it by
-	// Finish or Release.
+	// Run means that the key is now recorded as running. The caller of Begin ends it with Finish
+	// or Release.
 	Run DecisionKind = iota + 1
-	// Join: the same request is running. Wait for its end and call Begin
-	// again. A caller that can't wait so long is told "unknown".
+	// Join means that the same request is running. The driver waits for its end and calls Begin
+	// again. A caller that can't wait so long gets "unknown" as the reply.
 	Join
-	// Replay: the request is done, Decision.Answer holds its answer.
+	// Replay means that the request is done and Decision.Answer is its answer.
 	Replay
-	// DoneNoAnswer: the request is done, its answer was not kept.
+	// DoneNoAnswer means that the request is done, but its answer was not kept.
 	DoneNoAnswer
-	// OutcomeUnknown: the request may have run. It is never run again.
+	// OutcomeUnknown means that the request may have run. It is never run again.
 	OutcomeUnknown
-	// NotHome: Decision.Home alone can tell. Forward the request there once, or
-	// to a successor of it; a request that was forwarded is not forwarded again.
+	// NotHome means that only Decision.Home can decide. The driver forwards the request once, to
+	// the home or its successor; a forwarded request is not forwarded again.
 	NotHome
-	// HomeUnknown: the home can't be reached and nobody holds its table. The
-	// driver sets it in place of NotHome; a Table never returns it.
+	// HomeUnknown means that the home can't be reached and no entry adopted its table. The driver
+	// sets it in place of NotHome; a Table never returns it.
 	HomeUnknown
-	// Mismatch: the key belongs to another caller or another request. This
-	// request was not run; nothing is told of the other.
+	// Mismatch means that the key belongs to another caller or another request. This request was
+	// not run, and nothing about the other request is disclosed.
 	Mismatch
-	// Expired: the key's epoch was forgotten, with every key in it. Whether
-	// the request ran is not known any more, and it is never run.
+	// Expired means that the key's epoch and all its keys were dropped. Whether the request ran is
+	// no longer known, and it is never run.
 	Expired
-	// FromFuture: the key's epoch has not begun here. No entry gave out such a
-	// prefix, so nothing is promised about the key.
+	// FromFuture means that the key's epoch has not begun yet. No entry issued such a prefix, so
+	// there are no guarantees for the key.
 	FromFuture
-	// Spent: a caller was told that this key's request was not run. To keep
-	// that true the key never runs; the caller makes a new one.
+	// Spent means that a caller was told that this key's request was not run. The key never runs,
+	// so that this stays true. The caller has to make a new key.
 	Spent
-	// Sealed: the home is stopping, a new key is not run.
+	// Sealed means that the home is stopping and does not run new keys.
 	Sealed
-	// Full: the table has no room, a new key is not run.
+	// Full means that the table has no room and the new key is not run.
 	Full
-	// SealedNotRun: the home handed over its whole table, and the key is not
-	// in it: the request was not run and never will be.
+	// SealedNotRun means that the home handed over its complete table without the key, so that
+	// the request was not run and never will be.
 	SealedNotRun
 )
 
@@ -61,7 +61,7 @@
 	SealedNotRun:   "sealed-not-run",
 }
 
-// String returns the kind's name as it stands in logs and the audit trail.
+// String returns the kind's name for logs and the audit trail.
 func (k DecisionKind) String() string {
 	if int(k) < len(decisionNames) && decisionNames[k] != "" {
 		return decisionNames[k]
@@ -69,22 +69,22 @@
 	return "invalid"
 }
 
-// Outcome is what a caller may be told of its request.
+// Outcome is the statement that a caller may get about its request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Pending: nothing can be told yet. If it must be, the outcome is unknown.
+	// Pending means that there is no outcome yet. A caller that can't wait gets "unknown".
 	Pending Outcome = iota
-	// ReplyNotRun: no try of the key has run, and none ever will.
+	// ReplyNotRun means that no request with the key has run or ever will.
 	ReplyNotRun
-	// ReplyUnknown: the request may have run, or may still run.
+	// ReplyUnknown means that the request may have run, or may still run.
 	ReplyUnknown
-	// ReplyDone: the request ran once.
+	// ReplyDone means that the request ran once.
 	ReplyDone
 )
 
-// Outcome returns the strongest statement that the verdict supports.
+// Outcome returns the strongest statement that the decision supports.
 func (k DecisionKind) Outcome() Outcome {
 	switch k {
 	case Run, Join, NotHome:
@@ -98,11 +98,11 @@
 	}
 }
 
-// Decision is the answer to Begin.
+// Decision is the result of Begin.
 type Decision struct {
 	Kind DecisionKind
 	// Home is the key's home.
 	Home uint64
-	// Answer is set for Replay only. It is shared and must not be changed.
+	// Answer is set only for Replay. It is shared and must not be changed.
 	Answer *Answer
 }
--- a/internal/idem/epoch.go
+++ b/internal/idem/epoch.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// epochRows holds the keys of one epoch. They are forgotten together.
+// epochRows contains the keys of one epoch, which are dropped together.
 type epochRows struct {
 	epoch    uint32
 	byRandom map[[randomBytes]byte]row
 	running  int
-	// kept lists the keys whose answers are kept, oldest first from keptFrom.
+	// kept lists the keys with kept answers, oldest first. Those before keptFrom have been dropped.
 	kept     [][randomBytes]byte
 	keptFrom int
-	// spent holds the keys that must never run although they have no row.
+	// spent contains the keys that have no row but must never run.
 	spent filter
 }
 
-// rowsOf returns the rows of an epoch, or nil. Most keys are of the newest
-// epochs, and there are few epochs, so a search from the end is cheap.
+// rowsOf returns the rows of an epoch, or nil. A search from the end is cheap, because there are few
+// epochs and most keys belong to the newest ones.
 func (t *Table) rowsOf(epoch uint32) *epochRows {
 	for i := len(t.epochs) - 1; i >= 0; i-- {
 		if t.epochs[i].epoch == epoch {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// addEpoch makes the rows of an epoch, in order of epochs.
+// addEpoch adds an epoch and keeps the epochs in order.
 func (t *Table) addEpoch(epoch uint32) *epochRows {
 	rows := &epochRows{epoch: epoch, byRandom: make(map[[randomBytes]byte]row)}
 	at := len(t.epochs)
@@ -36,10 +36,9 @@
 	return rows
 }
 
-// forgetEpochs drops the epochs before the oldest kept one. An epoch with a
-// running key stays until that key has ended: its result still has to be
-// recorded, and a request that joined it has to learn the result. The bound on
-// all keys holds for it too.
+// forgetEpochs drops the epochs before the oldest kept one. An epoch with a running key is kept until
+// that key has ended, because its result must still be recorded and returned to requests that joined
+// it. Its keys still count towards MaxKeys.
 func (t *Table) forgetEpochs() {
 	oldest := t.OldestEpoch()
 	t.epochs = slices.DeleteFunc(t.epochs, func(rows *epochRows) bool {
--- a/internal/idem/fleetmodel_test.go
+++ b/internal/idem/fleetmodel_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// callerRequest is one request as its caller means it.
+// callerRequest identifies a caller's request.
 type callerRequest struct {
 	key    Key
 	caller uint64
 	digest Digest
 }
 
-// job is a request that an entry holds after the verdict Run. It stays in the
-// list when it has ended: a timer that wakes late still points to it.
+// job is a request in an entry after the decision Run. It stays in the list after it has ended,
+// because a late timer may still refer to it.
 type job struct {
 	id   callerRequest
 	sent bool
@@ -31,15 +31,15 @@
 	jobs                  []*job
 }
 
-// modelMessage is a message on its way to an entry, or to an endpoint if to is nil.
+// modelMessage is a message in flight to an entry, or to an endpoint if to is nil.
 type modelMessage struct {
 	to      *fleetNode
 	deliver func()
 }
 
-// fleetModel is entries, endpoints and callers. pick draws a number below n and is
-// the only source of choice. fault names what is done wrong on purpose, and
-// bad holds the first broken promise.
+// fleetModel is a model of entries, endpoints and callers. pick returns a number below n and is the
+// only source of randomness. fault names the injected fault, if any, and violation is the first
+// violated guarantee.
 type fleetModel struct {
 	pick      func(n int) int
 	fault     string
@@ -53,7 +53,7 @@
 	made      uint64
 }
 
-// runModel lets steps things happen and returns the first broken promise.
+// runModel runs a new model for the given number of steps and returns the first violated guarantee.
 func runModel(pick func(n int) int, fault string, steps int) string {
 	f := &fleetModel{pick: pick, fault: fault, ran: map[Key]callerRequest{}, notRun: map[callerRequest]bool{}}
 	for i := range f.nodes {
@@ -86,8 +86,8 @@
 	}
 }
 
-// step lets one thing happen. Messages are lost, late or out of order by being
-// dropped or left in flight, which covers partitions too.
+// step runs one random action. Messages are dropped or stay in flight, so that they get lost, late or
+// out of order, which covers partitions too.
 func (f *fleetModel) step() {
 	i := f.pick(len(f.nodes))
 	n := f.nodes[i]
@@ -107,7 +107,7 @@
 	f.check(s.Keys <= 3 && s.AdoptedKeys <= 6 && s.AnswerBytes <= 500 && s.AnswerBytes >= 0, "bounds exceeded: %+v", s)
 }
 
-// send lets a caller send a request, often one that it sent before, to any entry.
+// send makes a caller send a request, often a retry, to any entry.
 func (f *fleetModel) send(n *fleetNode) {
 	if len(f.requests) == 0 || f.pick(3) == 0 {
 		home := f.nodes[f.pick(len(f.nodes))]
@@ -121,7 +121,7 @@
 	f.post(n, func() { f.arrive(n, id, false) })
 }
 
-// homeOf returns the home of a key if it is still there, or any entry.
+// homeOf returns the home of a request's key if it still runs, or else any entry.
 func (f *fleetModel) homeOf(id callerRequest) *fleetNode {
 	i := slices.IndexFunc(f.nodes[:], func(n *fleetNode) bool { return n.cfg.Self == id.key.Home })
 	if i < 0 {
@@ -134,12 +134,12 @@
 	decision := n.Begin(f.clock(n), id.key, id.caller, id.digest)
 	rows := n.rowsOf(id.key.Epoch)
 	switch {
-	case decision.Kind == Full && f.fault == "forgets keys it had no room for":
+	case decision.Kind == Full && f.fault == "forgets keys that it refused for lack of room":
 		rows.spent = filter{}
-	case decision.Kind == Expired && f.fault == "runs expired keys", decision.Kind == NotHome && f.fault == "runs foreign keys",
+	case decision.Kind == Expired && f.fault == "runs expired keys", decision.Kind == NotHome && f.fault == "runs keys of other homes",
 		decision.Kind == OutcomeUnknown && f.fault == "runs unknown keys again":
 		f.runAt(n, &job{id: id})
-	case decision.Kind == Mismatch && f.fault == "answers anyone" && n.cfg.Self == id.key.Home:
+	case decision.Kind == Mismatch && f.fault == "answers other callers" && n.cfg.Self == id.key.Home:
 		r := rows.byRandom[id.key.Random]
 		decision = r.decision(id.key.Home)
 	}
@@ -153,14 +153,14 @@
 	case outcome == ReplyNotRun:
 		f.replyNotRun(id, decision.Kind)
 	case outcome == ReplyDone:
-		f.check(f.ran[id.key] == id, "told %v of a request that did not run", decision.Kind)
+		f.check(f.ran[id.key] == id, "replied %v for a request that did not run", decision.Kind)
 		f.check(decision.Answer == nil || string(decision.Answer.Body) == fmt.Sprint(id), "replayed another request's answer")
 	}
 }
 
 func (f *fleetModel) replyNotRun(id callerRequest, kind DecisionKind) {
 	f.notRun[id] = true
-	f.check(f.ran[id.key] != id, "told %v of a request that ran", kind)
+	f.check(f.ran[id.key] != id, "replied %v for a request that ran", kind)
 }
 
 func (f *fleetModel) deliver() {
@@ -178,7 +178,7 @@
 	}
 }
 
-// wakeJob wakes a job of n, which may come long after the job has ended.
+// wakeJob fires a timer of the job j at n, possibly long after the job has ended.
 func (f *fleetModel) wakeJob(n *fleetNode, j *job) {
 	k := j.id.key
 	switch {
@@ -197,7 +197,7 @@
 	}
 }
 
-// runAt is the request's arrival at an endpoint, which may refuse it.
+// runAt is the arrival of the request at an endpoint, which may refuse it.
 func (f *fleetModel) runAt(n *fleetNode, j *job) {
 	if f.pick(4) == 0 {
 		f.post(n, func() { j.sent = false })
@@ -205,12 +205,12 @@
 	}
 	_, again := f.ran[j.id.key]
 	f.check(!again, "key ran twice")
-	f.check(!f.notRun[j.id], "ran after its caller was told that it was not run")
+	f.check(!f.notRun[j.id], "request ran after its caller was told that it was not run")
 	f.ran[j.id.key] = j.id
 	f.post(n, func() { n.Finish(j.id.key, Done, &Answer{Body: fmt.Append(nil, j.id)}) })
 }
 
-// disturb crashes, pauses or wakes an entry, or lets time pass for all.
+// disturb crashes, suspends or resumes an entry, or advances the time.
 func (f *fleetModel) disturb(i int) {
 	switch f.pick(6) {
 	case 0:
@@ -222,8 +222,8 @@
 	}
 }
 
-// handOver seals an entry and sends its keys to another, whole or in parts
-// that may get lost or mix with those of an earlier hand-over; or ends it.
+// handOver seals an entry and sends its keys to another one, whole or in parts that may get lost or mix
+// with those of an earlier hand-over. If the entry is already leaving, it may end instead.
 func (f *fleetModel) handOver(i int, to *fleetNode) {
 	n := f.nodes[i]
 	if n.leaving && f.pick(2) == 0 {
@@ -253,9 +253,9 @@
 
 func (f *fleetModel) postParts(to *fleetNode, a Adoption) {
 	switch f.fault {
-	case "takes a part for the whole":
+	case "treats a part as the whole":
 		a.Total = 0
-	case "ignores forgotten epochs":
+	case "ignores dropped epochs":
 		a.OldestEpoch = 0
 	}
 	cut := f.pick(len(a.Records) + 1)
@@ -264,10 +264,10 @@
 	}
 }
 
-// TestFleetModelKeepsGuarantees drives entries, callers and endpoints at random. A
-// caller retries a booking through other entries while answers are lost and
-// entries crash, sleep, are cut off, stop and hand over. No key may run twice,
-// no "not run" be false, then or later, and no answer reach another request.
+// TestFleetModelKeepsGuarantees runs entries, callers and endpoints at random. Callers retry requests
+// through other entries while answers are lost and entries crash, are suspended or cut off, stop and
+// hand over. No key may run twice, no reply "not run" may be or become false, and no answer may reach
+// another request.
 func TestFleetModelKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := runModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }, "", 300); violation != "" {
@@ -276,8 +276,8 @@
 	})
 }
 
-// TestFleetModelDetectsInjectedFaults proves that the model can fail: each fault, made on
-// purpose, breaks a promise in walks that keep all promises without a fault.
+// TestFleetModelDetectsInjectedFaults proves that the model can fail: each injected fault violates a
+// guarantee in runs that keep all guarantees without it.
 func TestFleetModelDetectsInjectedFaults(t *testing.T) {
 	firstViolation := func(fault string) (violation string) {
 		for seed := uint64(0); seed < 300 && violation == ""; seed++ {
@@ -289,12 +289,12 @@
 		t.Fatalf("without a fault: %s", violation)
 	}
 	for _, fault := range []string{
-		"runs expired keys", "runs unknown keys again", "runs foreign keys", "answers anyone",
-		"forgets keys it had no room for", "forgets released keys", "sends after a late wake-up",
-		"exports without a seal", "leaves out running keys", "takes a part for the whole", "ignores forgotten epochs",
+		"runs expired keys", "runs unknown keys again", "runs keys of other homes", "answers other callers",
+		"forgets keys that it refused for lack of room", "forgets released keys", "sends after a late wake-up",
+		"exports without a seal", "leaves out running keys", "treats a part as the whole", "ignores dropped epochs",
 	} {
 		if violation := firstViolation(fault); violation == "" {
-			t.Errorf("a fleet that %s is not noticed", fault)
+			t.Errorf("the model does not detect an entry that %s", fault)
 		}
 	}
 }
--- a/internal/idem/handover.go
+++ b/internal/idem/handover.go
@@ -7,16 +7,15 @@
 	"time"
 )
 
-// Seal refuses new keys for good, for a planned stop. Keys that run go on.
+// Seal makes the table refuse new keys from now on, for a planned stop. Running keys continue.
 func (t *Table) Seal(now time.Duration) {
 	t.Tick(now)
 	t.sealed = true
 }
 
-// Export returns the table's own keys for a successor, in a stable order. It
-// seals the table if that was not done: a successor says "not run" of every
-// key that is missing, which holds only if no key is begun after the export.
-// Running keys are exported as Unknown. A later export may hold Done for them.
+// Export returns the table's own keys for a successor, in a stable order. It seals the table, because
+// a successor replies "not run" for every missing key, which is true only if no key begins after the
+// export. Running keys are exported as Unknown. A later export may contain them as Done.
 func (t *Table) Export() []Record {
 	t.sealed = true
 	records := make([]Record, 0, t.keys)
@@ -30,7 +29,7 @@
 	return records
 }
 
-// record returns the row as it is handed over.
+// record returns the row as a record for a hand-over.
 func (r *row) record(k Key) Record {
 	result := r.result
 	if result != Done {
--- a/internal/idem/key.go
+++ b/internal/idem/key.go
@@ -1,9 +1,9 @@
-// Package idem keeps a non-idempotent request from running twice without any
-// shared state: a key names the one entry incarnation that may run it, its
-// home, and only the home's Table decides whether the request may be sent.
+// Package idem prevents a non-idempotent request from running twice, without shared state: each key
+// names its home, the one entry incarnation that may run it, and only the home's Table decides
+// whether the request may be sent.
 //
-// The package is pure: time is passed in, nothing here blocks, locks or does
-// I/O. A Table belongs to one goroutine at a time.
+// The package does not block, lock, do I/O or read a clock: callers pass in the time. A Table is not
+// safe for concurrent use.
 package idem
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// The parts of a key's text: scheme, home, epoch and random, joined by dots.
+// The text of a key consists of a scheme, the home, the epoch and random digits, joined by dots.
 const (
 	keyScheme    = "th1"
 	keyParts     = 4
@@ -25,27 +25,26 @@
 	epochBits    = 32
 )
 
-// keyRemedy ends every error about a key's text.
+// keyRemedy is the remedy of every error about a key's text.
 const keyRemedy = "ask an entry for its key prefix and append 32 random lower-case hexadecimal digits"
 
 // Key is an idempotency key.
 type Key struct {
-	// Home is the entry incarnation that alone may dispatch the request.
+	// Home is the only entry incarnation that may dispatch the request.
 	//
-	// Two processes with the same Home could both run a key. The daemon
-	// excludes that: it makes the number anew at every start of the process,
-	// from the second of the start and 32 random bits, and never takes it from
-	// settings, the VM or the platform, which stay the same when a process is
-	// restarted on its VM.
+	// Two processes with the same Home could both run a key. The daemon prevents that: it makes a
+	// new number at each start of the process from the time of the start in seconds and 32 random
+	// bits. It never takes the number from settings, the VM or the platform, because these stay
+	// the same when a process restarts on its VM.
 	Home uint64
 	// Epoch is the home's key epoch in which the key was made.
 	Epoch uint32
-	// Random makes the key unique: 128 random bits.
+	// Random contains 128 random bits that make the key unique.
 	Random [16]byte
 }
 
-// Prefix returns the text that a caller completes to a key by appending 32
-// random lower-case hexadecimal digits.
+// Prefix returns the first part of a key's text. A caller makes a key by appending 32 random
+// lower-case hexadecimal digits.
 func Prefix(home uint64, epoch uint32) string {
 	text := make([]byte, 0, len(keyScheme)+homeDigits+16)
 	text = append(text, keyScheme...)
@@ -61,12 +60,12 @@
 	return string(text)
 }
 
-// String returns the key's only text form, the one that ParseKey accepts.
+// String returns the key's text, the only form that ParseKey accepts.
 func (k Key) String() string {
 	return Prefix(k.Home, k.Epoch) + hex.EncodeToString(k.Random[:])
 }
 
-// NewKey makes a key of an epoch of home with 128 bits read from rng.
+// NewKey returns a new key of the given home and epoch, with 128 random bits read from rng.
 func NewKey(home uint64, epoch uint32, rng io.Reader) (Key, error) {
 	key := Key{Home: home, Epoch: epoch}
 	if _, err := io.ReadFull(rng, key.Random[:]); err != nil {
@@ -75,9 +74,8 @@
 	return key, nil
 }
 
-// ParseKey reads a key's text. It is strict: each key has one text form, so
-// that no proxy or log that compares texts can take one key for two. An error
-// is of kind fault.BadKey.
+// ParseKey parses a key's text. Each key has exactly one accepted text form, so that a proxy or log
+// that compares texts cannot take one key for two. Errors are of kind fault.BadKey.
 func ParseKey(s string) (Key, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != keyParts || parts[0] != keyScheme {
@@ -103,7 +101,7 @@
 
 func parseHome(s string) (uint64, error) {
 	if len(s) != homeDigits || !isLowerHex(s) {
-		return 0, fault.New(fault.BadKey, keyRemedy, "idempotency key names its home by other than %d lower-case hexadecimal digits", homeDigits)
+		return 0, fault.New(fault.BadKey, keyRemedy, "idempotency key does not name its home by %d lower-case hexadecimal digits", homeDigits)
 	}
 	home, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || home == 0 {
--- a/internal/idem/scenarios_test.go
+++ b/internal/idem/scenarios_test.go
@@ -13,66 +13,61 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// faultScenarios are sessions of entries a, b, c with epochs of a minute, two kept,
-// room for three keys and not quite two large answers. A key is written
-// HOME.EPOCH.NAME; a step names the result that it must have, if any. begin2
-// comes from another caller, begin3 with another request.
+// faultScenarios are sequences of steps at the entries a, b and c. Their tables keep two epochs of a
+// minute each, and have room for three keys and slightly less than two large answers. A key is written
+// as HOME.EPOCH.NAME. The required result of a step, if any, follows " = ". begin2 comes from another
+// caller, and begin3 with another request.
 var faultScenarios = []struct{ name, steps string }{
-	// A cook logs a tray, the answer is lost on the way, the tablet sends the
-	// same key through entry b. b names the home, which replays the answer.
-	// Cause: a connection that broke after the run.
+	// The connection breaks after the run and the answer is lost. The caller sends the same key
+	// through entry b, which names the home, and the home replays the answer.
 	{"lost answer", `a begin a.1.k = run; b begin a.1.k = not-home; a begin a.1.k = join
 		a finish a.1.k done; a begin a.1.k = replay`},
-	// A booking waits too long in the queue, its caller is told "not run" and
-	// books again with a new key. Then an entry that had slept with an earlier
-	// try in hand passes it on, and a timer wakes late. If the first key ran
-	// now, the client's credit would be spent twice.
+	// A write waits too long in the queue. Its caller is told "not run" and sends it again with a
+	// new key. Then a suspended entry wakes and forwards an earlier try, and a timer fires late.
+	// If the first key ran now, the write would run twice.
 	{"late try after release", `a begin a.1.k = run; a release a.1.k; a may a.1.k = false
 		a begin a.1.k = spent; a begin a.1.k2 = run; a may a.1.k2 = true`},
-	// The table is full and a caller is told "not run". A key is released, and
-	// only then a delayed try of the refused key arrives. New keys may run.
+	// The table is full and a caller is told "not run". Then another key is released, and a delayed
+	// try of the refused key arrives. It must not run, but new keys may.
 	{"late try after full", `a begin a.1.k1 = run; a begin a.1.k2 = run; a begin a.1.k3 = run
 		a begin a.1.k4 = full; a release a.1.k1; a begin a.1.k4 = spent; a begin a.1.k5 = run`},
-	// The entry sleeps ten minutes in the middle of a booking and its epochs
-	// jump. The booking must be there when it wakes, or a retry would run it
-	// again. A key that comes first now can't be told from a forgotten one.
+	// The entry is suspended for ten minutes while a write runs, and skips many epochs. It must still
+	// have the running key, or a retry would run it again. A key of an old epoch that arrives for
+	// the first time can't be distinguished from a dropped one.
 	{"pause over many epochs", `a begin a.1.old = run; a finish a.1.old done; a begin a.2.k = from-future
 		a at 1m; a begin a.2.k = run; a at 10m; a begin a.2.k = join; a begin a.1.old = expired
 		a begin a.2.first = expired; a finish a.2.k done; a begin a.2.k = replay; a keys = 1
 		a at 11m; a begin a.2.k = expired; a keys = 0; a at 1m; a epoch = 12`},
-	// Somebody presents another's key, or a caller presents its own with
-	// another request. Nothing of the first may show, in whatever state, also
-	// at a successor: a wrong answer on a tablet is a wrong order tomorrow.
+	// A caller sends another caller's key, or its own key with another request. Neither may disclose
+	// the state or the answer of the first request, also not at a successor.
 	{"other caller or request", `a begin a.1.k = run; a begin2 a.1.k = mismatch; a begin3 a.1.k = mismatch
 		a finish a.1.k done; a begin2 a.1.k = mismatch; a begin3 a.1.k = mismatch; a hand b
 		b begin2 a.1.k = mismatch; b begin3 a.1.k = mismatch; b begin a.1.k = replay`},
-	// An endpoint goes silent with the request; the caller is told "unknown".
-	// The true answer, late, may still be told. Nothing makes the key run
-	// again or turns "done" back.
+	// An endpoint goes silent while it runs the request, and the caller is told "unknown". A late
+	// answer may still be replayed. The key must never run again, and "done" must never change.
 	{"late answer", `a begin a.1.k = run; a finish a.1.k unknown; a release a.1.k; a may a.1.k = false
 		a begin a.1.k = outcome-unknown; a finish a.1.k done; a finish a.1.k unknown; a begin a.1.k = replay`},
-	// A planned stop with a booking still running. The successor says "not
-	// run" only of what never ran, and "unknown" of the running one until a
-	// second hand-over. The sealed clock stands still, or the table would
-	// forget keys while it is handed over.
+	// An entry stops as planned while a write runs. The successor replies "not run" only for keys
+	// that never ran, and "unknown" for the running one until a second hand-over. The sealed table
+	// stays in its epoch, or it would drop keys during the hand-over.
 	{"planned stop", `a begin a.1.done = run; a finish a.1.done done; a begin a.1.k = run; a begin a.1.gone = run
 		a release a.1.gone; a seal; a begin a.1.new = sealed; a at 10m; a epoch = 1; a hand b
 		b begin a.1.done = replay; b begin a.1.k = outcome-unknown; b begin a.1.gone = sealed-not-run
 		b begin a.1.new = sealed-not-run; b may a.1.k = false; a finish a.1.k done; a hand b; b begin a.1.k = replay`},
-	// A part of a hand-over is lost in a partition and another comes twice. A
-	// lost key can't be told from one that never began, until the partition
-	// heals. What the successor knows goes on to its own successor.
+	// A part of a hand-over is lost in a partition and another one comes twice. Until the partition
+	// heals, a lost key can't be distinguished from one that never began. The successor hands its
+	// adopted keys over to its own successor.
 	{"hand-over in parts", `a begin a.1.k1 = run; a begin a.1.k2 = run; a begin a.1.k3 = run
 		a part b 0 2; a part b 0 2; b begin a.1.k3 = outcome-unknown; b begin a.1.x = outcome-unknown
 		b hand c; c begin a.1.x = outcome-unknown; a part b 2 3; b begin a.1.k3 = outcome-unknown
 		b begin a.1.x = sealed-not-run; b hand c; c begin a.1.x = sealed-not-run`},
-	// Entries stop within a minute and hand over to the same successor. What
-	// does not fit or is too old is forgotten: its callers are told "unknown".
+	// Several entries stop within a minute and hand over to the same successor. Keys that don't fit
+	// or are too old are dropped, and their callers are told "unknown".
 	{"many hand-overs", `a begin a.1.k1 = run; a begin a.1.k2 = run; c begin c.1.k1 = run; c begin c.1.k2 = run
 		c begin c.1.k3 = run; a at 3m; a hand b; b begin a.2.x = expired; b begin a.3.x = sealed-not-run
 		c hand b; b begin a.1.k1 = not-home; b begin c.1.x = sealed-not-run; b at 2m; b begin c.1.k1 = not-home`},
-	// Large answers fill the room for answers. The newest stay, because a
-	// caller that lost its answer asks soon. Nothing runs again.
+	// Large answers exceed the room for answers. The newest are kept, because a caller that lost its
+	// answer retries soon. No key runs again.
 	{"answers too large", `a begin a.1.k1 = run; a finish a.1.k1 large; a begin a.1.k1 = replay
 		a begin a.1.k2 = run; a finish a.1.k2 too-large; a begin a.1.k3 = run; a finish a.1.k3 large; a begin a.1.k1 = done-no-answer
 		a begin a.1.k2 = done-no-answer; a begin a.1.k3 = replay`},
@@ -92,7 +87,7 @@
 	}
 }
 
-// scenarioEntries holds the entries that a test has named and their clocks.
+// scenarioEntries contains the entries of a scenario by name.
 type scenarioEntries map[string]*scenarioEntry
 
 type scenarioEntry struct {
@@ -116,7 +111,7 @@
 	return k
 }
 
-// runStep takes one step and returns its result, or "".
+// runStep runs one step and returns its result, or "".
 func (s scenarioEntries) runStep(f []string) string {
 	n, op, arg := s.entry(f[0]), f[1], append(f[2:], "")[0]
 	switch op {
@@ -169,7 +164,7 @@
 		t.Fatalf("got %v, %v", back, err)
 	}
 	if _, err := NewKey(1, 1, iotest.ErrReader(errors.New("dry"))); fault.KindOf(err) != fault.BadKey {
-		t.Errorf("key without random bits: %v", err)
+		t.Errorf("NewKey without random bits: got error %v, want kind BadKey", err)
 	}
 	for _, change := range [][2]string{
 		{"th1", "th2"}, {"abc", "ABC"}, {"0000000000000abc", "abc"}, {"0000000000000abc", "0000000000000000"},
@@ -178,7 +173,7 @@
 	} {
 		text := strings.Replace(want, change[0], change[1], 1)
 		if _, err := ParseKey(text); fault.KindOf(err) != fault.BadKey {
-			t.Errorf("%q: got error %v", text, err)
+			t.Errorf("ParseKey(%q): got error %v, want kind BadKey", text, err)
 		}
 	}
 }
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// firstEpoch is the epoch in which a process starts. Zero means "no epoch".
+// firstEpoch is the first epoch of a process. Zero means no epoch.
 const firstEpoch = 1
 
-// row is what a table holds of one key.
+// row is the state of one key in a table.
 type row struct {
 	caller uint64
 	digest Digest
@@ -13,13 +13,13 @@
 	result Result
 }
 
-// matches reports whether the row belongs to the same request. The digest
-// covers the caller as well; comparing both keeps a weak caller hash harmless.
+// matches reports whether the row belongs to the same request. The digest covers the caller as well,
+// so that a collision of caller hashes does no harm.
 func (r *row) matches(caller uint64, d Digest) bool {
 	return r.caller == caller && r.digest == d
 }
 
-// decision returns what is told to the row's own caller.
+// decision returns the decision on a request that matches the row.
 func (r *row) decision(home uint64) Decision {
 	switch {
 	case r.result == Running:
@@ -33,8 +33,8 @@
 	}
 }
 
-// Table holds the keys of one home, and the keys of homes that handed over
-// their tables to it. It is not safe for concurrent use.
+// Table records the keys of one home, and the keys of homes that handed over their tables to it. It is
+// not safe for concurrent use.
 type Table struct {
 	cfg     Config
 	epoch   uint32
@@ -47,7 +47,7 @@
 	stats   Stats
 }
 
-// Stats describes a table for metrics. The counters only grow.
+// Stats contains a table's sizes, and its counters since the start, for metrics.
 type Stats struct {
 	Epoch       uint32
 	OldestEpoch uint32
@@ -55,23 +55,23 @@
 	Running     int
 	AnswerBytes int64
 	AdoptedKeys int
-	// AdoptedHomes counts the homes whose keys this table answers for.
+	// AdoptedHomes is the number of adopted homes.
 	AdoptedHomes int
-	// Begun counts the keys that were given Run.
+	// Begun counts the keys for which Begin returned Run.
 	Begun uint64
 	// Released counts the keys that ended without a run.
 	Released uint64
-	// RefusedFull counts new keys that found no room.
+	// RefusedFull counts the requests with new keys for which the table had no room.
 	RefusedFull uint64
-	// RefusedMismatch counts keys that came with another request or caller.
+	// RefusedMismatch counts the requests whose key belongs to another request or caller.
 	RefusedMismatch uint64
-	// RefusedSpent counts keys that came again after "not run".
+	// RefusedSpent counts the requests with a key that came again after the reply "not run".
 	RefusedSpent uint64
-	// AnswersDropped counts answers that were too large or made room for newer ones.
+	// AnswersDropped counts the answers that were too large or made room for newer ones.
 	AnswersDropped uint64
-	// LateResults counts results for keys that were neither running nor
-	// unknown. After Release it means that a request was sent although its
-	// caller was told that it was not run: a fault of the driver.
+	// LateResults counts the results for keys that were neither running nor unknown. A late result
+	// after Release means that a request was sent although its caller was told that it was not
+	// run, which is a fault of the driver.
 	LateResults uint64
 }
 
@@ -83,8 +83,8 @@
 // Epoch returns the current epoch. It never goes back.
 func (t *Table) Epoch() uint32 { return t.epoch }
 
-// OldestEpoch returns the oldest epoch of which nothing was forgotten. It goes
-// with the records of Export into a hand-over.
+// OldestEpoch returns the oldest epoch of which the table keeps all keys. A hand-over contains it
+// together with the records of Export.
 func (t *Table) OldestEpoch() uint32 {
 	keep := uint32(t.cfg.KeepEpochs)
 	if t.epoch < firstEpoch+keep {
@@ -93,10 +93,10 @@
 	return t.epoch - keep + 1
 }
 
-// Sealed reports whether new keys are refused for good.
+// Sealed reports whether the table is sealed and refuses new keys.
 func (t *Table) Sealed() bool { return t.sealed }
 
-// Running returns how many keys are running.
+// Running returns the number of running keys.
 func (t *Table) Running() int { return t.running }
 
 // Stats returns the table's sizes and counters.
@@ -112,10 +112,9 @@
 	return s
 }
 
-// Tick advances the epoch and forgets whole epochs that are no longer kept.
-// now is the time since the process started. After a pause many epochs may
-// pass at once. A sealed table stands still, so that what it hands over and
-// the oldest epoch that it names belong together.
+// Tick advances the epoch and drops the epochs that are no longer kept. now is the time since the
+// process started. After a pause, many epochs may pass at once. A sealed table stays in its epoch, so
+// that its records and its oldest epoch are consistent in a hand-over.
 func (t *Table) Tick(now time.Duration) {
 	t.forgetAdopted(now)
 	if t.sealed {
@@ -129,9 +128,8 @@
 	t.forgetEpochs()
 }
 
-// Begin decides what becomes of a request that brings key k. caller is a hash
-// of the caller's identity and d binds the request. The verdict is Run at most
-// once per key in the table's life.
+// Begin decides on a request with key k. caller is a hash of the caller's identity, and d is the digest
+// that binds the request to the key. The decision is Run at most once per key in the table's life.
 func (t *Table) Begin(now time.Duration, k Key, caller uint64, d Digest) Decision {
 	t.Tick(now)
 	if k.Home != t.cfg.Self {
@@ -146,8 +144,8 @@
 	return t.beginNew(rows, k, caller, d)
 }
 
-// beginKnown answers for a key that has a row. The caller is compared before
-// anything else, so that nobody learns the state of another caller's request.
+// beginKnown decides on a request whose key has a row. It compares the caller and the digest first, so
+// that no caller learns the state of another caller's request.
 func (t *Table) beginKnown(r *row, k Key, caller uint64, d Digest) Decision {
 	if !r.matches(caller, d) {
 		t.stats.RefusedMismatch++
@@ -156,7 +154,7 @@
 	return r.decision(k.Home)
 }
 
-// beginNew answers for a key without a row; rows is nil if its epoch has none.
+// beginNew decides on a request whose key has no row. rows is nil if the key's epoch has no rows.
 func (t *Table) beginNew(rows *epochRows, k Key, caller uint64, d Digest) Decision {
 	switch {
 	case rows != nil && rows.spent.has(k.Random):
@@ -185,20 +183,19 @@
 	return Decision{Kind: Run, Home: k.Home}
 }
 
-// MayDispatch reports whether k is running, and so may be sent to an endpoint.
-// It guards against a process that slept between its decision and the sending:
-// by then the key may have been released and its caller told "not run". A key
-// runs only once, so true can't mean a later run of the same key.
+// MayDispatch reports whether k is running, so that its request may be sent to an endpoint. The driver
+// calls it right before sending, because the process may have been suspended since its decision: by
+// then the key may have been released and its caller told "not run". A key runs only once, so true
+// can't mean a later run of the same key.
 func (t *Table) MayDispatch(k Key) bool {
 	r, _, ok := t.find(k)
 	return ok && r.result == Running
 }
 
-// Release ends a running key whose request was not sent, or provably did not
-// run. The key is spent: it never runs, so that "not run" stays true when an
-// earlier try of the same request arrives late through another entry. Requests
-// that joined the key get Spent from their next Begin. Release of a key that
-// is not running does nothing.
+// Release ends a running key whose request was not sent, or provably did not run. The key is then spent
+// and never runs, so that the reply "not run" stays true if an earlier try of the same request arrives
+// late through another entry. Requests that joined the key get Spent from their next Begin. Release
+// does nothing if the key is not running.
 func (t *Table) Release(k Key) {
 	r, rows, ok := t.find(k)
 	if !ok || r.result != Running {
@@ -211,9 +208,8 @@
 	t.countEnded(rows)
 }
 
-// Finish records the result of a running key, Done or Unknown. a may be nil;
-// it must not be changed afterwards. Unknown may become Done when the answer
-// comes after all; nothing else changes a result.
+// Finish records the result of a running key, Done or Unknown. a may be nil and must not be changed
+// afterwards. A result of Unknown becomes Done if the answer arrives later; no other result changes.
 func (t *Table) Finish(k Key, result Result, a *Answer) {
 	r, rows, ok := t.find(k)
 	if !ok || r.result == Done {
@@ -232,13 +228,13 @@
 	}
 }
 
-// countEnded counts a key of rows that is no longer running.
+// countEnded updates the counts of running keys after a key of rows has ended.
 func (t *Table) countEnded(rows *epochRows) {
 	rows.running--
 	t.running--
 }
 
-// find returns a copy of the row of one of the table's own keys.
+// find returns a copy of the row of one of the table's own keys, and the rows of its epoch.
 func (t *Table) find(k Key) (row, *epochRows, bool) {
 	if k.Home != t.cfg.Self {
 		return row{}, nil, false
