--- a/internal/core/budget/repeats_test.go
+++ b/internal/core/budget/repeats_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// sentAttempt is a request or, if repeat is set, a repeat of one entry.
-type sentAttempt struct {
+// sentRequest is a request or, if repeat is set, a repeat of one entry.
+type sentRequest struct {
 	at     time.Duration
 	repeat bool
 }
@@ -21,7 +21,7 @@
 		bound := RepeatBound{Share: rapid.Float64Range(0.05, 0.5).Draw(rt, "share"), Window: 10 * time.Second, Slack: 58}
 		const largest = 12
 		entries := rapid.IntRange(1, largest).Draw(rt, "entries")
-		var log []sentAttempt
+		var log []sentRequest
 		fleet := make([]*Repeats, entries)
 		now := time.Duration(0)
 		for i := range fleet {
@@ -35,11 +35,11 @@
 			}
 			if rapid.Bool().Draw(rt, "request") {
 				fleet[i].Request(now)
-				log = append(log, sentAttempt{now, false})
+				log = append(log, sentRequest{now, false})
 			}
 			for rank := range rapid.IntRange(0, 3).Draw(rt, "wanted") {
 				if fleet[i].TrySpend(now, rank) {
-					log = append(log, sentAttempt{now, true})
+					log = append(log, sentRequest{now, true})
 				}
 			}
 		}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -157,8 +157,8 @@
 		y.run(3 * sec)
 		b.silent = false
 	}
-	if y.quarantine.SuspectCount() != 0 || len(y.broken) != 0 {
-		t.Errorf("%d suspects, %d attempts whose endpoint is still asked", y.quarantine.SuspectCount(), len(y.broken))
+	if y.quarantine.Suspects() != 0 || len(y.broken) != 0 {
+		t.Errorf("%d suspects, %d attempts whose endpoint is still asked", y.quarantine.Suspects(), len(y.broken))
 	}
 }
 
@@ -201,7 +201,7 @@
 		t.Errorf("told %+v", y.told[id])
 	}
 	y.answer(id, 1, 200)
-	if y.quarantine.SuspectCount() != 0 {
+	if y.quarantine.Suspects() != 0 {
 		t.Error("it is suspected still")
 	}
 	if got := y.sendRequest(route.Idempotent, 3*sec); got == 0 {
@@ -371,7 +371,7 @@
 	if got := y.OwnEvidenceDigest(); got != 0 {
 		t.Error("the fleet is told of requests that have run since")
 	}
-	if got := y.quarantine.SuspectCount(); got != 0 {
+	if got := y.quarantine.Suspects(); got != 0 {
 		t.Errorf("%d are suspected", got)
 	}
 }
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -220,8 +220,8 @@
 	return cmp.Or(cmp.Compare(r.Content, o.Content), cmp.Compare(r.Caller, o.Caller))
 }
 
-// SuspectCount returns the number of contents that are suspected or in quarantine.
-func (t *Table) SuspectCount() int {
+// Suspects returns the number of contents that are suspected or in quarantine.
+func (t *Table) Suspects() int {
 	contents := make(map[uint64]bool)
 	for request, r := range t.records {
 		if r.count > 0 {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -44,7 +44,7 @@
 	Evidence   gossip.Stats
 	Keys       idem.Stats
 	KeysSealed bool
-	// SuspectCount counts the contents of requests under which endpoints crashed; Quarantined are the
+	// Suspects counts the contents of requests under which endpoints crashed; Quarantined are the
 	// requests that are not sent.
 	Suspects    int
 	Quarantined []quarantine.Request
@@ -208,7 +208,7 @@
 		Entries:    c.viewEntries(),
 		Evacuated:  slices.Clone(c.fleet.evacuated),
 
-		Suspects:    c.quarantine.SuspectCount(),
+		Suspects:    c.quarantine.Suspects(),
 		Quarantined: c.quarantine.Quarantined(now, nil),
 	}
 	v.Ready, v.NotReadyWhy = c.ReadyReason(now)
--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -50,7 +50,7 @@
 	answers int64 // bytes of kept answers
 }
 
-func (a *adoptedHomes) find(home uint64) *adoptedHome {
+func (a *adoptedHomes) findHome(home uint64) *adoptedHome {
 	for _, h := range a.order {
 		if h.home == home {
 			return h
@@ -67,9 +67,9 @@
 		t.AdoptPart(now, home, oldestEpoch, UnknownTotal, records)
 		return
 	}
-	if h := t.adopted.find(home); h != nil {
+	if h := t.adopted.findHome(home); h != nil {
 		// An earlier hand-over may have had an unknown total, which would remain the largest.
-		t.forgetHome(h)
+		t.dropHome(h)
 	}
 	t.AdoptPart(now, home, oldestEpoch, len(records), records)
 }
@@ -81,11 +81,11 @@
 // Adopted keys are kept as long as the table's own. If there is no room, the homes adopted first are
 // dropped. If a single hand-over is too large, only a part of it is kept and it stays incomplete.
 func (t *Table) AdoptPart(now time.Duration, home uint64, oldestEpoch uint32, total int, records []Record) {
-	t.forgetAdopted(now)
+	t.dropExpiredHomes(now)
 	if home == t.cfg.Self {
 		return
 	}
-	h := t.adopted.find(home)
+	h := t.adopted.findHome(home)
 	if h == nil {
 		h = t.addHome(now, home)
 	}
@@ -98,7 +98,7 @@
 
 func (t *Table) addHome(now time.Duration, home uint64) *adoptedHome {
 	if len(t.adopted.order) >= maxAdoptedHomes {
-		t.forgetHome(t.adopted.order[0])
+		t.dropHome(t.adopted.order[0])
 	}
 	h := &adoptedHome{
 		home:  home,
@@ -145,7 +145,7 @@
 		if first == h {
 			return false
 		}
-		t.forgetHome(first)
+		t.dropHome(first)
 	}
 	return true
 }
@@ -169,7 +169,7 @@
 
 // beginAdopted decides on a request with a key of another home, which is never run.
 func (t *Table) beginAdopted(k Key, caller uint64, d Digest) Decision {
-	h := t.adopted.find(k.Home)
+	h := t.adopted.findHome(k.Home)
 	if h == nil {
 		return Decision{Kind: NotHome, Home: k.Home}
 	}
@@ -216,14 +216,14 @@
 	return a
 }
 
-// forgetAdopted drops the adopted homes that have expired.
-func (t *Table) forgetAdopted(now time.Duration) {
+// dropExpiredHomes drops the adopted homes that have expired.
+func (t *Table) dropExpiredHomes(now time.Duration) {
 	for len(t.adopted.order) > 0 && t.adopted.order[0].until <= now {
-		t.forgetHome(t.adopted.order[0])
+		t.dropHome(t.adopted.order[0])
 	}
 }
 
-func (t *Table) forgetHome(h *adoptedHome) {
+func (t *Table) dropHome(h *adoptedHome) {
 	t.adopted.keys -= len(h.rows)
 	t.adopted.answers -= h.answers
 	t.adopted.order = slices.DeleteFunc(t.adopted.order, func(o *adoptedHome) bool { return o == h })
--- a/internal/idem/epoch.go
+++ b/internal/idem/epoch.go
@@ -36,10 +36,10 @@
 	return rows
 }
 
-// forgetEpochs drops the epochs before the oldest kept one. An epoch with a running key is kept until
+// dropEpochs drops the epochs before the oldest kept one. An epoch with a running key is kept until
 // that key has ended, because its result must still be recorded and returned to requests that joined
 // it. Its keys still count towards MaxKeys.
-func (t *Table) forgetEpochs() {
+func (t *Table) dropEpochs() {
 	oldest := t.OldestEpoch()
 	t.epochs = slices.DeleteFunc(t.epochs, func(rows *epochRows) bool {
 		if rows.epoch >= oldest || rows.running > 0 {
--- a/internal/idem/fleetmodel_test.go
+++ b/internal/idem/fleetmodel_test.go
@@ -24,7 +24,7 @@
 	sent bool
 }
 
-type fleetNode struct {
+type modelEntry struct {
 	*Table
 	started               time.Duration
 	down, paused, leaving bool
@@ -33,7 +33,7 @@
 
 // modelMessage is a message in flight to an entry, or to an endpoint if to is nil.
 type modelMessage struct {
-	to      *fleetNode
+	to      *modelEntry
 	deliver func()
 }
 
@@ -45,7 +45,7 @@
 	fault     string
 	violation string
 	now       time.Duration
-	nodes     [3]*fleetNode
+	entries   [3]*modelEntry
 	messages  []modelMessage
 	requests  []callerRequest
 	ran       map[Key]callerRequest
@@ -56,7 +56,7 @@
 // runModel runs a new model for the given number of steps and returns the first violated guarantee.
 func runModel(pick func(n int) int, fault string, steps int) string {
 	f := &fleetModel{pick: pick, fault: fault, ran: map[Key]callerRequest{}, notRun: map[callerRequest]bool{}}
-	for i := range f.nodes {
+	for i := range f.entries {
 		f.replace(i)
 	}
 	for range steps {
@@ -66,18 +66,18 @@
 }
 
 func (f *fleetModel) replace(i int) {
-	if f.nodes[i] != nil {
-		f.nodes[i].down = true
+	if f.entries[i] != nil {
+		f.entries[i].down = true
 	}
 	f.made++
-	f.nodes[i] = &fleetNode{started: f.now, Table: NewTable(Config{Self: f.made, EpochLength: time.Minute,
+	f.entries[i] = &modelEntry{started: f.now, Table: NewTable(Config{Self: f.made, EpochLength: time.Minute,
 		KeepEpochs: 2, MaxKeys: 3, MaxAnswerBytes: 300, MaxAnswerTotal: 500, MaxAdopted: 6})}
 }
 
-func (f *fleetModel) clock(n *fleetNode) time.Duration { return f.now - n.started }
+func (f *fleetModel) clock(n *modelEntry) time.Duration { return f.now - n.started }
 
-func (f *fleetModel) post(to *fleetNode, arrives func()) {
-	f.messages = append(f.messages, modelMessage{to, arrives})
+func (f *fleetModel) post(to *modelEntry, deliver func()) {
+	f.messages = append(f.messages, modelMessage{to, deliver})
 }
 
 func (f *fleetModel) check(ok bool, format string, args ...any) {
@@ -89,8 +89,8 @@
 // step runs one random action. Messages are dropped or stay in flight, so that they get lost, late or
 // out of order, which covers partitions too.
 func (f *fleetModel) step() {
-	i := f.pick(len(f.nodes))
-	n := f.nodes[i]
+	i := f.pick(len(f.entries))
+	n := f.entries[i]
 	switch action := f.pick(16); {
 	case action < 4:
 		f.send(n)
@@ -101,16 +101,16 @@
 	case action == 14:
 		f.disturb(i)
 	case action == 15 && !n.paused:
-		f.handOver(i, f.nodes[f.pick(len(f.nodes))])
+		f.handOver(i, f.entries[f.pick(len(f.entries))])
 	}
 	s := n.Stats()
 	f.check(s.Keys <= 3 && s.AdoptedKeys <= 6 && s.AnswerBytes <= 500 && s.AnswerBytes >= 0, "bounds exceeded: %+v", s)
 }
 
 // send makes a caller send a request, often a retry, to any entry.
-func (f *fleetModel) send(n *fleetNode) {
+func (f *fleetModel) send(n *modelEntry) {
 	if len(f.requests) == 0 || f.pick(3) == 0 {
-		home := f.nodes[f.pick(len(f.nodes))]
+		home := f.entries[f.pick(len(f.entries))]
 		k := Key{home.cfg.Self, max(home.Epoch()+1-uint32(f.pick(10)+4)/5, firstEpoch), [16]byte{byte(f.pick(4))}}
 		f.requests = append(f.requests, callerRequest{k, uint64(f.pick(3) / 2), Digest{byte(f.pick(3) / 2)}})
 	}
@@ -122,15 +122,15 @@
 }
 
 // homeOf returns the home of a request's key if it still runs, or else any entry.
-func (f *fleetModel) homeOf(id callerRequest) *fleetNode {
-	i := slices.IndexFunc(f.nodes[:], func(n *fleetNode) bool { return n.cfg.Self == id.key.Home })
+func (f *fleetModel) homeOf(id callerRequest) *modelEntry {
+	i := slices.IndexFunc(f.entries[:], func(n *modelEntry) bool { return n.cfg.Self == id.key.Home })
 	if i < 0 {
-		i = f.pick(len(f.nodes))
+		i = f.pick(len(f.entries))
 	}
-	return f.nodes[i]
+	return f.entries[i]
 }
 
-func (f *fleetModel) arrive(n *fleetNode, id callerRequest, forwarded bool) {
+func (f *fleetModel) arrive(n *modelEntry, id callerRequest, forwarded bool) {
 	decision := n.Begin(f.clock(n), id.key, id.caller, id.digest)
 	rows := n.rowsOf(id.key.Epoch)
 	switch {
@@ -179,7 +179,7 @@
 }
 
 // wakeJob fires a timer of the job j at n, possibly long after the job has ended.
-func (f *fleetModel) wakeJob(n *fleetNode, j *job) {
+func (f *fleetModel) wakeJob(n *modelEntry, j *job) {
 	k := j.id.key
 	switch {
 	case j.sent && f.pick(2) == 0:
@@ -198,7 +198,7 @@
 }
 
 // runAt is the arrival of the request at an endpoint, which may refuse it.
-func (f *fleetModel) runAt(n *fleetNode, j *job) {
+func (f *fleetModel) runAt(n *modelEntry, j *job) {
 	if f.pick(4) == 0 {
 		f.post(n, func() { j.sent = false })
 		return
@@ -216,7 +216,7 @@
 	case 0:
 		f.replace(i)
 	case 1, 2:
-		f.nodes[i].paused = !f.nodes[i].paused && f.pick(2) == 0
+		f.entries[i].paused = !f.entries[i].paused && f.pick(2) == 0
 	default:
 		f.now += time.Duration(f.pick(70)) * time.Second
 	}
@@ -224,8 +224,8 @@
 
 // handOver seals an entry and sends its keys to another one, whole or in parts that may get lost or mix
 // with those of an earlier hand-over. If the entry is already leaving, it may end instead.
-func (f *fleetModel) handOver(i int, to *fleetNode) {
-	n := f.nodes[i]
+func (f *fleetModel) handOver(i int, to *modelEntry) {
+	n := f.entries[i]
 	if n.leaving && f.pick(2) == 0 {
 		f.replace(i)
 		return
@@ -251,7 +251,7 @@
 	}
 }
 
-func (f *fleetModel) postParts(to *fleetNode, a Adoption) {
+func (f *fleetModel) postParts(to *modelEntry, a Adoption) {
 	switch f.fault {
 	case "treats a part as the whole":
 		a.Total = 0
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -116,7 +116,7 @@
 // process started. After a pause, many epochs may pass at once. A sealed table stays in its epoch, so
 // that its records and its oldest epoch are consistent in a hand-over.
 func (t *Table) Tick(now time.Duration) {
-	t.forgetAdopted(now)
+	t.dropExpiredHomes(now)
 	if t.sealed {
 		return
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	t.epoch = epoch
-	t.forgetEpochs()
+	t.dropEpochs()
 }
 
 // Begin decides on a request with key k. caller is a hash of the caller's identity, and d is the digest
@@ -188,7 +188,7 @@
 // then the key may have been released and its caller told "not run". A key runs only once, so true
 // can't mean a later run of the same key.
 func (t *Table) MayDispatch(k Key) bool {
-	r, _, ok := t.find(k)
+	r, _, ok := t.findOwn(k)
 	return ok && r.result == Running
 }
 
@@ -197,7 +197,7 @@
 // late through another entry. Requests that joined the key get Spent from their next Begin. Release
 // does nothing if the key is not running.
 func (t *Table) Release(k Key) {
-	r, rows, ok := t.find(k)
+	r, rows, ok := t.findOwn(k)
 	if !ok || r.result != Running {
 		return
 	}
@@ -211,7 +211,7 @@
 // Finish records the result of a running key, Done or Unknown. a may be nil and must not be changed
 // afterwards. A result of Unknown becomes Done if the answer arrives later; no other result changes.
 func (t *Table) Finish(k Key, result Result, a *Answer) {
-	r, rows, ok := t.find(k)
+	r, rows, ok := t.findOwn(k)
 	if !ok || r.result == Done {
 		t.stats.LateResults++
 		return
@@ -234,8 +234,8 @@
 	t.running--
 }
 
-// find returns a copy of the row of one of the table's own keys, and the rows of its epoch.
-func (t *Table) find(k Key) (row, *epochRows, bool) {
+// findOwn returns a copy of the row of one of the table's own keys, and the rows of its epoch.
+func (t *Table) findOwn(k Key) (row, *epochRows, bool) {
 	if k.Home != t.cfg.Self {
 		return row{}, nil, false
 	}
