--- /dev/null
+++ b/internal/core/budget/repeats.go
@@ -0,0 +1,218 @@
+package budget
+
+import "time"
+
+// windowSteps is the number of steps of a window. An event is counted for up to one step longer than
+// the window's span, never shorter.
+const windowSteps = 20
+
+// window counts the events of the latest span.
+type window struct {
+	span   time.Duration
+	counts [windowSteps + 1]float64
+	total  float64
+	step   int64
+}
+
+// advance drops the events that are older than the span.
+func (w *window) advance(now time.Duration) {
+	step := int64(now / (w.span / windowSteps))
+	if step <= w.step {
+		return
+	}
+	if step-w.step > windowSteps {
+		w.counts, w.total = [windowSteps + 1]float64{}, 0
+	} else {
+		for s := w.step + 1; s <= step; s++ {
+			bin := &w.counts[s%(windowSteps+1)]
+			w.total -= *bin
+			*bin = 0
+		}
+	}
+	w.step = step
+}
+
+func (w *window) add(now time.Duration, n float64) {
+	w.advance(now)
+	w.counts[w.step%(windowSteps+1)] += n
+	w.total += n
+}
+
+// RepeatBound bounds the repeats, the attempts beyond the first one of each request, that all
+// entries together may send to one pool.
+type RepeatBound struct {
+	// Share is the number of repeats per request in the window; 0 means no bound.
+	Share float64
+	// Window is the length of the windows in which the bound holds, wherever they begin.
+	Window time.Duration
+	// Slack is the number of repeats that the whole fleet may send in addition to the share.
+	Slack float64
+}
+
+// usableRepeatShare is the share of the bound that entries use. The rest covers requests that an
+// entry counts in one window and an observer counts in the next one. The slack of entries that could
+// run but don't covers them as well.
+const usableRepeatShare = 0.9
+
+// Repeats keeps the repeats of all entries together within a bound without messages between the
+// entries: each entry spends the share of its own requests, and these amounts add up to the share of
+// all requests. The slack is divided by the largest fleet that may run, and each process earns its
+// part of the slack during its first window, so that neither a partition nor any number of restarts
+// raises the total.
+type Repeats struct {
+	bound             RepeatBound
+	largestFleet      int
+	knownFleet        int
+	started           time.Duration
+	requests, repeats window
+	// wanted counts the repeats that requests of each rank asked for, and spent those that were
+	// allowed.
+	wanted, spent [Ranks]window
+	denied        uint64
+}
+
+// Ranks is the number of ranks of requests among which scarce repeats are distributed. Rank 0 is the
+// highest. Each of the ten priorities has a rank, and the last rank is for late requests.
+const Ranks = 11
+
+// NewRepeats returns a budget for one pool of a process that started at the given time, or nil if
+// there is no bound. A nil budget allows every repeat.
+func NewRepeats(bound RepeatBound, largestFleet int, started time.Duration) *Repeats {
+	if bound.Share <= 0 || bound.Window <= 0 {
+		return nil
+	}
+	b := &Repeats{
+		bound:        bound,
+		started:      started,
+		largestFleet: max(1, largestFleet),
+		requests:     window{span: bound.Window},
+		repeats:      window{span: bound.Window},
+	}
+	for rank := range Ranks {
+		b.wanted[rank].span, b.spent[rank].span = bound.Window, bound.Window
+	}
+	return b
+}
+
+// Request counts a caller's request for the pool.
+func (b *Repeats) Request(now time.Duration) {
+	if b != nil {
+		b.requests.add(now, 1)
+	}
+}
+
+// SetFleet sets the largest number of entries known to have run at the same time. It takes effect if
+// the fleet has grown beyond the configured size.
+func (b *Repeats) SetFleet(entries int) {
+	if b != nil {
+		b.knownFleet = entries
+	}
+}
+
+// Left returns how many repeats may be sent now.
+func (b *Repeats) Left(now time.Duration) float64 {
+	b.requests.advance(now)
+	b.repeats.advance(now)
+	slack := b.bound.Slack / float64(max(b.largestFleet, b.knownFleet))
+	earned := slack * min(1, float64(now-b.started)/float64(b.bound.Window))
+	return usableRepeatShare*(b.bound.Share*b.requests.total+earned) - b.repeats.total
+}
+
+// leftFor returns how many repeats may be sent now for requests of a rank. It reserves the repeats
+// that requests of higher ranks were denied within the window.
+func (b *Repeats) leftFor(now time.Duration, rank int) float64 {
+	left := b.Left(now)
+	for higher := range rank {
+		wanted, spent := &b.wanted[higher], &b.spent[higher]
+		wanted.advance(now)
+		spent.advance(now)
+		left -= max(0, wanted.total-spent.total)
+	}
+	return left
+}
+
+func clampRank(rank int) int { return min(max(rank, 0), Ranks-1) }
+
+// MaySpend reports whether the budget allows a repeat for a request of a rank, without spending it.
+func (b *Repeats) MaySpend(now time.Duration, rank int) bool {
+	return b == nil || b.leftFor(now, clampRank(rank)) >= 1
+}
+
+// TrySpend spends one repeat for a request of a rank and reports true if the budget allows it.
+func (b *Repeats) TrySpend(now time.Duration, rank int) bool {
+	if b == nil {
+		return true
+	}
+	rank = clampRank(rank)
+	b.wanted[rank].add(now, 1)
+	if b.leftFor(now, rank) < 1 {
+		b.denied++
+		return false
+	}
+	b.repeats.add(now, 1)
+	b.spent[rank].add(now, 1)
+	return true
+}
+
+// Denied returns how many repeats the bound did not allow.
+func (b *Repeats) Denied() uint64 {
+	if b == nil {
+		return 0
+	}
+	return b.denied
+}
+
+// loadProbeBurst is the time over which unused load probes may be saved up. Together with
+// usableLoadProbeShare it keeps the load probes of any ten seconds within the bound.
+const loadProbeBurst = time.Second
+
+// usableLoadProbeShare is the share of the bound on load probes that entries use. The rest covers
+// entries that do not know of each other yet.
+const usableLoadProbeShare = 0.9
+
+// maxSavedLoadProbes bounds how many load probes may be saved up from requests.
+const maxSavedLoadProbes = 64
+
+// LoadProbes keeps an entry's load probes within two bounds. The first is proportional to the
+// entry's requests, so that also a partitioned fleet, or a fleet that restarts as a whole, sends no
+// more load probes than its requests justify. The second is the pool's bound per endpoint, of which
+// each entry uses a share equal to its share of the fleet's requests.
+type LoadProbes struct {
+	// perEndpoint is the number of load probes per second that all entries together may send to an
+	// endpoint; 0 means no bound.
+	perEndpoint float64
+	saved       float64
+	rateBucket  bucket
+	total       uint64
+	denied      uint64
+}
+
+// NewLoadProbes returns a budget for one pool.
+//
+// The bound per endpoint is earned from the start of the process. If it were earned from the first
+// request on, that request would be sent without a load probe. loadProbeBurst limits the load probes
+// after a restart of the whole fleet to those of one second.
+func NewLoadProbes(perEndpoint float64) *LoadProbes {
+	return &LoadProbes{perEndpoint: perEndpoint, rateBucket: bucket{started: true}}
+}
+
+// Request earns the load probes of one request.
+func (b *LoadProbes) Request(probes int) { b.saved = min(maxSavedLoadProbes, b.saved+float64(probes)) }
+
+// TrySpend spends one load probe and reports true if both bounds allow it. endpoints is the number
+// of endpoints of the pool, and ownShare is this entry's share of the fleet's requests.
+func (b *LoadProbes) TrySpend(now time.Duration, endpoints int, ownShare float64) bool {
+	rate := usableLoadProbeShare * b.perEndpoint * float64(endpoints) * ownShare
+	b.rateBucket.capacity = max(1, rate*loadProbeBurst.Seconds())
+	b.rateBucket.refill(now, rate)
+	if b.saved < 1 || b.perEndpoint > 0 && !b.rateBucket.take(1) {
+		b.denied++
+		return false
+	}
+	b.saved--
+	b.total++
+	return true
+}
+
+// Spent returns how many load probes were allowed and denied since the process started.
+func (b *LoadProbes) Spent() (spent, denied uint64) { return b.total, b.denied }
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -146,7 +146,7 @@
 // noteCompleted clears a request that has completed, and notifies the fleet if the fleet knows of a
 // crash under it.
 func (c *Core) noteCompleted(now time.Duration, request quarantine.Request, out *Actions) {
-	if !c.quarantine.Knows(request) {
+	if !c.quarantine.Known(request) {
 		return
 	}
 	crashes := c.quarantine.Crashes(request)
@@ -200,10 +200,10 @@
 	at := now - time.Duration(e.AgeMillis)*time.Millisecond
 	request := quarantine.Request{Content: e.Content, Caller: e.Caller}
 	if e.Kind == message.EvidenceCompleted {
-		return c.quarantine.Completed(now, at, request)
+		return c.quarantine.RecordCompletion(now, at, request)
 	}
 	began := at - time.Duration(e.RanMillis)*time.Millisecond
-	changed = c.quarantine.Crashed(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
+	changed = c.quarantine.RecordCrash(now, quarantine.Crash{Request: request, Endpoint: e.VM, Incarnation: e.Incarnation, Began: began, At: at})
 	if changed {
 		c.counters.Crashes++
 	}
@@ -266,13 +266,13 @@
 }
 
 func (c *Core) isQuarantined(now time.Duration, r *request) bool {
-	return c.quarantine.Of(now, r.identity()) == quarantine.Quarantined
+	return c.quarantine.Verdict(now, r.identity()) == quarantine.Quarantined
 }
 
 // isSuspect reports whether endpoints crashed while they ran the same request. Such a request is
 // not repeated.
 func (c *Core) isSuspect(now time.Duration, r *request) bool {
-	return c.quarantine.Of(now, r.identity()) != quarantine.Sound
+	return c.quarantine.Verdict(now, r.identity()) != quarantine.Clear
 }
 
 func millis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -8,36 +8,38 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// What Sweep judges by.
+// Thresholds of Sweep.
 const (
-	// failureLimit is the failure rate above which an endpoint looks bad.
+	// failureLimit is the failure rate above which an endpoint counts as bad.
 	failureLimit = 0.5
-	// failureGap is how far above the pool's median it must be to be ejected.
-	failureGap = 0.3
-	// failureSamples and slowSamples are how many outcomes it takes.
-	failureSamples = 5
-	slowSamples    = 12
-	// medianOf is how many judged endpoints it takes to call one of them slow.
-	medianOf = 3
-	// carryLimit is the highest share of slots in use after an ejection.
-	carryLimit = 0.9
-	// staleAfter: an endpoint that got no request for so long is judged anew.
+	// failureMargin is how far above the pool's median the failure rate must be for an ejection.
+	failureMargin = 0.3
+	// minFailureSamples and minSlowSamples are the numbers of outcomes required to rate an
+	// endpoint by its failure rate and by its latency.
+	minFailureSamples = 5
+	minSlowSamples    = 12
+	// minCompared is the number of rated endpoints required to call one of them slow.
+	minCompared = 3
+	// maxUtilization is the highest allowed share of slots in use after an ejection for slowness.
+	maxUtilization = 0.9
+	// staleAfter is how long after an endpoint's latest outcome its measurements are discarded.
 	staleAfter = 10 * time.Second
 )
 
-// EventKind is what Sweep decided.
+// EventKind is the kind of a decision of Sweep.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	// Ejection: the endpoint gets no work until Event.Until, then trials.
+	// Ejection means that the endpoint gets no requests until Event.Until, and only trial requests
+	// after that.
 	Ejection EventKind = iota
-	// Readmission: the endpoint gets ordinary work again.
+	// Readmission means that the endpoint gets normal traffic again.
 	Readmission
-	// ViewWrong: most endpoints look bad, so the fault is taken to be on this
-	// side or in the service itself; all are used. Event.Endpoint is -1.
+	// ViewWrong means that most endpoints look bad, so that the fault probably lies in this entry,
+	// its network or the service itself. All endpoints are used. Event.Endpoint is -1.
 	ViewWrong
-	// ViewRestored: no longer so. Event.Endpoint is -1.
+	// ViewRestored means that most endpoints no longer look bad. Event.Endpoint is -1.
 	ViewRestored
 )
 
@@ -61,26 +63,26 @@
 	// Endpoint is the index in the pool, or -1 for the whole pool.
 	Endpoint int
 	Kind     EventKind
-	// Why says what was measured.
+	// Why states the measurements behind the decision.
 	Why string
-	// Clears says what ends an ejection.
+	// Clears states what ends an ejection.
 	Clears string
-	// Until is when the trials of an ejected endpoint begin.
+	// Until is when the trial requests to an ejected endpoint begin.
 	Until time.Duration
 }
 
-// Sweep judges the endpoints of a pool, changes their Health and appends what
-// it decided to out. Call it at each tick. Only live endpoints are judged.
+// Sweep rates the live endpoints of a pool, updates their Health and appends its decisions to out.
+// The driver calls it at each tick.
 func Sweep(now time.Duration, p *table.Pool, lim Limits, rng *rand.Rand, out []Event) []Event {
 	s := sweep{now: now, pool: p, limits: lim.withDefaults(), rng: rng, out: out}
-	s.age()
-	s.survey()
+	s.expireMeasurements()
+	s.collect()
 	if s.viewWrong() {
-		s.readmitAll("most endpoints look bad, so all of them are used")
+		s.readmitAll("most endpoints look bad, so all endpoints are used")
 		return s.out
 	}
 	s.endTrials()
-	s.keepLimit()
+	s.enforceLimit()
 	s.ejectWorst()
 	return s.out
 }
@@ -94,10 +96,10 @@
 	out    []Event
 
 	live, ejected int
-	// judged counts the live endpoints that something is known of, and bad
-	// those of them that fail or are ejected.
+	// judged counts the live endpoints that have enough samples or are ejected. bad counts those
+	// of them that fail or are ejected.
 	judged, bad int
-	// slowJudged counts those that can be compared by their latency.
+	// slowJudged counts the endpoints with enough latency samples to be compared.
 	slowJudged     int
 	medianFailure  float64
 	medianSlowness float64
@@ -113,16 +115,16 @@
 	}
 }
 
-// age lets old knowledge lapse, so that an endpoint that was avoided for its
-// past is tried again although nobody asks for it.
-func (s *sweep) age() {
+// expireMeasurements discards stale measurements and reduces the count of successive ejections over
+// time, so that an endpoint that was avoided for past results is used again.
+func (s *sweep) expireMeasurements() {
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		if h.EjectedUntil != 0 {
 			return
 		}
 		if h.Samples > 0 && stale(s.now, h) {
-			reset(h)
+			resetMeasurements(h)
 		}
 		if h.Ejections > 0 && s.now-h.CalmSince >= s.limits.Max {
 			h.Ejections--
@@ -131,9 +133,10 @@
 	})
 }
 
-func (s *sweep) survey() {
-	var store [2][inlineSample]float64
-	failures, slowness := sample(store[0][:0]), sample(store[1][:0])
+// collect computes the counts and medians of the pool.
+func (s *sweep) collect() {
+	var buffers [2][inlineValues]float64
+	failures, slowness := sample(buffers[0][:0]), sample(buffers[1][:0])
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		s.live++
@@ -146,13 +149,13 @@
 		if h.Samples > 0 {
 			failures = append(failures, h.FailureRate)
 		}
-		if h.Samples >= failureSamples {
+		if h.Samples >= minFailureSamples {
 			s.judged++
 			if h.FailureRate > failureLimit {
 				s.bad++
 			}
 		}
-		if h.SlowSamples >= slowSamples {
+		if h.SlowSamples >= minSlowSamples {
 			slowness = append(slowness, h.Slowness)
 		}
 	})
@@ -161,10 +164,10 @@
 	s.medianSlowness = slowness.median()
 }
 
-// viewWrong reports whether most endpoints look bad. It guards against an
-// entry that is cut off from the endpoints, or a fault that all share, such as
-// a bad request that every endpoint answers with an error: ejecting would put
-// the whole load on the few that are left and break them too.
+// viewWrong reports whether most endpoints look bad, and records it in their Health. This happens
+// when the entry is cut off from the endpoints, or when all endpoints share a fault, such as a bad
+// request that each of them answers with an error. Ejections would then put the whole load on the
+// few remaining endpoints and overload these too.
 func (s *sweep) viewWrong() bool {
 	wrong := 2*s.judged > s.live && 2*s.bad > s.judged
 	was := false
@@ -173,21 +176,21 @@
 		e.Health.ViewWrong = wrong
 	})
 	if wrong != was {
-		s.noteView(wrong)
+		s.reportView(wrong)
 	}
 	return wrong
 }
 
-func (s *sweep) noteView(wrong bool) {
+func (s *sweep) reportView(wrong bool) {
 	kind, why := ViewRestored, fmt.Sprintf("%d of %d judged endpoints look bad", s.bad, s.judged)
 	if wrong {
 		kind = ViewWrong
-		why += "; all are used until most look good; check the paths from this entry and the service itself"
+		why += "; all endpoints are used until most look good; check the network paths from this entry and the service itself"
 	}
 	s.out = append(s.out, Event{Endpoint: -1, Kind: kind, Why: why})
 }
 
-// endTrials readmits or ejects again the endpoints whose trials are decided.
+// endTrials readmits or ejects again the endpoints whose trials have a result.
 func (s *sweep) endTrials() {
 	s.each(func(i int, e *table.Endpoint) {
 		h := &e.Health
@@ -198,27 +201,27 @@
 			h.EjectedUntil = max(h.EjectedUntil, h.SampledAt+trialTimeout)
 		}
 		switch {
-		case h.FailureRate > trialFailures:
+		case h.FailureRate > trialFailureLimit:
 			s.eject(i, "trial requests failed")
 		case s.trialSlow(h):
 			s.eject(i, fmt.Sprintf("trial requests took %.1f times the pool's median", h.Slowness/s.medianSlowness))
-		case h.Samples >= trials:
-			s.readmit(i, fmt.Sprintf("%d trial requests went well", h.Samples))
+		case h.Samples >= requiredTrials:
+			s.readmit(i, fmt.Sprintf("%d trial requests succeeded", h.Samples))
 		case s.now >= h.EjectedUntil:
-			s.readmit(i, "no request was suited for a trial")
+			s.readmit(i, "no request was suitable for a trial")
 		}
 	})
 }
 
 func (s *sweep) trialSlow(h *table.Health) bool {
-	return s.slowJudged > 0 && h.SlowSamples >= trials && h.Slowness > s.limits.SlowFactor*s.medianSlowness
+	return s.slowJudged > 0 && h.SlowSamples >= requiredTrials && h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// keepLimit readmits endpoints while more are ejected than may be, which
-// happens when others leave the pool or the profile changes. Those that were
-// to return first go first.
-func (s *sweep) keepLimit() {
-	for s.ejected > s.limits.most(s.live) {
+// enforceLimit readmits endpoints while more are ejected than the limit allows, which happens when
+// other endpoints leave the pool or the profile changes. The endpoint whose ejection would end
+// first is readmitted first.
+func (s *sweep) enforceLimit() {
+	for s.ejected > s.limits.maxEjected(s.live) {
 		first := -1
 		s.each(func(i int, e *table.Endpoint) {
 			until := e.Health.EjectedUntil
@@ -230,10 +233,10 @@
 	}
 }
 
-// ejectWorst ejects the endpoints that are much worse than the others, the
-// worst first, as far as the limits allow.
+// ejectWorst ejects the endpoints that are much worse than the others, starting with the worst one,
+// as far as the limits allow.
 func (s *sweep) ejectWorst() {
-	for s.ejected < s.limits.most(s.live) {
+	for s.ejected < s.limits.maxEjected(s.live) {
 		worst, worstScore := -1, 0.0
 		s.each(func(i int, e *table.Endpoint) {
 			if score := s.score(e); score > worstScore {
@@ -247,11 +250,10 @@
 	}
 }
 
-// failingScore is above any score of a slow endpoint: one that answers late is
-// still better than one that does not answer.
+// failingScore is above the score of any slow endpoint, because a late answer is better than none.
 const failingScore = 1e6
 
-// score returns how bad an endpoint is, 0 if it is to stay.
+// score returns how bad an endpoint is, or 0 if it should not be ejected.
 func (s *sweep) score(e *table.Endpoint) float64 {
 	h := &e.Health
 	switch {
@@ -259,28 +261,28 @@
 		return 0
 	case s.failing(h):
 		return failingScore + h.FailureRate
-	case s.slow(e) && s.othersCarry():
+	case s.slow(e) && s.othersHaveCapacity():
 		return h.Slowness / s.medianSlowness
 	}
 	return 0
 }
 
 func (s *sweep) failing(h *table.Health) bool {
-	return h.Samples >= failureSamples && h.FailureRate > failureLimit &&
-		h.FailureRate > s.medianFailure+failureGap
+	return h.Samples >= minFailureSamples && h.FailureRate > failureLimit &&
+		h.FailureRate > s.medianFailure+failureMargin
 }
 
 func (s *sweep) slow(e *table.Endpoint) bool {
 	h := &e.Health
-	return s.slowJudged >= medianOf && h.SlowSamples >= slowSamples && !cold(s.now, e) &&
+	return s.slowJudged >= minCompared && h.SlowSamples >= minSlowSamples && !cold(s.now, e) &&
 		h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// othersCarry reports whether the endpoints that would be left can carry the
-// load if one more is ejected.
-func (s *sweep) othersCarry() bool {
-	using := float64(s.live - s.ejected)
-	return s.limits.Busy*using <= carryLimit*(using-1)
+// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more endpoint
+// is ejected.
+func (s *sweep) othersHaveCapacity() bool {
+	inUse := float64(s.live - s.ejected)
+	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
 }
 
 func (s *sweep) why(h *table.Health) string {
