--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -13,15 +13,15 @@
 //
 // When the bounds are tight, sightings are dropped first, then heartbeats are
 // late, and with them the rate; news comes last.
-func (s *Scheduler) Compose(now time.Duration, to uint64, sightings []message.LoadReport) (message.Update, bool) {
-	s.settle()
+func (s *Scheduler) Compose(now time.Duration, to uint64, reports []message.LoadReport) (message.Update, bool) {
+	s.refreshTopology()
 	s.allow.refill(now)
 	p := s.peers[to]
 	if p == nil {
 		return message.Update{}, false
 	}
 	why := s.due(now, p)
-	if why == notDue || !s.allow.covers(s.needs(p, why), why.floor()) {
+	if why == notDue || !s.allow.covers(s.bytesNeeded(p, why), why.floor()) {
 		return message.Update{}, false
 	}
 	u := s.base()
@@ -30,7 +30,7 @@
 	u.Records = s.records.dueTo(p, room-(Size(&u)-heartbeatBytes))
 	if p.shares && p.kind == linkMesh {
 		room = s.room(loadReportFloor) - Size(&u) + heartbeatBytes
-		u.LoadReports = p.changed(now, sightings, room)
+		u.LoadReports = p.changedReports(now, reports, room)
 		p.loadReportAt = now + s.cfg.LoadReportEvery
 	}
 	if why == dueLoadReports && len(u.LoadReports) == 0 {
@@ -70,14 +70,14 @@
 	return u
 }
 
-// changed returns the sightings that differ from what the peer was last told,
+// changedReports returns the sightings that differ from what the peer was last told,
 // as many as fit into room bytes, and remembers them as told.
-func (p *peer) changed(now time.Duration, sightings []message.LoadReport, room int) []message.LoadReport {
+func (p *peer) changedReports(now time.Duration, reports []message.LoadReport, room int) []message.LoadReport {
 	var out []message.LoadReport
 	if len(p.loadReports) > maxTracked {
 		clear(p.loadReports)
 	}
-	for _, g := range sightings {
+	for _, g := range reports {
 		last, known := p.loadReports[g.Endpoint]
 		next := sentLoadReport{incarnation: g.Incarnation, inFlight: g.InFlight, own: g.Own, at: last.at}
 		if known && next == last && now-last.at < loadReportRefresh {
@@ -86,7 +86,7 @@
 		if time.Duration(g.AgeMillis)*time.Millisecond > loadReportRefresh {
 			continue
 		}
-		room -= loadReportBytes + p.naming(&g)
+		room -= loadReportBytes + p.namingBytes(&g)
 		if room < 0 || len(out) == maxLoadReports {
 			break
 		}
@@ -99,10 +99,10 @@
 
 // send charges a message and notes it as under way.
 func (s *Scheduler) send(now time.Duration, p *peer, u *message.Update, why urgency) {
-	s.allow.take(Size(u) + p.firstTime(u))
-	p.name(u)
+	s.allow.take(Size(u) + p.firstUseBytes(u))
+	p.noteNamed(u)
 	p.inFlight, p.sentAt, p.sequence = true, now, u.Sequence
-	p.offered = revisionPair{profiles: u.Profiles.Revision, vms: u.VMs.Revision}
+	p.sentRevisions = revisionPair{profiles: u.Profiles.Revision, vms: u.VMs.Revision}
 	p.heartbeatAt = s.nextHeartbeat(now, p)
 	if why >= dueRevisions {
 		p.urgentAt = now + s.cfg.UrgentGap
@@ -122,12 +122,12 @@
 	}
 	p.inFlight = false
 	if r.Acked {
-		s.acked(p)
-		s.compare(now, p, r.EvidenceDigest)
+		s.noteAck(p)
+		s.compareEvidence(now, p, r.EvidenceDigest)
 		s.pulls.compare(now, p, r.RecordDigest, &s.records)
 		return
 	}
-	p.underWay, p.carried = p.underWay[:0], p.carried[:0]
+	p.evidenceInFlight, p.recordsInFlight = p.evidenceInFlight[:0], p.recordsInFlight[:0]
 	clear(p.loadReports)
 	clear(p.named) // a link that opens anew names its endpoints anew
 	p.failures++
@@ -135,64 +135,64 @@
 	p.retryAt = now + pause
 	if p.kind == linkRegion {
 		s.failed[to] = p.failures
-		s.moved = s.moved || p.failures == failuresToSkip
+		s.topologyStale = s.topologyStale || p.failures == failuresToSkip
 	}
 }
 
-func (s *Scheduler) acked(p *peer) {
+func (s *Scheduler) noteAck(p *peer) {
 	recovered := p.failures >= failuresToSkip
 	p.failures = 0
 	p.retryAt = 0
 	p.ackedRevisions = revisionPair{
-		profiles: max(p.ackedRevisions.profiles, p.offered.profiles),
-		vms:      max(p.ackedRevisions.vms, p.offered.vms),
+		profiles: max(p.ackedRevisions.profiles, p.sentRevisions.profiles),
+		vms:      max(p.ackedRevisions.vms, p.sentRevisions.vms),
 	}
-	for _, c := range p.underWay {
+	for _, c := range p.evidenceInFlight {
 		if s.log.index[keyOf(c.evidence)] == c {
 			s.markKnown(c, p)
 		}
 	}
-	p.underWay = p.underWay[:0]
-	for _, h := range p.carried {
+	p.evidenceInFlight = p.evidenceInFlight[:0]
+	for _, h := range p.recordsInFlight {
 		h.known.add(p.slot)
 	}
-	p.carried = p.carried[:0]
+	p.recordsInFlight = p.recordsInFlight[:0]
 	if p.kind == linkRegion {
 		delete(s.failed, p.incarnation)
-		s.moved = s.moved || recovered
+		s.topologyStale = s.topologyStale || recovered
 	}
 }
 
-// compare takes in the digest of the evidence that a peer has after a message. Peers that
+// compareEvidence takes in the digest of the evidence that a peer has after a message. Peers that
 // have it all are most often told nothing: the copies that entries told each other of what
 // both had from others used up their bounds, and later news waited for seconds. While news
 // comes in, two digests differ for that alone. An entry that is no finger is told what it
 // lacks only if two acks in a row say so, since those whose finger it is come first.
-func (s *Scheduler) compare(now time.Duration, p *peer, known uint64) {
+func (s *Scheduler) compareEvidence(now time.Duration, p *peer, known uint64) {
 	if known == s.log.digest {
-		p.doubted = false
-		s.allKnown(p)
+		p.mayLack = false
+		s.markAllKnown(p)
 		return
 	}
 	if p.pending == 0 {
 		s.noteDifference(now, p)
 		return
 	}
-	quiet := now-s.log.changedAt >= passedWithin
-	if quiet && (p.finger || p.doubted) {
+	quiet := now-s.log.changedAt >= relayWait
+	if quiet && (p.finger || p.mayLack) {
 		p.lacks = true
 	}
-	p.doubted = quiet
+	p.mayLack = quiet
 }
 
 // Received notes what a peer's message says about what the peer knows, and
 // takes in its evidence to pass on. Evidence that both have is not sent back.
 func (s *Scheduler) Received(now time.Duration, u *message.Update) {
-	s.settle()
+	s.refreshTopology()
 	p := s.senderOf(u.From)
 	reach := everywhere
-	if p != nil && p.delegates() > 0 {
-		reach = p.delegates()
+	if p != nil && p.relayReach() > 0 {
+		reach = p.relayReach()
 	}
 	for i := range u.Records {
 		s.storeRecord(now, &u.Records[i], reach, p)
@@ -210,7 +210,7 @@
 	p.ackedRevisions.profiles = max(p.ackedRevisions.profiles, u.Profiles.Revision)
 	p.ackedRevisions.vms = max(p.ackedRevisions.vms, u.VMs.Revision)
 	if u.EvidenceDigest == s.log.digest {
-		s.allKnown(p)
+		s.markAllKnown(p)
 		return
 	}
 	s.noteDifference(now, p)
@@ -223,7 +223,7 @@
 	p := s.peers[from]
 	if known || p == nil && len(s.senders) < maxSenders {
 		s.senders[from] = s.allow.at
-		s.moved = s.moved || !known
+		s.topologyStale = s.topologyStale || !known
 	}
 	return p
 }
@@ -231,9 +231,9 @@
 // forgetSenders drops the links with entries that have told this one nothing for a while.
 func (s *Scheduler) forgetSenders(now time.Duration) {
 	for id, at := range s.senders {
-		if now-at > senderKept {
+		if now-at > senderTimeout {
 			delete(s.senders, id)
-			s.moved = true
+			s.topologyStale = true
 		}
 	}
 }
@@ -245,7 +245,7 @@
 // good, because one of them is full, the pauses grow. While news comes in, sets differ
 // for that alone.
 func (s *Scheduler) noteDifference(now time.Duration, p *peer) {
-	if p.kind == linkBack || p.pending > 0 || p.inFlight || now-s.log.changedAt < passedWithin {
+	if p.kind == linkInbound || p.pending > 0 || p.inFlight || now-s.log.changedAt < relayWait {
 		p.differs = false
 		return
 	}
@@ -262,5 +262,5 @@
 		c.known.remove(p.slot)
 	}
 	p.pending, p.pendingSince, p.lacks = len(s.log.stored), now, len(s.log.stored) > 0
-	s.recountAll()
+	s.recountUrgent()
 }
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -66,21 +66,21 @@
 )
 
 // News is told along a tree: each entry tells its fingers up to the one that its teller
-// tells next. passedWithin is how long it leaves the others to the rest of the tree before it
+// tells next. relayWait is how long it leaves the others to the rest of the tree before it
 // tells them of a revision, or asks whether they have the evidence: several times what the
-// tree takes in a sound fleet. While more comes in that moment does not come; behindAtMost is
-// then the limit for revisions, passedAtMost that for evidence, which the lists hold as well.
+// tree takes in a sound fleet. While more comes in that moment does not come; maxRevisionWait is
+// then the limit for revisions, maxEvidenceWait that for evidence, which the lists hold as well.
 const (
-	passedWithin = 300 * time.Millisecond
-	behindAtMost = 600 * time.Millisecond
-	passedAtMost = 1500 * time.Millisecond
+	relayWait       = 300 * time.Millisecond
+	maxRevisionWait = 600 * time.Millisecond
+	maxEvidenceWait = 1500 * time.Millisecond
 )
 
-// A message with news goes out when as many pieces fit as it has, or fewPieces. pieceBytes is
+// A message with news goes out when as many pieces fit as it has, or minPieces. typicalEvidenceBytes is
 // about what one takes.
 const (
-	fewPieces  = 16
-	pieceBytes = evidenceBytes + 24
+	minPieces            = 16
+	typicalEvidenceBytes = evidenceBytes + 24
 )
 
 // Shares of the bound.
@@ -88,17 +88,17 @@
 	// heartbeatShare is what heartbeats to all peers may take together.
 	heartbeatShare = 0.35
 	// loadReportFloor is the share of a full bucket that sightings leave for what
-	// is worth more; copyFloor is what copies of news leave for its first telling, and
+	// is worth more; redundantFloor is what copies of news leave for its first telling, and
 	// heartbeatFloor what heartbeats do.
 	loadReportFloor = 0.5
-	copyFloor       = 0.3
+	redundantFloor  = 0.3
 	heartbeatFloor  = 0.1
 )
 
-// burst is how many seconds' worth of the bound may be saved up. With half of
+// burstSeconds is how many seconds' worth of the bound may be saved up. With half of
 // it kept from sightings, news of a whole failure domain that leaves finds a
 // second's worth at hand.
-const burst = 2.0
+const burstSeconds = 2.0
 
 // Times after which a message counts as lost, and between tries of a peer that
 // does not answer.
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -96,7 +96,7 @@
 
 // Spread takes in evidence to pass on.
 func (s *Scheduler) Spread(now time.Duration, evidence []message.Evidence) {
-	s.settle()
+	s.refreshTopology()
 	for _, e := range evidence {
 		s.storeEvidence(now, e, everywhere)
 	}
@@ -105,7 +105,7 @@
 // LearnedFromList takes in evidence that came with a list of VMs from a peer. The list is passed on
 // with the evidence in it, so others are only asked whether they have it.
 func (s *Scheduler) LearnedFromList(now time.Duration, evidence []message.Evidence) {
-	s.settle()
+	s.refreshTopology()
 	for _, e := range evidence {
 		s.storeEvidence(now, e, 0)
 	}
@@ -117,7 +117,7 @@
 	if c := s.log.index[key]; c != nil {
 		switch {
 		case !key.limit || e.Limit == c.evidence.Limit:
-			s.extend(c, reach)
+			s.extendReach(c, reach)
 			return c
 		case !e.Newer(c.evidence.Limit):
 			return nil
@@ -157,19 +157,19 @@
 	return p.kind == linkRegion || p.finger && p.distance < c.reach
 }
 
-// extend has this entry pass on a claim that it had from a list, since a peer relies on it
+// extendReach has this entry pass on a claim that it had from a list, since a peer relies on it
 // for that. One that was told before is on its way already.
-func (s *Scheduler) extend(c *storedEvidence, reach int) {
+func (s *Scheduler) extendReach(c *storedEvidence, reach int) {
 	if c.reach > 0 || reach == everywhere {
 		return
 	}
-	s.recount(c, -1)
+	s.adjustUrgent(c, -1)
 	c.reach = reach
-	s.recount(c, 1)
+	s.adjustUrgent(c, 1)
 }
 
-// recount adds a claim to, or takes it from, what peers are to be told at once.
-func (s *Scheduler) recount(c *storedEvidence, by int) {
+// adjustUrgent adds a claim to, or takes it from, what peers are to be told at once.
+func (s *Scheduler) adjustUrgent(c *storedEvidence, by int) {
 	for _, id := range s.order {
 		if p := s.peers[id]; !c.known.has(p.slot) && c.urgentFor(p) {
 			p.urgent += by
@@ -177,8 +177,8 @@
 	}
 }
 
-// recountAll works out anew what peers are to be told at once, after their places changed.
-func (s *Scheduler) recountAll() {
+// recountUrgent works out anew what peers are to be told at once, after their places changed.
+func (s *Scheduler) recountUrgent() {
 	for _, id := range s.order {
 		p := s.peers[id]
 		p.urgent = 0
@@ -237,8 +237,8 @@
 	}
 }
 
-// allKnown notes that a peer has the same evidence as this entry.
-func (s *Scheduler) allKnown(p *peer) {
+// markAllKnown notes that a peer has the same evidence as this entry.
+func (s *Scheduler) markAllKnown(p *peer) {
 	p.differs, p.repairs, p.lacks = false, 0, false
 	if p.pending == 0 {
 		return
@@ -251,14 +251,14 @@
 // pendingEvidence returns the evidence to tell a peer now, newest first, as many pieces as fit
 // into budget bytes, and remembers it as under way.
 func (s *Scheduler) pendingEvidence(now time.Duration, p *peer, budget int) []message.Evidence {
-	p.underWay = p.underWay[:0]
+	p.evidenceInFlight = p.evidenceInFlight[:0]
 	if p.pending == 0 {
 		return nil
 	}
 	var out []message.Evidence
 	for i := len(s.log.stored) - 1; i >= 0 && len(out) < maxEvidence; i-- {
 		c := s.log.stored[i]
-		if c.known.has(p.slot) || !s.isUrgentFor(now, p, c) {
+		if c.known.has(p.slot) || !s.shouldSend(now, p, c) {
 			continue
 		}
 		budget -= evidenceSize(&c.evidence)
@@ -268,25 +268,25 @@
 		e := c.evidence
 		e.AgeMillis = millis(now - c.since)
 		out = append(out, e)
-		p.underWay = append(p.underWay, c)
+		p.evidenceInFlight = append(p.evidenceInFlight, c)
 	}
 	return out
 }
 
-// isUrgentFor reports whether a message tells a peer a claim that it is owed. It does if the peer
+// shouldSend reports whether a message tells a peer a claim that it is owed. It does if the peer
 // hears it first from this entry, or is known to lack some. A near finger is also told what it may
 // have from others where that takes no more than the question whether it has; or what it has
 // been owed for long, while so much comes in that no digest can tell.
-func (s *Scheduler) isUrgentFor(now time.Duration, p *peer, c *storedEvidence) bool {
+func (s *Scheduler) shouldSend(now time.Duration, p *peer, c *storedEvidence) bool {
 	switch {
 	case p.lacks || c.urgentFor(p):
 		return true
 	case !p.finger:
 		return false
-	case now-s.log.changedAt >= passedWithin:
-		return p.near && p.pending*pieceBytes <= heartbeatBytes
+	case now-s.log.changedAt >= relayWait:
+		return p.sameDomain && p.pending*typicalEvidenceBytes <= heartbeatBytes
 	}
-	return now-c.learnedAt >= passedAtMost
+	return now-c.learnedAt >= maxEvidenceWait
 }
 
 func millis(d time.Duration) uint32 {
--- a/internal/core/gossip/flood_test.go
+++ b/internal/core/gossip/flood_test.go
@@ -14,12 +14,12 @@
 // message that was due went out as soon as its header fitted, with no piece in it. The entries
 // stood at 110 of 18,000 bytes and 34 messages a second each, 13,500 pieces owed at each of
 // them, and none of that ebbed away.
-func TestBoundIsNotSpentOnCopies(t *testing.T) {
+func TestBandwidthIsNotSpentOnDuplicates(t *testing.T) {
 	t.Parallel()
 	const (
 		entries, leave = 141, 105
 		// copies of a piece that an entry sends at most, on average, in its first seconds.
-		copies = 4
+		maxDuplicates = 4
 	)
 	f := newFleet(entries, 1)
 	f.withoutReports = true
@@ -35,24 +35,24 @@
 			f.run(100 * time.Millisecond)
 		}
 	}
-	if took := f.reached(leave, 10*time.Second, func(uint64) bool { return true }); took > time.Second {
+	if took := f.untilAllHave(leave, 10*time.Second, func(uint64) bool { return true }); took > time.Second {
 		t.Errorf("all have it after %v", took)
 	}
 	f.run(8 * time.Second)
 	sent := -before
 	for _, id := range f.ids {
 		sent += f.sent[id]
-		if left := f.nodes[id].allow.bytes; left < 0.5*burst*defaultBytesPerSecond {
+		if left := f.nodes[id].allow.bytes; left < 0.5*burstSeconds*defaultBytesPerSecond {
 			t.Errorf("entry %d may send %.0f bytes 8 s after the news", id, left)
 		}
 	}
 	heartbeats := int(heartbeatShare * defaultBytesPerSecond * (f.now - began).Seconds())
-	most := entries * (heartbeats + copies*leave*(evidenceBytes+len(pieces[0].VM)))
+	most := entries * (heartbeats + maxDuplicates*leave*(evidenceBytes+len(pieces[0].VM)))
 	if t.Logf("%d bytes an entry", sent/entries); sent > most {
 		t.Errorf("%d bytes an entry, want %d", sent/entries, most/entries)
 	}
 	f.nodes[f.ids[7]].Spread(f.now, evidence(leave + 1)[leave:])
-	took := f.reached(leave+1, 5*time.Second, func(uint64) bool { return true })
+	took := f.untilAllHave(leave+1, 5*time.Second, func(uint64) bool { return true })
 	if took > 200*time.Millisecond {
 		t.Errorf("the next piece is known after %v, the most of all that stands for never", took)
 	}
@@ -62,7 +62,7 @@
 // the entries have just died. Those whose teller is among the dead would hear nothing before
 // the list of VMs rests for a moment, since an entry tells the fingers that it leaves to others
 // only after that. In a stream of revisions, 20 a second, nobody is more than 2 s behind.
-func TestRevisionsReachAllInAStream(t *testing.T) {
+func TestFrequentRevisionsReachAllEntries(t *testing.T) {
 	t.Parallel()
 	const gap, within = 50 * time.Millisecond, 2 * time.Second
 	f := newFleet(60, 1)
@@ -70,29 +70,29 @@
 	f.run(8 * time.Second)
 	dead := func(id uint64) bool { return id%3 == 1 }
 	f.cut = func(from, to uint64) bool { return dead(from) || dead(to) }
-	holds := make(map[uint64]uint64)
-	adopt := func(id, revision uint64) {
-		holds[id] = revision
+	revisions := make(map[uint64]uint64)
+	setRevision := func(id, revision uint64) {
+		revisions[id] = revision
 		f.nodes[id].SetState(State{State: message.EntryServing, VMs: message.Mark{Revision: revision}})
 	}
 	behind := uint64(within / gap)
 	for revision := uint64(1); revision <= 160; revision++ {
-		adopt(f.ids[1], revision)
+		setRevision(f.ids[1], revision)
 		for range gap / step {
 			f.run(step)
 			for _, id := range f.ids {
-				latest := holds[id]
+				latest := revisions[id]
 				for _, p := range f.nodes[id].peers {
 					latest = max(latest, p.ackedRevisions.vms)
 				}
-				if !dead(id) && latest > holds[id] {
-					adopt(id, latest)
+				if !dead(id) && latest > revisions[id] {
+					setRevision(id, latest)
 				}
 			}
 		}
 		for _, id := range f.ids {
-			if !dead(id) && holds[id]+behind < revision {
-				t.Fatalf("at revision %d entry %d has %d", revision, id, holds[id])
+			if !dead(id) && revisions[id]+behind < revision {
+				t.Fatalf("at revision %d entry %d has %d", revision, id, revisions[id])
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 // Half of a service's endpoints are replaced one after the other for twelve seconds. While news
 // comes in all the time two entries seldom hold the same evidence, which is no sign that one
 // lacks some: told everything again for that, each entry would spend its bound on it.
-func TestLongReplacementStaysWithinTheBound(t *testing.T) {
+func TestLongReplacementStaysWithinBandwidth(t *testing.T) {
 	t.Parallel()
 	const entries, pieces, gap = 60, 144, 80 * time.Millisecond
 	f := newFleet(entries, 1)
@@ -116,7 +116,7 @@
 		f.nodes[f.ids[i%4*entries/4]].Spread(f.now, all[i:i+1])
 		f.run(gap)
 	}
-	if took := f.reached(pieces, 5*time.Second, func(uint64) bool { return true }); took > time.Second {
+	if took := f.untilAllHave(pieces, 5*time.Second, func(uint64) bool { return true }); took > time.Second {
 		t.Errorf("all have it %v after the last", took)
 	}
 	sent := -before
@@ -127,8 +127,8 @@
 	t.Logf("%d bytes an entry in %v", sent, f.now-began)
 	heartbeats := heartbeatShare * defaultBytesPerSecond * (f.now - began).Seconds()
 	// Each piece comes alone, so a copy costs a message.
-	const copies = 1.25
-	if most := int(heartbeats + copies*pieces*(heartbeatBytes+pieceBytes)); sent > most {
+	const duplicates = 1.25
+	if most := int(heartbeats + duplicates*pieces*(heartbeatBytes+typicalEvidenceBytes)); sent > most {
 		t.Errorf("%d bytes an entry in %v, want %d", sent, f.now-began, most)
 	}
 }
--- a/internal/core/gossip/gossip_test.go
+++ b/internal/core/gossip/gossip_test.go
@@ -37,10 +37,10 @@
 	cut      func(from, to uint64) bool
 	pending  []delivery
 	sent     map[uint64]int
-	told     map[[2]uint64]time.Duration
+	lastSent map[[2]uint64]time.Duration
 	worstGap time.Duration
-	// carried, if not nil, is told of each message.
-	carried func(from, to uint64, u *message.Update)
+	// onSend, if not nil, is told of each message.
+	onSend func(from, to uint64, u *message.Update)
 	// withoutReports says that the entries tell no loads.
 	withoutReports bool
 }
@@ -52,7 +52,7 @@
 // i mod regions.
 func newFleet(n, regions int) *fleet {
 	f := &fleet{
-		nodes: make(map[uint64]*Scheduler), sent: make(map[uint64]int), told: make(map[[2]uint64]time.Duration),
+		nodes: make(map[uint64]*Scheduler), sent: make(map[uint64]int), lastSent: make(map[[2]uint64]time.Duration),
 		cut: func(uint64, uint64) bool { return false },
 	}
 	var peers []Peer
@@ -98,21 +98,21 @@
 
 func (f *fleet) send(id uint64) {
 	node := f.nodes[id]
-	sightings := []message.LoadReport{{Endpoint: "endpoint-1", Incarnation: 7, InFlight: uint16(f.now / step)}}
+	reports := []message.LoadReport{{Endpoint: "endpoint-1", Incarnation: 7, InFlight: uint16(f.now / step)}}
 	if f.withoutReports {
-		sightings = nil
+		reports = nil
 	}
 	for _, to := range node.Due(f.now, nil) {
-		u, ok := node.Compose(f.now, to, sightings)
+		u, ok := node.Compose(f.now, to, reports)
 		if !ok {
 			continue
 		}
 		f.sent[id] += Size(&u)
-		if f.carried != nil {
-			f.carried(id, to, &u)
+		if f.onSend != nil {
+			f.onSend(id, to, &u)
 		}
-		f.worstGap = max(f.worstGap, f.now-f.told[[2]uint64{id, to}])
-		f.told[[2]uint64{id, to}] = f.now
+		f.worstGap = max(f.worstGap, f.now-f.lastSent[[2]uint64{id, to}])
+		f.lastSent[[2]uint64{id, to}] = f.now
 		d := delivery{at: f.now + transit, from: id, to: to, update: u, lost: f.cut(id, to)}
 		if d.lost {
 			d.at = f.now + timeout
@@ -121,9 +121,9 @@
 	}
 }
 
-// reached returns how long it takes until all entries for which want is true
+// untilAllHave returns how long it takes until all entries for which want is true
 // hold count pieces of evidence, up to limit.
-func (f *fleet) reached(count int, limit time.Duration, want func(id uint64) bool) time.Duration {
+func (f *fleet) untilAllHave(count int, limit time.Duration, want func(id uint64) bool) time.Duration {
 	start := f.now
 	for f.now-start < limit {
 		missing := slices.ContainsFunc(f.ids, func(id uint64) bool { return want(id) && len(f.nodes[id].log.stored) < count })
@@ -148,13 +148,13 @@
 // while the fleet is in some trouble, and bounds the time until the others
 // have it: news needs at most log2(n) steps through fingers, each one tick and
 // one transit, and a finger that does not answer costs a way round.
-func TestNewsReachesAll(t *testing.T) {
+func TestEvidenceReachesAllEntries(t *testing.T) {
 	all := func(uint64) bool { return true }
 	odd := func(id uint64) bool { return id%2 == 1 }
 	for _, c := range []struct {
 		name       string
 		n, regions int
-		claims     int
+		pieces     int
 		cut        func(from, to uint64) bool
 		want       func(id uint64) bool
 		within     time.Duration
@@ -176,8 +176,8 @@
 			if c.cut != nil {
 				f.cut = c.cut
 			}
-			f.nodes[f.ids[c.n-1]].Spread(f.now, evidence(c.claims)) // an odd one
-			took := f.reached(c.claims, 20*time.Second, c.want)
+			f.nodes[f.ids[c.n-1]].Spread(f.now, evidence(c.pieces)) // an odd one
+			took := f.untilAllHave(c.pieces, 20*time.Second, c.want)
 			t.Logf("all have it after %v", took)
 			if took > c.within {
 				t.Errorf("want %v", c.within)
@@ -189,7 +189,7 @@
 // All entries start together after a loss of power, and callers who ask one of them are
 // told of those that it knows to serve. That an entry begins to serve is known to all others at
 // once, not with its next heartbeats, and is told each of them about once.
-func TestThatAnEntryServesIsToldAtOnce(t *testing.T) {
+func TestServingStateReachesAllEntriesAtOnce(t *testing.T) {
 	f := newFleet(15, 1)
 	f.withoutReports = true
 	starts := f.ids[3]
@@ -229,12 +229,12 @@
 // Bytes between failure domains are dear to the users. A piece of news that each of 125 entries
 // hears has to enter four of five domains; in a ring of any order four of five of its tellings
 // went into another domain.
-func TestNewsStaysInItsDomain(t *testing.T) {
+func TestEvidenceMostlyStaysInItsFailureDomain(t *testing.T) {
 	f := newFleet(125, 1)
 	f.withoutReports = true
 	f.run(10 * time.Second)
 	near, far := 0, 0
-	f.carried = func(from, to uint64, u *message.Update) {
+	f.onSend = func(from, to uint64, u *message.Update) {
 		if domainOf(from) == domainOf(to) {
 			near += len(u.Evidence)
 		} else {
@@ -242,7 +242,7 @@
 		}
 	}
 	f.nodes[f.ids[7]].Spread(f.now, evidence(1))
-	if took := f.reached(1, 5*time.Second, func(uint64) bool { return true }); took > 300*time.Millisecond {
+	if took := f.untilAllHave(1, 5*time.Second, func(uint64) bool { return true }); took > 300*time.Millisecond {
 		t.Errorf("all have it after %v", took)
 	}
 	f.run(2 * time.Second)
@@ -255,7 +255,7 @@
 // that left while the halves could not talk. The partition lasts a minute;
 // when it heals, links in back-off are tried within 2 s, and what was missed
 // then spreads on that side like news.
-func TestPartitionHeals(t *testing.T) {
+func TestEvidenceSpreadsAfterPartition(t *testing.T) {
 	for _, regions := range []int{1, 3} {
 		f := newFleet(30, regions)
 		f.run(5 * time.Second)
@@ -265,7 +265,7 @@
 		f.nodes[f.ids[0]].Spread(f.now, evidence(5))
 		f.run(time.Minute)
 		f.cut = func(uint64, uint64) bool { return false }
-		took := f.reached(5, time.Minute, func(uint64) bool { return true })
+		took := f.untilAllHave(5, time.Minute, func(uint64) bool { return true })
 		t.Logf("%d regions: all have it %v after the partition", regions, took)
 		if took > 3*time.Second {
 			t.Error("want 3s")
@@ -277,7 +277,7 @@
 // kept its heartbeats back. With every entry short of its bound and ten new
 // claims a second, no pair goes without a message for more than two periods,
 // and nobody sends more than the bound.
-func TestHeartbeatsUnderFlood(t *testing.T) {
+func TestHeartbeatsContinueUnderEvidenceFlood(t *testing.T) {
 	f := newFleet(30, 1)
 	for i := range 200 {
 		e := evidence(1)
@@ -289,7 +289,7 @@
 		t.Errorf("a pair went %v without a message, want %v", f.worstGap, limit)
 	}
 	for id, sent := range f.sent {
-		if most := defaultBytesPerSecond * (f.now.Seconds() + burst); float64(sent) > most {
+		if most := defaultBytesPerSecond * (f.now.Seconds() + burstSeconds); float64(sent) > most {
 			t.Errorf("entry %d sent %d bytes, want %.0f", id, sent, most)
 		}
 	}
@@ -297,7 +297,7 @@
 
 // Evidence that an entry has from elsewhere is not sent to it again: after the
 // fleet has calmed down no message carries any.
-func TestEvidenceIsToldOnce(t *testing.T) {
+func TestKnownEvidenceIsNotResent(t *testing.T) {
 	f := newFleet(30, 1)
 	f.nodes[f.ids[0]].Spread(0, evidence(20))
 	f.run(20 * time.Second)
@@ -313,7 +313,7 @@
 // Control traffic would eat into what callers and endpoints share with
 // neighbours. Whatever peers, news, sightings and losses come in whatever
 // order, any span of time stays within the bound for the span plus the burst.
-func TestBoundHolds(t *testing.T) {
+func TestSendRateStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := New(Config{Self: 1, Region: "r0", BytesPerSecond: 5000, MessagesPerSecond: 20})
 		type sending struct {
@@ -336,12 +336,12 @@
 			case 2:
 				s.SetState(State{Profiles: message.Mark{Revision: uint64(now)}})
 			}
-			sightings := make([]message.LoadReport, rapid.IntRange(0, 100).Draw(rt, "sightings"))
-			for i := range sightings {
-				sightings[i] = message.LoadReport{Endpoint: fmt.Sprint("endpoint", i), InFlight: uint16(now / time.Millisecond)}
+			reports := make([]message.LoadReport, rapid.IntRange(0, 100).Draw(rt, "sightings"))
+			for i := range reports {
+				reports[i] = message.LoadReport{Endpoint: fmt.Sprint("endpoint", i), InFlight: uint16(now / time.Millisecond)}
 			}
 			for _, to := range s.Due(now, nil) {
-				if u, ok := s.Compose(now, to, sightings); ok {
+				if u, ok := s.Compose(now, to, reports); ok {
 					sent = append(sent, sending{now, Size(&u)})
 					s.Done(now, to, u.Sequence, message.Receipt{Acked: rapid.Bool().Draw(rt, "acked"), EvidenceDigest: rapid.Uint64().Draw(rt, "known")})
 				}
@@ -351,9 +351,9 @@
 			total := 0
 			for j := i; j < len(sent); j++ {
 				total += sent[j].bytes
-				span := (sent[j].at - sent[i].at).Seconds() + burst
+				span := (sent[j].at - sent[i].at).Seconds() + burstSeconds
 				if float64(total) > 5000*span+1 || float64(j-i+1) > 20*span+1 {
-					rt.Fatalf("%d bytes in %d messages in %.2f s", total, j-i+1, span-burst)
+					rt.Fatalf("%d bytes in %d messages in %.2f s", total, j-i+1, span-burstSeconds)
 				}
 			}
 		}
@@ -361,7 +361,7 @@
 }
 
 // The bound is worth as much as the estimate: on a link in use the encoder must
-// never need more than Size says, and the first message no more than firstTime
+// never need more than Size says, and the first message no more than firstUseBytes
 // adds.
 func TestSizeIsUpperBound(t *testing.T) {
 	mark := message.Mark{Revision: math.MaxUint64, Digest: math.MaxUint64}
@@ -389,7 +389,7 @@
 		var packer wire.Packer
 		encoder := gob.NewEncoder(&buffer)
 		_ = encoder.Encode(packer.Pack(message.Update{})) // the types go once per link
-		for round, extra := range []int{p.firstTime(&u), 0} {
+		for round, extra := range []int{p.firstUseBytes(&u), 0} {
 			u.EvidenceDigest ^= math.MaxUint64 // the digest of evidence may always change
 			buffer.Reset()
 			if err := encoder.Encode(packer.Pack(u)); err != nil {
--- a/internal/core/gossip/limit_test.go
+++ b/internal/core/gossip/limit_test.go
@@ -10,7 +10,7 @@
 // Guards against an entry that goes by an older limit of an endpoint: later news takes the place of earlier
 // at every entry, in whatever order it comes, also where two entries told at the same time; and no more
 // than the latest is held.
-func TestLatestLimitTakesThePlaceOfEarlier(t *testing.T) {
+func TestLatestLimitReplacesEarlier(t *testing.T) {
 	f := newFleet(14, 1)
 	f.run(2 * time.Second)
 	limit := func(rate float64, version uint32) []message.Evidence {
@@ -26,9 +26,9 @@
 	f.nodes[f.ids[9]].Spread(f.now, limit(9, 2))
 	f.run(3 * time.Second)
 	for _, id := range f.ids {
-		claims := f.nodes[id].log.stored
-		if len(claims) != 1 || claims[0].evidence.Limit != (message.Limit{Rate: 3, Version: 4}) {
-			t.Fatalf("entry %d holds %+v", id, claims)
+		stored := f.nodes[id].log.stored
+		if len(stored) != 1 || stored[0].evidence.Limit != (message.Limit{Rate: 3, Version: 4}) {
+			t.Fatalf("entry %d holds %+v", id, stored)
 		}
 		if f.nodes[id].Digest() != f.nodes[f.ids[0]].Digest() {
 			t.Error("entries that hold the same have different digests")
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -10,20 +10,20 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Records of entries are pushed along the tree while they are fresh: at most freshMost of
-// them, for freshFor. In a fleet that starts or is replaced as a whole hundreds come at once,
+// Records of entries are pushed along the tree while they are fresh: at most maxFresh of
+// them, for freshTime. In a fleet that starts or is replaced as a whole hundreds come at once,
 // more than the few entries that everybody greets could tell within their bound; those are
 // pulled by whoever lacks them.
 const (
-	freshMost  = 8
-	freshFor   = time.Second
+	maxFresh   = 8
+	freshTime  = time.Second
 	maxRecords = 4096
 	// recordGap is the shortest time between two messages with records to a peer. That an
 	// entry reads the platform no more has to be known before others take over, and each
 	// step of the tree may have to wait for it.
 	recordGap = 50 * time.Millisecond
 	// recordsPerMessage bounds what one message carries.
-	recordsPerMessage = freshMost
+	recordsPerMessage = maxFresh
 )
 
 // storedRecord is a record that this entry holds.
@@ -55,23 +55,23 @@
 
 // recordHash is the same at every entry.
 func recordHash(r *message.Record) uint64 {
-	said := uint64(r.Version) << 1
+	state := uint64(r.Version) << 1
 	if r.Silent {
-		said |= 1
+		state |= 1
 	}
-	return assign.Score(assign.Score(xxhash.Sum64String(r.Name), r.Incarnation), said)
+	return assign.Score(assign.Score(xxhash.Sum64String(r.Name), r.Incarnation), state)
 }
 
 // Announce takes in a new version of this entry's own record.
 func (s *Scheduler) Announce(now time.Duration, r message.Record) {
-	s.settle()
+	s.refreshTopology()
 	s.storeRecord(now, &r, everywhere, nil)
 }
 
 // ReportSilent tells the fleet that an entry which this one watches is silent, as of a version of its
 // record.
 func (s *Scheduler) ReportSilent(now time.Duration, name string, incarnation uint64, version uint32) {
-	s.settle()
+	s.refreshTopology()
 	h := s.records.byName[name]
 	if h == nil || h.record.Incarnation != incarnation || h.record.Version > version {
 		return
@@ -87,7 +87,7 @@
 // One that was forgotten, for it was cut off for long, lives. Others would refuse what it told
 // before; as soon as it sees that it was taken for silent, it tells a later version.
 func (s *Scheduler) NoteHello(now time.Duration, r message.Record) {
-	s.settle()
+	s.refreshTopology()
 	if last, ended := s.records.ended[r.Name]; ended && last.Incarnation == r.Incarnation && !r.Newer(&last) {
 		delete(s.records.ended, r.Name)
 		r = last
@@ -99,14 +99,14 @@
 // Pulled takes in what a peer gave that was asked for the records that this entry lacks, if it
 // answered.
 func (s *Scheduler) Pulled(now time.Duration, from uint64, list []message.Record, answered bool) {
-	s.settle()
+	s.refreshTopology()
 	before := s.records.digest
 	for i := range list {
 		s.storeRecord(now, &list[i], 0, nil)
 	}
-	s.pulls.asked, s.pulls.notBefore = false, now+pullGap
+	s.pulls.underWay, s.pulls.notBefore = false, now+pullGap
 	if p := s.peers[from]; p != nil && answered && before == s.records.digest {
-		p.pulledInVain = [2]uint64{p.recordDigest, before}
+		p.emptyPull = [2]uint64{p.recordDigest, before}
 	}
 }
 
@@ -142,7 +142,7 @@
 	x.changedAt = now
 	if reach > 0 {
 		x.fresh = append(x.fresh, h)
-		if len(x.fresh) > freshMost {
+		if len(x.fresh) > maxFresh {
 			x.fresh = slices.Delete(x.fresh, 0, 1)
 		}
 	}
@@ -187,36 +187,36 @@
 	}
 }
 
-// cool ends the pushing of records that were learned a while ago.
-func (x *records) cool(now time.Duration) {
+// expireFresh ends the pushing of records that were learned a while ago.
+func (x *records) expireFresh(now time.Duration) {
 	keep := 0
-	for keep < len(x.fresh) && now-x.fresh[keep].learnedAt >= freshFor {
+	for keep < len(x.fresh) && now-x.fresh[keep].learnedAt >= freshTime {
 		keep++
 	}
 	x.fresh = slices.Delete(x.fresh, 0, keep)
 }
 
-// lacks reports whether a finger hears of a fresh record first from this entry, and has not. An
+// lackedBy reports whether a finger hears of a fresh record first from this entry, and has not. An
 // entry knows what it tells of itself, but not that it is taken for silent.
-func (h *storedRecord) lacks(p *peer) bool {
+func (h *storedRecord) lackedBy(p *peer) bool {
 	return !h.known.has(p.slot) && (h.record.Silent || p.incarnation != h.record.Incarnation) && (p.kind == linkRegion || p.distance < h.reach)
 }
 
 // due reports whether a finger is to be told records.
 func (x *records) due(p *peer) bool {
-	return slices.ContainsFunc(x.fresh, func(h *storedRecord) bool { return h.lacks(p) })
+	return slices.ContainsFunc(x.fresh, func(h *storedRecord) bool { return h.lackedBy(p) })
 }
 
 // dueTo returns the records that a finger is to be told, as many as fit into budget bytes, and
 // remembers them as under way.
 func (x *records) dueTo(p *peer, budget int) []message.Record {
-	p.carried = p.carried[:0]
+	p.recordsInFlight = p.recordsInFlight[:0]
 	if !p.finger {
 		return nil
 	}
 	var out []message.Record
 	for _, h := range x.fresh {
-		if !h.lacks(p) {
+		if !h.lackedBy(p) {
 			continue
 		}
 		budget -= recordSize(&h.record)
@@ -224,7 +224,7 @@
 			break
 		}
 		out = append(out, h.record)
-		p.carried = append(p.carried, h)
+		p.recordsInFlight = append(p.recordsInFlight, h)
 	}
 	return out
 }
@@ -262,8 +262,8 @@
 	return out
 }
 
-// Beyond returns the records held that are not among those marked.
-func (s *Scheduler) Beyond(marks []uint32) []message.Record {
+// Unmarked returns the records held that are not among those marked.
+func (s *Scheduler) Unmarked(marks []uint32) []message.Record {
 	has := make(map[uint32]bool, len(marks))
 	for _, m := range marks {
 		has[m] = true
@@ -277,45 +277,45 @@
 	return out
 }
 
-// Times of pulls. Records that are pushed take less than passedWithin to get through a sound
+// Times of pulls. Records that are pushed take less than relayWait to get through a sound
 // fleet; a digest that differs for longer shows that something was missed. A pull of 1,000 marks
 // takes 5 KB; twice a second is within what a node may spend. A peer that had nothing to give is
 // asked again when either end holds others: until then it is the peer that lacks records.
 const (
-	pullAfter = passedWithin
+	pullAfter = relayWait
 	pullGap   = 500 * time.Millisecond
 )
 
 // pulls decides when to ask a peer for the records that this entry lacks.
 type pulls struct {
-	wanted    uint64 // the peer to ask, 0 for none
-	asked     bool   // a pull is under way
+	target    uint64 // the peer to ask, 0 for none
+	underWay  bool   // a pull is under way
 	notBefore time.Duration
 }
 
 // compare takes in the digest of the records that a peer holds.
-func (l *pulls) compare(now time.Duration, p *peer, roster uint64, x *records) {
-	p.recordDigest = roster
-	if roster == x.digest {
+func (l *pulls) compare(now time.Duration, p *peer, digest uint64, x *records) {
+	p.recordDigest = digest
+	if digest == x.digest {
 		p.recordDigestSince = 0
 		return
 	}
 	if p.recordDigestSince == 0 {
 		p.recordDigestSince = now
 	}
-	if now-p.recordDigestSince < pullAfter || l.asked || p.pulledInVain == [2]uint64{roster, x.digest} {
+	if now-p.recordDigestSince < pullAfter || l.underWay || p.emptyPull == [2]uint64{digest, x.digest} {
 		return
 	}
-	if l.wanted == 0 || p.near {
-		l.wanted = p.incarnation
+	if l.target == 0 || p.sameDomain {
+		l.target = p.incarnation
 	}
 }
 
 // NoteHelloAnswer takes in which records an entry holds that answered a greeting: one that holds more is
 // asked for them at once.
 func (s *Scheduler) NoteHelloAnswer(id uint64, r message.RecordSet) {
-	if r.Digest != s.records.digest && int(r.Count) >= len(s.records.byName) && !s.pulls.asked {
-		s.pulls.wanted, s.pulls.notBefore = id, 0
+	if r.Digest != s.records.digest && int(r.Count) >= len(s.records.byName) && !s.pulls.underWay {
+		s.pulls.target, s.pulls.notBefore = id, 0
 	}
 }
 
@@ -323,10 +323,10 @@
 // each pull with Pulled.
 func (s *Scheduler) PullFrom(now time.Duration) (uint64, bool) {
 	l := &s.pulls
-	if l.wanted == 0 || l.asked || now < l.notBefore {
+	if l.target == 0 || l.underWay || now < l.notBefore {
 		return 0, false
 	}
-	id := l.wanted
-	l.wanted, l.asked = 0, true
+	id := l.target
+	l.target, l.underWay = 0, true
 	return id, true
 }
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -26,7 +26,7 @@
 	profiles, vms uint64
 }
 
-// behind reports whether a peer that has t lacks revisions of s.
+// reverseDistance reports whether a peer that has t lacks revisions of s.
 func (t revisionPair) behind(s State) bool {
 	return t.profiles < s.Profiles.Revision || t.vms < s.VMs.Revision
 }
@@ -40,16 +40,16 @@
 
 // peer is what is known of one link.
 type peer struct {
-	incarnation uint64
-	slot        int
-	region      string
-	near        bool // in this entry's failure domain
-	shares      bool
-	suspected   bool
-	kind        linkKind
-	finger      bool
-	distance    int // on the ring from this entry to the peer; 0 if not on it
-	behind      int // on the ring from the peer to this entry
+	incarnation     uint64
+	slot            int
+	region          string
+	sameDomain      bool // in this entry's failure domain
+	shares          bool
+	suspected       bool
+	kind            linkKind
+	finger          bool
+	distance        int // on the ring from this entry to the peer; 0 if not on it
+	reverseDistance int // on the ring from the peer to this entry
 
 	scheduled    bool // heartbeatAt is set
 	heartbeatAt  time.Duration
@@ -64,7 +64,7 @@
 	pendingSince    time.Duration
 	// lacks says that it is known not to have all that it is owed; doubted that its latest
 	// ack said so.
-	lacks, doubted bool
+	lacks, mayLack bool
 	// lagging says that it has not been told of the revisions in force, behindSince since when.
 	lagging     bool
 	behindSince time.Duration
@@ -72,19 +72,19 @@
 	// named are the endpoints that the link has named, with their incarnations.
 	named map[string]uint64
 
-	inFlight bool
-	sentAt   time.Duration
-	sequence uint64
-	offered  revisionPair      // becomes ackedRevisions when the message in flight is acked
-	underWay []*storedEvidence // becomes known when the message in flight is acked
-	carried  []*storedRecord   // the same of records
+	inFlight         bool
+	sentAt           time.Duration
+	sequence         uint64
+	sentRevisions    revisionPair      // becomes ackedRevisions when the message in flight is acked
+	evidenceInFlight []*storedEvidence // becomes known when the message in flight is acked
+	recordsInFlight  []*storedRecord   // the same of records
 	// recordDigest is the digest of the records that it last said to hold, recordDigestSince since when that
 	// has differed from this entry's; 0 if it does not.
 	recordDigest      uint64
 	recordDigestSince time.Duration
-	// pulledInVain are the digests of its records and of this entry's at the last pull that
+	// emptyPull are the digests of its records and of this entry's at the last pull that
 	// brought nothing.
-	pulledInVain [2]uint64
+	emptyPull [2]uint64
 
 	failures int
 	retryAt  time.Duration
@@ -100,16 +100,16 @@
 type Scheduler struct {
 	cfg   Config
 	state State
-	// reach: the fingers at a shorter distance are told of the revisions in force at once.
-	reach int
-	// changedAt is when the revisions in force changed last.
-	changedAt time.Duration
+	// revisionReach: the fingers at a shorter distance are told of the revisions in force at once.
+	revisionReach int
+	// revisionsChangedAt is when the revisions in force changed last.
+	revisionsChangedAt time.Duration
 	// known are the other entries, peers those of them with which links are held.
 	known             []Peer
 	peers             map[uint64]*peer
 	order             []uint64 // incarnations of peers in order
 	slots             [MaxPeers]bool
-	told              int           // peers that get heartbeats
+	heartbeatPeers    int           // peers that get heartbeats
 	heartbeatInterval time.Duration // HeartbeatPeriod of so many
 	allow             allowance
 	log               evidenceLog
@@ -124,9 +124,9 @@
 	senders map[uint64]time.Duration
 	relays  bool
 	version uint64
-	// moved says that peers changed since the topology was worked out at settledAt.
-	moved     bool
-	settledAt time.Duration
+	// topologyStale says that peers changed since the topology was worked out at topologyAt.
+	topologyStale bool
+	topologyAt    time.Duration
 }
 
 // New returns a scheduler without peers.
@@ -148,8 +148,8 @@
 // SetState sets what this entry tells of itself from now on.
 func (s *Scheduler) SetState(state State) {
 	if state.VMs.Revision > s.state.VMs.Revision || state.Profiles.Revision > s.state.Profiles.Revision {
-		s.settle()
-		s.reach, s.changedAt = s.reachOf(state), s.allow.at
+		s.refreshTopology()
+		s.revisionReach, s.revisionsChangedAt = s.reachOf(state), s.allow.at
 	}
 	s.state = state
 }
@@ -161,7 +161,7 @@
 	for _, id := range s.order {
 		p := s.peers[id]
 		if p.ackedRevisions.vms >= state.VMs.Revision && p.ackedRevisions.profiles >= state.Profiles.Revision {
-			reach = max(reach, p.delegates())
+			reach = max(reach, p.relayReach())
 		}
 	}
 	if reach == 0 {
@@ -170,13 +170,13 @@
 	return reach
 }
 
-// delegates is how far a peer relies on this entry to pass on what it tells it: to the next
+// relayReach is how far a peer relies on this entry to pass on what it tells it: to the next
 // of its own fingers, or around to itself. It is 0 if this entry is none of them.
-func (p *peer) delegates() int {
-	if p.kind != linkMesh || p.behind == 0 || p.behind&(p.behind-1) != 0 {
+func (p *peer) relayReach() int {
+	if p.kind != linkMesh || p.reverseDistance == 0 || p.reverseDistance&(p.reverseDistance-1) != 0 {
 		return 0
 	}
-	return min(p.behind, p.distance)
+	return min(p.reverseDistance, p.distance)
 }
 
 // SetPeers sets the other entries that are known, this one excluded. Call it
@@ -189,7 +189,7 @@
 			s.known = append(s.known, p)
 		}
 	}
-	s.moved = true
+	s.topologyStale = true
 }
 
 // scheduleNew spreads the first heartbeats to new peers over a period by hash
@@ -260,8 +260,8 @@
 const (
 	notDue urgency = iota
 	dueLoadReports
-	// dueCopy: it should have heard from others what this entry has not told it.
-	dueCopy
+	// dueRedundant: it should have heard from others what this entry has not told it.
+	dueRedundant
 	// dueRecords: records, which it hears from nobody else first. Where hundreds of entries
 	// start, one by one they would take the whole bound in headers; whoever misses one pulls it.
 	dueRecords
@@ -280,8 +280,8 @@
 	switch u {
 	case dueLoadReports:
 		return loadReportFloor
-	case dueCopy, dueRecords:
-		return copyFloor
+	case dueRedundant, dueRecords:
+		return redundantFloor
 	case dueHeartbeat:
 		return heartbeatFloor
 	}
@@ -290,7 +290,7 @@
 
 // due says why a message to a peer is due, if it is.
 func (s *Scheduler) due(now time.Duration, p *peer) urgency {
-	if p.inFlight || now < p.retryAt || p.kind == linkBack {
+	if p.inFlight || now < p.retryAt || p.kind == linkInbound {
 		return notDue
 	}
 	switch {
@@ -304,8 +304,8 @@
 		return dueHeartbeat
 	case now >= p.recordsAt && p.finger && s.records.due(p):
 		return dueRecords
-	case p.finger && s.copyDue(now, p):
-		return dueCopy
+	case p.finger && s.redundantDue(now, p):
+		return dueRedundant
 	case p.shares && p.kind == linkMesh && now >= p.loadReportAt:
 		return dueLoadReports
 	}
@@ -317,11 +317,11 @@
 	if !p.ackedRevisions.behind(s.state) {
 		return false
 	}
-	return p.kind == linkRegion || p.distance < s.reach
+	return p.kind == linkRegion || p.distance < s.revisionReach
 }
 
-// isBehind reports whether the peer lacks news of s, and notes since when.
-func (p *peer) isBehind(now time.Duration, s State) bool {
+// updateLagging reports whether the peer lacks news of s, and notes since when.
+func (p *peer) updateLagging(now time.Duration, s State) bool {
 	was := p.lagging
 	p.lagging = p.ackedRevisions.behind(s)
 	if p.lagging && !was {
@@ -330,37 +330,37 @@
 	return p.lagging
 }
 
-// copyDue reports whether a finger is to be told what it should have heard from others. What
+// redundantDue reports whether a finger is to be told what it should have heard from others. What
 // it says to that tells whether it has, but only while nothing new comes in: so it waits for
 // that, up to a limit. Fingers in other failure domains say so to the next heartbeat, or are told
 // at the limits: a question to each of them for each piece of news would be most of the bytes
 // between domains. Profiles are worth it, since they change rarely and have to be in force soon.
-func (s *Scheduler) copyDue(now time.Duration, p *peer) bool {
-	if p.isBehind(now, s.state) {
-		asks := p.near || p.ackedRevisions.profiles < s.state.Profiles.Revision
-		if asks && now-max(s.changedAt, p.sentAt) >= passedWithin || now-max(p.behindSince, p.sentAt) >= behindAtMost {
+func (s *Scheduler) redundantDue(now time.Duration, p *peer) bool {
+	if p.updateLagging(now, s.state) {
+		asks := p.sameDomain || p.ackedRevisions.profiles < s.state.Profiles.Revision
+		if asks && now-max(s.revisionsChangedAt, p.sentAt) >= relayWait || now-max(p.behindSince, p.sentAt) >= maxRevisionWait {
 			return true
 		}
 	}
 	if p.pending == 0 {
 		return false
 	}
-	quiet := s.log.changedAt + passedWithin
-	return p.near && now >= quiet && p.sentAt < quiet || now-max(p.pendingSince, p.sentAt) >= passedAtMost
+	quiet := s.log.changedAt + relayWait
+	return p.sameDomain && now >= quiet && p.sentAt < quiet || now-max(p.pendingSince, p.sentAt) >= maxEvidenceWait
 }
 
-// needs is what the message that a peer is due to takes of the bound, its news included. A
+// bytesNeeded is what the message that a peer is due to takes of the bound, its news included. A
 // message without them would leave the peer due, and the bound spent on headers.
-func (s *Scheduler) needs(p *peer, u urgency) int {
-	need := heartbeatBytes
+func (s *Scheduler) bytesNeeded(p *peer, u urgency) int {
+	size := heartbeatBytes
 	if u == dueEvidence {
 		pieces := p.urgent
 		if p.lacks {
 			pieces = p.pending
 		}
-		need += min(pieces, fewPieces) * pieceBytes
+		size += min(pieces, minPieces) * typicalEvidenceBytes
 	}
-	return need
+	return size
 }
 
 // duePeer is a peer with why it is due.
@@ -374,9 +374,9 @@
 // farthest on the ring comes first: most entries depend on it, and it is another
 // one for each entry. Messages without an ack for too long count as lost.
 func (s *Scheduler) Due(now time.Duration, out []uint64) []uint64 {
-	s.settle()
+	s.refreshTopology()
 	s.allow.refill(now)
-	s.records.cool(now)
+	s.records.expireFresh(now)
 	if now >= s.expireAt {
 		s.expire(now)
 		s.forgetSenders(now)
@@ -396,12 +396,12 @@
 		found = append(found, duePeer{p, u})
 	}
 	slices.SortFunc(found, func(a, b duePeer) int {
-		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.peer.waiting(a.urgency), b.peer.waiting(b.urgency)),
+		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.peer.dueSince(a.urgency), b.peer.dueSince(b.urgency)),
 			cmp.Compare(b.peer.distance, a.peer.distance), cmp.Compare(a.peer.incarnation, b.peer.incarnation))
 	})
 	spent := 0
 	for _, d := range found {
-		need := s.needs(d.peer, d.urgency)
+		need := s.bytesNeeded(d.peer, d.urgency)
 		if !s.allow.covers(spent+need, d.urgency.floor()) {
 			// What is worth less and would fit waits too, or the bound never covers this.
 			break
@@ -412,8 +412,8 @@
 	return out
 }
 
-// waiting is since when a peer has waited for a message of this urgency.
-func (p *peer) waiting(u urgency) time.Duration {
+// dueSince is since when a peer has waited for a message of this urgency.
+func (p *peer) dueSince(u urgency) time.Duration {
 	switch u {
 	case dueLoadReports:
 		return p.loadReportAt
@@ -421,7 +421,7 @@
 		return p.recordsAt
 	case dueRevisions, dueEvidence:
 		return p.urgentAt
-	case dueCopy:
+	case dueRedundant:
 		return p.sentAt
 	}
 	return p.heartbeatAt
--- a/internal/core/gossip/size.go
+++ b/internal/core/gossip/size.go
@@ -56,21 +56,21 @@
 	return recordBytes + len(r.Name) + len(r.Region) + len(r.Domain) + len(r.CallerAddress) + len(r.PeerAddress)
 }
 
-// firstTime returns what u costs beyond Size: marks and endpoints that the peer
+// firstUseBytes returns what u costs beyond Size: marks and endpoints that the peer
 // has not been told yet. It must be asked before they are noted as told.
-func (p *peer) firstTime(u *message.Update) int {
+func (p *peer) firstUseBytes(u *message.Update) int {
 	extra := 0
 	if p.ackedRevisions.profiles != u.Profiles.Revision || p.ackedRevisions.vms != u.VMs.Revision {
 		extra = marksBytes
 	}
 	for i := range u.LoadReports {
-		extra += p.naming(&u.LoadReports[i])
+		extra += p.namingBytes(&u.LoadReports[i])
 	}
 	return extra
 }
 
-// naming returns what it costs to name the endpoint of a sighting.
-func (p *peer) naming(g *message.LoadReport) int {
+// namingBytes returns what it costs to name the endpoint of a sighting.
+func (p *peer) namingBytes(g *message.LoadReport) int {
 	last, known := p.named[g.Endpoint]
 	if known && last == g.Incarnation {
 		return 0
@@ -78,8 +78,8 @@
 	return nameBytes + len(g.Endpoint)
 }
 
-// name notes that the link has named the endpoints of u.
-func (p *peer) name(u *message.Update) {
+// noteNamed notes that the link has named the endpoints of u.
+func (p *peer) noteNamed(u *message.Update) {
 	if len(p.named) > maxTracked {
 		clear(p.named)
 	}
@@ -99,7 +99,7 @@
 
 func newAllowance(bytesRate, messagesRate float64) allowance {
 	return allowance{
-		bytes: burst * bytesRate, messages: burst * messagesRate,
+		bytes: burstSeconds * bytesRate, messages: burstSeconds * messagesRate,
 		bytesRate: bytesRate, messagesRate: messagesRate,
 	}
 }
@@ -110,18 +110,18 @@
 	}
 	passed := (now - a.at).Seconds()
 	a.at = now
-	a.bytes = min(a.bytes+passed*a.bytesRate, burst*a.bytesRate)
-	a.messages = min(a.messages+passed*a.messagesRate, burst*a.messagesRate)
+	a.bytes = min(a.bytes+passed*a.bytesRate, burstSeconds*a.bytesRate)
+	a.messages = min(a.messages+passed*a.messagesRate, burstSeconds*a.messagesRate)
 }
 
 // covers reports whether a message of size bytes may be sent while floor, a
 // share of a full bucket, is left for other messages.
 func (a *allowance) covers(size int, floor float64) bool {
-	return a.room(floor) >= float64(size) && a.messages-1 >= floor*burst*a.messagesRate
+	return a.room(floor) >= float64(size) && a.messages-1 >= floor*burstSeconds*a.messagesRate
 }
 
 // room returns how many bytes are left above floor.
-func (a *allowance) room(floor float64) float64 { return a.bytes - floor*burst*a.bytesRate }
+func (a *allowance) room(floor float64) float64 { return a.bytes - floor*burstSeconds*a.bytesRate }
 
 func (a *allowance) take(size int) {
 	a.bytes -= float64(size)
--- a/internal/core/gossip/stats.go
+++ b/internal/core/gossip/stats.go
@@ -8,9 +8,9 @@
 
 // Stats tell how news gets through.
 type Stats struct {
-	// Pieces counts the evidence learned from peers, Copies what they told of it again, and
+	// Learned counts the evidence learned from peers, Copies what they told of it again, and
 	// Late the pieces that were learned more than a second after they were first told.
-	Pieces, Copies, Late uint64
+	Learned, Duplicates, Late uint64
 	// Stored is how much evidence this entry holds.
 	Stored int
 	// Pending is how much evidence this entry has yet to pass on to its fingers, and Room the
@@ -23,7 +23,7 @@
 func (s *Scheduler) Stats() Stats {
 	stats := s.stats
 	stats.Stored = len(s.log.stored)
-	stats.Room = max(0, s.allow.room(0)) / (burst * s.allow.bytesRate)
+	stats.Room = max(0, s.allow.room(0)) / (burstSeconds * s.allow.bytesRate)
 	for _, id := range s.order {
 		if p := s.peers[id]; p.finger {
 			stats.Pending += p.pending
@@ -36,10 +36,10 @@
 func (s *Stats) count(known bool, ageMillis uint32) {
 	switch {
 	case known:
-		s.Copies++
+		s.Duplicates++
 		return
 	case time.Duration(ageMillis)*time.Millisecond >= lateEvidence:
 		s.Late++
 	}
-	s.Pieces++
+	s.Learned++
 }
--- a/internal/core/gossip/topology.go
+++ b/internal/core/gossip/topology.go
@@ -25,26 +25,26 @@
 type linkKind uint8
 
 const (
-	// linkBack: it tells this entry, which tells it nothing, but asks it for what it holds.
-	linkBack linkKind = iota
+	// linkInbound: it tells this entry, which tells it nothing, but asks it for what it holds.
+	linkInbound linkKind = iota
 	// linkMesh: same region, heartbeats and sightings.
 	linkMesh
 	// linkRegion: another region, summaries.
 	linkRegion
 )
 
-// meshMost is up to how many other entries of its region an entry talks to all of them. In a
+// maxMesh is up to how many other entries of its region an entry talks to all of them. In a
 // larger fleet it talks to its fingers, so that links, heartbeats and the time until silence
 // shows grow with the logarithm of the fleet: 14 peers are told every 1.2 s within the bound, 24
 // only every 2 s.
-const meshMost = 14
+const maxMesh = 14
 
 // linksPerRegion is how many entries of a region talk to another region, and
 // to how many entries there. With two and two, each end may lose one.
 const linksPerRegion = 2
 
-// farAway is the ring distance of a peer in another region: beyond all others.
-const farAway = 1 << 30
+// remoteDistance is the ring distance of a peer in another region: beyond all others.
+const remoteDistance = 1 << 30
 
 // failuresToSkip: a peer in another region that failed so often gives its
 // place to the next one.
@@ -64,8 +64,8 @@
 	return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.entry, b.entry))
 }
 
-// member is an entry with its place on the ring.
-type member struct {
+// ringMember is an entry with its place on the ring.
+type ringMember struct {
 	id    uint64
 	place ringPlace
 }
@@ -74,9 +74,9 @@
 // self. The fingers of self are those at 1, 2, 4, … If each entry passes news
 // on to its fingers, it reaches all n after at most ceil(log2 n) steps; several
 // ways lead to each entry, so one that is lost costs steps, not the news.
-func ringFrom(self uint64, members []member) []uint64 {
-	slices.SortFunc(members, func(a, b member) int { return a.place.compare(b.place) })
-	own := slices.IndexFunc(members, func(m member) bool { return m.id == self })
+func ringFrom(self uint64, members []ringMember) []uint64 {
+	slices.SortFunc(members, func(a, b ringMember) int { return a.place.compare(b.place) })
+	own := slices.IndexFunc(members, func(m ringMember) bool { return m.id == self })
 	ring := make([]uint64, 0, len(members))
 	for i := range members {
 		ring = append(ring, members[(own+i)%len(members)].id)
@@ -98,19 +98,19 @@
 	return assign.Key("link", min(a, b)+"\x00"+max(a, b))
 }
 
-// settleEvery is the shortest time between two changes of a larger fleet's links: far below the
+// topologyInterval is the shortest time between two changes of a larger fleet's links: far below the
 // seconds after which silence counts.
-const settleEvery = 100 * time.Millisecond
+const topologyInterval = 100 * time.Millisecond
 
-// settle brings the topology up to date, once for any number of changes of peers.
+// refreshTopology brings the topology up to date, once for any number of changes of peers.
 //
 // In a fleet that starts or is replaced as a whole the neighbours change with each that comes,
 // and a link with each of them would cost more than it carries: a larger fleet settles once in
-// settleEvery.
-func (s *Scheduler) settle() {
-	if s.moved && (!s.relays || s.allow.at >= s.settledAt+settleEvery) {
-		s.settledAt = s.allow.at
-		s.moved = false
+// topologyInterval.
+func (s *Scheduler) refreshTopology() {
+	if s.topologyStale && (!s.relays || s.allow.at >= s.topologyAt+topologyInterval) {
+		s.topologyAt = s.allow.at
+		s.topologyStale = false
 		s.setTopology()
 	}
 }
@@ -118,14 +118,14 @@
 // setTopology decides with whom links are held and how each is used.
 func (s *Scheduler) setTopology() {
 	s.version++
-	self := member{s.cfg.Self, placeOf(Peer{Incarnation: s.cfg.Self, Domain: s.cfg.Domain})}
-	local, live := []member{self}, []member{self}
+	self := ringMember{s.cfg.Self, placeOf(Peer{Incarnation: s.cfg.Self, Domain: s.cfg.Domain})}
+	local, live := []ringMember{self}, []ringMember{self}
 	remote := make(map[string][]uint64)
 	var regions []string
 	for _, p := range s.known {
 		switch {
 		case p.Region == s.cfg.Region:
-			m := member{p.Incarnation, placeOf(p)}
+			m := ringMember{p.Incarnation, placeOf(p)}
 			local = append(local, m)
 			if !p.Suspected {
 				live = append(live, m)
@@ -146,16 +146,16 @@
 	}
 	s.addSenders(kinds)
 	s.setLinks(kinds)
-	s.place(ring)
-	s.recountAll()
+	s.setRingPlaces(ring)
+	s.recountUrgent()
 }
 
 // localLinks returns the entries of this region to hold links with. Beside the fingers of the
 // ring these are those whose finger this entry is, and the fingers of the ring with the
 // suspected entries in it: two parts of a fleet that had lost each other meet by them.
-func (s *Scheduler) localLinks(local []member, ring []uint64) map[uint64]linkKind {
+func (s *Scheduler) localLinks(local []ringMember, ring []uint64) map[uint64]linkKind {
 	kinds := make(map[uint64]linkKind, len(local))
-	s.relays = len(local)-1 > meshMost
+	s.relays = len(local)-1 > maxMesh
 	if !s.relays {
 		for _, m := range local {
 			kinds[m.id] = linkMesh
@@ -166,7 +166,7 @@
 	n := len(ring)
 	for distance := 1; distance < n; distance *= 2 {
 		if back := ring[n-distance]; kinds[back] != linkMesh {
-			kinds[back] = linkBack
+			kinds[back] = linkInbound
 		}
 		kinds[ring[distance]] = linkMesh
 	}
@@ -182,12 +182,12 @@
 	return kinds
 }
 
-// senderKept is for how long a link is held with an entry that told this one something although
+// senderTimeout is for how long a link is held with an entry that told this one something although
 // it need not, and maxSenders with how many of them: what it told of is asked of it. In a fleet
 // that starts, views differ so much that there would be one with nearly everybody.
 const (
-	senderKept = 5 * time.Second
-	maxSenders = 8
+	senderTimeout = 5 * time.Second
+	maxSenders    = 8
 )
 
 // addSenders adds the entries that tell this one something although they need not: their view
@@ -197,7 +197,7 @@
 		if _, linked := kinds[id]; linked {
 			delete(s.senders, id)
 		} else {
-			kinds[id] = linkBack
+			kinds[id] = linkInbound
 		}
 	}
 }
@@ -209,7 +209,7 @@
 			s.removePeer(id)
 		}
 	}
-	s.told = 0
+	s.heartbeatPeers = 0
 	for _, known := range s.known {
 		kind, wanted := kinds[known.Incarnation]
 		if !wanted {
@@ -223,22 +223,22 @@
 			continue
 		}
 		p.region, p.shares, p.suspected, p.kind = known.Region, known.Shares, known.Suspected, kind
-		p.near = known.Domain == s.cfg.Domain
+		p.sameDomain = known.Domain == s.cfg.Domain
 		if kind == linkMesh {
-			s.told++
+			s.heartbeatPeers++
 		}
 	}
-	s.heartbeatInterval = s.cfg.HeartbeatPeriod(s.told)
+	s.heartbeatInterval = s.cfg.HeartbeatPeriod(s.heartbeatPeers)
 	s.scheduleNew(s.allow.at)
 }
 
-// place notes where on the ring the peers are, and which of them are fingers.
-func (s *Scheduler) place(ring []uint64) {
+// setRingPlaces notes where on the ring the peers are, and which of them are fingers.
+func (s *Scheduler) setRingPlaces(ring []uint64) {
 	for _, id := range s.order {
 		p := s.peers[id]
-		p.finger, p.distance, p.behind = false, 0, 0
+		p.finger, p.distance, p.reverseDistance = false, 0, 0
 		if p.kind == linkRegion {
-			p.finger, p.distance = true, farAway
+			p.finger, p.distance = true, remoteDistance
 		}
 	}
 	for at, id := range ring[1:] {
@@ -247,7 +247,7 @@
 			continue
 		}
 		p.distance = at + 1
-		p.behind = len(ring) - p.distance
+		p.reverseDistance = len(ring) - p.distance
 		p.finger = p.kind == linkMesh && p.distance&(p.distance-1) == 0
 	}
 }
@@ -272,8 +272,8 @@
 // HeartbeatInterval is how often each entry that is watched is told something.
 func (s *Scheduler) HeartbeatInterval() time.Duration { return s.heartbeatInterval }
 
-// answering returns the first entries that have not failed too often.
-func (s *Scheduler) answering(ranked []uint64) []uint64 {
+// reachable returns the first entries that have not failed too often.
+func (s *Scheduler) reachable(ranked []uint64) []uint64 {
 	var chosen []uint64
 	for _, id := range ranked {
 		if len(chosen) < linksPerRegion && s.failed[id] < failuresToSkip {
@@ -292,14 +292,14 @@
 		return nil
 	}
 	ranked := topRanked(remote, key, len(remote))
-	chosen := s.answering(ranked)
+	chosen := s.reachable(ranked)
 	if len(chosen) < linksPerRegion {
 		// All were tried in vain: the regions have lost each other, or only
 		// those that were tried last are gone. Begin again.
 		for _, id := range ranked {
 			delete(s.failed, id)
 		}
-		chosen = s.answering(ranked)
+		chosen = s.reachable(ranked)
 	}
 	for _, id := range ranked[:min(linksPerRegion, len(ranked))] {
 		if !slices.Contains(chosen, id) {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -169,7 +169,7 @@
 }
 
 // RecordsBeyond returns the records held that are not among those marked.
-func (c *Core) RecordsBeyond(marks []uint32) []message.Record { return c.fleet.gossip.Beyond(marks) }
+func (c *Core) RecordsBeyond(marks []uint32) []message.Record { return c.fleet.gossip.Unmarked(marks) }
 
 // RecordsAgree reports whether the peers from which this entry has heard hold the same records.
 func (c *Core) RecordsAgree() bool { return c.fleet.gossip.RecordsAgree() }
