--- a/internal/core/gossip/bench_test.go
+++ b/internal/core/gossip/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// BenchmarkTick is one tick of 10 ms of one entry in a calm fleet: who is due,
-// the messages composed and acked.
+// BenchmarkTick measures one tick of 10 ms of one entry in a calm fleet: finding the due peers, and
+// composing and acknowledging the messages.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{15, 60} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// BenchmarkSendRate reports what one entry sends in ten seconds of a calm fleet
-// under load, and how often a peer that shares a service gets sightings.
+// BenchmarkSendRate reports what one entry sends in ten seconds of a calm fleet under load, and how
+// often a peer that shares a service gets load reports.
 func BenchmarkSendRate(b *testing.B) {
 	for _, c := range []struct{ entries, sharers, bytesPerSecond, messagesPerSecond int }{
 		{15, 0, 9000, 60}, {15, 2, 9000, 60}, {15, 14, 9000, 60}, {15, 2, 150000, 400},
@@ -49,12 +49,12 @@
 				sent, reports = sendRate(c.entries, c.sharers, Config{Self: 1, BytesPerSecond: float64(c.bytesPerSecond), MessagesPerSecond: float64(c.messagesPerSecond)})
 			}
 			b.ReportMetric(float64(sent)/10, "B/s")
-			b.ReportMetric(10000*float64(c.sharers)/float64(max(reports, 1)), "ms/sighting")
+			b.ReportMetric(10000*float64(c.sharers)/float64(max(reports, 1)), "ms/report")
 		})
 	}
 }
 
-// sendRate runs one entry for ten seconds, after a minute, with acks at the next tick.
+// sendRate runs one entry for ten seconds after a minute of warm-up, with acks at the next tick.
 func sendRate(entries, sharers int, cfg Config) (sent, reports int) {
 	s := New(cfg)
 	var peers []Peer
--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -6,13 +6,12 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Compose returns the message that is due to a peer, and whether there is one
-// within the bounds. sightings are those that may be of use to the peer, the
-// most useful first; only changes are sent. The caller sends the message at
-// once and reports with Done how that ended.
+// Compose returns the message that is due to a peer, and whether one is due and fits into the
+// budget. reports are the load reports that may be useful to the peer, the most useful first; only
+// changed ones are sent. The caller sends the message at once and reports its result with Done.
 //
-// When the bounds are tight, sightings are dropped first, then heartbeats are
-// late, and with them the rate; news comes last.
+// When the budget is tight, load reports are dropped first, then heartbeats are delayed, and with
+// them the request rate they carry; evidence and revisions are delayed last.
 func (s *Scheduler) Compose(now time.Duration, to uint64, reports []message.LoadReport) (message.Update, bool) {
 	s.refreshTopology()
 	s.allow.refill(now)
@@ -45,8 +44,8 @@
 	return int(s.allow.room(floor)) - heartbeatBytes
 }
 
-// OwnStatus returns what this entry tells of itself, for the Hello of a link. It has no
-// place in the sequence, so that no update that is under way counts as older.
+// OwnStatus returns this entry's current status, for the hello of a link. It has no sequence
+// number, so that it does not make an update under way look older.
 func (s *Scheduler) OwnStatus() message.Update {
 	return message.Update{
 		From:           s.cfg.Self,
@@ -62,7 +61,7 @@
 	}
 }
 
-// base returns the next update with what this entry tells of itself.
+// base returns the next update with this entry's own status.
 func (s *Scheduler) base() message.Update {
 	s.sequence++
 	u := s.OwnStatus()
@@ -70,8 +69,8 @@
 	return u
 }
 
-// changedReports returns the sightings that differ from what the peer was last told,
-// as many as fit into room bytes, and remembers them as told.
+// changedReports returns the load reports that differ from those last sent to the peer, as many as
+// fit into room bytes, and records them as sent.
 func (p *peer) changedReports(now time.Duration, reports []message.LoadReport, room int) []message.LoadReport {
 	var out []message.LoadReport
 	if len(p.loadReports) > maxTracked {
@@ -97,7 +96,7 @@
 	return out
 }
 
-// send charges a message and notes it as under way.
+// send charges a message to the budget and records it as in flight.
 func (s *Scheduler) send(now time.Duration, p *peer, u *message.Update, why urgency) {
 	s.allow.take(Size(u) + p.firstUseBytes(u))
 	p.noteNamed(u)
@@ -112,9 +111,9 @@
 	}
 }
 
-// Done reports whether the message with this sequence reached its peer, and the digest of
-// the evidence that the peer then had. A lost one is told again: with the next message after
-// a growing pause.
+// Done reports whether the message with this sequence reached its peer, and the digests of the
+// evidence and the records that the peer then had. The content of a lost message is sent again with
+// the next message, after an increasing pause.
 func (s *Scheduler) Done(now time.Duration, to, sequence uint64, r message.Receipt) {
 	p := s.peers[to]
 	if p == nil || !p.inFlight || p.sequence != sequence {
@@ -129,7 +128,7 @@
 	}
 	p.evidenceInFlight, p.recordsInFlight = p.evidenceInFlight[:0], p.recordsInFlight[:0]
 	clear(p.loadReports)
-	clear(p.named) // a link that opens anew names its endpoints anew
+	clear(p.named) // a new link names its endpoints again
 	p.failures++
 	pause := min(retryMin<<min(p.failures-1, 8), retryMax)
 	p.retryAt = now + pause
@@ -163,11 +162,12 @@
 	}
 }
 
-// compareEvidence takes in the digest of the evidence that a peer has after a message. Peers that
-// have it all are most often told nothing: the copies that entries told each other of what
-// both had from others used up their bounds, and later news waited for seconds. While news
-// comes in, two digests differ for that alone. An entry that is no finger is told what it
-// lacks only if two acks in a row say so, since those whose finger it is come first.
+// compareEvidence processes the digest of the evidence that a peer has after a message. Most peers
+// have all evidence and need nothing: when entries sent each other copies of evidence that both had
+// from other entries, the copies used up their budgets, and later evidence was delayed for seconds.
+// While evidence is arriving, two digests differ for that reason alone. A peer that is not a finger
+// gets the evidence that it lacks only if two acks in a row show the difference, since the entries
+// that have it as a finger should send it first.
 func (s *Scheduler) compareEvidence(now time.Duration, p *peer, known uint64) {
 	if known == s.log.digest {
 		p.mayLack = false
@@ -185,8 +185,8 @@
 	p.mayLack = quiet
 }
 
-// Received notes what a peer's message says about what the peer knows, and
-// takes in its evidence to pass on. Evidence that both have is not sent back.
+// Received records what a peer's message shows about the peer's state, and stores its evidence for
+// passing on. Evidence that the peer has is not sent back to it.
 func (s *Scheduler) Received(now time.Duration, u *message.Update) {
 	s.refreshTopology()
 	p := s.senderOf(u.From)
@@ -216,8 +216,8 @@
 	s.noteDifference(now, p)
 }
 
-// senderOf returns the peer that told this entry something. One with which no link is held gets
-// one: what it told of may have to be asked of it.
+// senderOf returns the peer from which a message came. It schedules a link to a sender that has
+// none, since the sender may have to be asked for what it announced.
 func (s *Scheduler) senderOf(from uint64) *peer {
 	_, known := s.senders[from]
 	p := s.peers[from]
@@ -228,7 +228,7 @@
 	return p
 }
 
-// forgetSenders drops the links with entries that have told this one nothing for a while.
+// forgetSenders drops the links to senders that have sent nothing for senderTimeout.
 func (s *Scheduler) forgetSenders(now time.Duration) {
 	for id, at := range s.senders {
 		if now-at > senderTimeout {
@@ -238,12 +238,11 @@
 	}
 }
 
-// noteDifference tells a peer everything again whose evidence has differed for
-// long although nothing is owed to it. Guards against a message that a link
-// took and lost: without this the peer would send work to an endpoint that
-// leaves for as long as the platform's list is stale. Where the sets differ for
-// good, because one of them is full, the pauses grow. While news comes in, sets differ
-// for that alone.
+// noteDifference schedules all evidence to be sent again to a peer whose evidence has differed for
+// long although nothing is pending for it. This guards against a message that a link accepted and
+// lost: without it the peer would send requests to a leaving endpoint for as long as the platform's
+// list is stale. Where the sets differ permanently because one of them is full, the pauses grow.
+// While evidence is arriving, sets differ for that reason alone.
 func (s *Scheduler) noteDifference(now time.Duration, p *peer) {
 	if p.kind == linkInbound || p.pending > 0 || p.inFlight || now-s.log.changedAt < relayWait {
 		p.differs = false
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -1,16 +1,14 @@
-// Package gossip decides when to tell which peer what, within a bound on bytes
-// and messages per second that holds whatever happens. It tells changes, not
-// tables.
+// Package gossip decides when this entry sends which peer a message, within a budget of bytes and
+// messages per second that is never exceeded. Messages carry changes, not whole tables.
 //
-// Within a region each entry sends heartbeats to its fingers on a ring of the
-// entries, to all others in a small fleet. News (evidence of VMs that leave or
-// are silent, later revisions, what entries tell of themselves) goes at once to
-// the fingers, which pass it on; heartbeats bring it to whoever was missed.
-// Sightings of load get what is left of the bound. Between regions a few links
-// carry the same messages without sightings.
+// Within a region each entry sends heartbeats to its fingers on a ring of the entries, or to all
+// other entries in a small fleet. Changes (evidence of VMs that leave or are silent, newer
+// revisions, the status of entries) go at once to the fingers, which pass them on; heartbeats bring
+// them to entries that missed them. Load reports use the rest of the budget. Between regions a few
+// links carry the same messages without load reports.
 //
-// The package is pure: time is passed in as the duration since the process
-// started. A Scheduler is not safe for concurrent use.
+// The package is pure: time is passed in as the duration since the process started. A Scheduler is
+// not safe for concurrent use.
 package gossip
 
 import "time"
@@ -21,26 +19,26 @@
 	Region string
 	// Domain is this entry's failure domain.
 	Domain string
-	// BytesPerSecond and MessagesPerSecond bound what this entry sends, acks
-	// that come back included. Peers send it as much on average.
+	// BytesPerSecond and MessagesPerSecond bound what this entry sends, including the acks it
+	// causes. On average its peers send it the same amount.
 	BytesPerSecond    float64
 	MessagesPerSecond float64
-	// LoadReportEvery is the time between sightings to a peer that shares a
-	// service, while the bound allows.
+	// LoadReportEvery is the time between load reports to a peer that shares a service, while the
+	// budget allows.
 	LoadReportEvery time.Duration
 	// HeartbeatMin is the shortest time between heartbeats to a peer.
 	HeartbeatMin time.Duration
 	// SummaryEvery is the time between messages on a link between regions.
 	SummaryEvery time.Duration
-	// UrgentGap is the shortest time between two urgent messages to a peer;
-	// news that comes in between goes out together.
+	// UrgentGap is the shortest time between two urgent messages to a peer; changes that arrive in
+	// between are sent together.
 	UrgentGap time.Duration
-	// KeepEvidence is how long evidence is passed on after it was first given.
+	// KeepEvidence is how long evidence is passed on after it was first reported.
 	KeepEvidence time.Duration
 }
 
-// The defaults of Config. 9,000 bytes a second sent and as many received are
-// 18,000 of the 20,000 bytes that a node may spend on control.
+// Defaults of Config. 9,000 bytes a second sent and as many received are 18,000 of the 20,000 bytes
+// that a node may spend on control traffic.
 const (
 	defaultBytesPerSecond    = 9000
 	defaultMessagesPerSecond = 60
@@ -51,73 +49,74 @@
 	defaultKeepEvidence      = 2 * time.Hour
 )
 
-// Bounds of one message and of what is kept.
+// Bounds of one message and of the stored state.
 const (
 	maxEvidence    = 128
 	maxLoadReports = 64
-	// maxStoredEvidence bounds the evidence held; the oldest goes first. It is enough for 2,000
-	// endpoints that are replaced twice.
+	// maxStoredEvidence bounds the stored evidence; the oldest is dropped first. It is enough for
+	// 2,000 endpoints that are each replaced twice.
 	maxStoredEvidence = 8192
-	// maxTracked bounds the sightings remembered per peer as told.
+	// maxTracked bounds the load reports remembered per peer as already sent.
 	maxTracked = 1024
-	// MaxPeers bounds the entries with which links are held. Neighbours on the ring come
-	// first; what others would be told reaches them through these.
+	// MaxPeers bounds the entries to which this entry keeps links. Neighbours on the ring come
+	// first; changes reach the other entries through these.
 	MaxPeers = 256
 )
 
-// News is told along a tree: each entry tells its fingers up to the one that its teller
-// tells next. relayWait is how long it leaves the others to the rest of the tree before it
-// tells them of a revision, or asks whether they have the evidence: several times what the
-// tree takes in a sound fleet. While more comes in that moment does not come; maxRevisionWait is
-// then the limit for revisions, maxEvidenceWait that for evidence, which the lists hold as well.
+// Changes spread along a tree: each entry sends to its fingers up to the one that its sender uses
+// next. relayWait is how long an entry waits for the rest of the tree before it sends a revision to
+// the other fingers itself, or checks whether they have the evidence: several times what the tree
+// needs in a healthy fleet. While changes keep arriving, that quiet moment does not come;
+// maxRevisionWait is then the limit for revisions, and maxEvidenceWait for evidence, which the
+// lists of VMs contain as well.
 const (
 	relayWait       = 300 * time.Millisecond
 	maxRevisionWait = 600 * time.Millisecond
 	maxEvidenceWait = 1500 * time.Millisecond
 )
 
-// A message with news goes out when as many pieces fit as it has, or minPieces. typicalEvidenceBytes is
-// about what one takes.
+// A message with evidence is sent when the budget covers all pending pieces or minPieces of them.
+// typicalEvidenceBytes is about the size of one piece.
 const (
 	minPieces            = 16
 	typicalEvidenceBytes = evidenceBytes + 24
 )
 
-// Shares of the bound.
+// Shares of the budget.
 const (
-	// heartbeatShare is what heartbeats to all peers may take together.
+	// heartbeatShare is the share that heartbeats to all peers may use together.
 	heartbeatShare = 0.35
-	// loadReportFloor is the share of a full bucket that sightings leave for what
-	// is worth more; redundantFloor is what copies of news leave for its first telling, and
-	// heartbeatFloor what heartbeats do.
+	// loadReportFloor is the share of a full bucket that load reports leave for more important
+	// messages. redundantFloor is the share that redundant deliveries leave for first deliveries,
+	// and heartbeatFloor the share that heartbeats leave.
 	loadReportFloor = 0.5
 	redundantFloor  = 0.3
 	heartbeatFloor  = 0.1
 )
 
-// burstSeconds is how many seconds' worth of the bound may be saved up. With half of
-// it kept from sightings, news of a whole failure domain that leaves finds a
-// second's worth at hand.
+// burstSeconds is how many seconds' worth of the budget may be saved up. Load reports leave half of
+// it, so that the evidence of a whole failure domain that leaves finds one second's worth
+// available.
 const burstSeconds = 2.0
 
-// Times after which a message counts as lost, and between tries of a peer that
-// does not answer.
+// Time after which an unacknowledged message counts as lost, and the pauses between attempts to
+// reach a peer that does not answer.
 const (
 	inFlightLimit = 2 * time.Second
 	retryMin      = 250 * time.Millisecond
 	retryMax      = 2 * time.Second
 )
 
-// repairMin is how long the evidence of a peer may differ before it is told
-// everything again. It leaves time for news that is on its way. The time doubles
-// with each repair in a row, up to about two minutes.
+// repairMin is how long the evidence of a peer may differ before all evidence is sent to it again.
+// It leaves time for evidence that is on its way. The time doubles with each repair in a row, up to
+// about two minutes.
 const (
 	repairMin       = time.Second
 	repairDoublings = 7
 )
 
-// loadReportRefresh: an unchanged sighting is told again after this time, and one
-// older than this is not told.
+// loadReportRefresh is the time after which an unchanged load report is sent again. Load reports
+// older than this are not sent.
 const loadReportRefresh = time.Second
 
 func (c Config) withDefaults() Config {
@@ -138,12 +137,12 @@
 	return v
 }
 
-// HeartbeatPeriod returns how often each of so many peers in the region is
-// told, and so how often it is heard:
+// HeartbeatPeriod returns the time between heartbeats to each of the given number of peers in the
+// region, which is also the time between heartbeats received from each:
 //
 //	peers × size of a heartbeat / (heartbeatShare × BytesPerSecond)
 //
-// and the same for messages, at least HeartbeatMin.
+// and the same for messages, but at least HeartbeatMin.
 func (c Config) HeartbeatPeriod(peers int) time.Duration {
 	c = c.withDefaults()
 	byBytes := float64(peers*heartbeatBytes) / (heartbeatShare * c.BytesPerSecond)
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -18,17 +18,17 @@
 func (s *peerSet) add(slot int)      { s[slot/64] |= 1 << (slot % 64) }
 func (s *peerSet) remove(slot int)   { s[slot/64] &^= 1 << (slot % 64) }
 
-// evidenceKey names a piece of evidence. Replaced and stopped are one: both say
-// that the incarnation is gone.
+// evidenceKey identifies a piece of evidence. Replaced and stopped share a key: both say that the
+// incarnation is gone.
 type evidenceKey struct {
 	vm          string
 	incarnation uint64
 	gone        bool
-	// The rest is that of evidence of a request.
+	// The remaining fields are set only for evidence about a request or a limit.
 	content, caller uint64
 	completed       bool
 	clears          uint32
-	// limit says that it is of an endpoint's limit, of which the latest version is held.
+	// limit marks evidence about an endpoint's limit, of which only the latest version is stored.
 	limit bool
 }
 
@@ -43,7 +43,7 @@
 	return evidenceKey{vm: e.VM, incarnation: e.Incarnation, gone: e.Kind != message.EvidenceLeaving}
 }
 
-// hashOf is the same at every entry.
+// hashOf returns the hash of a piece of evidence, which is the same at every entry.
 func hashOf(e message.Evidence) uint64 {
 	hash := keyOf(e).hash()
 	if e.Kind == message.EvidenceLimit {
@@ -67,34 +67,34 @@
 	return assign.Score(assign.Score(score, k.content), k.caller)
 }
 
-// storedEvidence is evidence that is passed on.
+// storedEvidence is evidence that this entry passes on.
 type storedEvidence struct {
 	evidence message.Evidence
 	hash     uint64
 	since    time.Duration
 	// known holds the peers that have the evidence.
 	known peerSet
-	// reach: the fingers at a shorter distance are told at once.
+	// reach is a ring distance: fingers at a shorter distance get the evidence at once.
 	reach     int
 	learnedAt time.Duration
 }
 
-// evidenceLog holds the evidence to pass on, oldest learned first.
+// evidenceLog holds the evidence to pass on, in the order in which it was learned, oldest first.
 type evidenceLog struct {
 	stored []*storedEvidence
 	index  map[evidenceKey]*storedEvidence
-	// digest is the XOR of the hashes of all claims held.
+	// digest is the XOR of the hashes of all stored evidence.
 	digest uint64
-	// changedAt is when the latest of them was learned.
+	// changedAt is when the latest stored evidence was learned.
 	changedAt time.Duration
 }
 
 func newEvidenceLog() evidenceLog { return evidenceLog{index: make(map[evidenceKey]*storedEvidence)} }
 
-// everywhere is the reach of what no other entry passes on.
+// everywhere is the reach of changes that no other entry passes on.
 const everywhere = math.MaxInt
 
-// Spread takes in evidence to pass on.
+// Spread stores evidence and passes it on.
 func (s *Scheduler) Spread(now time.Duration, evidence []message.Evidence) {
 	s.refreshTopology()
 	for _, e := range evidence {
@@ -102,8 +102,8 @@
 	}
 }
 
-// LearnedFromList takes in evidence that came with a list of VMs from a peer. The list is passed on
-// with the evidence in it, so others are only asked whether they have it.
+// LearnedFromList stores evidence that came with a list of VMs from a peer. The list itself is
+// passed on and contains the evidence, so peers are only asked whether they have it.
 func (s *Scheduler) LearnedFromList(now time.Duration, evidence []message.Evidence) {
 	s.refreshTopology()
 	for _, e := range evidence {
@@ -111,7 +111,8 @@
 	}
 }
 
-// storeEvidence adds evidence to the log unless it is there or too old, and returns it.
+// storeEvidence adds evidence to the log unless the log has it or it is too old. It returns the
+// stored evidence, or nil.
 func (s *Scheduler) storeEvidence(now time.Duration, e message.Evidence, reach int) *storedEvidence {
 	key := keyOf(e)
 	if c := s.log.index[key]; c != nil {
@@ -152,13 +153,13 @@
 	return c
 }
 
-// urgentFor reports whether a peer that lacks the claim is told it without being asked.
+// urgentFor reports whether a peer that lacks the evidence gets it without being asked first.
 func (c *storedEvidence) urgentFor(p *peer) bool {
 	return p.kind == linkRegion || p.finger && p.distance < c.reach
 }
 
-// extendReach has this entry pass on a claim that it had from a list, since a peer relies on it
-// for that. One that was told before is on its way already.
+// extendReach has this entry pass on evidence that it had from a list, because a peer relies on
+// this entry to pass it on. Evidence that has a reach already is being passed on.
 func (s *Scheduler) extendReach(c *storedEvidence, reach int) {
 	if c.reach > 0 || reach == everywhere {
 		return
@@ -168,7 +169,8 @@
 	s.adjustUrgent(c, 1)
 }
 
-// adjustUrgent adds a claim to, or takes it from, what peers are to be told at once.
+// adjustUrgent adds by to the urgent count of each peer that lacks the evidence and should get it
+// at once.
 func (s *Scheduler) adjustUrgent(c *storedEvidence, by int) {
 	for _, id := range s.order {
 		if p := s.peers[id]; !c.known.has(p.slot) && c.urgentFor(p) {
@@ -177,7 +179,7 @@
 	}
 }
 
-// recountUrgent works out anew what peers are to be told at once, after their places changed.
+// recountUrgent recomputes the urgent count of each peer after ring positions changed.
 func (s *Scheduler) recountUrgent() {
 	for _, id := range s.order {
 		p := s.peers[id]
@@ -193,7 +195,7 @@
 	}
 }
 
-// discard drops the claim at an index of the log.
+// discard drops the evidence at an index of the log.
 func (s *Scheduler) discard(at int) {
 	c := s.log.stored[at]
 	s.log.stored = append(s.log.stored[:at], s.log.stored[at+1:]...)
@@ -206,7 +208,7 @@
 	}
 }
 
-// expire drops evidence that has been passed on for long enough.
+// expire drops evidence older than KeepEvidence.
 func (s *Scheduler) expire(now time.Duration) {
 	for i := len(s.log.stored) - 1; i >= 0; i-- {
 		if now-s.log.stored[i].since >= s.cfg.KeepEvidence {
@@ -215,10 +217,10 @@
 	}
 }
 
-// Digest digests all evidence that is held.
+// Digest returns the digest of all stored evidence.
 func (s *Scheduler) Digest() uint64 { return s.log.digest }
 
-// markKnown notes that a peer has a claim.
+// markKnown records that a peer has a piece of evidence.
 func (s *Scheduler) markKnown(c *storedEvidence, p *peer) {
 	if !c.known.has(p.slot) {
 		c.known.add(p.slot)
@@ -226,7 +228,7 @@
 	}
 }
 
-// countDelivered counts one claim less that a peer lacks.
+// countDelivered reduces the counts of evidence that a peer lacks by one piece.
 func (s *Scheduler) countDelivered(c *storedEvidence, p *peer) {
 	p.pending--
 	if c.urgentFor(p) {
@@ -237,7 +239,7 @@
 	}
 }
 
-// markAllKnown notes that a peer has the same evidence as this entry.
+// markAllKnown records that a peer has the same evidence as this entry.
 func (s *Scheduler) markAllKnown(p *peer) {
 	p.differs, p.repairs, p.lacks = false, 0, false
 	if p.pending == 0 {
@@ -248,8 +250,8 @@
 	}
 }
 
-// pendingEvidence returns the evidence to tell a peer now, newest first, as many pieces as fit
-// into budget bytes, and remembers it as under way.
+// pendingEvidence returns the evidence to send to a peer now, newest first, as many pieces as fit
+// into budget bytes, and records it as in flight.
 func (s *Scheduler) pendingEvidence(now time.Duration, p *peer, budget int) []message.Evidence {
 	p.evidenceInFlight = p.evidenceInFlight[:0]
 	if p.pending == 0 {
@@ -273,10 +275,11 @@
 	return out
 }
 
-// shouldSend reports whether a message tells a peer a claim that it is owed. It does if the peer
-// hears it first from this entry, or is known to lack some. A near finger is also told what it may
-// have from others where that takes no more than the question whether it has; or what it has
-// been owed for long, while so much comes in that no digest can tell.
+// shouldSend reports whether a message to a peer includes a pending piece of evidence. It does if
+// the peer relies on this entry to receive it first, or is known to lack some evidence. A finger in
+// the same failure domain also gets evidence that it may have from other entries if sending it
+// costs no more than a message that only compares digests. Any finger gets evidence that has been
+// pending for maxEvidenceWait while so much arrives that digests cannot be compared.
 func (s *Scheduler) shouldSend(now time.Duration, p *peer, c *storedEvidence) bool {
 	switch {
 	case p.lacks || c.urgentFor(p):
--- a/internal/core/gossip/gossip_test.go
+++ b/internal/core/gossip/gossip_test.go
@@ -17,10 +17,10 @@
 const (
 	step    = 10 * time.Millisecond
 	transit = 10 * time.Millisecond
-	timeout = time.Second // a lost message is noticed after this
+	timeout = time.Second // until a lost message is noticed
 )
 
-// delivery is a message on its way, or the sender's time-out for a lost one.
+// delivery is a message on its way, or the sender's timeout for a lost one.
 type delivery struct {
 	at       time.Duration
 	from, to uint64
@@ -28,28 +28,27 @@
 	lost     bool
 }
 
-// fleet feeds schedulers with each other's messages.
+// fleet connects schedulers and passes messages between them.
 type fleet struct {
 	now   time.Duration
 	ids   []uint64
 	nodes map[uint64]*Scheduler
-	// cut says whether a message on the way is lost.
+	// cut reports whether a message between two entries is lost.
 	cut      func(from, to uint64) bool
 	pending  []delivery
 	sent     map[uint64]int
 	lastSent map[[2]uint64]time.Duration
 	worstGap time.Duration
-	// onSend, if not nil, is told of each message.
+	// onSend, if not nil, is called for each message sent.
 	onSend func(from, to uint64, u *message.Update)
-	// withoutReports says that the entries tell no loads.
+	// withoutReports makes the entries send no load reports.
 	withoutReports bool
 }
 
 // domainOf returns the failure domain of an entry, one of five.
 func domainOf(id uint64) string { return fmt.Sprint("d", id%5) }
 
-// newFleet makes n entries spread evenly over regions; entry i is in region
-// i mod regions.
+// newFleet creates n entries spread evenly over regions; entry i is in region i mod regions.
 func newFleet(n, regions int) *fleet {
 	f := &fleet{
 		nodes: make(map[uint64]*Scheduler), sent: make(map[uint64]int), lastSent: make(map[[2]uint64]time.Duration),
@@ -121,8 +120,8 @@
 	}
 }
 
-// untilAllHave returns how long it takes until all entries for which want is true
-// hold count pieces of evidence, up to limit.
+// untilAllHave returns how long it takes until all entries for which want is true have count pieces
+// of evidence, or math.MaxInt64 if that takes longer than limit.
 func (f *fleet) untilAllHave(count int, limit time.Duration, want func(id uint64) bool) time.Duration {
 	start := f.now
 	for f.now-start < limit {
@@ -143,11 +142,11 @@
 	return list
 }
 
-// A user would see work go to an endpoint more than 3 s after it said that it
-// leaves, because an entry was not told. Each case gives one entry the evidence
-// while the fleet is in some trouble, and bounds the time until the others
-// have it: news needs at most log2(n) steps through fingers, each one tick and
-// one transit, and a finger that does not answer costs a way round.
+// Guards against an entry that sends requests to an endpoint more than 3 s after the endpoint
+// reported that it is leaving, because evidence did not reach the entry. Each case gives one entry
+// the evidence while the fleet is impaired, and bounds the time until the other entries have it:
+// evidence takes at most log2(n) steps through fingers, each one tick and one transit, and a finger
+// that does not answer costs a detour.
 func TestEvidenceReachesAllEntries(t *testing.T) {
 	all := func(uint64) bool { return true }
 	odd := func(id uint64) bool { return id%2 == 1 }
@@ -164,11 +163,11 @@
 		{"60 entries in 3 regions", 60, 3, 1, nil, all, 500 * time.Millisecond},
 		{"a third of the entries is silent", 60, 1, 1, func(from, to uint64) bool { return from%3 == 1 || to%3 == 1 },
 			func(id uint64) bool { return id%3 != 1 }, 1500 * time.Millisecond},
-		{"each entry hears only higher ones", 30, 1, 1, func(from, to uint64) bool { return from < to && (to-from)%2 == 0 }, all, 1500 * time.Millisecond},
+		{"messages to higher IDs at an even distance are lost", 30, 1, 1, func(from, to uint64) bool { return from < to && (to-from)%2 == 0 }, all, 1500 * time.Millisecond},
 		{"a failure domain is silent", 60, 1, 1, func(from, to uint64) bool { return from%5 == 1 || to%5 == 1 },
 			func(id uint64) bool { return id%5 != 1 }, 1500 * time.Millisecond},
 		{"70 endpoints leave at once", 60, 1, 70, nil, all, 3 * time.Second},
-		{"one half hears the other not at all", 30, 1, 1, func(from, to uint64) bool { return from%2 != to%2 }, odd, time.Second},
+		{"the two halves cannot reach each other", 30, 1, 1, func(from, to uint64) bool { return from%2 != to%2 }, odd, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(c.n, c.regions)
@@ -176,19 +175,20 @@
 			if c.cut != nil {
 				f.cut = c.cut
 			}
-			f.nodes[f.ids[c.n-1]].Spread(f.now, evidence(c.pieces)) // an odd one
+			f.nodes[f.ids[c.n-1]].Spread(f.now, evidence(c.pieces)) // an entry with an odd ID
 			took := f.untilAllHave(c.pieces, 20*time.Second, c.want)
-			t.Logf("all have it after %v", took)
+			t.Logf("all entries have the evidence after %v", took)
 			if took > c.within {
-				t.Errorf("want %v", c.within)
+				t.Errorf("want at most %v", c.within)
 			}
 		})
 	}
 }
 
-// All entries start together after a loss of power, and callers who ask one of them are
-// told of those that it knows to serve. That an entry begins to serve is known to all others at
-// once, not with its next heartbeats, and is told each of them about once.
+// Guards against callers that are directed to too few entries after all entries start together
+// following a power loss: an entry that is asked answers with the entries that it knows to be
+// serving. All entries learn at once that an entry begins to serve, not with its next heartbeats,
+// and each of them receives the record about once.
 func TestServingStateReachesAllEntriesAtOnce(t *testing.T) {
 	f := newFleet(15, 1)
 	f.withoutReports = true
@@ -213,22 +213,22 @@
 	announce(2, message.EntryServing)
 	f.run(50 * time.Millisecond)
 	if late := missing(); late > 4 {
-		t.Errorf("%d of 14 do not know it within 50 ms", late)
+		t.Errorf("%d entries do not have the record within 50 ms, want at most 4", late)
 	}
 	f.run(defaultUrgentGap)
 	if late := missing(); late > 0 {
-		t.Errorf("%d do not know it within %v", late, 50*time.Millisecond+defaultUrgentGap)
+		t.Errorf("%d entries do not have the record within %v", late, 50*time.Millisecond+defaultUrgentGap)
 	}
 	sent := f.sent[starts]
 	f.run(200 * time.Millisecond)
 	if more := f.sent[starts] - sent; more > 14*heartbeatBytes {
-		t.Errorf("%d bytes in the 200 ms after that", more)
+		t.Errorf("the entry sent %d bytes in the following 200 ms", more)
 	}
 }
 
-// Bytes between failure domains are dear to the users. A piece of news that each of 125 entries
-// hears has to enter four of five domains; in a ring of any order four of five of its tellings
-// went into another domain.
+// Guards against needless traffic between failure domains, which is expensive for users. A piece of
+// evidence that reaches each of 125 entries has to enter four of five domains; with a ring order
+// that ignored domains, four of five messages with it went into another domain.
 func TestEvidenceMostlyStaysInItsFailureDomain(t *testing.T) {
 	f := newFleet(125, 1)
 	f.withoutReports = true
@@ -243,18 +243,17 @@
 	}
 	f.nodes[f.ids[7]].Spread(f.now, evidence(1))
 	if took := f.untilAllHave(1, 5*time.Second, func(uint64) bool { return true }); took > 300*time.Millisecond {
-		t.Errorf("all have it after %v", took)
+		t.Errorf("all entries have the evidence after %v", took)
 	}
 	f.run(2 * time.Second)
-	if t.Logf("told %d times in its domain, %d times into another one", near, far); far > near/2 {
-		t.Errorf("told %d times into another domain and %d times in its own", far, near)
+	if t.Logf("sent %d times within a domain, %d times into another domain", near, far); far > near/2 {
+		t.Errorf("sent %d times into another domain and %d times within a domain", far, near)
 	}
 }
 
-// A user on the other side of a partition would see work go to an endpoint
-// that left while the halves could not talk. The partition lasts a minute;
-// when it heals, links in back-off are tried within 2 s, and what was missed
-// then spreads on that side like news.
+// Guards against requests to an endpoint that left while the two halves of the fleet could not
+// communicate. The partition lasts a minute; after it heals, links in back-off are retried within 2
+// s, and the missed evidence then spreads on the other side as usual.
 func TestEvidenceSpreadsAfterPartition(t *testing.T) {
 	for _, regions := range []int{1, 3} {
 		f := newFleet(30, regions)
@@ -266,17 +265,17 @@
 		f.run(time.Minute)
 		f.cut = func(uint64, uint64) bool { return false }
 		took := f.untilAllHave(5, time.Minute, func(uint64) bool { return true })
-		t.Logf("%d regions: all have it %v after the partition", regions, took)
+		t.Logf("%d regions: all entries have the evidence %v after the partition", regions, took)
 		if took > 3*time.Second {
-			t.Error("want 3s")
+			t.Error("want at most 3s")
 		}
 	}
 }
 
-// Peers would take a healthy entry for dead if a flood of news or sightings
-// kept its heartbeats back. With every entry short of its bound and ten new
-// claims a second, no pair goes without a message for more than two periods,
-// and nobody sends more than the bound.
+// Guards against a healthy entry that peers take for dead because a flood of evidence or load
+// reports delays its heartbeats. With every entry short of budget and ten new pieces of evidence
+// per second, no pair of entries goes without a message for more than two periods, and no entry
+// sends more than its budget.
 func TestHeartbeatsContinueUnderEvidenceFlood(t *testing.T) {
 	f := newFleet(30, 1)
 	for i := range 200 {
@@ -286,17 +285,17 @@
 		f.run(100 * time.Millisecond)
 	}
 	if limit := 2*f.nodes[f.ids[0]].period(&peer{kind: linkMesh}) + step; f.worstGap > limit {
-		t.Errorf("a pair went %v without a message, want %v", f.worstGap, limit)
+		t.Errorf("a pair of entries went %v without a message, want at most %v", f.worstGap, limit)
 	}
 	for id, sent := range f.sent {
 		if most := defaultBytesPerSecond * (f.now.Seconds() + burstSeconds); float64(sent) > most {
-			t.Errorf("entry %d sent %d bytes, want %.0f", id, sent, most)
+			t.Errorf("entry %d sent %d bytes, want at most %.0f", id, sent, most)
 		}
 	}
 }
 
-// Evidence that an entry has from elsewhere is not sent to it again: after the
-// fleet has calmed down no message carries any.
+// Guards against evidence that is sent to an entry that has it from another entry: once the fleet
+// is calm no evidence is pending.
 func TestKnownEvidenceIsNotResent(t *testing.T) {
 	f := newFleet(30, 1)
 	f.nodes[f.ids[0]].Spread(0, evidence(20))
@@ -304,15 +303,15 @@
 	for _, id := range f.ids {
 		for _, p := range f.nodes[id].peers {
 			if p.pending != 0 {
-				t.Fatalf("entry %d still owes %d claims to %d", id, p.pending, p.incarnation)
+				t.Fatalf("entry %d still has %d pieces of evidence pending for %d", id, p.pending, p.incarnation)
 			}
 		}
 	}
 }
 
-// Control traffic would eat into what callers and endpoints share with
-// neighbours. Whatever peers, news, sightings and losses come in whatever
-// order, any span of time stays within the bound for the span plus the burst.
+// Guards against control traffic that takes bandwidth from callers and endpoints. For any peers,
+// evidence, load reports and losses in any order, what is sent in any span of time stays within the
+// budget for that span plus the burst.
 func TestSendRateStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := New(Config{Self: 1, Region: "r0", BytesPerSecond: 5000, MessagesPerSecond: 20})
@@ -332,18 +331,18 @@
 				}
 				s.SetPeers(now, peers)
 			case 1:
-				s.Spread(now, evidence(rapid.IntRange(1, 200).Draw(rt, "claims")))
+				s.Spread(now, evidence(rapid.IntRange(1, 200).Draw(rt, "evidence")))
 			case 2:
 				s.SetState(State{Profiles: message.Mark{Revision: uint64(now)}})
 			}
-			reports := make([]message.LoadReport, rapid.IntRange(0, 100).Draw(rt, "sightings"))
+			reports := make([]message.LoadReport, rapid.IntRange(0, 100).Draw(rt, "reports"))
 			for i := range reports {
 				reports[i] = message.LoadReport{Endpoint: fmt.Sprint("endpoint", i), InFlight: uint16(now / time.Millisecond)}
 			}
 			for _, to := range s.Due(now, nil) {
 				if u, ok := s.Compose(now, to, reports); ok {
 					sent = append(sent, sending{now, Size(&u)})
-					s.Done(now, to, u.Sequence, message.Receipt{Acked: rapid.Bool().Draw(rt, "acked"), EvidenceDigest: rapid.Uint64().Draw(rt, "known")})
+					s.Done(now, to, u.Sequence, message.Receipt{Acked: rapid.Bool().Draw(rt, "acked"), EvidenceDigest: rapid.Uint64().Draw(rt, "digest")})
 				}
 			}
 		}
@@ -360,9 +359,9 @@
 	})
 }
 
-// The bound is worth as much as the estimate: on a link in use the encoder must
-// never need more than Size says, and the first message no more than firstUseBytes
-// adds.
+// Guards against size estimates that are too low, which would make the budget too large: on a link
+// in use the encoder must never need more than Size returns, and the first message no more than
+// firstUseBytes adds.
 func TestSizeIsUpperBound(t *testing.T) {
 	mark := message.Mark{Revision: math.MaxUint64, Digest: math.MaxUint64}
 	full := message.Update{
@@ -388,9 +387,9 @@
 		var buffer bytes.Buffer
 		var packer wire.Packer
 		encoder := gob.NewEncoder(&buffer)
-		_ = encoder.Encode(packer.Pack(message.Update{})) // the types go once per link
+		_ = encoder.Encode(packer.Pack(message.Update{})) // gob sends the types once per link
 		for round, extra := range []int{p.firstUseBytes(&u), 0} {
-			u.EvidenceDigest ^= math.MaxUint64 // the digest of evidence may always change
+			u.EvidenceDigest ^= math.MaxUint64 // the digest of the evidence may change in any message
 			buffer.Reset()
 			if err := encoder.Encode(packer.Pack(u)); err != nil {
 				t.Fatal(err)
--- a/internal/core/gossip/limit_test.go
+++ b/internal/core/gossip/limit_test.go
@@ -7,9 +7,9 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Guards against an entry that goes by an older limit of an endpoint: later news takes the place of earlier
-// at every entry, in whatever order it comes, also where two entries told at the same time; and no more
-// than the latest is held.
+// Guards against an entry that applies an outdated limit of an endpoint: at every entry a newer
+// limit replaces an older one, in whatever order they arrive and also when two entries report
+// limits at the same time, and only the latest is stored.
 func TestLatestLimitReplacesEarlier(t *testing.T) {
 	f := newFleet(14, 1)
 	f.run(2 * time.Second)
@@ -28,10 +28,10 @@
 	for _, id := range f.ids {
 		stored := f.nodes[id].log.stored
 		if len(stored) != 1 || stored[0].evidence.Limit != (message.Limit{Rate: 3, Version: 4}) {
-			t.Fatalf("entry %d holds %+v", id, stored)
+			t.Fatalf("entry %d has %+v", id, stored)
 		}
 		if f.nodes[id].Digest() != f.nodes[f.ids[0]].Digest() {
-			t.Error("entries that hold the same have different digests")
+			t.Error("entries with the same evidence have different digests")
 		}
 	}
 }
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -10,42 +10,41 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Records of entries are pushed along the tree while they are fresh: at most maxFresh of
-// them, for freshTime. In a fleet that starts or is replaced as a whole hundreds come at once,
-// more than the few entries that everybody greets could tell within their bound; those are
-// pulled by whoever lacks them.
+// Fresh records are pushed along the tree: at most maxFresh of them, for freshTime. In a fleet that
+// starts or is replaced as a whole, hundreds of records arrive at once, more than the few entries
+// that receive all the hellos can send within their budget; entries that lack them pull them.
 const (
 	maxFresh   = 8
 	freshTime  = time.Second
 	maxRecords = 4096
-	// recordGap is the shortest time between two messages with records to a peer. That an
-	// entry reads the platform no more has to be known before others take over, and each
-	// step of the tree may have to wait for it.
+	// recordGap is the shortest time between two messages with records to a peer. Other entries
+	// must learn quickly that an entry has stopped reading the platform, so that they can take
+	// over, and each step of the tree may wait for this gap.
 	recordGap = 50 * time.Millisecond
-	// recordsPerMessage bounds what one message carries.
+	// recordsPerMessage bounds the records in one message.
 	recordsPerMessage = maxFresh
 )
 
-// storedRecord is a record that this entry holds.
+// storedRecord is a record that this entry has.
 type storedRecord struct {
 	record message.Record
 	hash   uint64
-	// For a fresh one: known holds the peers that have it, reach is as in claim.
+	// For a fresh record, known holds the peers that have it, and reach is as in storedEvidence.
 	known     peerSet
 	reach     int
 	learnedAt time.Duration
 }
 
-// records are what the entries of the fleet tell of themselves, this one's own included.
+// records holds the records that entries publish about themselves, including this entry's own.
 type records struct {
 	byName map[string]*storedRecord
 	fresh  []*storedRecord // oldest first
-	// ended are the latest records of entries that are gone, so that no peer that still holds
-	// one brings it back.
+	// ended holds the latest records of entries that are gone, so that a peer that still has such a
+	// record cannot bring it back.
 	ended map[string]message.Record
-	// digest is the XOR of the hashes of all records held.
+	// digest is the XOR of the hashes of all stored records.
 	digest uint64
-	// changedAt is when it changed last.
+	// changedAt is when digest last changed.
 	changedAt time.Duration
 }
 
@@ -53,7 +52,7 @@
 	return records{byName: make(map[string]*storedRecord), ended: make(map[string]message.Record)}
 }
 
-// recordHash is the same at every entry.
+// recordHash returns the hash of a record, which is the same at every entry.
 func recordHash(r *message.Record) uint64 {
 	state := uint64(r.Version) << 1
 	if r.Silent {
@@ -62,14 +61,14 @@
 	return assign.Score(assign.Score(xxhash.Sum64String(r.Name), r.Incarnation), state)
 }
 
-// Announce takes in a new version of this entry's own record.
+// Announce stores and spreads a new version of this entry's own record.
 func (s *Scheduler) Announce(now time.Duration, r message.Record) {
 	s.refreshTopology()
 	s.storeRecord(now, &r, everywhere, nil)
 }
 
-// ReportSilent tells the fleet that an entry which this one watches is silent, as of a version of its
-// record.
+// ReportSilent reports to the fleet that an entry watched by this one is silent, as of a version of
+// its record.
 func (s *Scheduler) ReportSilent(now time.Duration, name string, incarnation uint64, version uint32) {
 	s.refreshTopology()
 	h := s.records.byName[name]
@@ -81,11 +80,12 @@
 	s.storeRecord(now, &r, everywhere, nil)
 }
 
-// NoteHello takes in the record of an entry that introduced itself on a link. It tells its own
-// neighbours, so nobody is told here, and whoever missed it pulls it.
+// NoteHello stores the record of an entry that sent a hello on a link. That entry sends the record
+// to its own neighbours, so it is not pushed from here, and peers that missed it pull it.
 //
-// One that was forgotten, for it was cut off for long, lives. Others would refuse what it told
-// before; as soon as it sees that it was taken for silent, it tells a later version.
+// An entry that was forgotten because it was cut off for long is live again. Its earlier record is
+// stored as silent, because other entries refuse that version; once the entry sees that it was
+// reported silent, it announces a later version.
 func (s *Scheduler) NoteHello(now time.Duration, r message.Record) {
 	s.refreshTopology()
 	if last, ended := s.records.ended[r.Name]; ended && last.Incarnation == r.Incarnation && !r.Newer(&last) {
@@ -96,8 +96,8 @@
 	s.storeRecord(now, &r, 0, nil)
 }
 
-// Pulled takes in what a peer gave that was asked for the records that this entry lacks, if it
-// answered.
+// Pulled stores the records that a peer returned to a pull. answered is false if the peer did not
+// answer.
 func (s *Scheduler) Pulled(now time.Duration, from uint64, list []message.Record, answered bool) {
 	s.refreshTopology()
 	before := s.records.digest
@@ -110,7 +110,7 @@
 	}
 }
 
-// storeRecord takes in a record, from a peer if one told it, unless a newer one is held.
+// storeRecord stores a record unless a newer one is stored. from is the peer that sent it, or nil.
 func (s *Scheduler) storeRecord(now time.Duration, r *message.Record, reach int, from *peer) {
 	x := &s.records
 	known := x.byName[r.Name]
@@ -125,7 +125,7 @@
 	}
 }
 
-// hasEnded reports whether it is known that what a record tells of has ended.
+// hasEnded reports whether the incarnation that a record describes is known to have ended.
 func (s *Scheduler) hasEnded(r *message.Record) bool {
 	if last, ended := s.records.ended[r.Name]; ended && !r.Newer(&last) {
 		return true
@@ -133,7 +133,7 @@
 	return s.log.index[evidenceKey{vm: r.Name, incarnation: r.Incarnation, gone: true}] != nil
 }
 
-// replace puts a record in the place of the one before.
+// replace stores a record in place of the previous one of the same entry.
 func (x *records) replace(now time.Duration, r *message.Record, reach int) *storedRecord {
 	x.drop(r.Name)
 	h := &storedRecord{record: *r, hash: recordHash(r), reach: reach, learnedAt: now}
@@ -172,7 +172,7 @@
 	x.drop(name)
 	x.changedAt = now
 	if s.relays && !h.record.Silent {
-		return // nobody else takes it for silent: it may be told again
+		return // no other entry takes it for silent: peers may send its record again
 	}
 	if len(x.ended) >= maxRecords {
 		clear(x.ended)
@@ -180,14 +180,14 @@
 	x.ended[name] = h.record
 }
 
-// forgetSlot notes that a slot stands for no peer any more.
+// forgetSlot clears a slot that no longer belongs to a peer.
 func (x *records) forgetSlot(slot int) {
 	for _, h := range x.fresh {
 		h.known.remove(slot)
 	}
 }
 
-// expireFresh ends the pushing of records that were learned a while ago.
+// expireFresh stops pushing records that were learned at least freshTime ago.
 func (x *records) expireFresh(now time.Duration) {
 	keep := 0
 	for keep < len(x.fresh) && now-x.fresh[keep].learnedAt >= freshTime {
@@ -196,19 +196,19 @@
 	x.fresh = slices.Delete(x.fresh, 0, keep)
 }
 
-// lackedBy reports whether a finger hears of a fresh record first from this entry, and has not. An
-// entry knows what it tells of itself, but not that it is taken for silent.
+// lackedBy reports whether a finger should get a fresh record first from this entry and has not
+// received it. An entry knows its own record, but not that it was reported silent.
 func (h *storedRecord) lackedBy(p *peer) bool {
 	return !h.known.has(p.slot) && (h.record.Silent || p.incarnation != h.record.Incarnation) && (p.kind == linkRegion || p.distance < h.reach)
 }
 
-// due reports whether a finger is to be told records.
+// due reports whether any fresh record is to be sent to a finger.
 func (x *records) due(p *peer) bool {
 	return slices.ContainsFunc(x.fresh, func(h *storedRecord) bool { return h.lackedBy(p) })
 }
 
-// dueTo returns the records that a finger is to be told, as many as fit into budget bytes, and
-// remembers them as under way.
+// dueTo returns the records to send to a finger, as many as fit into budget bytes, and records them
+// as in flight.
 func (x *records) dueTo(p *peer, budget int) []message.Record {
 	p.recordsInFlight = p.recordsInFlight[:0]
 	if !p.finger {
@@ -229,8 +229,8 @@
 	return out
 }
 
-// RecordsAgree reports whether all peers that said which records they hold said last to hold the same
-// as this entry.
+// RecordsAgree reports whether the latest record digest of every peer that sent one equals this
+// entry's.
 func (s *Scheduler) RecordsAgree() bool {
 	for _, p := range s.peers {
 		if p.recordDigest != 0 && p.recordDigest != s.records.digest {
@@ -240,7 +240,7 @@
 	return true
 }
 
-// Latest returns the record of a VM's entry that is held, or nil.
+// Latest returns the stored record of the entry on a VM, or nil.
 func (s *Scheduler) Latest(name string) *message.Record {
 	if h := s.records.byName[name]; h != nil {
 		return &h.record
@@ -248,13 +248,13 @@
 	return nil
 }
 
-// RecordSet says which records are held, this entry's own included.
+// RecordSet returns the count and the digest of the stored records, including this entry's own.
 func (s *Scheduler) RecordSet() message.RecordSet {
 	return message.RecordSet{Count: uint16(len(s.records.byName)), Digest: s.records.digest}
 }
 
-// Marks appends a mark of each record held to out: what a peer is told that is asked for the
-// others.
+// Marks appends a mark of each stored record to out. A pull sends these marks to a peer, which
+// returns its other records.
 func (s *Scheduler) Marks(out []uint32) []uint32 {
 	for _, h := range s.records.byName {
 		out = append(out, uint32(h.hash))
@@ -262,7 +262,7 @@
 	return out
 }
 
-// Unmarked returns the records held that are not among those marked.
+// Unmarked returns the stored records whose marks are not in marks.
 func (s *Scheduler) Unmarked(marks []uint32) []message.Record {
 	has := make(map[uint32]bool, len(marks))
 	for _, m := range marks {
@@ -277,23 +277,24 @@
 	return out
 }
 
-// Times of pulls. Records that are pushed take less than relayWait to get through a sound
-// fleet; a digest that differs for longer shows that something was missed. A pull of 1,000 marks
-// takes 5 KB; twice a second is within what a node may spend. A peer that had nothing to give is
-// asked again when either end holds others: until then it is the peer that lacks records.
+// Timing of pulls. Pushed records take less than relayWait to spread through a healthy fleet; a
+// digest that differs for longer shows that a record was missed. A pull with 1,000 marks takes 5
+// KB; two per second fit into what a node may spend. A peer that returned nothing new is asked
+// again only when the records at either end have changed: until then it is the peer that lacks
+// records.
 const (
 	pullAfter = relayWait
 	pullGap   = 500 * time.Millisecond
 )
 
-// pulls decides when to ask a peer for the records that this entry lacks.
+// pulls decides when to pull the records that this entry lacks from a peer.
 type pulls struct {
 	target    uint64 // the peer to ask, 0 for none
 	underWay  bool   // a pull is under way
 	notBefore time.Duration
 }
 
-// compare takes in the digest of the records that a peer holds.
+// compare processes the record digest of a peer.
 func (l *pulls) compare(now time.Duration, p *peer, digest uint64, x *records) {
 	p.recordDigest = digest
 	if digest == x.digest {
@@ -311,16 +312,16 @@
 	}
 }
 
-// NoteHelloAnswer takes in which records an entry holds that answered a greeting: one that holds more is
-// asked for them at once.
+// NoteHelloAnswer processes the record set of an entry that answered a hello. If it has at least as
+// many records and they differ, this entry pulls from it at once.
 func (s *Scheduler) NoteHelloAnswer(id uint64, r message.RecordSet) {
 	if r.Digest != s.records.digest && int(r.Count) >= len(s.records.byName) && !s.pulls.underWay {
 		s.pulls.target, s.pulls.notBefore = id, 0
 	}
 }
 
-// PullFrom returns the peer to ask now for the records that this entry lacks. The caller ends
-// each pull with Pulled.
+// PullFrom returns the peer from which to pull now the records that this entry lacks. The caller
+// ends each pull with Pulled.
 func (s *Scheduler) PullFrom(now time.Duration) (uint64, bool) {
 	l := &s.pulls
 	if l.target == 0 || l.underWay || now < l.notBefore {
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -9,7 +9,7 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// State is what this entry tells of itself.
+// State is this entry's status as it sends it to peers.
 type State struct {
 	State    message.EntryState
 	Epoch    uint32
@@ -17,28 +17,28 @@
 	VMs      message.Mark
 	Reader   bool
 	Rate     uint32
-	// Version is that of this entry's record.
+	// Version is the version of this entry's record.
 	Version uint32
 }
 
-// revisionPair is what a peer is known to have been told.
+// revisionPair holds the revisions that a peer is known to have acknowledged.
 type revisionPair struct {
 	profiles, vms uint64
 }
 
-// reverseDistance reports whether a peer that has t lacks revisions of s.
+// behind reports whether t lacks revisions of s.
 func (t revisionPair) behind(s State) bool {
 	return t.profiles < s.Profiles.Revision || t.vms < s.VMs.Revision
 }
 
-// sentLoadReport is the last sighting of an endpoint that a peer was told.
+// sentLoadReport is the last load report of an endpoint that was sent to a peer.
 type sentLoadReport struct {
 	incarnation   uint64
 	inFlight, own uint16
 	at            time.Duration
 }
 
-// peer is what is known of one link.
+// peer is the state of one link.
 type peer struct {
 	incarnation     uint64
 	slot            int
@@ -48,7 +48,7 @@
 	suspected       bool
 	kind            linkKind
 	finger          bool
-	distance        int // on the ring from this entry to the peer; 0 if not on it
+	distance        int // on the ring from this entry to the peer; 0 if not on the ring
 	reverseDistance int // on the ring from the peer to this entry
 
 	scheduled    bool // heartbeatAt is set
@@ -58,59 +58,61 @@
 	recordsAt    time.Duration
 
 	ackedRevisions revisionPair
-	// pending counts the claims that it is not known to have, urgent those of them that it is
-	// to be told at once. pendingSince is when pending was 0 last.
+	// pending counts the evidence that the peer is not known to have, urgent the part of it that is
+	// to be sent at once. pendingSince is when pending last became nonzero.
 	pending, urgent int
 	pendingSince    time.Duration
-	// lacks says that it is known not to have all that it is owed; doubted that its latest
-	// ack said so.
+	// lacks reports that the peer is known to lack pending evidence; mayLack that its latest ack
+	// showed a different digest.
 	lacks, mayLack bool
-	// lagging says that it has not been told of the revisions in force, behindSince since when.
+	// lagging reports that the peer has not acknowledged the revisions in force, behindSince since
+	// when.
 	lagging     bool
 	behindSince time.Duration
 	loadReports map[string]sentLoadReport
-	// named are the endpoints that the link has named, with their incarnations.
+	// named holds the endpoints that the link has named, with their incarnations.
 	named map[string]uint64
 
 	inFlight         bool
 	sentAt           time.Duration
 	sequence         uint64
 	sentRevisions    revisionPair      // becomes ackedRevisions when the message in flight is acked
-	evidenceInFlight []*storedEvidence // becomes known when the message in flight is acked
-	recordsInFlight  []*storedRecord   // the same of records
-	// recordDigest is the digest of the records that it last said to hold, recordDigestSince since when that
-	// has differed from this entry's; 0 if it does not.
+	evidenceInFlight []*storedEvidence // marked as known when the message in flight is acked
+	recordsInFlight  []*storedRecord   // the same for records
+	// recordDigest is the latest record digest that the peer sent. recordDigestSince is since when
+	// it has differed from this entry's, or 0 if it does not.
 	recordDigest      uint64
 	recordDigestSince time.Duration
-	// emptyPull are the digests of its records and of this entry's at the last pull that
-	// brought nothing.
+	// emptyPull holds the record digests of the peer and of this entry at the last pull that
+	// returned nothing new.
 	emptyPull [2]uint64
 
 	failures int
 	retryAt  time.Duration
 
-	// differs: its evidence has differed since then although nothing is owed;
-	// repairs counts how often it was told everything again for that.
+	// differs reports that the peer's evidence has differed since differsSince although nothing is
+	// pending. repairs counts how often all evidence was sent again for that reason.
 	differs      bool
 	differsSince time.Duration
 	repairs      int
 }
 
-// Scheduler decides when to tell which peer what.
+// Scheduler decides when to send which peer a message.
 type Scheduler struct {
 	cfg   Config
 	state State
-	// revisionReach: the fingers at a shorter distance are told of the revisions in force at once.
+	// revisionReach is a ring distance: fingers at a shorter distance get the revisions in force at
+	// once.
 	revisionReach int
-	// revisionsChangedAt is when the revisions in force changed last.
+	// revisionsChangedAt is when the revisions in force last changed.
 	revisionsChangedAt time.Duration
-	// known are the other entries, peers those of them with which links are held.
+	// known holds the other entries, peers those to which this entry keeps links.
 	known             []Peer
 	peers             map[uint64]*peer
 	order             []uint64 // incarnations of peers in order
 	slots             [MaxPeers]bool
 	heartbeatPeers    int           // peers that get heartbeats
-	heartbeatInterval time.Duration // HeartbeatPeriod of so many
+	heartbeatInterval time.Duration // HeartbeatPeriod for heartbeatPeers
 	allow             allowance
 	log               evidenceLog
 	records           records
@@ -118,13 +120,14 @@
 	sequence          uint64
 	expireAt          time.Duration
 	stats             Stats
-	// failed counts the failures in a row of entries of other regions.
+	// failed counts failures in a row of entries in other regions.
 	failed map[uint64]int
-	// senders are the entries that told this one something, and when they did last.
+	// senders holds the entries that sent to this one without a link that requires it, and when
+	// they last did.
 	senders map[uint64]time.Duration
 	relays  bool
 	version uint64
-	// topologyStale says that peers changed since the topology was worked out at topologyAt.
+	// topologyStale reports that peers changed since the topology was computed at topologyAt.
 	topologyStale bool
 	topologyAt    time.Duration
 }
@@ -145,7 +148,7 @@
 	}
 }
 
-// SetState sets what this entry tells of itself from now on.
+// SetState sets the status that this entry sends from now on.
 func (s *Scheduler) SetState(state State) {
 	if state.VMs.Revision > s.state.VMs.Revision || state.Profiles.Revision > s.state.Profiles.Revision {
 		s.refreshTopology()
@@ -154,8 +157,8 @@
 	s.state = state
 }
 
-// reachOf is how far this entry passes on revisions that have come into force here: as far as
-// those rely on it that told of them, or everywhere if nobody did.
+// reachOf returns how far this entry passes on revisions that it has put in force: as far as the
+// peers that already have them rely on it, or everywhere if no peer has them.
 func (s *Scheduler) reachOf(state State) int {
 	reach := 0
 	for _, id := range s.order {
@@ -170,8 +173,9 @@
 	return reach
 }
 
-// relayReach is how far a peer relies on this entry to pass on what it tells it: to the next
-// of its own fingers, or around to itself. It is 0 if this entry is none of them.
+// relayReach returns the ring distance up to which a peer relies on this entry to pass on its
+// messages: up to the peer's own next finger, or around the ring to the peer. It is 0 if this entry
+// is not a finger of the peer.
 func (p *peer) relayReach() int {
 	if p.kind != linkMesh || p.reverseDistance == 0 || p.reverseDistance&(p.reverseDistance-1) != 0 {
 		return 0
@@ -179,8 +183,8 @@
 	return min(p.reverseDistance, p.distance)
 }
 
-// SetPeers sets the other entries that are known, this one excluded. Call it
-// when they or what is believed of them change.
+// SetPeers sets the known entries other than this one. Call it when the set or the state of an
+// entry changes.
 func (s *Scheduler) SetPeers(now time.Duration, peers []Peer) {
 	s.allow.refill(now)
 	s.known = s.known[:0]
@@ -192,9 +196,8 @@
 	s.topologyStale = true
 }
 
-// scheduleNew spreads the first heartbeats to new peers over a period by hash
-// of the link. Guards against entries that start together and all tell the
-// same peer first.
+// scheduleNew spreads the first heartbeats to new peers over a period by a hash of the link. This
+// guards against entries that start together and all send to the same peer first.
 func (s *Scheduler) scheduleNew(now time.Duration) {
 	for _, id := range s.order {
 		p := s.peers[id]
@@ -207,7 +210,7 @@
 	}
 }
 
-// addPeer adds a peer, or returns nil where links are held with MaxPeers.
+// addPeer adds a peer, or returns nil if there are already MaxPeers.
 func (s *Scheduler) addPeer(p Peer) *peer {
 	slot := slices.Index(s.slots[:], false)
 	if slot < 0 {
@@ -238,7 +241,7 @@
 	s.order = slices.Delete(s.order, at, at+1)
 }
 
-// period is the time between heartbeats to a peer.
+// period returns the time between heartbeats to a peer.
 func (s *Scheduler) period(p *peer) time.Duration {
 	if p.kind == linkRegion {
 		return s.cfg.SummaryEvery
@@ -246,36 +249,39 @@
 	return s.heartbeatInterval
 }
 
-// nextHeartbeat spreads heartbeats: up to an eighth of a period early, by hash
-// of the link and the message, so that links drift apart.
+// nextHeartbeat returns when the next heartbeat to a peer is due: up to an eighth of a period
+// early, by a hash of the link and the message, so that the heartbeats of different links spread
+// out.
 func (s *Scheduler) nextHeartbeat(now time.Duration, p *peer) time.Duration {
 	period := s.period(p)
 	share := float64(assign.Score(s.cfg.Self^s.sequence, p.incarnation)>>11) / (1 << 53)
 	return now + period - time.Duration(share*float64(period)/8)
 }
 
-// urgency is why a message is due; a higher one goes first.
+// urgency is why a message is due; a message with higher urgency is sent first.
 type urgency uint8
 
 const (
 	notDue urgency = iota
 	dueLoadReports
-	// dueRedundant: it should have heard from others what this entry has not told it.
+	// dueRedundant: the peer should have received from other entries what this entry has not sent
+	// it.
 	dueRedundant
-	// dueRecords: records, which it hears from nobody else first. Where hundreds of entries
-	// start, one by one they would take the whole bound in headers; whoever misses one pulls it.
+	// dueRecords: records that the peer receives first from this entry. When hundreds of entries
+	// start, sending their records one by one would use the whole budget for headers; an entry that
+	// misses a record pulls it.
 	dueRecords
 	dueHeartbeat
-	// dueRevisions: revisions, which it hears from nobody else first.
+	// dueRevisions: revisions that the peer receives first from this entry.
 	dueRevisions
-	// dueEvidence: the same with evidence.
+	// dueEvidence: evidence that the peer receives first from this entry.
 	dueEvidence
-	// dueOverdue: a heartbeat that is late by half a period goes before
-	// everything, so that a flood of news never looks like a dead entry.
+	// dueOverdue: a heartbeat that is late by half a period precedes all other messages, so that a
+	// flood of evidence never makes this entry look dead.
 	dueOverdue
 )
 
-// floor is the share of the bound that a message leaves for others.
+// floor returns the share of a full budget that a message leaves for more urgent ones.
 func (u urgency) floor() float64 {
 	switch u {
 	case dueLoadReports:
@@ -288,7 +294,7 @@
 	return 0
 }
 
-// due says why a message to a peer is due, if it is.
+// due returns why a message to a peer is due, or notDue.
 func (s *Scheduler) due(now time.Duration, p *peer) urgency {
 	if p.inFlight || now < p.retryAt || p.kind == linkInbound {
 		return notDue
@@ -312,7 +318,8 @@
 	return notDue
 }
 
-// revisionsDue reports whether a finger hears first from this entry what came into force.
+// revisionsDue reports whether a finger should receive the revisions in force first from this
+// entry.
 func (s *Scheduler) revisionsDue(p *peer) bool {
 	if !p.ackedRevisions.behind(s.state) {
 		return false
@@ -320,7 +327,7 @@
 	return p.kind == linkRegion || p.distance < s.revisionReach
 }
 
-// updateLagging reports whether the peer lacks news of s, and notes since when.
+// updateLagging reports whether the peer lacks revisions of s, and records since when.
 func (p *peer) updateLagging(now time.Duration, s State) bool {
 	was := p.lagging
 	p.lagging = p.ackedRevisions.behind(s)
@@ -330,11 +337,12 @@
 	return p.lagging
 }
 
-// redundantDue reports whether a finger is to be told what it should have heard from others. What
-// it says to that tells whether it has, but only while nothing new comes in: so it waits for
-// that, up to a limit. Fingers in other failure domains say so to the next heartbeat, or are told
-// at the limits: a question to each of them for each piece of news would be most of the bytes
-// between domains. Profiles are worth it, since they change rarely and have to be in force soon.
+// redundantDue reports whether a finger is to receive what it should have received from other
+// entries. Its ack shows whether it already has the evidence, but only while nothing new arrives,
+// so this entry waits for a quiet moment, up to a limit. Fingers in other failure domains show it
+// in the ack of the next heartbeat, or get the evidence at the limit: asking each of them about
+// each change would cause most of the traffic between domains. Profiles are worth that cost, since
+// they change rarely and have to be in force soon.
 func (s *Scheduler) redundantDue(now time.Duration, p *peer) bool {
 	if p.updateLagging(now, s.state) {
 		asks := p.sameDomain || p.ackedRevisions.profiles < s.state.Profiles.Revision
@@ -349,8 +357,8 @@
 	return p.sameDomain && now >= quiet && p.sentAt < quiet || now-max(p.pendingSince, p.sentAt) >= maxEvidenceWait
 }
 
-// bytesNeeded is what the message that a peer is due to takes of the bound, its news included. A
-// message without them would leave the peer due, and the bound spent on headers.
+// bytesNeeded returns the size of the message that is due to a peer, including its evidence. A
+// message sent without the evidence would leave the peer due and spend the budget on headers.
 func (s *Scheduler) bytesNeeded(p *peer, u urgency) int {
 	size := heartbeatBytes
 	if u == dueEvidence {
@@ -363,16 +371,16 @@
 	return size
 }
 
-// duePeer is a peer with why it is due.
+// duePeer is a peer and the reason why a message to it is due.
 type duePeer struct {
 	peer    *peer
 	urgency urgency
 }
 
-// Due appends the peers to whom a message is due to out, the most urgent
-// first; the caller then calls Compose for each. Of peers that wait alike, the
-// farthest on the ring comes first: most entries depend on it, and it is another
-// one for each entry. Messages without an ack for too long count as lost.
+// Due appends the peers to which a message is due to out, the most urgent first; the caller then
+// calls Compose for each. Among peers with the same urgency and due time the farthest on the ring
+// comes first: most entries depend on it, and it differs from entry to entry. Messages without an
+// ack after inFlightLimit count as lost.
 func (s *Scheduler) Due(now time.Duration, out []uint64) []uint64 {
 	s.refreshTopology()
 	s.allow.refill(now)
@@ -403,7 +411,8 @@
 	for _, d := range found {
 		need := s.bytesNeeded(d.peer, d.urgency)
 		if !s.allow.covers(spent+need, d.urgency.floor()) {
-			// What is worth less and would fit waits too, or the bound never covers this.
+			// Less important messages that would fit wait too; otherwise the budget never suffices
+			// for this one.
 			break
 		}
 		spent += need
@@ -412,7 +421,7 @@
 	return out
 }
 
-// dueSince is since when a peer has waited for a message of this urgency.
+// dueSince returns since when a message of this urgency has been due to a peer.
 func (p *peer) dueSince(u urgency) time.Duration {
 	switch u {
 	case dueLoadReports:
--- a/internal/core/gossip/size.go
+++ b/internal/core/gossip/size.go
@@ -10,29 +10,29 @@
 // with what package peer/wire makes of a message: an endpoint is named once on a
 // link, and what did not change is left out.
 const (
-	// messageOverhead is what a call on an open link costs beside its body:
-	// the headers of three packets and of request and response.
+	// messageOverhead is the cost of a call on an open link beyond its body: the headers of three
+	// packets and of request and response.
 	messageOverhead = 200
-	// updateBytes is an update without evidence and sightings whose marks the
-	// peer was told before, marksBytes what changed marks add.
+	// updateBytes is the size of an update without evidence and load reports whose marks the peer
+	// already has. marksBytes is the additional size of changed marks.
 	updateBytes = 60
 	marksBytes  = 50
-	// evidenceBytes come on top of the VM's name.
+	// evidenceBytes is the size of a piece of evidence beyond the VM's name.
 	evidenceBytes = 24
-	// contentBytes is what evidence of a request, or of a limit, has besides.
+	// contentBytes is the additional size of evidence about a request or a limit.
 	contentBytes = 27
-	// loadReportBytes is an endpoint's load; nameBytes and the name are added the
-	// first time that a link names the endpoint.
+	// loadReportBytes is the size of an endpoint's load report. nameBytes and the name are added
+	// the first time that a link names the endpoint.
 	loadReportBytes = 12
-	// recordBytes is an entry's record beside its texts.
+	// recordBytes is the size of an entry's record beyond its texts.
 	recordBytes = 48
 	nameBytes   = 16
 
 	heartbeatBytes = messageOverhead + updateBytes
 )
 
-// Size returns an upper bound of what sending u costs in bytes on a link that
-// has named its endpoints and told its marks.
+// Size returns an upper bound of the bytes that sending u costs on a link that has already sent its
+// endpoints' names and its marks.
 func Size(u *message.Update) int {
 	size := heartbeatBytes + loadReportBytes*len(u.LoadReports)
 	for i := range u.Evidence {
@@ -56,8 +56,8 @@
 	return recordBytes + len(r.Name) + len(r.Region) + len(r.Domain) + len(r.CallerAddress) + len(r.PeerAddress)
 }
 
-// firstUseBytes returns what u costs beyond Size: marks and endpoints that the peer
-// has not been told yet. It must be asked before they are noted as told.
+// firstUseBytes returns the cost of u beyond Size: marks and endpoint names that the peer has not
+// received yet. Call it before noteNamed and before the marks are recorded as sent.
 func (p *peer) firstUseBytes(u *message.Update) int {
 	extra := 0
 	if p.ackedRevisions.profiles != u.Profiles.Revision || p.ackedRevisions.vms != u.VMs.Revision {
@@ -69,7 +69,7 @@
 	return extra
 }
 
-// namingBytes returns what it costs to name the endpoint of a sighting.
+// namingBytes returns the cost of naming the endpoint of a load report.
 func (p *peer) namingBytes(g *message.LoadReport) int {
 	last, known := p.named[g.Endpoint]
 	if known && last == g.Incarnation {
@@ -78,7 +78,7 @@
 	return nameBytes + len(g.Endpoint)
 }
 
-// noteNamed notes that the link has named the endpoints of u.
+// noteNamed records that the link has named the endpoints of u.
 func (p *peer) noteNamed(u *message.Update) {
 	if len(p.named) > maxTracked {
 		clear(p.named)
@@ -88,9 +88,8 @@
 	}
 }
 
-// allowance is a pair of token buckets, for bytes and for messages. Each holds
-// burst seconds' worth, so any span of t seconds costs at most t+burst seconds'
-// worth.
+// allowance is a pair of token buckets, one for bytes and one for messages. Each holds
+// burstSeconds' worth, so any span of t seconds costs at most t+burstSeconds seconds' worth.
 type allowance struct {
 	bytes, messages         float64
 	bytesRate, messagesRate float64
@@ -120,7 +119,7 @@
 	return a.room(floor) >= float64(size) && a.messages-1 >= floor*burstSeconds*a.messagesRate
 }
 
-// room returns how many bytes are left above floor.
+// room returns how many bytes are available above floor.
 func (a *allowance) room(floor float64) float64 { return a.bytes - floor*burstSeconds*a.bytesRate }
 
 func (a *allowance) take(size int) {
--- a/internal/core/gossip/stats.go
+++ b/internal/core/gossip/stats.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// lateEvidence is the age from which on a piece of evidence counts as learned late: below it lies
-// what a sound fleet of hundreds of entries takes.
+// lateEvidence is the age from which newly learned evidence counts as late. In a healthy fleet of
+// hundreds of entries evidence arrives sooner.
 const lateEvidence = time.Second
 
-// Stats tell how news gets through.
+// Stats describes how evidence spreads.
 type Stats struct {
-	// Learned counts the evidence learned from peers, Copies what they told of it again, and
-	// Late the pieces that were learned more than a second after they were first told.
+	// Learned counts the evidence learned from peers, Duplicates the evidence that peers sent
+	// again, and Late the evidence that was learned more than a second after it was first reported.
 	Learned, Duplicates, Late uint64
-	// Stored is how much evidence this entry holds.
+	// Stored is how much evidence this entry has.
 	Stored int
-	// Pending is how much evidence this entry has yet to pass on to its fingers, and Room the
-	// share of the bound on bytes that is saved up.
+	// Pending is how much evidence this entry has yet to pass on to its fingers, and Room the share
+	// of the byte budget that is saved up.
 	Pending int
 	Room    float64
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counts so far.
 func (s *Scheduler) Stats() Stats {
 	stats := s.stats
 	stats.Stored = len(s.log.stored)
@@ -32,7 +32,7 @@
 	return stats
 }
 
-// count notes evidence that a peer told, of this age in milliseconds.
+// count records evidence received from a peer with the given age in milliseconds.
 func (s *Stats) count(known bool, ageMillis uint32) {
 	switch {
 	case known:
--- a/internal/core/gossip/topology.go
+++ b/internal/core/gossip/topology.go
@@ -14,46 +14,47 @@
 	Region      string
 	// Domain is its failure domain.
 	Domain string
-	// Shares: it serves a service that this entry serves too.
+	// Shares reports whether the entry serves a service that this entry serves too.
 	Shares bool
-	// Suspected entries get heartbeats, so that they are heard again, but news
-	// is not passed through them.
+	// Suspected entries get heartbeats, so that their answers can end the suspicion, but changes
+	// are not passed on through them.
 	Suspected bool
 }
 
-// linkKind is how this entry talks to a peer.
+// linkKind is how this entry uses the link to a peer.
 type linkKind uint8
 
 const (
-	// linkInbound: it tells this entry, which tells it nothing, but asks it for what it holds.
+	// linkInbound: the peer sends to this entry, which only pulls records and revisions from it.
 	linkInbound linkKind = iota
-	// linkMesh: same region, heartbeats and sightings.
+	// linkMesh: a peer in the same region; carries heartbeats and load reports.
 	linkMesh
-	// linkRegion: another region, summaries.
+	// linkRegion: a peer in another region; carries summaries.
 	linkRegion
 )
 
-// maxMesh is up to how many other entries of its region an entry talks to all of them. In a
-// larger fleet it talks to its fingers, so that links, heartbeats and the time until silence
-// shows grow with the logarithm of the fleet: 14 peers are told every 1.2 s within the bound, 24
-// only every 2 s.
+// maxMesh is the largest number of other entries in its region for which an entry sends heartbeats
+// to all of them. In a larger fleet it sends to its fingers, so that the number of links, the
+// heartbeat traffic and the time to detect silence grow with the logarithm of the fleet: within the
+// budget, 14 peers get a heartbeat every 1.2 s, but 24 peers only every 2 s.
 const maxMesh = 14
 
-// linksPerRegion is how many entries of a region talk to another region, and
-// to how many entries there. With two and two, each end may lose one.
+// linksPerRegion is how many entries of a region keep links to another region, and to how many
+// entries there. With two and two, each end may lose one entry.
 const linksPerRegion = 2
 
-// remoteDistance is the ring distance of a peer in another region: beyond all others.
+// remoteDistance is the ring distance of a peer in another region: greater than all others.
 const remoteDistance = 1 << 30
 
-// failuresToSkip: a peer in another region that failed so often gives its
-// place to the next one.
+// failuresToSkip is the number of failures in a row after which a peer in another region is
+// replaced by the next candidate.
 const failuresToSkip = 3
 
-// ringPlace orders the entries of a region; all entries compute the same. Entries of a failure
-// domain lie together, since bytes between domains are dear: half of the steps of the tree go to
-// the next entry on the ring, a quarter to the one after it. In any order, two thirds of what 126
-// entries in three domains told each other left its domain.
+// ringPlace orders the entries of a region; all entries compute the same order. Entries of one
+// failure domain are adjacent, because traffic between domains is expensive: half of the steps of
+// the tree go to the next entry on the ring and a quarter to the one after it. When the order
+// ignored domains, two thirds of the bytes that 126 entries in three domains sent each other left
+// their domain.
 type ringPlace struct{ domain, entry uint64 }
 
 func placeOf(p Peer) ringPlace {
@@ -70,10 +71,10 @@
 	place ringPlace
 }
 
-// ringFrom returns members, which includes self, in ring order beginning with
-// self. The fingers of self are those at 1, 2, 4, … If each entry passes news
-// on to its fingers, it reaches all n after at most ceil(log2 n) steps; several
-// ways lead to each entry, so one that is lost costs steps, not the news.
+// ringFrom returns members, which includes self, in ring order beginning with self. The fingers of
+// self are at positions 1, 2, 4, … If each entry passes changes on to its fingers, a change reaches
+// all n entries after at most ceil(log2 n) steps. Several paths lead to each entry, so a lost
+// message costs additional steps but does not lose the change.
 func ringFrom(self uint64, members []ringMember) []uint64 {
 	slices.SortFunc(members, func(a, b ringMember) int { return a.place.compare(b.place) })
 	own := slices.IndexFunc(members, func(m ringMember) bool { return m.id == self })
@@ -93,20 +94,20 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// linkKey is the same for both directions between two regions.
+// linkKey returns the hash key of the links between two regions, the same for both directions.
 func linkKey(a, b string) uint64 {
 	return assign.Key("link", min(a, b)+"\x00"+max(a, b))
 }
 
-// topologyInterval is the shortest time between two changes of a larger fleet's links: far below the
-// seconds after which silence counts.
+// topologyInterval is the shortest time between two changes of a larger fleet's links. It is far
+// below the seconds of silence after which an entry is suspected.
 const topologyInterval = 100 * time.Millisecond
 
-// refreshTopology brings the topology up to date, once for any number of changes of peers.
+// refreshTopology recomputes the links after peers changed, once for any number of changes.
 //
-// In a fleet that starts or is replaced as a whole the neighbours change with each that comes,
-// and a link with each of them would cost more than it carries: a larger fleet settles once in
-// topologyInterval.
+// In a fleet that starts or is replaced as a whole, the neighbours change with each entry that
+// joins, and a link to each temporary neighbour would cost more than it carries. A larger fleet
+// therefore refreshes at most once per topologyInterval.
 func (s *Scheduler) refreshTopology() {
 	if s.topologyStale && (!s.relays || s.allow.at >= s.topologyAt+topologyInterval) {
 		s.topologyAt = s.allow.at
@@ -115,7 +116,7 @@
 	}
 }
 
-// setTopology decides with whom links are held and how each is used.
+// setTopology decides to which entries this entry keeps links and how it uses each of them.
 func (s *Scheduler) setTopology() {
 	s.version++
 	self := ringMember{s.cfg.Self, placeOf(Peer{Incarnation: s.cfg.Self, Domain: s.cfg.Domain})}
@@ -150,9 +151,10 @@
 	s.recountUrgent()
 }
 
-// localLinks returns the entries of this region to hold links with. Beside the fingers of the
-// ring these are those whose finger this entry is, and the fingers of the ring with the
-// suspected entries in it: two parts of a fleet that had lost each other meet by them.
+// localLinks returns the entries of this region to which this entry keeps links. Besides the
+// fingers on the ring of unsuspected entries these are the entries that have this one as a finger,
+// the entries that share a service, and the fingers on the ring that includes suspected entries:
+// through these, two parts of a fleet that had lost contact find each other again.
 func (s *Scheduler) localLinks(local []ringMember, ring []uint64) map[uint64]linkKind {
 	kinds := make(map[uint64]linkKind, len(local))
 	s.relays = len(local)-1 > maxMesh
@@ -182,16 +184,16 @@
 	return kinds
 }
 
-// senderTimeout is for how long a link is held with an entry that told this one something although
-// it need not, and maxSenders with how many of them: what it told of is asked of it. In a fleet
-// that starts, views differ so much that there would be one with nearly everybody.
+// senderTimeout is how long this entry keeps a link to an entry that sent to it although no link
+// requires it, and maxSenders to how many such entries: what they announced is pulled from them.
+// While a fleet starts, views differ so much that there would be links to nearly all entries.
 const (
 	senderTimeout = 5 * time.Second
 	maxSenders    = 8
 )
 
-// addSenders adds the entries that tell this one something although they need not: their view
-// of the fleet differs.
+// addSenders adds the entries that send to this one although no link requires it: their view of the
+// fleet differs.
 func (s *Scheduler) addSenders(kinds map[uint64]linkKind) {
 	for id := range s.senders {
 		if _, linked := kinds[id]; linked {
@@ -202,7 +204,7 @@
 	}
 }
 
-// setLinks adds and removes peers so that they are those of kinds.
+// setLinks adds and removes peers to match kinds.
 func (s *Scheduler) setLinks(kinds map[uint64]linkKind) {
 	for _, id := range slices.Clone(s.order) {
 		if _, wanted := kinds[id]; !wanted {
@@ -232,7 +234,7 @@
 	s.scheduleNew(s.allow.at)
 }
 
-// setRingPlaces notes where on the ring the peers are, and which of them are fingers.
+// setRingPlaces records the ring distances of the peers and which of them are fingers.
 func (s *Scheduler) setRingPlaces(ring []uint64) {
 	for _, id := range s.order {
 		p := s.peers[id]
@@ -252,27 +254,28 @@
 	}
 }
 
-// Relays reports whether some entries of the region are told of by others only, since this one
-// does not talk to all of them.
+// Relays reports whether this entry learns about some entries of the region only through other
+// entries, because it does not keep links to all of them.
 func (s *Scheduler) Relays() bool { return s.relays }
 
-// Version grows with each change of the links that are held.
+// Version grows with each change of the links.
 func (s *Scheduler) Version() uint64 { return s.version }
 
-// Links appends the entries with which links are held to out.
+// Links appends the entries to which this entry keeps links to out.
 func (s *Scheduler) Links(out []uint64) []uint64 { return append(out, s.order...) }
 
-// Watches reports whether an entry is one to which this entry sends heartbeats, so that its
-// silence shows here.
+// Watches reports whether this entry sends heartbeats to an entry, so that it notices the entry's
+// silence.
 func (s *Scheduler) Watches(incarnation uint64) bool {
 	p := s.peers[incarnation]
 	return p != nil && p.kind == linkMesh
 }
 
-// HeartbeatInterval is how often each entry that is watched is told something.
+// HeartbeatInterval returns the time between heartbeats to each watched entry.
 func (s *Scheduler) HeartbeatInterval() time.Duration { return s.heartbeatInterval }
 
-// reachable returns the first entries that have not failed too often.
+// reachable returns the first entries of ranked that have failed fewer than failuresToSkip times in
+// a row, up to linksPerRegion.
 func (s *Scheduler) reachable(ranked []uint64) []uint64 {
 	var chosen []uint64
 	for _, id := range ranked {
@@ -283,9 +286,9 @@
 	return chosen
 }
 
-// regionLinks picks the entries of another region to talk to, if it is on this
-// entry to do so. One that keeps failing gives its place to the next one,
-// and the first ones are tried on, so that links return to them.
+// regionLinks picks the entries of another region to which this entry keeps links, if this entry is
+// one that links to that region. An entry that keeps failing is replaced by the next one, and the
+// first-ranked entries are still retried, so that links return to them.
 func (s *Scheduler) regionLinks(region string, live, remote []uint64) []uint64 {
 	key := linkKey(s.cfg.Region, region)
 	if !slices.Contains(topRanked(live, key, linksPerRegion), s.cfg.Self) {
@@ -294,8 +297,8 @@
 	ranked := topRanked(remote, key, len(remote))
 	chosen := s.reachable(ranked)
 	if len(chosen) < linksPerRegion {
-		// All were tried in vain: the regions have lost each other, or only
-		// those that were tried last are gone. Begin again.
+		// All candidates have failed: the regions have lost contact, or only the candidates tried
+		// last are gone. Start again from the first.
 		for _, id := range ranked {
 			delete(s.failed, id)
 		}
