--- a/internal/core/assign/assign.go
+++ b/internal/core/assign/assign.go
@@ -14,7 +14,7 @@
 // Readers returns the incarnations of the entries of a failure domain that
 // watch the platform for all others, best first; at most perDomain.
 func Readers(entries []Member, domain string, perDomain int) []uint64 {
-	return best(entries, domainOf, domain, Key(scopeReader, domain), perDomain)
+	return topScored(entries, domainOf, domain, Key(scopeReader, domain), perDomain)
 }
 
 // ReaderRank returns how many other entries of its failure domain are to read the platform for
@@ -36,7 +36,7 @@
 }
 
 // Domains returns the failure domains of entries, in order.
-func Domains(entries []Member) []string { return places(entries, domainOf) }
+func Domains(entries []Member) []string { return distinctPlaces(entries, domainOf) }
 
 // IsReader reports whether the entry self is among the readers of its own
 // failure domain. An entry that is not in entries reads: it does not know
@@ -71,19 +71,19 @@
 	key := Key(scopeService, service)
 	var chosen []uint64
 	if perDomain == 0 {
-		for _, region := range places(entries, regionOf) {
-			chosen = append(chosen, best(entries, regionOf, region, key, 1)...)
+		for _, region := range distinctPlaces(entries, regionOf) {
+			chosen = append(chosen, topScored(entries, regionOf, region, key, 1)...)
 		}
 		return chosen
 	}
-	for _, domain := range places(entries, domainOf) {
-		chosen = append(chosen, best(entries, domainOf, domain, key, perDomain)...)
+	for _, domain := range distinctPlaces(entries, domainOf) {
+		chosen = append(chosen, topScored(entries, domainOf, domain, key, perDomain)...)
 	}
 	return chosen
 }
 
-// places returns the places of the members in order, each once. They are few.
-func places(entries []Member, place func(Member) string) []string {
+// distinctPlaces returns the places of the members in order, each once. They are few.
+func distinctPlaces(entries []Member, place func(Member) string) []string {
 	var names []string
 	for i := range entries {
 		if name := place(entries[i]); !slices.Contains(names, name) {
@@ -98,10 +98,10 @@
 
 func regionOf(m Member) string { return m.Region }
 
-// best returns the incarnations of the n members at a place with the highest scores, best first.
+// topScored returns the incarnations of the n members at a place with the highest scores, best first.
 // It is asked for each service and failure domain whenever an entry comes or goes, with a small
 // n: ranking all members for that was a third of what 472 entries that start do.
-func best(entries []Member, place func(Member) string, name string, key uint64, n int) []uint64 {
+func topScored(entries []Member, place func(Member) string, name string, key uint64, n int) []uint64 {
 	var scores, chosen []uint64
 	for i := range entries {
 		if place(entries[i]) != name {
--- a/internal/core/assign/assign_test.go
+++ b/internal/core/assign/assign_test.go
@@ -25,7 +25,7 @@
 // A user would see connections and idempotency tables move all over the fleet
 // whenever one entry is replaced. When an entry goes, only its own work may
 // move; the order in which entries are known must not matter.
-func TestOnlyTheWorkOfAGoneEntryMoves(t *testing.T) {
+func TestOnlyWorkOfRemovedEntryMoves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(rt, "entries")
 		all := members(n, rapid.IntRange(1, 8).Draw(rt, "domains"))
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestDutiesAreSpread(t *testing.T) {
+func TestAssignmentsAreSpread(t *testing.T) {
 	all := members(60, 8)
 	probes, steered := map[uint64]int{}, map[uint64]int{}
 	for i := range 560 {
@@ -115,7 +115,7 @@
 
 // With perDomain 0 each region has one entry for a service, and an entry that
 // goes moves the services that it had and no others.
-func TestOneEntryOfARegion(t *testing.T) {
+func TestOneEntryPerRegionServesService(t *testing.T) {
 	var all []Member
 	for i := range uint64(12) {
 		all = append(all, Member{Incarnation: i + 1, Region: fmt.Sprint("r", i%2), Domain: fmt.Sprint("d", i%6)})
--- a/internal/core/assign/fetch.go
+++ b/internal/core/assign/fetch.go
@@ -38,13 +38,13 @@
 	retryAt  time.Duration
 	failures int
 	attempt  int
-	asking   bool
-	// quietUntil: callers' hints are ignored before this time.
-	quietUntil time.Duration
+	fetching bool
+	// hintsIgnoredUntil: callers' hints are ignored before this time.
+	hintsIgnoredUntil time.Duration
 }
 
-// want asks for a revision as soon as no fetch is under way.
-func (p *fetchPlan) want(now time.Duration, revision uint64) {
+// requestRevision asks for a revision as soon as no fetch is under way.
+func (p *fetchPlan) requestRevision(now time.Duration, revision uint64) {
 	if revision <= p.wanted {
 		return
 	}
@@ -55,20 +55,20 @@
 // addSource notes a peer that can give a later revision. A further peer is worth a
 // fetch after its patience, however the ones before it failed. Where there are many, a far
 // one makes room for a near one.
-func (p *fetchPlan) addSource(now time.Duration, revision uint64, h Source) {
+func (p *fetchPlan) addSource(now time.Duration, revision uint64, s Source) {
 	if revision > p.wanted {
 		p.wanted = revision
-		p.retryAt = now + h.Delay
+		p.retryAt = now + s.Delay
 	}
-	if slices.ContainsFunc(p.sources, func(known Source) bool { return known.Peer == h.Peer }) {
+	if slices.ContainsFunc(p.sources, func(known Source) bool { return known.Peer == s.Peer }) {
 		return
 	}
 	if len(p.sources) == maxSources {
 		out := max(0, slices.IndexFunc(p.sources, func(known Source) bool { return !known.Near }))
 		p.sources = slices.Delete(p.sources, out, out+1)
 	}
-	p.sources = append(p.sources, h)
-	p.retryAt = min(p.retryAt, now+h.Delay)
+	p.sources = append(p.sources, s)
+	p.retryAt = min(p.retryAt, now+s.Delay)
 }
 
 // Next returns whom to ask now, if anybody. The caller ends each fetch with
@@ -77,11 +77,11 @@
 func (t *Tracker) Next(now time.Duration, peers []uint64) (Fetch, bool) {
 	p := &t.plan
 	fresh := t.inForce.Revision == 0
-	if p.asking || now < p.retryAt || (!fresh && t.Wanted() == 0) {
+	if p.fetching || now < p.retryAt || (!fresh && t.Wanted() == 0) {
 		return Fetch{}, false
 	}
-	p.asking = true
-	f := Fetch{From: p.source(fresh, peers), After: t.settled()}
+	p.fetching = true
+	f := Fetch{From: p.source(fresh, peers), After: t.highestJudged()}
 	p.attempt++
 	return f, true
 }
@@ -92,7 +92,7 @@
 		if p.failures%platformEvery == platformEvery-1 {
 			return Platform
 		}
-		return p.sources[p.best(n)].Peer
+		return p.sources[p.sourceIndex(n)].Peer
 	}
 	if fresh && len(peers) > 0 && p.attempt%2 == 1 {
 		return peers[(p.attempt/2)%len(peers)]
@@ -100,11 +100,11 @@
 	return Platform
 }
 
-// best returns the index of the holder to ask: a near one at first, and after a failure
+// sourceIndex returns the index of the holder to ask: a near one at first, and after a failure
 // each in turn.
-func (p *fetchPlan) best(n int) int {
+func (p *fetchPlan) sourceIndex(n int) int {
 	if p.failures == 0 {
-		if near := slices.IndexFunc(p.sources, func(h Source) bool { return h.Near }); near >= 0 {
+		if near := slices.IndexFunc(p.sources, func(s Source) bool { return s.Near }); near >= 0 {
 			return near
 		}
 	}
@@ -115,49 +115,49 @@
 // What the source gave must have been offered and settled before.
 func (t *Tracker) Done(now time.Duration, f Fetch, answered bool, rng *rand.Rand) {
 	p := &t.plan
-	p.asking = false
+	p.fetching = false
 	fresh := t.inForce.Revision == 0
 	switch {
 	case !fresh && t.Wanted() == 0:
 		p.sources = p.sources[:0]
 		p.failures = 0
 	case answered:
-		p.denied(now, f, t)
+		p.handleMissing(now, f, t)
 		fallthrough
 	default:
 		p.failures++
 	}
-	p.retryAt = now + t.pause(rng)
+	p.retryAt = now + t.retryPause(rng)
 }
 
-// denied handles an answer without the wanted revision. A peer that does not
+// handleMissing handles an answer without the wanted revision. A peer that does not
 // hold it is asked no more. When the platform has not got it and no peer
 // claims to, the revision was a false hint.
-func (p *fetchPlan) denied(now time.Duration, f Fetch, t *Tracker) {
+func (p *fetchPlan) handleMissing(now time.Duration, f Fetch, t *Tracker) {
 	if f.From != Platform {
-		p.sources = slices.DeleteFunc(p.sources, func(h Source) bool { return h.Peer == f.From })
+		p.sources = slices.DeleteFunc(p.sources, func(s Source) bool { return s.Peer == f.From })
 		return
 	}
 	if len(p.sources) == 0 {
-		p.wanted = t.settled()
-		p.quietUntil = now + t.cfg.HintQuiet
+		p.wanted = t.highestJudged()
+		p.hintsIgnoredUntil = now + t.cfg.HintPause
 	}
 }
 
-// pauseJitter spreads retries of entries that failed together.
-const pauseJitter = 0.5
+// retryJitter spreads retries of entries that failed together.
+const retryJitter = 0.5
 
-// pause returns the time before the next fetch: doubling with each failure.
-func (t *Tracker) pause(rng *rand.Rand) time.Duration {
+// retryPause returns the time before the next fetch: doubling with each failure.
+func (t *Tracker) retryPause(rng *rand.Rand) time.Duration {
 	d := t.cfg.RetryBase << min(t.plan.failures, 16)
-	return jittered(min(d, t.cfg.RetryMax), pauseJitter, rng)
+	return jittered(min(d, t.cfg.RetryMax), retryJitter, rng)
 }
 
 // Pause notes that the process slept for gap until now. A fetch that was under
 // way is given up, and the platform's confirmation no longer counts. Guards
 // against a late wake-up that takes its old revision for the latest.
 func (t *Tracker) Pause(now, gap time.Duration) {
-	t.plan.asking = false
+	t.plan.fetching = false
 	t.plan.failures = max(t.plan.failures, platformEvery-1)
 	t.plan.retryAt = now
 	t.confirmed = false
--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -17,8 +17,8 @@
 
 // The verdicts on an offered revision.
 const (
-	// Adopt: later than the one in force; validate its text, then call Settle.
-	Adopt OfferResult = iota + 1
+	// Newer: later than the one in force; validate its text, then call Settle.
+	Newer OfferResult = iota + 1
 	// Same: it is in force already.
 	Same
 	// Stale: an older one than is in force, from a replica that lags. Not
@@ -32,9 +32,9 @@
 )
 
 // String returns the verdict as the audit trail shows it.
-func (v OfferResult) String() string {
-	switch v {
-	case Adopt:
+func (r OfferResult) String() string {
+	switch r {
+	case Newer:
 		return "adopt"
 	case Same:
 		return "same"
@@ -57,8 +57,8 @@
 	StartPeers int
 	// StartGrace is how long a fresh entry waits for that many.
 	StartGrace time.Duration
-	// HintQuiet is how long callers' hints are ignored after one was false.
-	HintQuiet time.Duration
+	// HintPause is how long callers' hints are ignored after one was false.
+	HintPause time.Duration
 	// AlwaysCurrent says that the platform never answers with an older revision than
 	// it gave anybody before. A fresh entry then needs no peers to confirm it.
 	AlwaysCurrent bool
@@ -70,7 +70,7 @@
 	defaultRetryMax   = 5 * time.Second
 	defaultStartPeers = 3
 	defaultStartGrace = 5 * time.Second
-	defaultHintQuiet  = 10 * time.Second
+	defaultHintPause  = 10 * time.Second
 )
 
 func (c TrackerConfig) withDefaults() TrackerConfig {
@@ -86,8 +86,8 @@
 	if c.StartGrace <= 0 {
 		c.StartGrace = defaultStartGrace
 	}
-	if c.HintQuiet <= 0 {
-		c.HintQuiet = defaultHintQuiet
+	if c.HintPause <= 0 {
+		c.HintPause = defaultHintPause
 	}
 	return c
 }
@@ -104,9 +104,9 @@
 	confirmedAt time.Duration
 	confirmed   bool
 
-	plan  fetchPlan
-	heard []uint64 // peers that told their revision, at most StartPeers
-	ready bool
+	plan      fetchPlan
+	reporters []uint64 // peers that told their revision, at most StartPeers
+	ready     bool
 }
 
 // NewTracker returns a tracker without a revision in force.
@@ -124,7 +124,7 @@
 // Wanted returns the latest revision that was mentioned and is neither in
 // force nor refused, or 0.
 func (t *Tracker) Wanted() uint64 {
-	if t.plan.wanted > t.settled() {
+	if t.plan.wanted > t.highestJudged() {
 		return t.plan.wanted
 	}
 	return 0
@@ -134,24 +134,24 @@
 // is its latest, and whether it ever did.
 func (t *Tracker) ConfirmedAt() (time.Duration, bool) { return t.confirmedAt, t.confirmed }
 
-// settled is the highest revision whose text was judged here.
-func (t *Tracker) settled() uint64 { return max(t.inForce.Revision, t.refused.Revision) }
+// highestJudged is the highest revision whose text was judged here.
+func (t *Tracker) highestJudged() uint64 { return max(t.inForce.Revision, t.refused.Revision) }
 
 // Offer judges a revision whose text came from source: Platform or a peer. It
 // changes nothing that is in force; after Adopt the caller validates the text
 // and calls Settle.
 func (t *Tracker) Offer(now time.Duration, m message.Mark, source uint64) OfferResult {
-	v := t.judge(m)
-	if source == Platform && (v == Same || v == Adopt || v == Refused) {
+	result := t.classify(m)
+	if source == Platform && (result == Same || result == Newer || result == Refused) {
 		t.confirm(now)
 	}
-	return v
+	return result
 }
 
-// judge compares a mark with what is in force. Guards against an older
+// classify compares a mark with what is in force. Guards against an older
 // replica of the platform and a peer that slept: both would show as profiles
 // that change back. Only a higher revision can pass, so neither can.
-func (t *Tracker) judge(m message.Mark) OfferResult {
+func (t *Tracker) classify(m message.Mark) OfferResult {
 	switch {
 	case m.Revision < t.inForce.Revision || m.Revision == 0:
 		return Stale
@@ -162,13 +162,13 @@
 	case m == t.refused:
 		return Refused
 	}
-	return Adopt
+	return Newer
 }
 
 // Settle records how validating an adopted text ended. It reports whether the
 // revision is now in force.
 func (t *Tracker) Settle(m message.Mark, accepted bool) bool {
-	if t.judge(m) != Adopt {
+	if t.classify(m) != Newer {
 		return false
 	}
 	if !accepted {
@@ -188,35 +188,35 @@
 	t.confirmedAt, t.confirmed = now, true
 }
 
-// Seen notes the revision that a peer holds. A later one than was judged here
+// NotePeerRevision notes the revision that a peer holds. A later one than was judged here
 // makes a fetch from that peer due after its patience.
-func (t *Tracker) Seen(now time.Duration, revision uint64, h Source) {
-	t.hear(h.Peer)
-	if revision > t.settled() {
-		t.plan.addSource(now, revision, h)
+func (t *Tracker) NotePeerRevision(now time.Duration, revision uint64, s Source) {
+	t.addReporter(s.Peer)
+	if revision > t.highestJudged() {
+		t.plan.addSource(now, revision, s)
 	}
 }
 
-// SeenByCaller notes the revision that a caller has seen in another entry's
+// NoteCallerRevision notes the revision that a caller has seen in another entry's
 // answer. It is a hint: when nobody has a later revision, callers' hints are
 // ignored for a time, so that a caller that makes them up costs few calls.
-func (t *Tracker) SeenByCaller(now time.Duration, revision uint64) {
-	if revision > t.settled() && now >= t.plan.quietUntil {
-		t.plan.want(now, revision)
+func (t *Tracker) NoteCallerRevision(now time.Duration, revision uint64) {
+	if revision > t.highestJudged() && now >= t.plan.hintsIgnoredUntil {
+		t.plan.requestRevision(now, revision)
 	}
 }
 
-// hear remembers that a peer told its revision.
-func (t *Tracker) hear(peer uint64) {
-	if len(t.heard) >= t.cfg.StartPeers {
+// addReporter remembers that a peer told its revision.
+func (t *Tracker) addReporter(peer uint64) {
+	if len(t.reporters) >= t.cfg.StartPeers {
 		return
 	}
-	for _, known := range t.heard {
+	for _, known := range t.reporters {
 		if known == peer {
 			return
 		}
 	}
-	t.heard = append(t.heard, peer)
+	t.reporters = append(t.reporters, peer)
 }
 
 // Ready reports whether this entry may serve: a revision is in force and
@@ -240,9 +240,9 @@
 	case t.Wanted() != 0:
 		return false, fmt.Sprintf("revision %s is in force but %s exists", published.RevisionText(t.inForce.Revision), published.RevisionText(t.Wanted()))
 	case t.cfg.AlwaysCurrent && t.confirmed:
-	case len(t.heard) < need && now-t.started < t.cfg.StartGrace:
-		return false, fmt.Sprintf("%d of %d peers have told their revision", len(t.heard), need)
-	case len(t.heard) == 0 && !t.confirmed:
+	case len(t.reporters) < need && now-t.started < t.cfg.StartGrace:
+		return false, fmt.Sprintf("%d of %d peers have told their revision", len(t.reporters), need)
+	case len(t.reporters) == 0 && !t.confirmed:
 		return false, "neither the platform nor a peer has confirmed the revision"
 	}
 	t.ready = true
--- a/internal/core/assign/tracker_test.go
+++ b/internal/core/assign/tracker_test.go
@@ -14,9 +14,9 @@
 	"pgregory.net/rapid"
 )
 
-// trackerCommand runs one line of a golden file: seconds, command, then key=value
+// runTrackerCommand runs one line of a golden file: seconds, command, then key=value
 // pairs and flags. Offers are validated at once, those marked bad are invalid.
-func trackerCommand(t *testing.T, tr *Tracker, rng *rand.Rand, fields []string) string {
+func runTrackerCommand(t *testing.T, tr *Tracker, rng *rand.Rand, fields []string) string {
 	seconds, _ := strconv.ParseFloat(fields[0], 64)
 	now := time.Duration(seconds * float64(time.Second))
 	args := make(map[string]uint64)
@@ -28,15 +28,15 @@
 	switch fields[1] {
 	case "offer":
 		m := message.Mark{Revision: args["rev"], Digest: args["digest"]}
-		verdict := tr.Offer(now, m, args["from"])
-		if verdict == Adopt {
+		result := tr.Offer(now, m, args["from"])
+		if result == Newer {
 			tr.Settle(m, !flag("bad"))
 		}
-		return fmt.Sprintf("%v, in force %d", verdict, tr.InForce().Revision)
+		return fmt.Sprintf("%v, in force %d", result, tr.InForce().Revision)
 	case "seen":
-		tr.Seen(now, args["rev"], Source{Peer: args["from"], Near: flag("near"), Delay: time.Duration(args["patience"]) * time.Millisecond})
+		tr.NotePeerRevision(now, args["rev"], Source{Peer: args["from"], Near: flag("near"), Delay: time.Duration(args["patience"]) * time.Millisecond})
 	case "caller":
-		tr.SeenByCaller(now, args["rev"])
+		tr.NoteCallerRevision(now, args["rev"])
 	case "next":
 		f, due := tr.Next(now, []uint64{31, 32})
 		if !due {
@@ -56,7 +56,7 @@
 	return ""
 }
 
-func TestTrackerSessions(t *testing.T) {
+func TestTrackerScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		tr := NewTracker(0, TrackerConfig{})
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -64,7 +64,7 @@
 			var b strings.Builder
 			for _, line := range strings.Split(d.Input, "\n") {
 				fields := strings.Fields(line)
-				if result := trackerCommand(t, tr, rng, fields); result != "" {
+				if result := runTrackerCommand(t, tr, rng, fields); result != "" {
 					fmt.Fprintf(&b, "%s %s: %s\n", fields[0], fields[1], strings.TrimSpace(result))
 				}
 			}
@@ -76,7 +76,7 @@
 // All entries start again after a loss of power. Each knows two peers that still start
 // and have told nothing. Where the platform never answers with an older revision, its
 // word is enough; where it may, or while a peer knows of a later one, the entry waits.
-func TestReadyOnThePlatformsWord(t *testing.T) {
+func TestReadyWhenPlatformConfirmsRevision(t *testing.T) {
 	for _, current := range []bool{false, true} {
 		tr := NewTracker(0, TrackerConfig{AlwaysCurrent: current})
 		m := message.Mark{Revision: 4, Digest: 1}
@@ -85,7 +85,7 @@
 		if ready, _ := tr.Ready(0, 2); ready {
 			t.Errorf("always current %v: ready on a peer's word while another has told nothing", current)
 		}
-		tr.Seen(0, 5, Source{Peer: 32})
+		tr.NotePeerRevision(0, 5, Source{Peer: 32})
 		tr.Offer(0, m, Platform)
 		if ready, _ := tr.Ready(0, 3); ready {
 			t.Errorf("always current %v: ready though a peer knows of a later revision", current)
@@ -116,7 +116,7 @@
 				tr.Offer(now, m, from)
 				tr.Settle(m, rapid.Bool().Draw(rt, "valid"))
 			case 2:
-				tr.Seen(now, m.Revision, Source{Peer: from})
+				tr.NotePeerRevision(now, m.Revision, Source{Peer: from})
 			case 3:
 				if f, due := tr.Next(now, []uint64{1, 2}); due {
 					tr.Done(now, f, rapid.Bool().Draw(rt, "answered"), rng)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -286,8 +286,8 @@
 func (c *Core) takeUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
 	f := &c.fleet
 	p.update, p.heard = *u, now
-	f.profiles.Seen(now, u.Profiles.Revision, c.sourceOf(u.From, f.profiles))
-	f.vms.Seen(now, u.VMs.Revision, c.sourceOf(u.From, f.vms))
+	f.profiles.NotePeerRevision(now, u.Profiles.Revision, c.sourceOf(u.From, f.profiles))
+	f.vms.NotePeerRevision(now, u.VMs.Revision, c.sourceOf(u.From, f.vms))
 	f.gossip.Received(now, u)
 	f.members.NoteVersion(u.From, u.Version)
 	c.applyChanges(now, f.members.Heard(now, u.From, u.State), "peer", out)
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -51,7 +51,7 @@
 		Revision: o.Mark.Revision,
 	}
 	switch t.Offer(now, o.Mark, o.Source) {
-	case assign.Adopt:
+	case assign.Newer:
 		c.putInForce(now, t, o, note, out)
 	case assign.Stale:
 		c.counters.StaleProfiles++
@@ -147,7 +147,7 @@
 	if c.state == message.EntryStarting || revision <= c.fleet.profiles.InForce().Revision {
 		return
 	}
-	c.fleet.profiles.SeenByCaller(now, revision)
+	c.fleet.profiles.NoteCallerRevision(now, revision)
 	c.fetchDue(now, out)
 }
 
