--- a/internal/core/assign/assign.go
+++ b/internal/core/assign/assign.go
@@ -4,21 +4,21 @@
 	"slices"
 )
 
-// The scopes of keys, one for each kind of work.
+// The scopes of hash keys, one for each kind of work.
 const (
 	scopeReader  = "reader"
 	scopeProbe   = "probe"
 	scopeService = "service"
 )
 
-// Readers returns the incarnations of the entries of a failure domain that
-// watch the platform for all others, best first; at most perDomain.
+// Readers returns the incarnations of up to perDomain entries of a failure domain that watch the
+// platform for all others, the highest score first.
 func Readers(entries []Member, domain string, perDomain int) []uint64 {
 	return topScored(entries, domainOf, domain, Key(scopeReader, domain), perDomain)
 }
 
-// ReaderRank returns how many other entries of its failure domain are to read the platform for
-// all others before the entry self is, or -1 if it is not in entries.
+// ReaderRank returns how many other entries of its failure domain precede the entry self as readers
+// of the platform, or -1 if self is not in entries.
 func ReaderRank(self uint64, entries []Member) int {
 	own := slices.IndexFunc(entries, func(m Member) bool { return m.Incarnation == self })
 	if own < 0 {
@@ -35,12 +35,11 @@
 	return rank
 }
 
-// Domains returns the failure domains of entries, in order.
+// Domains returns the failure domains of entries, sorted.
 func Domains(entries []Member) []string { return distinctPlaces(entries, domainOf) }
 
-// IsReader reports whether the entry self is among the readers of its own
-// failure domain. An entry that is not in entries reads: it does not know
-// enough of the fleet to rely on others.
+// IsReader reports whether the entry self is among the readers of its own failure domain. An entry
+// that is not in entries reads: it does not know enough of the fleet to rely on others.
 func IsReader(self uint64, entries []Member, perDomain int) bool {
 	return ReaderRank(self, entries) < perDomain
 }
@@ -59,14 +58,13 @@
 	return owner
 }
 
-// ServiceEntries returns the incarnations of the entries that callers of a
-// service are steered to: perDomain of each failure domain, ordered by domain
-// and then by score. An entry that comes or goes changes the answer only in
-// its own failure domain and only by itself and one other.
+// ServiceEntries returns the incarnations of the entries to which callers of a service are
+// directed: perDomain of each failure domain, ordered by domain and then by score. An entry that
+// joins or leaves changes the result only in its own failure domain, and only by itself and one
+// other entry.
 //
-// With perDomain 0 one entry of each region serves the service: a single place
-// that sees all its requests, for the price of a longer way for callers of the
-// other failure domains.
+// With perDomain 0, one entry of each region serves the service: a single place that sees all its
+// requests, at the price of a longer network path for callers in the other failure domains.
 func ServiceEntries(service string, entries []Member, perDomain int) []uint64 {
 	key := Key(scopeService, service)
 	var chosen []uint64
@@ -82,7 +80,7 @@
 	return chosen
 }
 
-// distinctPlaces returns the places of the members in order, each once. They are few.
+// distinctPlaces returns the distinct places of entries, sorted. There are few.
 func distinctPlaces(entries []Member, place func(Member) string) []string {
 	var names []string
 	for i := range entries {
@@ -98,9 +96,10 @@
 
 func regionOf(m Member) string { return m.Region }
 
-// topScored returns the incarnations of the n members at a place with the highest scores, best first.
-// It is asked for each service and failure domain whenever an entry comes or goes, with a small
-// n: ranking all members for that was a third of what 472 entries that start do.
+// topScored returns the incarnations of the n entries at a place with the highest scores, the
+// highest first. It is called for each service and failure domain whenever an entry joins or
+// leaves, with a small n: ranking all entries for it was a third of the work of 472 entries that
+// start.
 func topScored(entries []Member, place func(Member) string, name string, key uint64, n int) []uint64 {
 	var scores, chosen []uint64
 	for i := range entries {
--- a/internal/core/assign/assign_test.go
+++ b/internal/core/assign/assign_test.go
@@ -22,9 +22,9 @@
 	return slices.Delete(slices.Clone(list), at, at+1)
 }
 
-// A user would see connections and idempotency tables move all over the fleet
-// whenever one entry is replaced. When an entry goes, only its own work may
-// move; the order in which entries are known must not matter.
+// Guards against connections and idempotency tables that move all over the fleet whenever one entry
+// is replaced. When an entry leaves, only its own work may move; the order in which entries are
+// known does not matter.
 func TestOnlyWorkOfRemovedEntryMoves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(rt, "entries")
@@ -37,7 +37,7 @@
 			name := fmt.Sprint("name-", i)
 			before, after := ProbeOwner(all, name), ProbeOwner(left, name)
 			if before != all[gone].Incarnation && before != after {
-				rt.Fatalf("probes of %s moved from %d to %d", name, before, after)
+				rt.Fatalf("probing of %s moved from entry %d to entry %d", name, before, after)
 			}
 			was, is := ServiceEntries(name, all, per), ServiceEntries(name, left, per)
 			for _, id := range was {
@@ -52,7 +52,7 @@
 				}
 			}
 			if added > 1 {
-				rt.Fatalf("%s got %d other entries", name, added)
+				rt.Fatalf("%s got %d new entries, want at most 1", name, added)
 			}
 		}
 	})
@@ -75,9 +75,9 @@
 		}
 		return most
 	}
-	t.Logf("560 probes over 60 entries: at most %d; 368 places in services: at most %d", most(probes), most(steered))
+	t.Logf("560 probed endpoints on 60 entries: at most %d per entry; 368 service assignments: at most %d per entry", most(probes), most(steered))
 	if most(probes) > 25 || most(steered) > 16 {
-		t.Error("want at most 25 and 16")
+		t.Error("want at most 25 and 16 per entry")
 	}
 	readers := 0
 	for _, m := range all {
@@ -89,20 +89,20 @@
 		t.Errorf("%d readers in 8 failure domains, want 16", readers)
 	}
 	if !IsReader(7, all, 1) || !IsReader(100, all[:1], 1) {
-		t.Error("an entry that knows too little of the fleet must read")
+		t.Error("an entry that does not know enough of the fleet must read the platform")
 	}
 }
 
-// The platform would be overrun by a fleet that grows, or by one whose entries
-// know nobody else and each take themselves for alone.
+// Guards against too many calls to the platform by a fleet that grows, or by a fleet whose entries
+// know no other entry and each assume that they are alone.
 func TestCheckRateIsBounded(t *testing.T) {
 	limits := DefaultCheckLimits()
 	for _, c := range []struct{ known, fleet int }{{15, 15}, {60, 60}, {1, 60}, {600, 600}, {0, 600}} {
 		period := CheckPeriod(c.known, limits)
 		rate := float64(c.fleet*limits.Values) / period.Seconds()
-		t.Logf("%d entries that know %d: each every %v, %.0f calls/s", c.fleet, c.known, period, rate)
+		t.Logf("%d entries that know %d entries: each checks every %v, %.0f calls/s", c.fleet, c.known, period, rate)
 		if rate > 120 || period < limits.Shortest || period > limits.Longest {
-			t.Errorf("period %v, rate %.0f", period, rate)
+			t.Errorf("check period %v, fleet rate %.0f calls/s", period, rate)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -113,8 +113,8 @@
 	}
 }
 
-// With perDomain 0 each region has one entry for a service, and an entry that
-// goes moves the services that it had and no others.
+// With perDomain 0 one entry of each region serves a service, and when an entry leaves only the
+// services that it had move.
 func TestOneEntryPerRegionServesService(t *testing.T) {
 	var all []Member
 	for i := range uint64(12) {
--- a/internal/core/assign/fetch.go
+++ b/internal/core/assign/fetch.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Fetch names whom to ask for a later revision.
+// Fetch says where to fetch a newer revision.
 type Fetch struct {
 	// From is Platform or the incarnation of a peer.
 	From uint64
-	// After: only a later revision is of use.
+	// After is the revision above which a revision is useful.
 	After uint64
 }
 
-// Source is a peer that said that it holds a revision.
+// Source is a peer that reported that it has a revision.
 type Source struct {
 	Peer uint64
-	// Near says that it is to be asked before others: bytes between failure domains are
-	// dear, and the peers of one domain mostly learn of a revision at the same time.
+	// Near sources are asked before others: traffic between failure domains is expensive, and the
+	// peers of one domain mostly learn of a revision at the same time.
 	Near bool
-	// Delay is how long to wait for a better source before it is asked.
+	// Delay is how long to wait for a better source before this one is asked.
 	Delay time.Duration
 }
 
-// maxSources bounds how many peers that hold a later revision are remembered.
+// maxSources bounds how many peers with a newer revision are remembered.
 const maxSources = 4
 
-// platformEvery: while peers hold a later revision, every third fetch in a row that
-// brings nothing asks the platform instead, in case they cannot be reached.
+// platformEvery makes every third fetch in a row without a result ask the platform while there are
+// sources, in case they cannot be reached.
 const platformEvery = 3
 
-// fetchPlan is when and whom to ask next.
+// fetchPlan decides when to fetch next, and from where.
 type fetchPlan struct {
 	wanted   uint64
-	sources  []Source // peers that said they hold a later revision
+	sources  []Source // peers that reported a newer revision
 	retryAt  time.Duration
 	failures int
 	attempt  int
 	fetching bool
-	// hintsIgnoredUntil: callers' hints are ignored before this time.
+	// hintsIgnoredUntil is the time before which callers' hints are ignored.
 	hintsIgnoredUntil time.Duration
 }
 
-// requestRevision asks for a revision as soon as no fetch is under way.
+// requestRevision makes a fetch due as soon as none is under way.
 func (p *fetchPlan) requestRevision(now time.Duration, revision uint64) {
 	if revision <= p.wanted {
 		return
@@ -52,9 +52,9 @@
 	p.retryAt = now
 }
 
-// addSource notes a peer that can give a later revision. A further peer is worth a
-// fetch after its patience, however the ones before it failed. Where there are many, a far
-// one makes room for a near one.
+// addSource adds a peer that can provide a newer revision. An additional source makes a fetch due
+// after its delay, whatever failures preceded it. When the list is full, the new source replaces
+// the first one that is not near.
 func (p *fetchPlan) addSource(now time.Duration, revision uint64, s Source) {
 	if revision > p.wanted {
 		p.wanted = revision
@@ -71,9 +71,9 @@
 	p.retryAt = min(p.retryAt, now+s.Delay)
 }
 
-// Next returns whom to ask now, if anybody. The caller ends each fetch with
-// Done; until then no other one is due. peers are the entries that can be
-// reached, which a fresh entry asks in turn with the platform.
+// Next returns the fetch that is due now, if any. The caller ends each fetch with Done; until then
+// no other fetch is due. peers are the reachable entries, which a fresh entry asks alternately with
+// the platform.
 func (t *Tracker) Next(now time.Duration, peers []uint64) (Fetch, bool) {
 	p := &t.plan
 	fresh := t.inForce.Revision == 0
@@ -86,7 +86,7 @@
 	return f, true
 }
 
-// source picks whom to ask in this attempt.
+// source picks the source for this attempt.
 func (p *fetchPlan) source(fresh bool, peers []uint64) uint64 {
 	if n := len(p.sources); n > 0 {
 		if p.failures%platformEvery == platformEvery-1 {
@@ -100,8 +100,8 @@
 	return Platform
 }
 
-// sourceIndex returns the index of the holder to ask: a near one at first, and after a failure
-// each in turn.
+// sourceIndex returns the index of the source to ask: a near one at first, and each in turn after a
+// failure.
 func (p *fetchPlan) sourceIndex(n int) int {
 	if p.failures == 0 {
 		if near := slices.IndexFunc(p.sources, func(s Source) bool { return s.Near }); near >= 0 {
@@ -111,8 +111,8 @@
 	return p.attempt % n
 }
 
-// Done ends a fetch. answered is false when the source could not be reached.
-// What the source gave must have been offered and settled before.
+// Done ends a fetch. answered is false when the source could not be reached. The caller offers and
+// settles what the source returned before it calls Done.
 func (t *Tracker) Done(now time.Duration, f Fetch, answered bool, rng *rand.Rand) {
 	p := &t.plan
 	p.fetching = false
@@ -130,9 +130,9 @@
 	p.retryAt = now + t.retryPause(rng)
 }
 
-// handleMissing handles an answer without the wanted revision. A peer that does not
-// hold it is asked no more. When the platform has not got it and no peer
-// claims to, the revision was a false hint.
+// handleMissing handles an answer without the wanted revision. A peer that does not have it is
+// removed from the sources. When the platform does not have it and no peer reports it, the revision
+// was a false hint.
 func (p *fetchPlan) handleMissing(now time.Duration, f Fetch, t *Tracker) {
 	if f.From != Platform {
 		p.sources = slices.DeleteFunc(p.sources, func(s Source) bool { return s.Peer == f.From })
@@ -144,18 +144,18 @@
 	}
 }
 
-// retryJitter spreads retries of entries that failed together.
+// retryJitter spreads the retries of entries that failed together.
 const retryJitter = 0.5
 
-// retryPause returns the time before the next fetch: doubling with each failure.
+// retryPause returns the time before the next fetch, which doubles with each failure.
 func (t *Tracker) retryPause(rng *rand.Rand) time.Duration {
 	d := t.cfg.RetryBase << min(t.plan.failures, 16)
 	return jittered(min(d, t.cfg.RetryMax), retryJitter, rng)
 }
 
-// Pause notes that the process slept for gap until now. A fetch that was under
-// way is given up, and the platform's confirmation no longer counts. Guards
-// against a late wake-up that takes its old revision for the latest.
+// Pause records that the process slept for gap until now. A fetch that was under way is given up,
+// and the platform's confirmation no longer counts. This guards against a late wake-up after which
+// the entry takes its old revision for the latest.
 func (t *Tracker) Pause(now, gap time.Duration) {
 	t.plan.fetching = false
 	t.plan.failures = max(t.plan.failures, platformEvery-1)
--- a/internal/core/assign/hash.go
+++ b/internal/core/assign/hash.go
@@ -1,12 +1,11 @@
-// Package assign divides work among entries without an election: who reads the
-// platform, who probes an endpoint, which entries serve a service. Every entry
-// computes the same division from the entries that it knows. Two entries that
-// know different entries overlap or leave a gap for as long as they differ; an
-// overlap costs calls, and each entry's own slow check closes a gap.
+// Package assign divides work among entries without an election: which entries read the platform,
+// which entry probes an endpoint, which entries serve a service. Every entry computes the same
+// division from the entries that it knows. Two entries that know different entries compute
+// divisions with overlaps or gaps for as long as they differ; an overlap costs calls, and each
+// entry's own slow check closes a gap.
 //
-// The package also tracks the revision in force of a published value.
-// Everything here is pure: time is passed in as the duration since the process
-// started. Nothing is safe for concurrent use.
+// The package also tracks the revision in force of a published value. Everything here is pure: time
+// is passed in as the duration since the process started. Nothing is safe for concurrent use.
 package assign
 
 import (
@@ -20,14 +19,14 @@
 	Domain      string
 }
 
-// Key hashes a text for use with Score. The scope keeps different kinds of
-// work apart, so that one entry is not first in all of them.
+// Key hashes a text for use with Score. The scope separates kinds of work, so that the same entry
+// is not first in all of them.
 func Key(scope, text string) uint64 {
 	return mix(xxhash.Sum64String(scope)) ^ xxhash.Sum64String(text)
 }
 
-// Score is the rendezvous score of an entry for a key. The entry with the
-// highest score does the work; when it goes, only its own work moves.
+// Score returns the rendezvous score of an entry for a key. The entry with the highest score does
+// the work; when an entry leaves, only its own work moves.
 func Score(key, incarnation uint64) uint64 {
 	return mix(key ^ mix(incarnation))
 }
--- a/internal/core/assign/period.go
+++ b/internal/core/assign/period.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// CheckLimits bounds how often entries read the platform beside the readers'
-// watches.
+// CheckLimits bounds how often entries read the platform in addition to the readers' watches.
 type CheckLimits struct {
-	// Shortest is the shortest time between two checks of one entry. It bounds
-	// the fleet's rate whatever an entry believes of the fleet's size.
+	// Shortest is the shortest time between two checks of one entry. It bounds the fleet's rate
+	// even when an entry is wrong about the fleet's size.
 	Shortest time.Duration
-	// Longest bounds how long a wrong belief can last.
+	// Longest is the longest time between two checks, and so bounds how long an entry has wrong
+	// data.
 	Longest time.Duration
-	// FleetRate is how many calls a second all checks together should make.
+	// FleetRate is the target rate of all checks together, in calls per second.
 	FleetRate float64
 	// Values is how many published values one check reads.
 	Values int
 }
 
-// DefaultCheckLimits keep all checks together at 20 calls/s, 1 % of what the
-// platform bears.
+// DefaultCheckLimits keeps all checks together at 20 calls/s, 1 % of the platform's capacity.
 func DefaultCheckLimits() CheckLimits {
 	return CheckLimits{Shortest: 10 * time.Second, Longest: 2 * time.Minute, FleetRate: 20, Values: 2}
 }
@@ -40,8 +39,8 @@
 // checkJitter is the share of a period by which a check may come early or late.
 const checkJitter = 0.25
 
-// NextCheck returns when to check next, a quarter of the period early or late
-// at random, so that entries that started together do not read together.
+// NextCheck returns when to check next, up to a quarter of the period early or late at random, so
+// that entries that started together do not read together.
 func NextCheck(now, period time.Duration, rng *rand.Rand) time.Duration {
 	return now + jittered(period, checkJitter, rng)
 }
--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -8,30 +8,30 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Platform is the source of what the platform itself answered; any other
-// source is the incarnation of a peer.
+// Platform is the source number of the platform itself; any other source is the incarnation of a
+// peer.
 const Platform uint64 = 0
 
 // OfferResult is what to do with an offered revision.
 type OfferResult uint8
 
-// The verdicts on an offered revision.
+// The results of an offer.
 const (
-	// Newer: later than the one in force; validate its text, then call Settle.
+	// Newer: the revision is newer than the one in force; validate its text, then call Settle.
 	Newer OfferResult = iota + 1
-	// Same: it is in force already.
+	// Same: the revision is already in force.
 	Same
-	// Stale: an older one than is in force, from a replica that lags. Not
-	// adopted; the audit trail should say so.
+	// Stale: the revision is older than the one in force, from a replica that lags. It is not put
+	// in force; the audit trail should record it.
 	Stale
-	// Conflict: the revision in force with another text. Not adopted; the audit
-	// trail should say so.
+	// Conflict: the revision in force with another text. It is not put in force; the audit trail
+	// should record it.
 	Conflict
-	// Refused: its text was found invalid before.
+	// Refused: the revision's text was found invalid before.
 	Refused
 )
 
-// String returns the verdict as the audit trail shows it.
+// String returns the result as the audit trail shows it.
 func (r OfferResult) String() string {
 	switch r {
 	case Newer:
@@ -50,21 +50,20 @@
 
 // TrackerConfig bounds a Tracker. Zero fields take defaults.
 type TrackerConfig struct {
-	// RetryBase and RetryMax bound the times between fetches that fail.
+	// RetryBase and RetryMax bound the time between failed fetches.
 	RetryBase, RetryMax time.Duration
-	// StartPeers is how many peers must have told their revision before a
-	// fresh entry is ready.
+	// StartPeers is how many peers must have reported their revision before a fresh entry is ready.
 	StartPeers int
-	// StartGrace is how long a fresh entry waits for that many.
+	// StartGrace is how long a fresh entry waits for StartPeers reports.
 	StartGrace time.Duration
-	// HintPause is how long callers' hints are ignored after one was false.
+	// HintPause is how long callers' hints are ignored after a false one.
 	HintPause time.Duration
-	// AlwaysCurrent says that the platform never answers with an older revision than
-	// it gave anybody before. A fresh entry then needs no peers to confirm it.
+	// AlwaysCurrent says that the platform never answers with an older revision than it gave any
+	// reader before. A fresh entry then needs no peers to confirm the revision.
 	AlwaysCurrent bool
 }
 
-// The defaults of TrackerConfig.
+// Defaults of TrackerConfig.
 const (
 	defaultRetryBase  = 100 * time.Millisecond
 	defaultRetryMax   = 5 * time.Second
@@ -92,20 +91,20 @@
 	return c
 }
 
-// Tracker holds the revision in force of one published value and decides when
-// to fetch a later one. The revision in force never goes back.
+// Tracker tracks the revision in force of one published value and decides when to fetch a newer
+// one. The revision in force never decreases.
 type Tracker struct {
 	cfg     TrackerConfig
 	started time.Duration
 
 	inForce message.Mark
 	refused message.Mark
-	// confirmedAt is when the platform last said that inForce is its latest.
+	// confirmedAt is when the platform last confirmed that inForce is its latest revision.
 	confirmedAt time.Duration
 	confirmed   bool
 
 	plan      fetchPlan
-	reporters []uint64 // peers that told their revision, at most StartPeers
+	reporters []uint64 // peers that reported their revision, at most StartPeers
 	ready     bool
 }
 
@@ -114,15 +113,13 @@
 	return &Tracker{cfg: cfg.withDefaults(), started: now}
 }
 
-// InForce returns the mark of the revision in force; its Revision is 0 before
-// the first.
+// InForce returns the mark of the revision in force; its Revision is 0 before the first one.
 func (t *Tracker) InForce() message.Mark { return t.inForce }
 
 // LastRefused returns the mark of the latest text that was found invalid.
 func (t *Tracker) LastRefused() message.Mark { return t.refused }
 
-// Wanted returns the latest revision that was mentioned and is neither in
-// force nor refused, or 0.
+// Wanted returns the newest known revision that is neither in force nor refused, or 0.
 func (t *Tracker) Wanted() uint64 {
 	if t.plan.wanted > t.highestJudged() {
 		return t.plan.wanted
@@ -130,16 +127,15 @@
 	return 0
 }
 
-// ConfirmedAt returns when the platform last said that the revision in force
-// is its latest, and whether it ever did.
+// ConfirmedAt returns when the platform last confirmed that the revision in force is its latest,
+// and whether it ever did.
 func (t *Tracker) ConfirmedAt() (time.Duration, bool) { return t.confirmedAt, t.confirmed }
 
-// highestJudged is the highest revision whose text was judged here.
+// highestJudged returns the highest revision whose text was accepted or refused here.
 func (t *Tracker) highestJudged() uint64 { return max(t.inForce.Revision, t.refused.Revision) }
 
-// Offer judges a revision whose text came from source: Platform or a peer. It
-// changes nothing that is in force; after Adopt the caller validates the text
-// and calls Settle.
+// Offer classifies a revision whose text came from source, which is Platform or a peer. It does not
+// change the revision in force; after Newer the caller validates the text and calls Settle.
 func (t *Tracker) Offer(now time.Duration, m message.Mark, source uint64) OfferResult {
 	result := t.classify(m)
 	if source == Platform && (result == Same || result == Newer || result == Refused) {
@@ -148,9 +144,9 @@
 	return result
 }
 
-// classify compares a mark with what is in force. Guards against an older
-// replica of the platform and a peer that slept: both would show as profiles
-// that change back. Only a higher revision can pass, so neither can.
+// classify compares a mark with the revision in force. This guards against an older replica of the
+// platform and a peer that slept, which would change profiles back: only a higher revision can
+// pass.
 func (t *Tracker) classify(m message.Mark) OfferResult {
 	switch {
 	case m.Revision < t.inForce.Revision || m.Revision == 0:
@@ -165,8 +161,8 @@
 	return Newer
 }
 
-// Settle records how validating an adopted text ended. It reports whether the
-// revision is now in force.
+// Settle records the result of validating a newer text. It reports whether the revision is now in
+// force.
 func (t *Tracker) Settle(m message.Mark, accepted bool) bool {
 	if t.classify(m) != Newer {
 		return false
@@ -181,15 +177,15 @@
 	return true
 }
 
-// Confirm notes that a watch at the platform ended without a later revision.
+// Confirm records that a watch at the platform ended without a newer revision.
 func (t *Tracker) Confirm(now time.Duration) { t.confirm(now) }
 
 func (t *Tracker) confirm(now time.Duration) {
 	t.confirmedAt, t.confirmed = now, true
 }
 
-// NotePeerRevision notes the revision that a peer holds. A later one than was judged here
-// makes a fetch from that peer due after its patience.
+// NotePeerRevision records the revision that a peer has. If it is newer than any revision judged
+// here, a fetch from that peer becomes due after the source's delay.
 func (t *Tracker) NotePeerRevision(now time.Duration, revision uint64, s Source) {
 	t.addReporter(s.Peer)
 	if revision > t.highestJudged() {
@@ -197,16 +193,16 @@
 	}
 }
 
-// NoteCallerRevision notes the revision that a caller has seen in another entry's
-// answer. It is a hint: when nobody has a later revision, callers' hints are
-// ignored for a time, so that a caller that makes them up costs few calls.
+// NoteCallerRevision records the revision that a caller has seen in another entry's answer. It is a
+// hint: when neither the platform nor a peer has such a revision, callers' hints are ignored for
+// HintPause, so that a caller that invents revisions causes few calls.
 func (t *Tracker) NoteCallerRevision(now time.Duration, revision uint64) {
 	if revision > t.highestJudged() && now >= t.plan.hintsIgnoredUntil {
 		t.plan.requestRevision(now, revision)
 	}
 }
 
-// addReporter remembers that a peer told its revision.
+// addReporter records that a peer reported its revision.
 func (t *Tracker) addReporter(peer uint64) {
 	if len(t.reporters) >= t.cfg.StartPeers {
 		return
@@ -219,14 +215,13 @@
 	t.reporters = append(t.reporters, peer)
 }
 
-// Ready reports whether this entry may serve: a revision is in force and
-// enough of the peers that can be reached have told theirs, none of them
-// later, or a platform that is always current has confirmed it. Once true it
-// stays true. The reason is for operators and empty when
-// ready.
+// Ready reports whether this entry may serve: a revision is in force, and either enough of the
+// reachable peers have reported their revision, none of them a newer one, or a platform that is
+// always current has confirmed it. Once true, it stays true. The reason is for operators and is
+// empty when ready.
 //
-// It guards against a fresh entry that asks a lagging replica and puts an older
-// revision in force than the fleet has; callers would see settings change back.
+// This guards against a fresh entry that asks a lagging replica and puts an older revision in force
+// than the fleet has; callers would see settings change back.
 func (t *Tracker) Ready(now time.Duration, peers int) (ready bool, reason string) {
 	if t.ready {
 		return true, ""
--- a/internal/core/assign/tracker_test.go
+++ b/internal/core/assign/tracker_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// runTrackerCommand runs one line of a golden file: seconds, command, then key=value
-// pairs and flags. Offers are validated at once, those marked bad are invalid.
+// runTrackerCommand runs one line of a golden file: seconds, command, then key=value pairs and
+// flags. Offers are validated at once; those marked bad are invalid.
 func runTrackerCommand(t *testing.T, tr *Tracker, rng *rand.Rand, fields []string) string {
 	seconds, _ := strconv.ParseFloat(fields[0], 64)
 	now := time.Duration(seconds * float64(time.Second))
@@ -34,7 +34,7 @@
 		}
 		return fmt.Sprintf("%v, in force %d", result, tr.InForce().Revision)
 	case "seen":
-		tr.NotePeerRevision(now, args["rev"], Source{Peer: args["from"], Near: flag("near"), Delay: time.Duration(args["patience"]) * time.Millisecond})
+		tr.NotePeerRevision(now, args["rev"], Source{Peer: args["from"], Near: flag("near"), Delay: time.Duration(args["delay"]) * time.Millisecond})
 	case "caller":
 		tr.NoteCallerRevision(now, args["rev"])
 	case "next":
@@ -73,9 +73,10 @@
 	})
 }
 
-// All entries start again after a loss of power. Each knows two peers that still start
-// and have told nothing. Where the platform never answers with an older revision, its
-// word is enough; where it may, or while a peer knows of a later one, the entry waits.
+// Covers all entries starting again after a power loss: each knows two peers that are still
+// starting and have not reported a revision. Where the platform never answers with an older
+// revision, its confirmation is enough; where it may, or while a peer knows of a newer revision,
+// the entry waits.
 func TestReadyWhenPlatformConfirmsRevision(t *testing.T) {
 	for _, current := range []bool{false, true} {
 		tr := NewTracker(0, TrackerConfig{AlwaysCurrent: current})
@@ -83,25 +84,24 @@
 		tr.Offer(0, m, 31)
 		tr.Settle(m, true)
 		if ready, _ := tr.Ready(0, 2); ready {
-			t.Errorf("always current %v: ready on a peer's word while another has told nothing", current)
+			t.Errorf("always current %v: ready with a peer's revision while another peer has not reported", current)
 		}
 		tr.NotePeerRevision(0, 5, Source{Peer: 32})
 		tr.Offer(0, m, Platform)
 		if ready, _ := tr.Ready(0, 3); ready {
-			t.Errorf("always current %v: ready though a peer knows of a later revision", current)
+			t.Errorf("always current %v: ready although a peer knows of a newer revision", current)
 		}
 		m.Revision = 5
 		tr.Offer(0, m, Platform)
 		tr.Settle(m, true)
 		if ready, why := tr.Ready(0, 3); ready != current {
-			t.Errorf("always current %v: ready %v on the platform's word: %s", current, ready, why)
+			t.Errorf("always current %v: ready is %v after the platform's confirmation: %s", current, ready, why)
 		}
 	}
 }
 
-// A user would see a published setting change back. Whatever is offered, seen
-// and settled by whomever in whatever order, the revision in force only grows
-// and never changes its text.
+// Guards against a published setting that changes back. For offers, reports and settlements from
+// any source in any order, the revision in force only grows, and its text never changes.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tr := NewTracker(0, TrackerConfig{})
@@ -126,7 +126,7 @@
 			}
 			got := tr.InForce()
 			if got.Revision < before.Revision || got.Revision == before.Revision && got != before {
-				rt.Fatalf("went from %v to %v", before, got)
+				rt.Fatalf("the revision in force went from %v to %v", before, got)
 			}
 			before = got
 		}
