--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -1,7 +1,6 @@
-// Package directory answers a caller that asks which entries to use for a
-// service. The answer orders entries so that callers spread evenly, stay in
-// their own failure domain while its entries have room, and move to different
-// entries when one disappears.
+// Package directory answers a caller that asks which entries to use for a service. The answer
+// orders entries so that callers spread evenly, stay in their own failure domain while its entries
+// have room, and move to different entries when one disappears.
 //
 // The package is pure and keeps no state; a View is only read.
 package directory
@@ -15,16 +14,16 @@
 	"github.com/tealhall/tealhall/internal/core/assign"
 )
 
-// Request is what a caller asks.
+// Request is a caller's question.
 type Request struct {
 	Service string
 	// Caller is a hash of the caller's identity.
 	Caller uint64
-	// Domain is the caller's failure domain, empty when it did not say.
+	// Domain is the caller's failure domain, or empty if the caller did not give one.
 	Domain string
 }
 
-// Entry is what the answering entry knows of an entry, itself included.
+// Entry is the answering entry's knowledge of an entry, which may be itself.
 type Entry struct {
 	Incarnation uint64
 	Address     string
@@ -34,21 +33,21 @@
 	Epoch uint32
 	// Leaving entries are never in an answer.
 	Leaving bool
-	// Suspected entries are in an answer only when hardly any other is left.
+	// Suspected entries are in an answer only when almost no other entry is left.
 	Suspected bool
 	// Load is the entry's share of its own capacity in use; 1 is full.
 	Load float64
 }
 
-// View is what the answering entry knows.
+// View is the answering entry's knowledge of the fleet.
 type View struct {
 	Self    uint64
 	Region  string
 	Entries []Entry
-	// Serving holds the incarnations that the service is steered to, from
-	// assign.ServiceEntries.
+	// Serving holds the incarnations of the entries to which callers of the service are directed,
+	// from assign.ServiceEntries.
 	Serving []uint64
-	// MaxTTL is the longest that a caller may keep the answer; 0 stands for
+	// MaxTTL is the longest time for which a caller may keep the answer; 0 stands for
 	// DefaultMaxTTL.
 	MaxTTL time.Duration
 }
@@ -59,12 +58,12 @@
 	Address     string
 	Domain      string
 	Epoch       uint32
-	// Weight is the share of requests for this entry against the other
-	// choices, up to MaxWeight; 0 means only when the others fail.
+	// Weight is the share of requests for this entry relative to the other choices, up to
+	// MaxWeight; 0 means that the entry is used only when the others fail.
 	Weight uint32
 }
 
-// Answer is what a caller gets: entries in the order in which to try them.
+// Answer is the answer to a caller: entries in the order in which to try them.
 type Answer struct {
 	Service string
 	// AnsweredBy is the incarnation of the entry that answers.
@@ -77,50 +76,50 @@
 const (
 	// MaxChoices is the most entries in an answer.
 	MaxChoices = 6
-	// MinChoices is the fewest, as long as there are as many entries.
+	// MinChoices is the fewest entries in an answer if that many exist.
 	MinChoices = 3
-	// MinDomains is the fewest failure domains, as long as there are as many.
+	// MinDomains is the fewest failure domains in an answer if that many exist.
 	MinDomains = 2
 	// MaxWeight is the weight of an entry with room in the caller's own
 	// failure domain.
 	MaxWeight = 1000
-	// DefaultMaxTTL is the longest that a caller may keep an answer where
-	// nothing else is set. A leaving entry goes on serving for so long.
+	// DefaultMaxTTL is the longest time for which a caller may keep an answer if MaxTTL is not set.
+	// A leaving entry keeps serving for that time.
 	DefaultMaxTTL = 12 * time.Second
 )
 
-// shortestTTL is the share of the longest time to live that every answer has.
-const shortestTTL = 2.0 / 3
+// minTTLShare is the least share of the longest time to live that an answer gets.
+const minTTLShare = 2.0 / 3
 
-// remoteShare is the weight of an entry outside the caller's failure domain
-// against one inside with the same load.
-const remoteShare = 0.05
+// otherDomainShare is the weight of an entry outside the caller's failure domain relative to one
+// inside it with the same load.
+const otherDomainShare = 0.05
 
-// awayShare is the further factor for an entry in another region.
-const awayShare = 0.01
+// otherRegionShare is the additional factor for an entry in another region.
+const otherRegionShare = 0.01
 
-// Loads between which an entry's weight falls from full to the least.
+// Loads between which an entry's weight falls from full to minLoadShare.
 const (
-	easyLoad   = 0.7
-	fullLoad   = 1.0
-	leastShare = 0.02
+	lowLoad      = 0.7
+	fullLoad     = 1.0
+	minLoadShare = 0.02
 )
 
-// candidate is an entry with its weight and its place in the caller's order.
+// candidate is an entry with its weight and its rank for the caller.
 type candidate struct {
 	entry   *Entry
 	weight  float64
-	place   float64 // smaller comes first
+	rank    float64 // lower ranks come first
 	serving bool
 }
 
-// Answer returns the entries that the caller should use. It allocates only
-// the answer and a scratch list of the entries known.
+// Answer returns the entries that the caller should use. It allocates only the answer and a scratch
+// list of the known entries.
 func (v *View) Answer(req Request) Answer {
 	found := v.candidates(req)
-	v.holdBack(found)
+	v.reduceSpareWeights(found)
 	slices.SortFunc(found, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.entry.Incarnation, b.entry.Incarnation))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.entry.Incarnation, b.entry.Incarnation))
 	})
 	return Answer{
 		Service:    req.Service,
@@ -130,20 +129,20 @@
 	}
 }
 
-// holdBack takes the weight from entries that do not serve the service as far
-// as those that do have room. Without it callers would spread over the entries
-// that are named for the case of a failure, and each pool would have more
-// entries that choose among its endpoints without knowing of each other.
-func (v *View) holdBack(found []candidate) {
-	room := 0.0
+// reduceSpareWeights reduces the weight of entries that do not serve the service, down to 0 if a
+// serving entry has full room. Otherwise callers would spread over the entries that are in the
+// answer only as a fallback, and more entries would choose among a pool's endpoints without knowing
+// of each other.
+func (v *View) reduceSpareWeights(found []candidate) {
+	servingShare := 0.0
 	for i := range found {
 		if found[i].serving {
-			room = max(room, roomShare(found[i].entry.Load))
+			servingShare = max(servingShare, loadShare(found[i].entry.Load))
 		}
 	}
 	for i := range found {
 		if !found[i].serving {
-			found[i].weight *= 1 - room
+			found[i].weight *= 1 - servingShare
 		}
 	}
 }
@@ -153,7 +152,7 @@
 	found := make([]candidate, 0, len(v.Entries))
 	for i := range v.Entries {
 		if e := &v.Entries[i]; !e.Leaving && !e.Suspected {
-			found = append(found, v.candidate(e, req))
+			found = append(found, v.newCandidate(e, req))
 		}
 	}
 	if len(found) >= MinDomains {
@@ -162,8 +161,8 @@
 	return append(found, v.lastResort(req)...)
 }
 
-// lastResort returns the suspected entries. When an entry hears nobody, it is
-// as likely cut off itself; a caller that reached it may reach the others too.
+// lastResort returns the suspected entries. An entry that hears from no other entry is probably cut
+// off itself; a caller that reached it may also reach the others.
 func (v *View) lastResort(req Request) []candidate {
 	var found []candidate
 	for i := range v.Entries {
@@ -171,54 +170,53 @@
 		if e.Leaving || !e.Suspected {
 			continue
 		}
-		c := v.candidate(e, req)
+		c := v.newCandidate(e, req)
 		c.weight = 0
-		c.place = math.MaxFloat64
+		c.rank = math.MaxFloat64
 		found = append(found, c)
 	}
 	return found
 }
 
-// candidate weighs one entry for a caller. The place is that of weighted
-// rendezvous hashing: -ln(u)/weight with u uniform by hash of caller and
-// entry. Over many callers an entry comes first in proportion to its weight,
-// and when it disappears its callers spread over all others.
-func (v *View) candidate(e *Entry, req Request) candidate {
+// newCandidate weighs one entry for a caller. The rank is that of weighted rendezvous hashing:
+// -ln(u)/weight with u uniform by a hash of caller and entry. Over many callers an entry comes
+// first in proportion to its weight, and when it disappears its callers spread over all others.
+func (v *View) newCandidate(e *Entry, req Request) candidate {
 	c := candidate{entry: e, weight: v.weight(e, req), serving: slices.Contains(v.Serving, e.Incarnation)}
 	u := (float64(assign.Score(req.Caller, e.Incarnation)>>11) + 1) / (1 << 53)
-	c.place = -math.Log(u) / c.weight
+	c.rank = -math.Log(u) / c.weight
 	return c
 }
 
-// weight is between 0 and 1.
+// weight returns the weight of an entry for a caller, between 0 and 1.
 func (v *View) weight(e *Entry, req Request) float64 {
-	w := roomShare(e.Load)
+	w := loadShare(e.Load)
 	if e.Domain != req.Domain {
-		w *= remoteShare
+		w *= otherDomainShare
 	}
 	if e.Region != v.Region {
-		w *= awayShare
+		w *= otherRegionShare
 	}
 	return w
 }
 
-// roomShare falls linearly from 1 at easyLoad to leastShare at fullLoad. It is
-// never 0: an entry that gets no requests could never show that it has room.
-func roomShare(load float64) float64 {
-	if !(load > easyLoad) {
+// loadShare falls linearly from 1 at lowLoad to minLoadShare at fullLoad. It is never 0: an entry
+// without requests could never show that it has room.
+func loadShare(load float64) float64 {
+	if !(load > lowLoad) {
 		return 1
 	}
-	share := (fullLoad - load) / (fullLoad - easyLoad)
-	return max(share, leastShare)
+	share := (fullLoad - load) / (fullLoad - lowLoad)
+	return max(share, minLoadShare)
 }
 
-// timeToLive differs by caller, so that callers that started together do not
-// ask again together.
+// timeToLive returns the time to live of an answer. It differs by caller, so that callers that
+// started together do not ask again together.
 func (v *View) timeToLive(caller uint64) time.Duration {
-	longest := v.MaxTTL
-	if longest <= 0 {
-		longest = DefaultMaxTTL
+	maxTTL := v.MaxTTL
+	if maxTTL <= 0 {
+		maxTTL = DefaultMaxTTL
 	}
 	share := float64(assign.Score(caller, 0)>>11) / (1 << 53)
-	return time.Duration(float64(longest) * (shortestTTL + share*(1-shortestTTL)))
+	return time.Duration(float64(maxTTL) * (minTTLShare + share*(1-minTTLShare)))
 }
--- a/internal/core/directory/directory_test.go
+++ b/internal/core/directory/directory_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// view has perDomain entries in each of three failure domains, all serving.
-func view(perDomain int) *View {
+// testView returns a view with perDomain entries in each of three failure domains, all serving.
+func testView(perDomain int) *View {
 	v := &View{Self: 100, Region: "r"}
 	for i := range 3 * perDomain {
 		e := Entry{Incarnation: uint64(100 + i), Address: fmt.Sprint("10.0.0.", i), Region: "r", Domain: fmt.Sprint("d", i%3)}
@@ -24,9 +24,9 @@
 
 const callers = 9000
 
-// firsts counts for how many callers, evenly from three failure domains, each
-// entry comes first, and how many of those are in the caller's own.
-func firsts(v *View) (count map[uint64]int, own int) {
+// firstChoices counts for how many callers, spread evenly over three failure domains, each entry
+// comes first, and how many of these entries are in the caller's own domain.
+func firstChoices(v *View) (count map[uint64]int, own int) {
 	count = make(map[uint64]int)
 	for i := range callers {
 		req := Request{Service: "s", Caller: assign.Key("caller", fmt.Sprint(i)), Domain: fmt.Sprint("d", i%3)}
@@ -39,9 +39,9 @@
 	return count, own
 }
 
-func TestCallersSpreadAndStayNear(t *testing.T) {
-	v := view(2)
-	count, own := firsts(v)
+func TestCallersSpreadAndStayInTheirFailureDomain(t *testing.T) {
+	v := testView(2)
+	count, own := firstChoices(v)
 	if own < callers*9/10 {
 		t.Errorf("%d of %d callers stay in their failure domain", own, callers)
 	}
@@ -52,33 +52,33 @@
 	}
 }
 
-// A user would wait at a full entry while others have room: one failure domain
-// gets more callers than it can serve. Its callers must move to the others.
-func TestOverloadedEntriesGetFewer(t *testing.T) {
-	v := view(2)
-	before, _ := firsts(v)
+// Guards against requests that wait at a full entry while others have room: when one failure domain
+// gets more callers than it can serve, its callers move to the others.
+func TestOverloadedDomainGetsFewerCallers(t *testing.T) {
+	v := testView(2)
+	before, _ := firstChoices(v)
 	for i := range v.Entries {
 		if v.Entries[i].Domain == "d0" {
 			v.Entries[i].Load = 0.97
 		}
 	}
-	after, _ := firsts(v)
+	after, _ := firstChoices(v)
 	if was, is := before[100]+before[103], after[100]+after[103]; is > was*3/4 {
-		t.Errorf("the full failure domain has %d callers, before %d", is, was)
+		t.Errorf("the overloaded failure domain has %d callers, %d before; want at most three quarters", is, was)
 	}
 	v.Entries[0].Load, v.Entries[3].Load = math.Inf(1), math.NaN()
 	for _, c := range v.Answer(Request{Domain: "d0"}).Entries {
 		if c.Weight < 1 || c.Weight > MaxWeight {
-			t.Errorf("weight %d", c.Weight)
+			t.Errorf("weight %d is out of bounds", c.Weight)
 		}
 	}
 }
 
-// Users would see a second failure right after the first: an entry goes and all
-// its callers turn to the same other one. Their answers must hold different
-// entries in second place, spread over all.
-func TestCallersOfAGoneEntrySpread(t *testing.T) {
-	v := view(5)
+// Guards against a second failure right after the first: when an entry leaves, all its callers
+// could move to the same other entry and overload it. Their answers must have different entries in
+// second place, spread over all entries.
+func TestCallersOfRemovedEntrySpread(t *testing.T) {
+	v := testView(5)
 	second := make(map[uint64]int)
 	moved := 0
 	for i := range callers {
@@ -91,7 +91,7 @@
 		second[answer.Entries[1].Incarnation]++
 		v.Entries[0].Leaving = true
 		if now := v.Answer(req); now.Entries[0].Incarnation != answer.Entries[1].Incarnation {
-			t.Fatalf("caller %d goes to %d, its answer had %d next", i, now.Entries[0].Incarnation, answer.Entries[1].Incarnation)
+			t.Fatalf("caller %d goes to entry %d, but its answer had entry %d in second place", i, now.Entries[0].Incarnation, answer.Entries[1].Incarnation)
 		}
 		v.Entries[0].Leaving = false
 	}
@@ -108,18 +108,18 @@
 		change func(v *View)
 		want   []uint64
 	}{
-		{"only the serving ones when they are enough", func(v *View) { v.Serving = []uint64{100, 101, 102} }, []uint64{100, 101, 102}},
-		{"filled up when they are few", func(v *View) { v.Serving = []uint64{104}; v.Entries = v.Entries[:5] }, []uint64{100, 101, 104}},
-		{"this entry leaves", func(v *View) { v.Entries = v.Entries[:3]; v.Entries[0].Leaving = true }, []uint64{101, 102}},
-		{"another is suspected", func(v *View) { v.Entries = v.Entries[:3]; v.Entries[2].Suspected = true }, []uint64{100, 101}},
-		{"this entry hears nobody", func(v *View) {
+		{"only serving entries if there are enough", func(v *View) { v.Serving = []uint64{100, 101, 102} }, []uint64{100, 101, 102}},
+		{"filled up with others if serving entries are few", func(v *View) { v.Serving = []uint64{104}; v.Entries = v.Entries[:5] }, []uint64{100, 101, 104}},
+		{"this entry is leaving", func(v *View) { v.Entries = v.Entries[:3]; v.Entries[0].Leaving = true }, []uint64{101, 102}},
+		{"another entry is suspected", func(v *View) { v.Entries = v.Entries[:3]; v.Entries[2].Suspected = true }, []uint64{100, 101}},
+		{"this entry hears from no other", func(v *View) {
 			v.Entries = v.Entries[:3]
 			v.Entries[1].Suspected, v.Entries[2].Suspected = true, true
 		}, []uint64{100, 101, 102}},
-		{"nobody is known", func(v *View) { v.Entries = nil }, nil},
+		{"no entry is known", func(v *View) { v.Entries = nil }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := view(3)
+			v := testView(3)
 			c.change(v)
 			answer := v.Answer(Request{Service: "s", Caller: 5, Domain: "d1"})
 			var got []uint64
@@ -131,15 +131,15 @@
 				t.Error(diff)
 			}
 			if answer.TTL < DefaultMaxTTL*2/3 || answer.TTL > DefaultMaxTTL || answer.AnsweredBy != 100 {
-				t.Errorf("answered by %d for %v", answer.AnsweredBy, answer.TTL)
+				t.Errorf("answered by entry %d with a time to live of %v", answer.AnsweredBy, answer.TTL)
 			}
 		})
 	}
 }
 
-func TestAnswersHoldEnough(t *testing.T) {
+func TestAnswersHaveEnoughEntriesAndDomains(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		v := view(rapid.IntRange(1, 6).Draw(rt, "per domain"))
+		v := testView(rapid.IntRange(1, 6).Draw(rt, "per domain"))
 		usable, domains := 0, map[string]bool{}
 		for i := range v.Entries {
 			e := &v.Entries[i]
@@ -161,13 +161,13 @@
 			seen[c.Incarnation], found[c.Domain] = true, true
 		}
 		if len(got) < min(MinChoices, usable) || len(found) < min(MinDomains, len(domains)) || len(got) > MaxChoices {
-			rt.Fatalf("%d entries in %d failure domains of %d in %d", len(got), len(found), usable, len(domains))
+			rt.Fatalf("answer has %d entries in %d failure domains, of %d usable entries in %d failure domains", len(got), len(found), usable, len(domains))
 		}
 	})
 }
 
 func BenchmarkAnswer(b *testing.B) {
-	v := view(20)
+	v := testView(20)
 	v.Serving = v.Serving[:8]
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -175,11 +175,10 @@
 	}
 }
 
-// Callers of a service with fewer entries than an answer holds would send a part
-// of their requests to entries that are named for the case of a failure, which
-// choose endpoints without knowing of the others. Those get weight only as far
-// as the serving ones are full.
-func TestSparesGetNothingWhileThereIsRoom(t *testing.T) {
+// Guards against callers of a service with fewer entries than an answer has: they would send part
+// of their requests to the fallback entries, which choose endpoints without knowing of the others.
+// Fallback entries get weight only as far as the serving entries are full.
+func TestSpareEntriesGetNoWeightWhileServingEntriesHaveRoom(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		load  float64
@@ -200,7 +199,7 @@
 			}
 		}
 		if len(answer.Entries) < MinChoices || answer.Entries[0].Incarnation != 1 {
-			t.Errorf("%s: %+v", c.name, answer.Entries)
+			t.Errorf("%s: answer is %+v", c.name, answer.Entries)
 		}
 	}
 }
--- a/internal/core/directory/pick.go
+++ b/internal/core/directory/pick.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// pick chooses from ordered candidates: the serving ones first, then others
-// until there are enough entries and failure domains. It reorders found.
+// pick chooses from ranked candidates: the serving ones first, then others until there are enough
+// entries and failure domains. It does not change found.
 func pick(found []candidate) []candidate {
 	ordered := make([]candidate, 0, len(found))
 	for _, c := range found {
@@ -18,14 +18,14 @@
 		}
 	}
 	n := min(max(serving, MinChoices), MaxChoices, len(ordered))
-	spread(ordered, n)
+	ensureDomains(ordered, n)
 	return ordered[:n]
 }
 
-// spread makes sure that the first n candidates cover MinDomains failure
-// domains if all of them do: the last of the n gives way. Guards against an
-// answer that is useless as a whole when one failure domain goes.
-func spread(ordered []candidate, n int) {
+// ensureDomains makes the first n candidates cover MinDomains failure domains if all candidates
+// together do, by replacing the last of the n. This guards against an answer of which no entry is
+// usable when one failure domain fails.
+func ensureDomains(ordered []candidate, n int) {
 	if n < MinDomains || countDomains(ordered[:n]) >= MinDomains {
 		return
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-// countDomains counts failure domains up to MinDomains.
+// countDomains counts failure domains, up to MinDomains.
 func countDomains(list []candidate) int {
 	for i := range list {
 		if list[i].entry.Domain != list[0].entry.Domain {
@@ -47,9 +47,9 @@
 	return min(len(list), 1)
 }
 
-// shownWeight keeps a serving entry above 0: without requests it could not show
-// that it has room again.
-func shownWeight(c candidate) uint32 {
+// choiceWeight returns the weight in the answer. It is at least 1 for a serving entry, which
+// without requests could not show that it has room again.
+func choiceWeight(c candidate) uint32 {
 	weight := uint32(math.Round(c.weight * MaxWeight))
 	if c.serving {
 		return max(weight, 1)
@@ -57,7 +57,7 @@
 	return weight
 }
 
-// choices turns candidates into the caller's list.
+// choices converts candidates to the entries of an answer.
 func choices(picked []candidate) []Choice {
 	out := make([]Choice, 0, len(picked))
 	for _, c := range picked {
@@ -66,7 +66,7 @@
 			Address:     c.entry.Address,
 			Domain:      c.entry.Domain,
 			Epoch:       c.entry.Epoch,
-			Weight:      shownWeight(c),
+			Weight:      choiceWeight(c),
 		})
 	}
 	return out
