--- a/internal/core/assign/fetch.go
+++ b/internal/core/assign/fetch.go
@@ -54,7 +54,7 @@
 
 // addSource adds a peer that can provide a newer revision. An additional source makes a fetch due
 // after its delay, whatever failures preceded it. When the list is full, the new source replaces
-// the first one that is not near.
+// the first one that is not near, or the first one if all are near.
 func (p *fetchPlan) addSource(now time.Duration, revision uint64, s Source) {
 	if revision > p.wanted {
 		p.wanted = revision
--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -236,7 +236,7 @@
 		return false, fmt.Sprintf("revision %s is in force but %s exists", published.RevisionText(t.inForce.Revision), published.RevisionText(t.Wanted()))
 	case t.cfg.AlwaysCurrent && t.confirmed:
 	case len(t.reporters) < need && now-t.started < t.cfg.StartGrace:
-		return false, fmt.Sprintf("%d of %d peers have told their revision", len(t.reporters), need)
+		return false, fmt.Sprintf("%d of %d peers have reported their revision", len(t.reporters), need)
 	case len(t.reporters) == 0 && !t.confirmed:
 		return false, "neither the platform nor a peer has confirmed the revision"
 	}
--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -76,22 +76,22 @@
 	if len(p.loadReports) > maxTracked {
 		clear(p.loadReports)
 	}
-	for _, g := range reports {
-		last, known := p.loadReports[g.Endpoint]
-		next := sentLoadReport{incarnation: g.Incarnation, inFlight: g.InFlight, own: g.Own, at: last.at}
+	for _, r := range reports {
+		last, known := p.loadReports[r.Endpoint]
+		next := sentLoadReport{incarnation: r.Incarnation, inFlight: r.InFlight, own: r.Own, at: last.at}
 		if known && next == last && now-last.at < loadReportRefresh {
 			continue
 		}
-		if time.Duration(g.AgeMillis)*time.Millisecond > loadReportRefresh {
+		if time.Duration(r.AgeMillis)*time.Millisecond > loadReportRefresh {
 			continue
 		}
-		room -= loadReportBytes + p.namingBytes(&g)
+		room -= loadReportBytes + p.namingBytes(&r)
 		if room < 0 || len(out) == maxLoadReports {
 			break
 		}
 		next.at = now
-		p.loadReports[g.Endpoint] = next
-		out = append(out, g)
+		p.loadReports[r.Endpoint] = next
+		out = append(out, r)
 	}
 	return out
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// Done reports whether the message with this sequence reached its peer, and the digests of the
+// Done records whether the message with this sequence reached its peer, and the digests of the
 // evidence and the records that the peer then had. The content of a lost message is sent again with
 // the next message, after an increasing pause.
 func (s *Scheduler) Done(now time.Duration, to, sequence uint64, r message.Receipt) {
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -1,4 +1,4 @@
-// Package gossip decides when this entry sends which peer a message, within a budget of bytes and
+// Package gossip decides when to send a message to which peer, within a budget of bytes and
 // messages per second that is never exceeded. Messages carry changes, not whole tables.
 //
 // Within a region each entry sends heartbeats to its fingers on a ring of the entries, or to all
@@ -19,8 +19,8 @@
 	Region string
 	// Domain is this entry's failure domain.
 	Domain string
-	// BytesPerSecond and MessagesPerSecond bound what this entry sends, including the acks it
-	// causes. On average its peers send it the same amount.
+	// BytesPerSecond and MessagesPerSecond bound what this entry sends, including the acks that
+	// come back. On average its peers send it the same amount.
 	BytesPerSecond    float64
 	MessagesPerSecond float64
 	// LoadReportEvery is the time between load reports to a peer that shares a service, while the
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -153,7 +153,8 @@
 	return c
 }
 
-// urgentFor reports whether a peer that lacks the evidence gets it without being asked first.
+// urgentFor reports whether a peer that lacks the evidence gets it at once, before its digest shows
+// whether it has the evidence from another entry.
 func (c *storedEvidence) urgentFor(p *peer) bool {
 	return p.kind == linkRegion || p.finger && p.distance < c.reach
 }
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -97,7 +97,7 @@
 	repairs      int
 }
 
-// Scheduler decides when to send which peer a message.
+// Scheduler decides when to send a message to which peer.
 type Scheduler struct {
 	cfg   Config
 	state State
--- a/internal/core/gossip/size.go
+++ b/internal/core/gossip/size.go
@@ -6,9 +6,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Sizes in bytes, each an upper bound on a link in use. A test compares them
-// with what package peer/wire makes of a message: an endpoint is named once on a
-// link, and what did not change is left out.
+// Sizes in bytes, each an upper bound on a link in use. TestSizeIsUpperBound compares them with the
+// encoding of package peer/wire, which names an endpoint once per link and omits unchanged fields.
 const (
 	// messageOverhead is the cost of a call on an open link beyond its body: the headers of three
 	// packets and of request and response.
@@ -70,12 +69,12 @@
 }
 
 // namingBytes returns the cost of naming the endpoint of a load report.
-func (p *peer) namingBytes(g *message.LoadReport) int {
-	last, known := p.named[g.Endpoint]
-	if known && last == g.Incarnation {
+func (p *peer) namingBytes(r *message.LoadReport) int {
+	last, known := p.named[r.Endpoint]
+	if known && last == r.Incarnation {
 		return 0
 	}
-	return nameBytes + len(g.Endpoint)
+	return nameBytes + len(r.Endpoint)
 }
 
 // noteNamed records that the link has named the endpoints of u.
--- a/internal/core/gossip/topology.go
+++ b/internal/core/gossip/topology.go
@@ -25,7 +25,7 @@
 type linkKind uint8
 
 const (
-	// linkInbound: the peer sends to this entry, which only pulls records and revisions from it.
+	// linkInbound: the peer sends to this entry, which sends it no updates but may pull from it.
 	linkInbound linkKind = iota
 	// linkMesh: a peer in the same region; carries heartbeats and load reports.
 	linkMesh
@@ -151,10 +151,11 @@
 	s.recountUrgent()
 }
 
-// localLinks returns the entries of this region to which this entry keeps links. Besides the
-// fingers on the ring of unsuspected entries these are the entries that have this one as a finger,
-// the entries that share a service, and the fingers on the ring that includes suspected entries:
-// through these, two parts of a fleet that had lost contact find each other again.
+// localLinks returns the entries of this region to which this entry keeps links: all of them in a
+// fleet of up to maxMesh other entries. In a larger fleet these are the fingers on the ring of
+// unsuspected entries, the entries that have this one as a finger, the entries that share a
+// service, and the fingers on the ring that includes suspected entries: through these, two parts of
+// a fleet that had lost contact find each other again.
 func (s *Scheduler) localLinks(local []ringMember, ring []uint64) map[uint64]linkKind {
 	kinds := make(map[uint64]linkKind, len(local))
 	s.relays = len(local)-1 > maxMesh
--- a/internal/core/member/departure.go
+++ b/internal/core/member/departure.go
@@ -32,13 +32,13 @@
 func newDepartures() departures { return departures{known: make(map[vmKey]*departure)} }
 
 // note records evidence and reports whether it says something new.
-func (v *departures) note(now, since time.Duration, e message.Evidence) bool {
+func (d *departures) note(now, since time.Duration, e message.Evidence) bool {
 	key := vmKey{e.VM, e.Incarnation}
-	known := v.known[key]
+	known := d.known[key]
 	if known == nil {
 		known = &departure{since: since}
-		v.known[key] = known
-		v.order = append(v.order, key)
+		d.known[key] = known
+		d.order = append(d.order, key)
 	}
 	known.mentionedAt = now
 	wasLeaving, wasGone := known.leaving, known.gone
@@ -47,34 +47,34 @@
 	return !wasLeaving || known.gone != wasGone
 }
 
-func (v *departures) isLeaving(name string, incarnation uint64) bool {
-	known := v.known[vmKey{name, incarnation}]
+func (d *departures) isLeaving(name string, incarnation uint64) bool {
+	known := d.known[vmKey{name, incarnation}]
 	return known != nil && known.leaving
 }
 
-func (v *departures) isGone(name string, incarnation uint64) bool {
-	known := v.known[vmKey{name, incarnation}]
+func (d *departures) isGone(name string, incarnation uint64) bool {
+	known := d.known[vmKey{name, incarnation}]
 	return known != nil && known.gone
 }
 
 // mention records that a list still names an incarnation.
-func (v *departures) mention(now time.Duration, name string, incarnation uint64) {
-	if known := v.known[vmKey{name, incarnation}]; known != nil {
+func (d *departures) mention(now time.Duration, name string, incarnation uint64) {
+	if known := d.known[vmKey{name, incarnation}]; known != nil {
 		known.mentionedAt = now
 	}
 }
 
 // forget drops departures that were not mentioned for rememberFor, and the oldest ones above limit.
-func (v *departures) forget(now, rememberFor time.Duration, limit int) {
-	kept := v.order[:0]
-	excess := len(v.order) - limit
-	for i, key := range v.order {
-		if i < excess || now-v.known[key].mentionedAt > rememberFor {
-			delete(v.known, key)
+func (d *departures) forget(now, rememberFor time.Duration, limit int) {
+	kept := d.order[:0]
+	excess := len(d.order) - limit
+	for i, key := range d.order {
+		if i < excess || now-d.known[key].mentionedAt > rememberFor {
+			delete(d.known, key)
 			continue
 		}
 		kept = append(kept, key)
 	}
-	clear(v.order[len(kept):])
-	v.order = kept
+	clear(d.order[len(kept):])
+	d.order = kept
 }
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -83,18 +83,18 @@
 func (t *Table) Evidence(now time.Duration, limit int, out []message.Evidence) []message.Evidence {
 	order := t.departures.order
 	for i := len(order) - 1; i >= 0 && limit > 0; i-- {
-		v := t.departures.known[order[i]]
-		out = append(out, v.evidence(now, order[i]))
+		d := t.departures.known[order[i]]
+		out = append(out, d.evidence(now, order[i]))
 		limit--
 	}
 	return out
 }
 
-func (v *departure) evidence(now time.Duration, key vmKey) message.Evidence {
+func (d *departure) evidence(now time.Duration, key vmKey) message.Evidence {
 	kind := message.EvidenceLeaving
-	if v.gone {
+	if d.gone {
 		kind = message.EvidenceStopped
 	}
-	age := min((now - v.since).Milliseconds(), int64(^uint32(0)))
+	age := min((now - d.since).Milliseconds(), int64(^uint32(0)))
 	return message.Evidence{VM: key.name, Incarnation: key.incarnation, Kind: kind, AgeMillis: uint32(max(age, 0))}
 }
