--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -50,7 +50,7 @@
 func (s *tlsSides) entry(t *settings.TLS) entry.TLS {
 	return entry.TLS{
 		Callers:    server(s.callers),
-		Homes:      client(s.homes, t.Caller.ServerName),
+		HomeClient: client(s.homes, t.Caller.ServerName),
 		PeerServer: server(s.peers),
 		PeerClient: client(s.peers, t.Peer.ServerName),
 	}
--- a/internal/entry/carry.go
+++ b/internal/entry/actions.go
@@ -20,14 +20,14 @@
 const (
 	probeTimeout = 2 * time.Second
 	fetchTimeout = 3 * time.Second
-	// probeBody is how many bytes of the answer to a probe are read.
-	probeBody = 16 << 10
+	// maxProbeBody is how many bytes of the answer to a probe are read.
+	maxProbeBody = 16 << 10
 )
 
-// carryOut does what the core asked for beside single requests.
-func (e *Entry) carryOut(a *core.Actions) {
+// executeActions does what the core asked for beside single requests.
+func (e *Entry) executeActions(a *core.Actions) {
 	for i := range a.Notes {
-		e.trail.Add(e.recordOf(&a.Notes[i]))
+		e.trail.Add(e.auditRecord(&a.Notes[i]))
 	}
 	for i := range a.Traces {
 		logTrace(&a.Traces[i])
@@ -37,7 +37,7 @@
 	}
 	for _, address := range a.DropAddresses {
 		e.connections.Drop(address)
-		e.homes.Drop(address)
+		e.homeConnections.Drop(address)
 	}
 	for _, address := range a.SuspectAddresses {
 		e.connections.Suspect(address)
@@ -50,7 +50,7 @@
 	}
 }
 
-func (e *Entry) recordOf(n *core.Note) audit.Record {
+func (e *Entry) auditRecord(n *core.Note) audit.Record {
 	return audit.Record{
 		Actor:    orElse(n.Actor, "entry "+e.settings.Name),
 		Subject:  n.Subject,
@@ -76,11 +76,11 @@
 
 // probe asks an endpoint how it is.
 func (e *Entry) probe(p core.Probe) {
-	limit := probeTimeout
+	timeout := probeTimeout
 	if p.Wait > 0 {
-		limit = p.Wait
+		timeout = p.Wait
 	}
-	ctx, cancel := context.WithTimeout(e.life, limit)
+	ctx, cancel := context.WithTimeout(e.life, timeout)
 	defer cancel()
 	end := core.ProbeEnd{Probe: p}
 	began := e.engine.clock()
@@ -106,7 +106,7 @@
 	}
 	// A body that is left unread costs the connection, and the endpoint a new one
 	// for each probe.
-	_, _ = io.CopyN(io.Discard, response.Body, probeBody)
+	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody)
 	_ = response.Body.Close()
 	head := e.dialect.ReadHead(end.Probe.Endpoint, request.Header, response.Header, response.StatusCode)
 	end.OK = response.StatusCode < http.StatusInternalServerError || head.NotRun
--- a/internal/entry/pass.go
+++ b/internal/entry/answer.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// pass gives the caller the answer that the core committed to.
-func (x *exchange) pass(w http.ResponseWriter, c *committed) {
+// passAnswer gives the caller the answer that the core committed to.
+func (x *exchange) passAnswer(w http.ResponseWriter, c *committed) {
 	x.ending = c.ending()
 	x.entry.instruments.passed(x.entry.engine.clock()-x.began, c.waited)
 	if !c.forwarded {
@@ -23,7 +23,7 @@
 		x.entry.dialect.Mark(w.Header(), x.entry.mark(c.outcome, core.ReasonNone))
 	}
 	if x.keyed && !c.forwarded {
-		x.passKept(w, c)
+		x.passKeyedAnswer(w, c)
 		return
 	}
 	x.stream(w, c, nil)
@@ -70,39 +70,39 @@
 	}
 }
 
-// passKept passes on the answer of a request that must run once. An answer
+// passKeyedAnswer passes on the answer of a request that must run once. An answer
 // that is small enough is read whole first: then its result is recorded before
 // the caller sees it, and a caller that loses the answer gets it again. A
 // larger one is streamed, and only its result is recorded.
-func (x *exchange) passKept(w http.ResponseWriter, c *committed) {
+func (x *exchange) passKeyedAnswer(w http.ResponseWriter, c *committed) {
 	limit := int64(x.entry.settings.Limits.KeyAnswerBytes)
 	body := c.response.Body
-	start, err := io.ReadAll(io.LimitReader(body, limit+1))
+	prefix, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		_ = body.Close()
-		x.end(c.attempt, core.EndTruncated, nil)
+		x.reportEnd(c.attempt, core.EndTruncated, nil)
 		x.ending = endedUnknown
 		x.entry.reply(w, x.request, core.Directive{Outcome: core.OutcomeUnknown, Reason: core.ReasonAnswerBroken})
 		return
 	}
-	c.response.Body = rejoin(start, body)
-	if int64(len(start)) > limit {
+	c.response.Body = prependBytes(prefix, body)
+	if int64(len(prefix)) > limit {
 		x.stream(w, c, nil)
 		return
 	}
-	x.end(c.attempt, core.EndComplete, keptAnswer(c.response, start))
+	x.reportEnd(c.attempt, core.EndComplete, answerToKeep(c.response, prefix))
 	_, _ = front.CopyAnswer(w, c.response)
 }
 
-// rejoin puts bytes that were read back in front of a body.
-func rejoin(start []byte, body io.ReadCloser) io.ReadCloser {
+// prependBytes puts bytes that were read back in front of a body.
+func prependBytes(prefix []byte, body io.ReadCloser) io.ReadCloser {
 	return struct {
 		io.Reader
 		io.Closer
-	}{io.MultiReader(bytes.NewReader(start), body), body}
+	}{io.MultiReader(bytes.NewReader(prefix), body), body}
 }
 
-func keptAnswer(response *http.Response, body []byte) *idem.Answer {
+func answerToKeep(response *http.Response, body []byte) *idem.Answer {
 	answer := &idem.Answer{Status: response.StatusCode, Body: body}
 	for name, values := range front.ResponseHeader(response.Header) {
 		if name == "Content-Length" {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -21,12 +21,12 @@
 	// Asked now as well, since a connection costs the endpoint something too.
 	if !ok || !maySend() {
 		done()
-		x.end(d.Attempt, core.EndNotWritten, nil)
+		x.reportEnd(d.Attempt, core.EndNotWritten, nil)
 		return
 	}
 	connections := x.entry.connections
 	if d.Step == core.StepForward {
-		connections = x.entry.homes
+		connections = x.entry.homeConnections
 	}
 	response, delivery, err := connections.Send(ctx, forward.Outgoing{
 		Address:       d.Address,
@@ -47,7 +47,7 @@
 		x.entry.engine.end(x.failedEnd(d, delivery, err))
 		return
 	}
-	x.answered(d, response, delivery.FirstByte-delivery.Started, done)
+	x.handleHead(d, response, delivery.FirstByte-delivery.Started, done)
 }
 
 // extraHeader holds the headers that tealhall adds for the endpoint.
@@ -65,15 +65,15 @@
 	})
 }
 
-// answered feeds the head of an answer, which was waited for, and either passes
+// handleHead feeds the head of an answer, which was waited for, and either passes
 // the answer to the exchange or drops it.
-func (x *exchange) answered(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
+func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
 	head := x.headOf(d, response)
 	commit, outcome := x.entry.engine.head(head)
 	if commit {
 		c := &committed{response: response, attempt: d.Attempt, outcome: outcome, forwarded: d.Step == core.StepForward, waited: waited}
 		if !x.offer(c) {
-			x.abandon(c)
+			x.dropAnswer(c)
 		}
 		return
 	}
@@ -83,20 +83,20 @@
 	if head.NotRun {
 		kind = core.EndNotRun
 	}
-	x.end(d.Attempt, kind, nil)
+	x.reportEnd(d.Attempt, kind, nil)
 }
 
-// abandon drops an answer that nobody waits for any more.
-func (x *exchange) abandon(c *committed) {
+// dropAnswer drops an answer that nobody waits for any more.
+func (x *exchange) dropAnswer(c *committed) {
 	x.mu.Lock()
 	x.cancelLocked(c.attempt)
 	x.mu.Unlock()
 	_ = c.response.Body.Close()
-	x.end(c.attempt, core.EndCallerGone, nil)
+	x.reportEnd(c.attempt, core.EndCallerGone, nil)
 }
 
-// end reports the end of an attempt to the core.
-func (x *exchange) end(n core.Attempt, kind core.EndKind, answer *idem.Answer) {
+// reportEnd reports the end of an attempt to the core.
+func (x *exchange) reportEnd(n core.Attempt, kind core.EndKind, answer *idem.Answer) {
 	x.entry.engine.end(core.End{ID: x.id, Attempt: n, Kind: kind, Replayable: !x.body.Streamed(), Answer: answer})
 }
 
--- a/internal/entry/coreconfig.go
+++ b/internal/entry/coreconfig.go
@@ -20,7 +20,7 @@
 	c.ReadersPerDomain = e.settings.Platform.ReadersPerDomain
 	c.CheckEvery = e.settings.Platform.CheckEvery.Duration
 	c.FirstStart = e.settings.Platform.FirstStart
-	c.StartLeave = e.startLeave()
+	c.StartLeave = e.platformStartDelay()
 	c.AlwaysCurrent = e.settings.Platform.AlwaysCurrent
 	c.ListIsFinal = e.settings.Platform.ListIsFinal
 	c.MissingAfter = e.settings.Platform.MissingAfter.Duration
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -65,20 +65,20 @@
 	RetryAfter time.Duration
 }
 
-// ownDialect is tealhall's own contract with callers and endpoints.
-type ownDialect struct{}
+// nativeDialect is tealhall's own contract with callers and endpoints.
+type nativeDialect struct{}
 
 // TimeLeft implements Dialect.
-func (ownDialect) TimeLeft(h http.Header) (time.Duration, bool) {
+func (nativeDialect) TimeLeft(h http.Header) (time.Duration, bool) {
 	return contract.ParseDeadline(h.Get(contract.HeaderDeadline))
 }
 
 // Name implements Dialect.
-func (ownDialect) Name(h http.Header) string { return h.Get(contract.HeaderRequest) }
+func (nativeDialect) Name(h http.Header) string { return h.Get(contract.HeaderRequest) }
 
 // AttemptHeader implements Dialect. The values share one array, since this is
 // made for every attempt.
-func (ownDialect) AttemptHeader(a *AttemptInfo) http.Header {
+func (nativeDialect) AttemptHeader(a *AttemptInfo) http.Header {
 	values := [...]string{
 		contract.FormatDeadline(a.Left),
 		strconv.Itoa(a.Number),
@@ -106,7 +106,7 @@
 }
 
 // ReadHead implements Dialect.
-func (ownDialect) ReadHead(_ string, _, answer http.Header, status int) core.Head {
+func (nativeDialect) ReadHead(_ string, _, answer http.Header, status int) core.Head {
 	h := core.Head{Status: status}
 	_, h.NotRun = contract.ProvedNotRun(status, answer)
 	h.Draining = answer.Get(contract.HeaderDraining) == contract.DrainingValue
@@ -118,7 +118,7 @@
 }
 
 // Stray implements Dialect: the contract has no name for an attempt.
-func (ownDialect) Stray(_, _ http.Header) bool { return false }
+func (nativeDialect) Stray(_, _ http.Header) bool { return false }
 
 // ownHeaders are the headers by which an entry speaks to callers and endpoints
 // speak to entries. An endpoint's answer must not bring them to a caller: a
@@ -137,10 +137,10 @@
 }
 
 // OwnHeaders implements Dialect.
-func (ownDialect) OwnHeaders() []string { return ownHeaders }
+func (nativeDialect) OwnHeaders() []string { return ownHeaders }
 
 // Mark implements Dialect.
-func (ownDialect) Mark(h http.Header, m Mark) {
+func (nativeDialect) Mark(h http.Header, m Mark) {
 	h.Set(contract.HeaderOutcome, m.Outcome.String())
 	h.Set(contract.HeaderEntry, m.Entry)
 	h.Set(contract.HeaderRevision, strconv.FormatUint(m.Revision, 10))
@@ -150,7 +150,7 @@
 }
 
 // Refuse implements Dialect.
-func (d ownDialect) Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal) {
+func (d nativeDialect) Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal) {
 	d.Mark(w.Header(), refusal.Mark)
 	if refusal.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(wholeSeconds(refusal.RetryAfter), 10))
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -142,7 +142,7 @@
 	for _, e := range f.Entries {
 		b.expect(t, e, "unknown", "key-unknown")
 	}
-	f.runs(t, b, 1)
+	f.expectRuns(t, b, 1)
 }
 
 func readOf(t *testing.T, f *fleet, id, query string) *http.Request {
--- a/internal/entry/engine.go
+++ b/internal/entry/engine.go
@@ -19,28 +19,28 @@
 	actions core.Actions
 	// exchanges are the callers' requests that are being served.
 	exchanges map[core.RequestID]*exchange
-	// carry gets the actions that concern no single request. It is called
+	// execute gets the actions that concern no single request. It is called
 	// without the lock and must not keep the slices.
-	carry func(*core.Actions)
+	execute func(*core.Actions)
 
-	// resting says that ticks are rare since nothing is in flight; busy wakes
+	// idle says that ticks are rare since nothing is in flight; busy wakes
 	// the one who ticks when a request arrives or a belief changes then.
-	resting bool
-	busy    chan struct{}
+	idle bool
+	wake chan struct{}
 
 	nextID atomic.Uint64
-	// spare holds emptied action lists for carry.
-	spare sync.Pool
+	// actionPool holds emptied action lists for carry.
+	actionPool sync.Pool
 }
 
 func newEngine(c *core.Core, clock func() time.Duration, wall func() time.Time) *engine {
 	return &engine{
-		clock:     clock,
-		wall:      wall,
-		core:      c,
-		exchanges: make(map[core.RequestID]*exchange),
-		busy:      make(chan struct{}, 1),
-		spare:     sync.Pool{New: func() any { return new(core.Actions) }},
+		clock:      clock,
+		wall:       wall,
+		core:       c,
+		exchanges:  make(map[core.RequestID]*exchange),
+		wake:       make(chan struct{}, 1),
+		actionPool: sync.Pool{New: func() any { return new(core.Actions) }},
 	}
 }
 
@@ -50,7 +50,7 @@
 	f(e.clock(), e.core, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.carryOut(rest)
+	e.executeRest(rest)
 }
 
 // dispatchLocked hands the directives to their requests and returns the other
@@ -69,7 +69,7 @@
 		e.actions.Reset()
 		return nil
 	}
-	rest := e.spare.Get().(*core.Actions)
+	rest := e.actionPool.Get().(*core.Actions)
 	*rest, e.actions = e.actions, *rest
 	return rest
 }
@@ -78,13 +78,13 @@
 	return len(a.Probes)+len(a.Updates)+len(a.Fetches)+len(a.Notes)+len(a.Traces)+len(a.DropAddresses)+len(a.SuspectAddresses) > 0
 }
 
-func (e *engine) carryOut(rest *core.Actions) {
+func (e *engine) executeRest(rest *core.Actions) {
 	if rest == nil {
 		return
 	}
-	e.carry(rest)
+	e.execute(rest)
 	rest.Reset()
-	e.spare.Put(rest)
+	e.actionPool.Put(rest)
 }
 
 // arrive registers an exchange and feeds its request to the core.
@@ -95,7 +95,7 @@
 	e.core.Arrive(e.clock(), *a, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.carryOut(rest)
+	e.executeRest(rest)
 }
 
 // forget unregisters an exchange: no more directives reach it.
@@ -127,7 +127,7 @@
 	}
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.carryOut(rest)
+	e.executeRest(rest)
 	return commit, outcome
 }
 
@@ -137,7 +137,7 @@
 	e.core.End(e.clock(), end, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.carryOut(rest)
+	e.executeRest(rest)
 }
 
 // maySend asks whether an attempt may still be written.
@@ -158,12 +158,12 @@
 
 // wakeLocked asks for frequent ticks again. The lock is held.
 func (e *engine) wakeLocked() {
-	if !e.resting {
+	if !e.idle {
 		return
 	}
-	e.resting = false
+	e.idle = false
 	select {
-	case e.busy <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
@@ -172,10 +172,10 @@
 func (e *engine) tick() (next time.Duration) {
 	e.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		c.Tick(now, e.wall(), out)
-		e.resting = len(e.exchanges) == 0 && c.InFlight() == 0
+		e.idle = len(e.exchanges) == 0 && c.InFlight() == 0
 		next = tickPeriod
-		if e.resting {
-			next = restPeriod
+		if e.idle {
+			next = idleTickPeriod
 		}
 	})
 	return next
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -38,10 +38,10 @@
 // request is answered after its deadline and how late a hedge starts.
 const tickPeriod = 5 * time.Millisecond
 
-// restPeriod is the same while nothing is in flight and no belief has changed;
+// idleTickPeriod is the same while nothing is in flight and no belief has changed;
 // either asks for a tick at once. Each tick wakes the process, which costs it more
 // than the tick itself.
-const restPeriod = 100 * time.Millisecond
+const idleTickPeriod = 100 * time.Millisecond
 
 // Options are what an Entry is built from besides its settings.
 type Options struct {
@@ -72,8 +72,8 @@
 	// Callers is for connections of callers; nil for plain HTTP. Homes is then
 	// called for each connection on which a request is passed on to another
 	// entry, the home of its key. All entries of a fleet are alike in this.
-	Callers *tls.Config
-	Homes   func() *tls.Config
+	Callers    *tls.Config
+	HomeClient func() *tls.Config
 	// PeerServer and PeerClient are for the two ends of links between entries;
 	// both or none are set. PeerClient is called for each dial.
 	PeerServer *tls.Config
@@ -91,24 +91,24 @@
 	engine      *engine
 	dialect     Dialect
 	connections *forward.Connections
-	// homes are the connections to other entries' callers' side; the same as
+	// homeConnections are the connections to other entries' callers' side; the same as
 	// connections where that is plain HTTP.
-	homes          *forward.Connections
-	front          *front.Server
-	peerServer     *peer.Server
-	links          *peer.Links
-	knownAddresses addressBook
-	trail          *audit.Trail
-	documents      documents
-	platform       *countedPlatform
-	liveness       livenessChecks
-	instruments    *instruments
-	recent         recent
+	homeConnections *forward.Connections
+	front           *front.Server
+	peerServer      *peer.Server
+	links           *peer.Links
+	knownAddresses  addressBook
+	trail           *audit.Trail
+	documents       documents
+	platform        *countedPlatform
+	liveness        livenessChecks
+	instruments     *instruments
+	recent          recent
 
 	// revision of the profiles in force, for answers.
 	revision atomic.Uint64
-	// allowed is what the routes in force allow callers.
-	allowed atomic.Pointer[front.Limits]
+	// routeLimits is what the routes in force allow callers.
+	routeLimits atomic.Pointer[front.Limits]
 
 	callerListener *net.TCPListener
 	peerListener   net.Listener
@@ -157,7 +157,7 @@
 	clock := monotonic()
 	e.dialect = opts.Dialect
 	if e.dialect == nil {
-		e.dialect = ownDialect{}
+		e.dialect = nativeDialect{}
 	}
 	e.platform = newCountedPlatform(opts.Platform, clock)
 	e.liveness.platform, _ = opts.Platform.(published.LivenessChecker)
@@ -166,12 +166,12 @@
 	e.buildConnections(clock)
 	rng := rand.New(rand.NewPCG(incarnation, uint64(opts.Wall().UnixNano())))
 	e.engine = newEngine(core.New(e.coreConfig(), rng), clock, opts.Wall)
-	e.engine.carry = e.carryOut
+	e.engine.execute = e.executeActions
 	e.buildPeers()
-	e.allowed.Store(&front.Limits{})
+	e.routeLimits.Store(&front.Limits{})
 	e.front = front.NewServer(front.ServerConfig{
 		Limits:  front.Limits{HeaderBytes: s.Limits.HeaderBytes, HeaderTimeout: s.Timeouts.Header.Duration, Idle: s.Timeouts.Idle.Duration},
-		Allowed: func() front.Limits { return *e.allowed.Load() },
+		Allowed: func() front.Limits { return *e.routeLimits.Load() },
 		TLS:     opts.TLS.Callers,
 		Refuse:  e.refuseShape,
 		Ahead:   e.mayBeginAhead,
@@ -189,10 +189,10 @@
 		Clock:               clock,
 	}
 	e.connections = forward.New(cfg)
-	e.homes = e.connections
+	e.homeConnections = e.connections
 	if e.options.TLS.Callers != nil {
-		cfg.TLS = e.options.TLS.Homes
-		e.homes = forward.New(cfg)
+		cfg.TLS = e.options.TLS.HomeClient
+		e.homeConnections = forward.New(cfg)
 	}
 }
 
@@ -204,9 +204,9 @@
 	return uint32(math.Round(1000 * cores))
 }
 
-func orElse(value, otherwise string) string {
+func orElse(value, fallback string) string {
 	if value == "" {
-		return otherwise
+		return fallback
 	}
 	return value
 }
@@ -231,21 +231,21 @@
 	return uint64(opts.Wall().Unix())<<32 | uint64(binary.BigEndian.Uint32(random[:])), nil
 }
 
-// startLeave is how long an entry that starts waits to hear from a peer before it asks the
+// platformStartDelay is how long an entry that starts waits to hear from a peer before it asks the
 // platform: the links to its seeds open within a tenth of a second. The seeds themselves ask
 // at once, so that a fleet that lost power as a whole has somebody to hear from.
 //
 // Beyond leastLeave entries spread over leaveSpan, few of them early: what the first have read
 // reaches the others before their turn. Where seeds are away too, the first of 14 asks after
 // 0.7 s on average, and a tenth of 472 have asked by then.
-func (e *Entry) startLeave() time.Duration {
-	const leastLeave, leaveSpan = 250 * time.Millisecond, time.Second
+func (e *Entry) platformStartDelay() time.Duration {
+	const leastDelay, delaySpread = 250 * time.Millisecond, time.Second
 	seeds := e.settings.Peers.Seeds
 	if len(seeds) == 0 || slices.Contains(seeds, e.hello.PeerAddress) {
 		return 0
 	}
-	place := float64(xxhash.Sum64String(e.hello.Name)>>11) / (1 << 53)
-	return leastLeave + time.Duration(math.Cbrt(place)*float64(leaveSpan))
+	position := float64(xxhash.Sum64String(e.hello.Name)>>11) / (1 << 53)
+	return leastDelay + time.Duration(math.Cbrt(position)*float64(delaySpread))
 }
 
 // Start opens the sockets and runs until Stop. It does not wait for readiness.
@@ -255,12 +255,12 @@
 	}
 	e.life, e.cancel = context.WithCancel(context.Background())
 	e.knownAddresses.add(0, e.settings.Peers.Seeds)
-	e.run(func() { e.noteEnd("callers", e.front.Serve(e.callerListener)) })
-	e.run(func() { e.noteEnd("peers", e.peerServer.Serve(e.peerListener)) })
+	e.run(func() { e.reportServerEnd("callers", e.front.Serve(e.callerListener)) })
+	e.run(func() { e.reportServerEnd("peers", e.peerServer.Serve(e.peerListener)) })
 	e.run(func() { e.tickLoop(e.life) })
 	e.run(func() { e.followLoop(e.life, published.ProfilesValue) })
 	e.run(func() { e.followLoop(e.life, published.VMsValue) })
-	if e.liveness.on() {
+	if e.liveness.enabled() {
 		e.run(func() { e.livenessLoop(e.life) })
 	}
 	return nil
@@ -273,8 +273,8 @@
 // on with what is left; nobody can reach it on that side any more.
 func (e *Entry) Failed() <-chan error { return e.failed }
 
-// noteEnd reports the end of a server, which is nil after a stop.
-func (e *Entry) noteEnd(side string, err error) {
+// reportServerEnd reports the end of a server, which is nil after a stop.
+func (e *Entry) reportServerEnd(side string, err error) {
 	if err != nil {
 		e.failed <- fault.Wrap(err, fault.Unavailable, "start the entry again and look into the system's log", "the server for %s ended", side)
 	}
@@ -333,7 +333,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.engine.busy:
+		case <-e.engine.wake:
 			timer.Reset(tickPeriod)
 		case <-timer.C:
 			timer.Reset(e.engine.tick())
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -38,7 +38,7 @@
 // service goes down, and an entry is replaced by a new process, which has only its peers to ask. Nothing
 // may reach the domain's endpoints all the while, callers don't notice, and when it is taken back
 // its endpoints are used again.
-func TestFailureDomainIsEvacuatedAndTakenBack(t *testing.T) {
+func TestEvacuatedFailureDomainGetsNoRequests(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 4)
 	l := startCalmTraffic(t, f)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -69,7 +69,7 @@
 	case d.Step == core.StepCancel:
 		x.cancelLocked(d.Attempt)
 		return
-	case x.inline && sends(d.Step):
+	case x.inline && isAttempt(d.Step):
 		x.startLocked(d)
 		return
 	case x.inline:
@@ -79,8 +79,8 @@
 	x.signal()
 }
 
-// sends reports whether the step is an attempt.
-func sends(s core.Step) bool { return s == core.StepDispatch || s == core.StepForward }
+// isAttempt reports whether the step is an attempt.
+func isAttempt(s core.Step) bool { return s == core.StepDispatch || s == core.StepForward }
 
 // offer gives the exchange the answer that the core committed to. It is false
 // when nobody waits for it any more.
@@ -128,7 +128,7 @@
 	stop := context.AfterFunc(x.request.Context(), x.callerGone)
 	defer stop()
 	for range x.wake {
-		if x.drain(w) {
+		if x.handlePending(w) {
 			return
 		}
 	}
@@ -147,8 +147,8 @@
 	x.signal()
 }
 
-// drain carries out what waits; it reports whether the exchange is over.
-func (x *exchange) drain(w http.ResponseWriter) (over bool) {
+// handlePending carries out what waits; it reports whether the exchange is over.
+func (x *exchange) handlePending(w http.ResponseWriter) (over bool) {
 	for {
 		d, ok := x.next()
 		if !ok {
@@ -159,7 +159,7 @@
 			x.run(d)
 		case core.StepReply:
 			x.ending = endingOf(d.Outcome)
-			x.entry.reply(w, x.request, x.explain(d))
+			x.entry.reply(w, x.request, x.refineReason(d))
 			return true
 		case core.StepReplay:
 			x.ending = endingOf(d.Outcome)
@@ -169,15 +169,15 @@
 	}
 	c, abandoned := x.takeAnswer()
 	if c != nil {
-		x.pass(w, c)
+		x.passAnswer(w, c)
 		return true
 	}
 	return abandoned
 }
 
-// explain gives the reason for a refusal in the words that fit best: to the core,
+// refineReason gives the reason for a refusal in the words that fit best: to the core,
 // a body that proves too large while it is sent is one that breaks off.
-func (x *exchange) explain(d core.Directive) core.Directive {
+func (x *exchange) refineReason(d core.Directive) core.Directive {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.tooLarge && d.Reason == core.ReasonBodyBroken {
@@ -242,11 +242,11 @@
 	x.entry.engine.forget(x.id)
 	x.mu.Lock()
 	x.closed = true
-	late := x.answer
+	unread := x.answer
 	x.cancelAllLocked()
 	x.mu.Unlock()
-	if late != nil {
-		x.abandon(late)
+	if unread != nil {
+		x.dropAnswer(unread)
 	}
 	if !x.body.Whole() {
 		x.attempts.Wait()
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -104,11 +104,11 @@
 	}
 }
 
-func otherThan(f *fleet, e *entry.Entry) []*entry.Entry {
+func entriesExcept(f *fleet, e *entry.Entry) []*entry.Entry {
 	return slices.DeleteFunc(slices.Clone(f.Entries), func(o *entry.Entry) bool { return o == e })
 }
 
-func (f *fleet) runs(t *testing.T, b booking, want int) {
+func (f *fleet) expectRuns(t *testing.T, b booking, want int) {
 	t.Helper()
 	if got := f.Ledger.Key(b.key).Runs; got != want {
 		t.Errorf("%s ran %d times, not %d", b.id, got, want)
@@ -119,20 +119,20 @@
 // free its slot, a waste entry must go on. The steward sends the entry again
 // through both the same and another entry, while it runs and after it: each time
 // he gets the answer of the one run.
-func TestCallerGoesAndAsksElsewhere(t *testing.T) {
+func TestKeyedRequestRunsOnceAfterCallerLeaves(t *testing.T) {
 	clock := standin.NewManualClock()
 	f := newFleet(t, 4, func(cfg *demo.FleetConfig) { cfg.Pools[1].Endpoint.Clock = clock })
 	home, newKey := homeOf(t, f)
 	b := newKey("left")
 	leaving, leave := context.WithCancel(t.Context())
-	gone := make(chan answer)
-	go func() { gone <- b.send(leaving, home) }()
+	firstTry := make(chan answer)
+	go func() { firstTry <- b.send(leaving, home) }()
 	clock.AwaitTimers(2) // the run and its deadline
 	leave()
-	<-gone
+	<-firstTry
 
 	read, cancel := context.WithCancel(t.Context())
-	go abandonedRead(read, home)
+	go sendSlowRead(read, home)
 	working := func(s standin.EndpointStats) bool { return s.Runs > 0 }
 	await(t, "the read is worked on", func() bool { return f.anyEndpoint("counts", working) })
 	cancel()
@@ -142,25 +142,25 @@
 		t.Error("the booking was cancelled with its caller")
 	}
 
-	other := otherThan(f, home)[0]
-	joined := make(chan answer)
-	go func() { joined <- b.send(t.Context(), other) }()
+	other := entriesExcept(f, home)[0]
+	answers := make(chan answer)
+	go func() { answers <- b.send(t.Context(), other) }()
 	for _, again := range []*entry.Entry{home, other} {
-		go func() { joined <- b.send(t.Context(), again) }()
+		go func() { answers <- b.send(t.Context(), again) }()
 	}
 	clock.Advance(time.Second)
 	for range 3 {
-		if got := <-joined; got.outcome != string(contract.OutcomeDone) || got.body != b.id+"\n" {
+		if got := <-answers; got.outcome != string(contract.OutcomeDone) || got.body != b.id+"\n" {
 			t.Errorf("a try beside the running one: %+v", got)
 		}
 	}
 	for _, e := range f.Entries {
 		b.expectReplay(t, e)
 	}
-	f.runs(t, b, 1)
+	f.expectRuns(t, b, 1)
 }
 
-func abandonedRead(ctx context.Context, e *entry.Entry) {
+func sendSlowRead(ctx context.Context, e *entry.Entry) {
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.CallerAddress()+"/slow?work=1h", nil)
 	request.Header.Set(contract.HeaderService, "counts")
 	if response, err := http.DefaultClient.Do(request); err == nil {
@@ -174,15 +174,15 @@
 
 // The kept answers of these bookings take more than one message of a hand-over.
 const (
-	largeAnswers = 40
-	largeAnswer  = 12_000
+	largeAnswers     = 40
+	largeAnswerBytes = 12_000
 )
 
 // Entries are replaced one after the other while a booking's caller still asks
 // what became of it. The home's keys move to successors, from them to others,
 // and processes join that rank before those that hold the keys. Each entry has
 // to find the answer, and to tell that a key which was never sent was not run.
-func TestKeysOutliveTheirHome(t *testing.T) {
+func TestKeysSurviveReplacementOfEveryEntry(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 5)
 	home, newKey := homeOf(t, f)
@@ -191,30 +191,30 @@
 	var large []booking
 	for i := range largeAnswers {
 		b := newKey(fmt.Sprintf("large-%d", i))
-		b.size = largeAnswer
+		b.size = largeAnswerBytes
 		b.expect(t, home, "done", "")
 		large = append(large, b)
 	}
-	for i, e := range append([]*entry.Entry{home}, otherThan(f, home)...) {
+	for i, e := range append([]*entry.Entry{home}, entriesExcept(f, home)...) {
 		f.stop(t, e)
 		f.replace(t, e.Name(), i)
-		for _, asked := range f.Entries {
-			ran.expectReplay(t, asked)
-			unused.expect(t, asked, "not-run", "home-stopped")
-			booking{key: ran.key, id: other.id}.expect(t, asked, "not-run", "key-mismatch")
+		for _, target := range f.Entries {
+			ran.expectReplay(t, target)
+			unused.expect(t, target, "not-run", "home-stopped")
+			booking{key: ran.key, id: other.id}.expect(t, target, "not-run", "key-mismatch")
 		}
 		for _, b := range large {
 			b.expectReplay(t, f.Entries[i])
 		}
 	}
-	f.runs(t, ran, 1)
-	f.runs(t, unused, 0)
+	f.expectRuns(t, ran, 1)
+	f.expectRuns(t, unused, 0)
 }
 
 // The home of a booking dies without a word. Nobody can know whether it ran the
 // booking, so nobody may say that it was not run, nor run it; that holds for a
 // key that never arrived as well.
-func TestKeysOfKilledHome(t *testing.T) {
+func TestOutcomeUnknownAfterHomeIsKilled(t *testing.T) {
 	f := newFleet(t, 3)
 	home, newKey := homeOf(t, f)
 	ran, unused := newKey("ran"), newKey("unused")
@@ -225,8 +225,8 @@
 		ran.expect(t, e, "unknown", "home-unreachable")
 		unused.expect(t, e, "unknown", "home-unreachable")
 	}
-	f.runs(t, ran, 1)
-	f.runs(t, unused, 0)
+	f.expectRuns(t, ran, 1)
+	f.expectRuns(t, unused, 0)
 }
 
 // An entry's VM dies in the middle of traffic, with bookings in flight at it.
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -26,8 +26,8 @@
 type livenessChecks struct {
 	platform published.LivenessChecker
 	every    time.Duration
-	// made and late count them, late those that were not answered in time.
-	made, late atomic.Uint64
+	// done and late count them, late those that were not answered in time.
+	done, late atomic.Uint64
 	// renewed counts the watches that were made anew.
 	renewed atomic.Uint64
 	// failed says that the latest glance had no answer at all. While it stays so,
@@ -39,8 +39,8 @@
 	// made anew.
 	latest    uint64
 	renewedAt time.Duration
-	// spreadUntil is when an entry glances next that is one of those who try last, 0 for none.
-	spreadUntil time.Duration
+	// nextSpread is when an entry glances next that is one of those who try last, 0 for none.
+	nextSpread time.Duration
 }
 
 // livenessLoop glances for as long as this entry reads the platform.
@@ -49,13 +49,13 @@
 		if !e.isReader() {
 			e.liveness.failed.Store(false)
 			e.liveness.answered.Store(false)
-			e.liveness.spreadUntil = 0
-			wait.For(ctx, readerCheck)
+			e.liveness.nextSpread = 0
+			wait.For(ctx, readerCheckInterval)
 			continue
 		}
 		pause, spread := e.livenessPause()
 		if !e.liveness.due(e.engine.clock(), pause, spread) {
-			wait.For(ctx, readerCheck)
+			wait.For(ctx, readerCheckInterval)
 			continue
 		}
 		e.checkLiveness(ctx)
@@ -68,18 +68,18 @@
 // due reports whether to glance now. One that is spread glances at a random moment, on average a
 // pause after it began to read or after the glance before. It is asked again and again meanwhile:
 // an entry whose duty it becomes to read glances at once, rather than up to two pauses later.
-func (g *livenessChecks) due(now, pause time.Duration, spread bool) bool {
+func (l *livenessChecks) due(now, pause time.Duration, spread bool) bool {
 	if !spread {
-		g.spreadUntil = 0
+		l.nextSpread = 0
 		return true
 	}
-	if g.spreadUntil == 0 {
-		g.spreadUntil = now + time.Duration(2*rand.Float64()*float64(pause))
+	if l.nextSpread == 0 {
+		l.nextSpread = now + time.Duration(2*rand.Float64()*float64(pause))
 	}
-	if now < g.spreadUntil {
+	if now < l.nextSpread {
 		return false
 	}
-	g.spreadUntil = 0
+	l.nextSpread = 0
 	return true
 }
 
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(life, e.settings.Platform.Timeout.Duration)
 	defer cancel()
 	late := time.AfterFunc(livenessTimeout, func() { e.noteLiveness(false) })
-	seen, err := e.liveness.platform.Liveness(ctx)
+	result, err := e.liveness.platform.Liveness(ctx)
 	inTime := late.Stop() && err == nil
 	if life.Err() != nil {
 		return // this entry stops
@@ -101,9 +101,9 @@
 	e.noteLiveness(inTime)
 	if err == nil {
 		e.liveness.answered.Store(true)
-		e.renewWatch(seen)
+		e.renewWatch(result)
 	}
-	e.liveness.made.Add(1)
+	e.liveness.done.Add(1)
 	if !inTime {
 		e.liveness.late.Add(1)
 	}
@@ -115,15 +115,15 @@
 // renewWatch has a watch made anew that has not brought, a whole glance later, what the platform
 // held by then. Without it a profile that was published while the platform dropped its history
 // came into force when the watches ran out, 3 s later, and the list had to be read besides.
-func (e *Entry) renewWatch(seen published.Liveness) {
-	before := e.liveness.latest
-	e.liveness.latest = seen.Latest
-	now, patience := e.engine.clock(), e.settings.Platform.Timeout.Duration
-	if seen.Delivered == 0 || seen.Delivered >= before || e.liveness.renewedAt != 0 && now-e.liveness.renewedAt < patience {
+func (e *Entry) renewWatch(result published.Liveness) {
+	previous := e.liveness.latest
+	e.liveness.latest = result.Latest
+	now, timeout := e.engine.clock(), e.settings.Platform.Timeout.Duration
+	if result.Delivered == 0 || result.Delivered >= previous || e.liveness.renewedAt != 0 && now-e.liveness.renewedAt < timeout {
 		return // nothing is missing, or the new call has had no time yet
 	}
 	e.liveness.renewedAt = now
-	klog.InfoS("a watch has not brought what the platform holds; it is made anew", "brought", seen.Delivered, "held", before)
+	klog.InfoS("a watch has not brought what the platform holds; it is made anew", "brought", result.Delivered, "held", previous)
 	e.liveness.renewed.Add(1)
 	e.liveness.platform.RenewWatch()
 }
@@ -132,16 +132,16 @@
 	e.engine.view(func(_ time.Duration, c *core.Core) { c.PlatformAlive(inTime) })
 }
 
-// reads reports whether this entry should read the platform now.
-func (e *Entry) reads() bool { return e.isReader() && e.liveness.allow(e.assigned()) }
+// shouldRead reports whether this entry should read the platform now.
+func (e *Entry) shouldRead() bool { return e.isReader() && e.liveness.allowsRead(e.assigned()) }
 
-// allow reports whether an entry that reads may do so by what its glances tell. One that is not
+// allowsRead reports whether an entry that reads may do so by what its glances tell. One that is not
 // assigned to read does when those that are have no answer, so most likely it gets none
 // either: it waits until a glance was answered. Guards against a platform that is down, to
 // which each entry of the fleet in turn would send reads, ten times as dear.
-func (g *livenessChecks) allow(assigned bool) bool {
-	return !g.failed.Load() && (assigned || !g.on() || g.answered.Load())
+func (l *livenessChecks) allowsRead(assigned bool) bool {
+	return !l.failed.Load() && (assigned || !l.enabled() || l.answered.Load())
 }
 
-// on reports whether this entry glances at all.
-func (g *livenessChecks) on() bool { return g.every > 0 && g.platform != nil }
+// enabled reports whether this entry glances at all.
+func (l *livenessChecks) enabled() bool { return l.every > 0 && l.platform != nil }
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -16,44 +16,44 @@
 // that wait then hear nothing, and nothing is answered.
 type fakePlatform struct {
 	values
-	silent                        atomic.Bool
-	reads, livenessChecks, leaves atomic.Int64
-	// held and brought are what a glance says, renewed counts the watches made anew.
-	held, brought atomic.Uint64
-	renewed       atomic.Int64
+	silent                              atomic.Bool
+	reads, livenessChecks, endedWatches atomic.Int64
+	// latest and brought are what a glance says, renewed counts the watches made anew.
+	latest, delivered atomic.Uint64
+	renewed           atomic.Int64
 }
 
-func (m *fakePlatform) Read(ctx context.Context, name string) (published.Value, error) {
-	m.reads.Add(1)
-	if m.silent.Load() {
+func (p *fakePlatform) Read(ctx context.Context, name string) (published.Value, error) {
+	p.reads.Add(1)
+	if p.silent.Load() {
 		<-ctx.Done()
 		return published.Value{}, ctx.Err()
 	}
-	return m.values.Read(ctx, name)
+	return p.values.Read(ctx, name)
 }
 
-func (m *fakePlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
-	v, err := m.values.Watch(ctx, name, after)
+func (p *fakePlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
+	v, err := p.values.Watch(ctx, name, after)
 	if err != nil {
-		m.leaves.Add(1)
+		p.endedWatches.Add(1)
 	}
 	return v, err
 }
 
-func (m *fakePlatform) Liveness(context.Context) (published.Liveness, error) {
-	m.livenessChecks.Add(1)
-	if m.silent.Load() {
+func (p *fakePlatform) Liveness(context.Context) (published.Liveness, error) {
+	p.livenessChecks.Add(1)
+	if p.silent.Load() {
 		return published.Liveness{}, errors.New("no answer")
 	}
-	return published.Liveness{Latest: m.held.Load(), Delivered: m.brought.Load()}, nil
+	return published.Liveness{Latest: p.latest.Load(), Delivered: p.delivered.Load()}, nil
 }
 
-func (m *fakePlatform) RenewWatch() { m.renewed.Add(1) }
+func (p *fakePlatform) RenewWatch() { p.renewed.Add(1) }
 
 // newReadingEntry starts an entry that glances at a service every 20 ms, and returns how to wait for it.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
-	m := &fakePlatform{values: values{
+	platform := &fakePlatform{values: values{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 		published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: published.EncodeVMs(published.VMList{})},
 	}}
@@ -61,7 +61,7 @@
 	s.Name, s.Region, s.FailureDomain = "entry-1", "r", "a"
 	s.Addresses.Caller, s.Addresses.Peer = "127.0.0.1:0", "127.0.0.1:0"
 	s.Platform.LivenessEvery.Duration = 20 * time.Millisecond
-	e, err := entry.New(s, entry.Options{Platform: m})
+	e, err := entry.New(s, entry.Options{Platform: platform})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,20 +69,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Kill)
-	until := func(what string, holds func() bool) {
+	waitFor := func(what string, holds func() bool) {
 		t.Helper()
 		ticker := time.NewTicker(time.Millisecond)
 		defer ticker.Stop()
-		late := time.After(20 * time.Second)
+		timeout := time.After(20 * time.Second)
 		for !holds() {
 			select {
 			case <-ticker.C:
-			case <-late:
+			case <-timeout:
 				t.Fatalf("waited in vain: %s", what)
 			}
 		}
 	}
-	return m, e, until
+	return platform, e, waitFor
 }
 
 // An operator publishes a profile in the moment in which the service drops its history. The
@@ -90,27 +90,27 @@
 // force when the watches ran out, four seconds later on 126 entries. A glance that shows the
 // service further than the watches have brought, a glance later still, has them made anew; a
 // service of which the watches bring all that changes is left alone.
-func TestForgottenWatchIsMadeAnew(t *testing.T) {
-	m, e, until := newReadingEntry(t)
-	until("ready", func() bool { ok, _ := e.Ready(); return ok })
-	more := func() {
-		glances := m.livenessChecks.Load()
-		until("five glances", func() bool { return m.livenessChecks.Load() >= glances+5 })
+func TestForgottenWatchIsRenewed(t *testing.T) {
+	platform, e, waitFor := newReadingEntry(t)
+	waitFor("ready", func() bool { ok, _ := e.Ready(); return ok })
+	waitForChecks := func() {
+		checks := platform.livenessChecks.Load()
+		waitFor("five glances", func() bool { return platform.livenessChecks.Load() >= checks+5 })
 	}
 	for range 20 {
-		m.brought.Store(m.held.Add(1))
-		more()
+		platform.delivered.Store(platform.latest.Add(1))
+		waitForChecks()
 	}
-	if got := m.renewed.Load(); got != 0 {
+	if got := platform.renewed.Load(); got != 0 {
 		t.Errorf("%d watches made anew though they bring all", got)
 	}
-	m.held.Add(1)
-	until("the watch is made anew", func() bool { return m.renewed.Load() > 0 })
-	m.brought.Store(m.held.Load())
-	more()
-	renewed := m.renewed.Load()
-	more()
-	if got := m.renewed.Load(); got != renewed {
+	platform.latest.Add(1)
+	waitFor("the watch is made anew", func() bool { return platform.renewed.Load() > 0 })
+	platform.delivered.Store(platform.latest.Load())
+	waitForChecks()
+	renewed := platform.renewed.Load()
+	waitForChecks()
+	if got := platform.renewed.Load(); got != renewed {
 		t.Errorf("%d more watches made anew after they brought all", got-renewed)
 	}
 }
@@ -118,16 +118,16 @@
 // The service falls silent while watches wait at it, for longer than they would wait.
 // The entry leaves them at once, asks nothing but whether it answers, and reads anew as
 // soon as it does.
-func TestServiceFallsSilentDuringAWatch(t *testing.T) {
-	m, e, until := newReadingEntry(t)
-	until("ready", func() bool { ok, _ := e.Ready(); return ok })
-	m.silent.Store(true)
-	until("both watches are left", func() bool { return m.leaves.Load() >= 2 })
-	reads, glances := m.reads.Load(), m.livenessChecks.Load()
-	until("ten more glances", func() bool { return m.livenessChecks.Load() >= glances+10 })
-	if more := m.reads.Load() - reads; more != 0 {
+func TestSilentServiceIsNotReadUntilItAnswers(t *testing.T) {
+	platform, e, waitFor := newReadingEntry(t)
+	waitFor("ready", func() bool { ok, _ := e.Ready(); return ok })
+	platform.silent.Store(true)
+	waitFor("both watches are left", func() bool { return platform.endedWatches.Load() >= 2 })
+	reads, checks := platform.reads.Load(), platform.livenessChecks.Load()
+	waitFor("ten more glances", func() bool { return platform.livenessChecks.Load() >= checks+10 })
+	if more := platform.reads.Load() - reads; more != 0 {
 		t.Errorf("%d reads of a silent service", more)
 	}
-	m.silent.Store(false)
-	until("read again", func() bool { return m.reads.Load() >= reads+2 })
+	platform.silent.Store(false)
+	waitFor("read again", func() bool { return platform.reads.Load() >= reads+2 })
 }
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -23,16 +23,16 @@
 }
 
 // logTrace writes the line of a request that failed, was late, or is a sample.
-func logTrace(s *core.RequestTrace) {
+func logTrace(trace *core.RequestTrace) {
 	values := []any{
-		s.Name, s.Service, strconv.FormatUint(s.Content, 16), s.Revision, s.Outcome.String(), s.Reason.String(), s.Status, s.RetryAfter.Milliseconds(), s.CallerGone,
-		s.CallerAge.Milliseconds(), s.Took.Milliseconds(), s.Objective.Milliseconds(), s.LoadProbes, s.NoRoom, s.Late, s.Endpoints, s.Full, s.Queued, s.Attempts,
+		trace.Name, trace.Service, strconv.FormatUint(trace.Content, 16), trace.Revision, trace.Outcome.String(), trace.Reason.String(), trace.Status, trace.RetryAfter.Milliseconds(), trace.CallerGone,
+		trace.CallerAge.Milliseconds(), trace.Took.Milliseconds(), trace.Objective.Milliseconds(), trace.LoadProbes, trace.NoRoom, trace.Late, trace.Endpoints, trace.Full, trace.Queued, trace.Attempts,
 	}
 	pairs := make([]any, 0, 2*len(values)+2)
 	for i, value := range values {
 		pairs = append(pairs, traceFields[i], value)
 	}
-	if s.Sampled {
+	if trace.Sampled {
 		pairs = append(pairs, logging.Ordinary, true)
 	}
 	klog.InfoS("request", pairs...)
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -17,19 +17,19 @@
 
 // An engineer reads a line of the log by the page. A field that the page does not
 // explain, or that is gone from the line, leaves a failure unexplained.
-func TestFieldsOfTheLogAreExplained(t *testing.T) {
+func TestLogFieldsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, section, _ := strings.Cut(string(page), "| Field | Meaning |")
 	section, _, _ = strings.Cut(section, "\n## ")
-	var explained []string
+	var documented []string
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\|").FindAllStringSubmatch(section, -1) {
-		explained = append(explained, m[1])
+		documented = append(documented, m[1])
 	}
-	if !slices.Equal(explained, traceFields) {
-		t.Errorf("the page explains %v, a line has %v", explained, traceFields)
+	if !slices.Equal(documented, traceFields) {
+		t.Errorf("the page explains %v, a line has %v", documented, traceFields)
 	}
 	var out strings.Builder
 	w := logging.NewWriter(&out, logging.Config{})
@@ -42,7 +42,7 @@
 		t.Fatalf("%q: %v", out.String(), err)
 	}
 	for _, field := range traceFields {
-		if _, there := line[field]; !there {
+		if _, found := line[field]; !found {
 			t.Errorf("the line has no %s", field)
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -56,63 +56,63 @@
 // known stay.
 func (e *Entry) SetSeeds(seeds []string) { e.knownAddresses.add(e.engine.clock(), seeds) }
 
-// rememberFor is how long an address is tried at which no entry is known any more, and
-// rememberMost how many addresses are remembered.
+// addressLifetime is how long an address is tried at which no entry is known any more, and
+// maxKnownAddresses how many addresses are remembered.
 const (
-	rememberFor  = time.Hour
-	rememberMost = 4096
+	addressLifetime   = time.Hour
+	maxKnownAddresses = 4096
 )
 
 // addressBook are the addresses of seeds and of entries that were known, with when that was last.
 // Those at which no entry is known now are dialled by a few: one that was killed comes back at
 // its address, and the other part of a fleet that was cut in two is found there.
 type addressBook struct {
-	mu      sync.Mutex
-	seenAt  map[string]time.Duration
-	version uint64
+	mu        sync.Mutex
+	lastKnown map[string]time.Duration
+	version   uint64
 }
 
 // add notes addresses.
-func (s *addressBook) add(now time.Duration, addresses []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.seenAt == nil {
-		s.seenAt = make(map[string]time.Duration)
+func (b *addressBook) add(now time.Duration, addresses []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.lastKnown == nil {
+		b.lastKnown = make(map[string]time.Duration)
 	}
 	for _, address := range addresses {
-		if _, known := s.seenAt[address]; !known {
-			if len(s.seenAt) >= rememberMost {
+		if _, known := b.lastKnown[address]; !known {
+			if len(b.lastKnown) >= maxKnownAddresses {
 				continue
 			}
-			s.version++
+			b.version++
 		}
-		s.seenAt[address] = now
+		b.lastKnown[address] = now
 	}
 }
 
 // forget drops the addresses at which no entry was known for long.
-func (s *addressBook) forget(now time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for address, at := range s.seenAt {
-		if now-at > rememberFor {
-			delete(s.seenAt, address)
+func (b *addressBook) forget(now time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for address, at := range b.lastKnown {
+		if now-at > addressLifetime {
+			delete(b.lastKnown, address)
 		}
 	}
 }
 
-// latest is the version of the list of addresses; it is 0 while none is known.
-func (s *addressBook) latest() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version
+// currentVersion is the version of the list of addresses; it is 0 while none is known.
+func (b *addressBook) currentVersion() uint64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.version
 }
 
 // appendTo appends all addresses.
-func (s *addressBook) appendTo(out []string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for address := range s.seenAt {
+func (b *addressBook) appendTo(out []string) []string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for address := range b.lastKnown {
 		out = append(out, address)
 	}
 	return out
@@ -132,18 +132,18 @@
 	}
 }
 
-// seedsFor is how long an entry that starts dials all its seeds. After that it has neighbours,
+// seedDialTime is how long an entry that starts dials all its seeds. After that it has neighbours,
 // and a seed that nobody knows is dialled by the few whose turn it is: links with the seeds for
 // good would make these the ends of as many links as there are entries.
-const seedsFor = 3 * time.Second
+const seedDialTime = 3 * time.Second
 
 // wantedLinks are the addresses that links are held with, as of one version of
 // the core's links and of the addresses heard of.
 type wantedLinks struct {
-	version   uint64
-	told      uint64
-	starting  bool
-	addresses []string
+	linksVersion   uint64
+	addressVersion uint64
+	starting       bool
+	addresses      []string
 }
 
 // updateLinks holds links with the entries that the core names, and with addresses at which
@@ -154,17 +154,17 @@
 // of the others, two parts of a fleet could miss each other for good, and callers of one
 // would never be sent to the other.
 func (e *Entry) updateLinks(set *wantedLinks) {
-	version := e.knownAddresses.latest()
+	version := e.knownAddresses.currentVersion()
 	var wanted, known []string
 	e.engine.view(func(now time.Duration, c *core.Core) {
-		links, starting := c.LinksVersion(), now < seedsFor || !c.KnowsOthers()
-		if set.addresses != nil && links == set.version && version == set.told && starting == set.starting {
+		links, starting := c.LinksVersion(), now < seedDialTime || !c.KnowsOthers()
+		if set.addresses != nil && links == set.linksVersion && version == set.addressVersion && starting == set.starting {
 			return
 		}
-		set.version, set.told, set.starting = links, version, starting
-		told := e.knownAddresses.appendTo(nil)
+		set.linksVersion, set.addressVersion, set.starting = links, version, starting
+		remembered := e.knownAddresses.appendTo(nil)
 		wanted, known = c.LinkAddresses([]string{}), c.PeerAddresses(nil)
-		lost := lostOf(told, known)
+		lost := lostAddresses(remembered, known)
 		if starting {
 			wanted = append(wanted, lost...)
 			return
@@ -186,13 +186,13 @@
 	set.addresses = wanted
 }
 
-// lostOf returns the addresses heard of at which no entry is known.
-func lostOf(told, known []string) []string {
-	has := make(map[string]bool, len(known))
+// lostAddresses returns the addresses heard of at which no entry is known.
+func lostAddresses(remembered, known []string) []string {
+	isKnown := make(map[string]bool, len(known))
 	for _, address := range known {
-		has[address] = true
+		isKnown[address] = true
 	}
-	return slices.DeleteFunc(told, func(address string) bool { return has[address] })
+	return slices.DeleteFunc(remembered, func(address string) bool { return isKnown[address] })
 }
 
 // pullRecords asks a peer for the records of entries that this one lacks, if there is reason to.
@@ -271,17 +271,17 @@
 
 // fetchFromPeer gets a published value from a peer.
 func (e *Entry) fetchFromPeer(ctx context.Context, f core.FetchFrom) bool {
-	ask := message.Fetch{Name: f.Name, After: f.After, Difference: e.documents.get(f.Name).Revision == f.After && f.After > 0}
-	d, err := e.links.Fetch(ctx, f.Address, ask)
+	request := message.Fetch{Name: f.Name, After: f.After, Difference: e.documents.get(f.Name).Revision == f.After && f.After > 0}
+	d, err := e.links.Fetch(ctx, f.Address, request)
 	if err == nil && d.Difference {
-		v, list, problem := e.documents.patched(d)
-		if problem == nil {
+		v, list, patchErr := e.documents.patched(d)
+		if patchErr == nil {
 			e.offerPatched(v, list, f.Source)
 			return true
 		}
-		klog.V(1).InfoS("a difference does not fit", "peer", f.Address, "value", f.Name, "err", problem)
-		ask.Difference = false
-		d, err = e.links.Fetch(ctx, f.Address, ask)
+		klog.V(1).InfoS("a difference does not fit", "peer", f.Address, "value", f.Name, "err", patchErr)
+		request.Difference = false
+		d, err = e.links.Fetch(ctx, f.Address, request)
 	}
 	if err != nil {
 		klog.V(1).InfoS("a peer gave no value", "peer", f.Address, "value", f.Name, "err", err)
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -20,8 +20,8 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// readerCheck is how often an entry looks whether it reads the platform.
-const readerCheck = 200 * time.Millisecond
+// readerCheckInterval is how often an entry looks whether it reads the platform.
+const readerCheckInterval = 200 * time.Millisecond
 
 // readRetry bounds the time between tries of an entry that does not reach the
 // platform: all entries of a fleet of this size may be trying.
@@ -94,19 +94,19 @@
 func (e *Entry) followLoop(ctx context.Context, name string) {
 	e.awaitPeers(ctx)
 	for ctx.Err() == nil {
-		if e.reads() {
+		if e.shouldRead() {
 			wait.For(ctx, e.readDelay())
 		}
-		if e.reads() {
+		if e.shouldRead() {
 			e.follow(ctx, name)
 		}
-		wait.For(ctx, readerCheck)
+		wait.For(ctx, readerCheckInterval)
 	}
 }
 
-func (e *Entry) readDelay() (patience time.Duration) {
-	e.engine.view(func(_ time.Duration, c *core.Core) { patience = c.ReadDelay() })
-	return patience
+func (e *Entry) readDelay() (delay time.Duration) {
+	e.engine.view(func(_ time.Duration, c *core.Core) { delay = c.ReadDelay() })
+	return delay
 }
 
 // startWait is for how long an entry that starts waits to learn of others before
@@ -125,47 +125,47 @@
 // others would.
 type meeting struct {
 	known, unchanged int
-	// checks is for how many of them it has to stay the same.
-	checks int
+	// unchangedNeeded is for how many of them it has to stay the same.
+	unchangedNeeded int
 }
 
 // meetingChecks is for how many checks the number of entries has to stay the same, and
-// firstChecks the same at the first start of a whole fleet.
+// firstStartChecks the same at the first start of a whole fleet.
 const (
-	meetingChecks = 4
-	firstChecks   = 12
+	meetingChecks    = 4
+	firstStartChecks = 12
 )
 
-// over takes in how many entries are known by now, and whether peers agree with that.
-func (m *meeting) over(known int, agreed bool) bool {
-	if known != m.known || !agreed {
+// observe takes in how many entries are known by now, and whether peers agree with that.
+func (m *meeting) observe(known int, agree bool) bool {
+	if known != m.known || !agree {
 		m.known, m.unchanged = known, 0
 	}
-	if !agreed {
+	if !agree {
 		return false
 	}
 	m.unchanged++
-	return known >= 2 && m.unchanged > m.checks
+	return known >= 2 && m.unchanged > m.unchangedNeeded
 }
 
 // awaitPeers waits until this entry knows the others, if it has been told of any.
 func (e *Entry) awaitPeers(ctx context.Context) {
-	if e.knownAddresses.latest() == 0 {
+	if e.knownAddresses.currentVersion() == 0 {
 		return
 	}
-	patience, m := startWait, meeting{checks: meetingChecks}
+	limit, m := startWait, meeting{unchangedNeeded: meetingChecks}
 	if e.settings.Platform.FirstStart {
-		patience, m.checks = meetingWait, firstChecks
+		limit, m.unchangedNeeded = meetingWait, firstStartChecks
 	}
 	began := e.engine.clock()
 	for ctx.Err() == nil {
-		known, agreed := 0, false
-		e.engine.view(func(_ time.Duration, c *core.Core) { known, agreed = c.UsableEntries(), c.RecordsAgree() })
+		known, agree := 0, false
+		e.engine.view(func(_ time.Duration, c *core.Core) { known, agree = c.UsableEntries(), c.RecordsAgree() })
 		waited := e.engine.clock() - began
-		if m.over(known, agreed) || waited >= meetingWait || agreed && waited >= patience {
+		if m.observe(known, agree) || waited >= meetingWait || agree && waited >= limit {
 			return
 		}
-		wait.For(ctx, readerCheck/4)
+		wait.For(ctx, readerCheckInterval/4)
 	}
 }
 
@@ -184,14 +184,14 @@
 func (e *Entry) follow(ctx context.Context, name string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.run(func() { e.endFollowing(ctx, cancel) })
+	e.run(func() { e.cancelWhenNotReading(ctx, cancel) })
 	options := published.FollowOptions{
 		Gap:     e.settings.Platform.ChangeGap.Duration,
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Backoff: published.NewBackoff(0, assign.CheckPeriod(e.KnownEntries(), readRetry)),
 		OnError: func(err error) { e.platformFailed(name, err) },
 	}
-	if e.resumes(name) {
+	if e.tryResume(name) {
 		published.Follow(ctx, e.platform, name, e.documents.get(name).Revision, options, e.platformAnswered)
 		return
 	}
@@ -206,15 +206,15 @@
 	published.Follow(ctx, e.platform, name, after, options, e.platformAnswered)
 }
 
-// resumes has the platform's service go on from the list of VMs in force here, where it can,
+// tryResume has the platform's service go on from the list of VMs in force here, where it can,
 // and reports whether it does. The list is large, and peers have given it.
-func (e *Entry) resumes(name string) bool {
+func (e *Entry) tryResume(name string) bool {
 	service, can := e.platform.service.(published.Resumer)
-	held := e.documents.get(name)
-	if !can || name != published.VMsValue || held.Revision == 0 {
+	current := e.documents.get(name)
+	if !can || name != published.VMsValue || current.Revision == 0 {
 		return false
 	}
-	service.Resume(held)
+	service.Resume(current)
 	return true
 }
 
@@ -230,11 +230,11 @@
 	}
 }
 
-// endFollowing cancels once others read for this entry, or the platform is silent.
-func (e *Entry) endFollowing(ctx context.Context, cancel context.CancelFunc) {
+// cancelWhenNotReading cancels once others read for this entry, or the platform is silent.
+func (e *Entry) cancelWhenNotReading(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
-		wait.For(ctx, readerCheck)
-		if !e.reads() {
+		wait.For(ctx, readerCheckInterval)
+		if !e.shouldRead() {
 			cancel()
 		}
 	}
@@ -257,18 +257,18 @@
 	}
 	offered := e.parse(v)
 	offered.Source = source
-	e.take(v, offered, false)
+	e.offerParsed(v, offered, false)
 }
 
 // offerPatched gives the core a list of VMs that a difference from a peer made.
 func (e *Entry) offerPatched(v published.Value, list published.VMList, source uint64) {
-	e.take(v, core.Offered{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
+	e.offerParsed(v, core.Offered{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
 }
 
-// take gives the core a value and keeps its text if it comes into force. patched says that a
+// offerParsed gives the core a value and keeps its text if it comes into force. patched says that a
 // difference made it.
-func (e *Entry) take(v published.Value, offered core.Offered, patched bool) {
-	var adopted *profile.Snapshot
+func (e *Entry) offerParsed(v published.Value, offered core.Offered, patched bool) {
+	var inForce *profile.Snapshot
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		c.Offer(now, offered, out)
 		if c.InForce(v.Name) != offered.Mark {
@@ -277,22 +277,22 @@
 		e.documents.put(v, offered.VMs, patched)
 		if v.Name == published.ProfilesValue {
 			e.revision.Store(v.Revision)
-			adopted = offered.Profiles
+			inForce = offered.Profiles
 		}
 	})
-	if adopted != nil {
-		e.allow(adopted.Routes())
-		e.instruments.forgetServices(func(name string) bool { _, ok := adopted.Service(name); return ok })
+	if inForce != nil {
+		e.setRouteLimits(inForce.Routes())
+		e.instruments.forgetServices(func(name string) bool { _, ok := inForce.Service(name); return ok })
 	}
 }
 
-// allow lets callers take what the routes in force allow.
-func (e *Entry) allow(routes *route.Table) {
+// setRouteLimits lets callers take what the routes in force allow.
+func (e *Entry) setRouteLimits(routes *route.Table) {
 	if routes == nil {
 		return
 	}
 	l := routes.Limits()
-	e.allowed.Store(&front.Limits{HeaderBytes: l.HeaderBytes, HeaderTimeout: l.HeaderTimeout.Duration(), Idle: l.IdleTimeout.Duration()})
+	e.routeLimits.Store(&front.Limits{HeaderBytes: l.HeaderBytes, HeaderTimeout: l.HeaderTimeout.Duration(), Idle: l.IdleTimeout.Duration()})
 }
 
 func markOf(v published.Value) message.Mark {
--- a/internal/entry/restart_test.go
+++ b/internal/entry/restart_test.go
@@ -16,26 +16,26 @@
 
 // upload is a long upload whose body the test feeds.
 type upload struct {
-	body *io.PipeWriter
-	ends chan error
+	body   *io.PipeWriter
+	result chan error
 }
 
-const scanPart = 128 << 10
+const scanChunk = 128 << 10
 
 // startUpload begins an upload straight to an entry and waits until an endpoint
 // has it.
 func startUpload(t *testing.T, f *fleet, e *entry.Entry, id string) *upload {
 	t.Helper()
 	reader, writer := io.Pipe()
-	u := &upload{body: writer, ends: make(chan error, 1)}
+	u := &upload{body: writer, result: make(chan error, 1)}
 	request, err := http.NewRequest(http.MethodPut, "http://"+e.CallerAddress()+"/scans?id="+id, reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set(contract.HeaderService, "scans")
 	request.Header.Set(contract.HeaderRequest, id)
-	go func() { u.ends <- sendUpload(request, id) }()
-	u.feed(t)
+	go func() { u.result <- sendUpload(request, id) }()
+	u.write(t)
 	await(t, "the upload reaches an endpoint", func() bool { return f.Ledger.Request(id).Runs > 0 })
 	return u
 }
@@ -53,9 +53,9 @@
 	return standin.CheckAnswer(body, id, standin.AnswerSize(id))
 }
 
-func (u *upload) feed(t *testing.T) {
+func (u *upload) write(t *testing.T) {
 	t.Helper()
-	if _, err := u.body.Write(make([]byte, scanPart)); err != nil {
+	if _, err := u.body.Write(make([]byte, scanChunk)); err != nil {
 		t.Error(err)
 	}
 }
@@ -63,21 +63,21 @@
 // finish sends the rest and checks the answer.
 func (u *upload) finish(t *testing.T) {
 	t.Helper()
-	u.feed(t)
+	u.write(t)
 	_ = u.body.Close()
-	if err := <-u.ends; err != nil {
+	if err := <-u.result; err != nil {
 		t.Errorf("the upload was cut off: %v", err)
 	}
 }
 
-const newcomers = 4
+const freshClients = 4
 
 // awaitRefusal calls an entry, each time on a new connection, until it refuses
 // connections. A connection that it took has to bring an answer.
 func awaitRefusal(t *testing.T, e *entry.Entry) {
 	t.Helper()
 	var calling sync.WaitGroup
-	for range newcomers {
+	for range freshClients {
 		calling.Go(func() {
 			fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -115,9 +115,9 @@
 	return may
 }
 
-// unknownService tells a service that isn't published from an entry that knows
+// unknownServiceReason tells a service that isn't published from an entry that knows
 // no profiles yet.
-func (e *Entry) unknownService() core.Reason {
+func (e *Entry) unknownServiceReason() core.Reason {
 	if e.revision.Load() == 0 {
 		return core.ReasonStarting
 	}
@@ -226,7 +226,7 @@
 		answer.Entries = entryAddresses(choices)
 	})
 	if !known {
-		e.reply(w, r, core.Directive{Outcome: core.OutcomeNotRun, Reason: e.unknownService()})
+		e.reply(w, r, core.Directive{Outcome: core.OutcomeNotRun, Reason: e.unknownServiceReason()})
 		return
 	}
 	writeJSON(w, r, http.StatusOK, answer)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -33,28 +33,28 @@
 	plan := planStop(e.answersTTL(), &e.settings.Timeouts)
 	until := func(step time.Duration) time.Duration { return step - (e.engine.clock() - began) }
 	e.leave("a planned stop")
-	wait.For(ctx, until(plan.turnAway))
+	wait.For(ctx, until(plan.askToClose))
 	// From here on only callers with late answers come. Each answer asks its
 	// caller to close the connection, so that the close of an idle one, which
 	// could meet a request on its way, is the exception.
 	e.front.Leave()
-	wait.For(ctx, until(plan.refuse))
+	wait.For(ctx, until(plan.refuseConnections))
 	var running int
 	e.engine.view(func(now time.Duration, c *core.Core) { running = c.SealKeys(now) })
 	// The keys are handed over at once: from now on this entry refuses
 	// connections, and uploads may keep it for long. Keys that still run are
 	// unknown to the successors until the second hand-over.
 	// A quick stop hands them over as well.
-	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), until(plan.sayGoodbye))
+	handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), until(plan.announceStopped))
 	defer cancel()
-	first := make(chan handover, 1)
-	go func() { first <- e.handOver(left) }()
-	cut := e.finishRequests(ctx, until(plan.cut))
-	handedOver := <-first
+	firstHandover := make(chan handoverResult, 1)
+	go func() { firstHandover <- e.handOver(handoverCtx) }()
+	cut := e.finishRequests(ctx, until(plan.cutOff))
+	handedOver := <-firstHandover
 	if running > 0 {
-		handedOver = e.handOver(left)
+		handedOver = e.handOver(handoverCtx)
 	}
-	e.finish(min(farewell, until(plan.end)), func() time.Duration { return until(plan.end) })
+	e.finish(min(stoppedMessageTime, until(plan.end)), func() time.Duration { return until(plan.end) })
 	return StopSummary{
 		Cut:        cut,
 		HandedOver: handedOver.keys,
@@ -80,24 +80,24 @@
 
 // finishRequests refuses new connections, waits at most so long for the requests in flight and
 // returns how many it had to cut off. A wait that gets long is reported.
-func (e *Entry) finishRequests(ctx context.Context, most time.Duration) int {
-	limit, cancel := context.WithTimeout(ctx, most)
+func (e *Entry) finishRequests(ctx context.Context, timeout time.Duration) int {
+	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	patience := time.AfterFunc(min(e.settings.Timeouts.StopGrace.Duration, most/2), func() {
-		e.report("waits", e.front.InFlight(), "they are cut off "+most.Round(time.Millisecond).String()+" after new connections were refused")
+	longWait := time.AfterFunc(min(e.settings.Timeouts.StopGrace.Duration, timeout/2), func() {
+		e.reportStop("waits", e.front.InFlight(), "they are cut off "+timeout.Round(time.Millisecond).String()+" after new connections were refused")
 	})
-	defer patience.Stop()
-	return e.front.Stop(limit, func(inFlight int) {
+	defer longWait.Stop()
+	return e.front.Stop(timeoutCtx, func(inFlight int) {
 		why := "a second signal made the stop quick"
 		if ctx.Err() == nil {
 			why = "raise timeouts.stop_upload, or timeouts.stop_within where that is less, to wait longer"
 		}
-		e.report("cuts-off", inFlight, why)
+		e.reportStop("cuts-off", inFlight, why)
 	})
 }
 
-// report says in log and audit trail what a stop does with requests in flight.
-func (e *Entry) report(action string, requests int, why string) {
+// reportStop says in log and audit trail what a stop does with requests in flight.
+func (e *Entry) reportStop(action string, requests int, why string) {
 	klog.InfoS("a planned stop meets requests in flight", "action", action, "requests", requests, "why", why)
 	e.trail.Add(audit.Record{
 		Actor:   "entry " + e.settings.Name,
@@ -111,10 +111,10 @@
 // finish says goodbye, gives that so long on its way and ends all goroutines. Those that are not
 // through when the process has to end, in a call that nobody answers for one, end with it: a process
 // that waited for them would be killed.
-func (e *Entry) finish(onItsWay time.Duration, left func() time.Duration) {
+func (e *Entry) finish(sendTime time.Duration, timeLeft func() time.Duration) {
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Stopped(now, out) })
-	wait.For(context.Background(), onItsWay)
-	if !wait.Done(left(), e.shutDown) {
+	wait.For(context.Background(), sendTime)
+	if !wait.Done(timeLeft(), e.shutDown) {
 		klog.InfoS("the process ends before all its calls have", "entry", e.settings.Name)
 	}
 }
@@ -137,7 +137,7 @@
 	e.links.Close()
 	e.peerServer.Close()
 	e.connections.Close()
-	e.homes.Close()
+	e.homeConnections.Close()
 	// Requests that were cut off don't outlive the entry at an endpoint.
 	e.engine.cancelAll()
 	e.endRunning()
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -16,7 +16,7 @@
 // stop ends at once, says how many requests it cuts, and the caller sees that
 // its upload was not answered. Nothing of any entry is left running, also of
 // those that were stopped or killed while they started.
-func TestQuickStopSaysWhatItCutsAndLeavesNothing(t *testing.T) {
+func TestQuickStopReportsCutRequestsAndLeaksNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	f := newFleet(t, 3)
 	e := f.Entries[0]
@@ -30,7 +30,7 @@
 		t.Errorf("%+v: the upload was in flight", summary)
 	}
 	_ = scan.body.Close()
-	if err := <-scan.ends; err == nil {
+	if err := <-scan.result; err == nil {
 		t.Error("the upload that was cut off seemed answered")
 	}
 	if f.audited(e.Name(), "planned stop", "cuts-off") != 1 {
@@ -57,12 +57,12 @@
 // It isn't ready and says why. A caller that asks it nevertheless is told that
 // its read was not run; of a booking it must not say so, since an earlier try
 // may have run elsewhere.
-func TestEntryThatKnowsNothing(t *testing.T) {
+func TestEntryWithoutConfigurationRefusesRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	_, newKey := homeOf(t, f)
-	only := f.Entries[0]
-	f.Forget(only)
-	only.Kill()
+	known := f.Entries[0]
+	f.Forget(known)
+	known.Kill()
 	f.Server.Kill()
 	fresh, err := f.AddEntry("fresh", 0)
 	if err != nil {
--- a/internal/entry/stopplan_test.go
+++ b/internal/entry/stopplan_test.go
@@ -10,7 +10,7 @@
 
 // Whatever an operator sets, the steps of a stop come in their order, the process has ended before
 // it is killed, and what runs has a quarter of the time at least once new connections are refused.
-func TestStepsOfAStopKeepTheirOrder(t *testing.T) {
+func TestStopPlanStepsAreInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string, least, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
@@ -22,7 +22,7 @@
 		}
 		within := timeouts.StopWithin.Duration
 		p := planStop(span("ttl", 0, 10*time.Minute), timeouts)
-		steps := []time.Duration{0, p.turnAway, p.refuse, p.cut, p.sayGoodbye, p.end, within}
+		steps := []time.Duration{0, p.askToClose, p.refuseConnections, p.cutOff, p.announceStopped, p.end, within}
 		for i := 1; i < len(steps); i++ {
 			if steps[i] < steps[i-1] {
 				t.Fatalf("step %d comes before the one before it: %v", i, steps)
@@ -31,7 +31,7 @@
 		if p.end >= within {
 			t.Errorf("ends after %v, is killed after %v", p.end, within)
 		}
-		if left := p.sayGoodbye - p.refuse; left < within/4 {
+		if left := p.announceStopped - p.refuseConnections; left < within/4 {
 			t.Errorf("requests in flight have %v of %v", left, within)
 		}
 	})
@@ -40,23 +40,23 @@
 // A caller sends a request before half of the grace time is over, and its endpoint answers before
 // the last sixth of it begins: the answer has to reach the caller, however long the earlier steps
 // take, for every grace time that leaves as much.
-func TestAnswersBeforeTheLastSixthAreNotCut(t *testing.T) {
+func TestStopPlanCutsNothingBeforeTheLastSixth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(int64(2*time.Second), int64(time.Minute)).Draw(t, "grace"))
 		timeouts := settings.Default().Timeouts
 		timeouts.StopWithin.Duration = grace
 		p := planStop(time.Duration(rapid.Int64Range(0, int64(12*time.Second)).Draw(t, "ttl")), &timeouts)
-		if last := grace * 5 / 6; p.cut < last {
-			t.Errorf("cut off after %v, an answer may come after %v", p.cut, last)
+		if last := grace * 5 / 6; p.cutOff < last {
+			t.Errorf("cut off after %v, an answer may come after %v", p.cutOff, last)
 		}
 	})
 }
 
 // Without an end that is set from outside, a stop takes what its steps take together.
-func TestStopWithoutAnEnd(t *testing.T) {
+func TestStopPlanWithoutStopWithin(t *testing.T) {
 	timeouts := settings.Default().Timeouts
 	p := planStop(12*time.Second, &timeouts)
-	if p.turnAway != 12*time.Second || p.refuse != 13*time.Second || p.cut != 13*time.Second+15*time.Minute || p.end < 48*time.Hour {
+	if p.askToClose != 12*time.Second || p.refuseConnections != 13*time.Second || p.cutOff != 13*time.Second+15*time.Minute || p.end < 48*time.Hour {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -44,7 +44,7 @@
 		Platform:       published,
 		CallerListener: callerSide,
 		PeerListener:   peerSide,
-		TLS:            entry.TLS{Callers: callers.Server(), Homes: client, PeerServer: mutual.Server(), PeerClient: client},
+		TLS:            entry.TLS{Callers: callers.Server(), HomeClient: client, PeerServer: mutual.Server(), PeerClient: client},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -59,7 +59,7 @@
 		settings:           e.settings,
 		hello:              &e.hello,
 		platform:           e.platform.snapshot(),
-		livenessChecks:     e.liveness.made.Load(),
+		livenessChecks:     e.liveness.done.Load(),
 		lateLivenessChecks: e.liveness.late.Load(),
 		renewedWatches:     e.liveness.renewed.Load(),
 		callers:            e.front.Connections(),
