--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -16,7 +16,7 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// The bounds of work that serves no caller.
+// The limits of work that serves no caller.
 const (
 	probeTimeout = 2 * time.Second
 	fetchTimeout = 3 * time.Second
@@ -24,7 +24,7 @@
 	maxProbeBody = 16 << 10
 )
 
-// executeActions does what the core asked for beside single requests.
+// executeActions carries out the core's actions that do not belong to a single request.
 func (e *Entry) executeActions(a *core.Actions) {
 	for i := range a.Notes {
 		e.trail.Add(e.auditRecord(&a.Notes[i]))
@@ -62,8 +62,8 @@
 	}
 }
 
-// deliver sends an update and tells the core whether the peer accepted it: what
-// was lost on the way is owed still.
+// deliver sends an update and reports to the core whether the peer accepted it; a lost update stays
+// pending.
 func (e *Entry) deliver(u core.Outgoing) {
 	e.links.Deliver(u.Address, u.Update, func(r message.Receipt) { e.updateDone(u.To, u.Update.Sequence, r) })
 }
@@ -74,7 +74,7 @@
 	})
 }
 
-// probe asks an endpoint how it is.
+// probe sends a health, load or crash probe to an endpoint and reports the result to the core.
 func (e *Entry) probe(p core.Probe) {
 	timeout := probeTimeout
 	if p.Wait > 0 {
@@ -104,8 +104,7 @@
 		end.Refused = forward.FailureOf(err) == forward.RefusedDial
 		return
 	}
-	// A body that is left unread costs the connection, and the endpoint a new one
-	// for each probe.
+	// An unread body would cost the connection, and the endpoint a new one for each probe.
 	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody)
 	_ = response.Body.Close()
 	head := e.dialect.ReadHead(end.Probe.Endpoint, request.Header, response.Header, response.StatusCode)
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -12,7 +12,7 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// passAnswer gives the caller the answer that the core committed to.
+// passAnswer sends the caller the answer that the core committed to.
 func (x *exchange) passAnswer(w http.ResponseWriter, c *committed) {
 	x.ending = c.ending()
 	x.entry.instruments.passed(x.entry.engine.clock()-x.began, c.waited)
@@ -29,7 +29,7 @@
 	x.stream(w, c, nil)
 }
 
-// ending is how the exchange ends if the whole answer is passed on.
+// ending returns how the exchange ends if the whole answer reaches the caller.
 func (c *committed) ending() ending {
 	if !c.forwarded {
 		return endingOf(c.outcome)
@@ -43,7 +43,7 @@
 	return endedUnknown
 }
 
-// stream copies the answer to the caller and then reports its end.
+// stream copies the answer to the caller and reports the end of the attempt to the core.
 func (x *exchange) stream(w http.ResponseWriter, c *committed, answer *idem.Answer) {
 	size, err := front.CopyAnswer(w, c.response)
 	end := endOfCopy(err)
@@ -57,8 +57,8 @@
 		Bytes: max(x.body.Length(), 0) + size})
 }
 
-// endOfCopy tells an answer that broke off from a caller that went away: only
-// the reading side has errors of package forward.
+// endOfCopy distinguishes an answer that broke off from a caller that left: only errors of the
+// endpoint's side are errors of package forward.
 func endOfCopy(err error) core.EndKind {
 	switch {
 	case err == nil:
@@ -70,10 +70,10 @@
 	}
 }
 
-// passKeyedAnswer passes on the answer of a request that must run once. An answer
-// that is small enough is read whole first: then its result is recorded before
-// the caller sees it, and a caller that loses the answer gets it again. A
-// larger one is streamed, and only its result is recorded.
+// passKeyedAnswer sends the answer of a request with an idempotency key. An answer of at most
+// KeyAnswerBytes is read whole first: its result is then recorded before the caller sees it, and a
+// caller that loses the answer gets it again. A larger answer is streamed, and only its result is
+// recorded.
 func (x *exchange) passKeyedAnswer(w http.ResponseWriter, c *committed) {
 	limit := int64(x.entry.settings.Limits.KeyAnswerBytes)
 	body := c.response.Body
@@ -94,7 +94,7 @@
 	_, _ = front.CopyAnswer(w, c.response)
 }
 
-// prependBytes puts bytes that were read back in front of a body.
+// prependBytes returns a body that begins with bytes that were already read.
 func prependBytes(prefix []byte, body io.ReadCloser) io.ReadCloser {
 	return struct {
 		io.Reader
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -13,12 +13,13 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// attempt sends the request once and reports to the core what came of it. The
-// answer that the core commits to goes to the exchange.
+// attempt sends the request once and reports the result to the core. If the core commits to the
+// answer, the exchange gets it.
 func (x *exchange) attempt(ctx context.Context, done context.CancelFunc, d core.Directive) {
 	maySend := func() bool { return x.entry.engine.maySend(d.ID, d.Attempt) }
 	body, ok := x.body.Reader()
-	// Asked now as well, since a connection costs the endpoint something too.
+	// maySend is also checked before a connection is taken, since a connection costs the endpoint
+	// something too.
 	if !ok || !maySend() {
 		done()
 		x.reportEnd(d.Attempt, core.EndNotWritten, nil)
@@ -50,7 +51,7 @@
 	x.handleHead(d, response, delivery.FirstByte-delivery.Started, done)
 }
 
-// extraHeader holds the headers that tealhall adds for the endpoint.
+// extraHeader returns the headers that the entry adds to an attempt.
 func (x *exchange) extraHeader(d core.Directive) http.Header {
 	return x.entry.dialect.AttemptHeader(&AttemptInfo{
 		Endpoint:  d.Endpoint,
@@ -65,8 +66,8 @@
 	})
 }
 
-// handleHead feeds the head of an answer, which was waited for, and either passes
-// the answer to the exchange or drops it.
+// handleHead passes the head of an answer to the core, and then the answer to the exchange or
+// closes it. waited is the time that the endpoint took to its first byte.
 func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
 	head := x.headOf(d, response)
 	commit, outcome := x.entry.engine.head(head)
@@ -86,7 +87,7 @@
 	x.reportEnd(d.Attempt, kind, nil)
 }
 
-// dropAnswer drops an answer that nobody waits for any more.
+// dropAnswer closes an answer whose caller has left.
 func (x *exchange) dropAnswer(c *committed) {
 	x.mu.Lock()
 	x.cancelLocked(c.attempt)
@@ -100,7 +101,7 @@
 	x.entry.engine.end(core.End{ID: x.id, Attempt: n, Kind: kind, Replayable: !x.body.Streamed(), Answer: answer})
 }
 
-// headOf reads what the head of an answer says.
+// headOf reads the head of an answer for the core.
 func (x *exchange) headOf(d core.Directive, response *http.Response) core.Head {
 	if d.Step == core.StepForward {
 		lost := response.Header.Get(contract.HeaderReason) == core.ReasonHomeLost.String()
@@ -111,7 +112,7 @@
 	return h
 }
 
-// failedEnd classifies an attempt that brought no head.
+// failedEnd classifies an attempt that failed before the head of an answer.
 func (x *exchange) failedEnd(d core.Directive, delivery forward.Delivery, err error) core.End {
 	failure := forward.FailureOf(err)
 	end := core.End{ID: d.ID, Attempt: d.Attempt, Kind: core.EndLost, Replayable: !x.body.Streamed(), Cause: failure.String()}
@@ -136,7 +137,7 @@
 	return end
 }
 
-// noteTooLarge remembers that the body failed because it is beyond its bound.
+// noteTooLarge records that the body failed because it exceeds its limit.
 func (x *exchange) noteTooLarge(err error) {
 	if beyond := (*front.TooLarge)(nil); !errors.As(err, &beyond) {
 		return
--- a/internal/entry/coreconfig.go
+++ b/internal/entry/coreconfig.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// coreConfig returns the core's configuration by the settings.
+// coreConfig returns the core's configuration that follows from the settings.
 func (e *Entry) coreConfig() core.Config {
 	limits := &e.settings.Limits
 	c := core.DefaultConfig(e.hello)
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -9,47 +9,46 @@
 	"github.com/tealhall/tealhall/internal/core"
 )
 
-// Dialect is how callers and endpoints speak to an entry: which headers and
-// statuses carry what. It translates and decides nothing. Implementations are
-// safe for concurrent use.
+// Dialect translates between the core and the headers and statuses of callers and endpoints. It
+// makes no decisions. Implementations are safe for concurrent use.
 type Dialect interface {
-	// TimeLeft returns how long a caller still waits, if it says so.
+	// TimeLeft returns how long the caller still waits, if it says so.
 	TimeLeft(h http.Header) (time.Duration, bool)
 	// Name returns the caller's name for its request, "" if it gave none.
 	Name(h http.Header) string
 	// AttemptHeader returns the headers that an attempt adds for its endpoint.
 	AttemptHeader(a *AttemptInfo) http.Header
-	// ReadHead reads what the head of an endpoint's answer says of the request, of
-	// its load and of itself. request has the headers that were sent.
+	// ReadHead reads what the head of an endpoint's answer says about the request, the endpoint's
+	// load and the endpoint itself. request has the headers that were sent.
 	ReadHead(expected string, request, answer http.Header, status int) core.Head
 	// Stray reports whether an answer belongs to another request.
 	Stray(request, answer http.Header) bool
-	// OwnHeaders lists headers of endpoints that concern only the entry.
+	// OwnHeaders lists the headers of endpoints that are meant only for the entry.
 	OwnHeaders() []string
-	// Mark adds what every answer of an entry carries.
+	// Mark adds the headers that every answer of an entry carries.
 	Mark(h http.Header, m Mark)
-	// Refuse gives a caller an answer of the entry's own.
+	// Refuse sends a caller an answer of the entry itself.
 	Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal)
 }
 
-// AttemptInfo is what an endpoint may be told with an attempt.
+// AttemptInfo is what the headers of an attempt may tell its endpoint.
 type AttemptInfo struct {
-	// Endpoint is the endpoint that is expected at the address.
+	// Endpoint is the name of the endpoint that is expected at the address.
 	Endpoint string
-	// Left is how much time the attempt has.
+	// Left is the time that the attempt has left.
 	Left time.Duration
-	// Number counts the attempts, those before this entry included.
+	// Number counts the attempts, including those made before the request reached this entry.
 	Number int
-	// Request names the request over all attempts, Service what it is for.
+	// Request names the request in all its attempts, Service the service that it is for.
 	Request, Service string
-	// Caller names the caller, for an entry that the request is sent on to.
+	// Caller names the caller, for an entry to which the request is forwarded.
 	Caller    string
 	Depth     int
 	IdleOnly  bool
 	Forwarded bool
 }
 
-// Mark is what an entry says of itself on an answer.
+// Mark is what an answer says about its entry and the outcome.
 type Mark struct {
 	Entry    string
 	Outcome  core.Outcome
@@ -57,7 +56,7 @@
 	Revision uint64
 }
 
-// Refusal is an answer of the entry's own.
+// Refusal is an answer of the entry itself.
 type Refusal struct {
 	Mark
 	Status     int
@@ -76,8 +75,8 @@
 // Name implements Dialect.
 func (nativeDialect) Name(h http.Header) string { return h.Get(contract.HeaderRequest) }
 
-// AttemptHeader implements Dialect. The values share one array, since this is
-// made for every attempt.
+// AttemptHeader implements Dialect. The values share one array to save allocations, since it is
+// called for every attempt.
 func (nativeDialect) AttemptHeader(a *AttemptInfo) http.Header {
 	values := [...]string{
 		contract.FormatDeadline(a.Left),
@@ -117,12 +116,12 @@
 	return h
 }
 
-// Stray implements Dialect: the contract has no name for an attempt.
+// Stray implements Dialect: the contract has no names for attempts.
 func (nativeDialect) Stray(_, _ http.Header) bool { return false }
 
-// ownHeaders are the headers by which an entry speaks to callers and endpoints
-// speak to entries. An endpoint's answer must not bring them to a caller: a
-// stray "not-run" in it would be a false statement of tealhall's.
+// ownHeaders are the headers that entries set for callers and endpoints set for entries. An
+// endpoint's answer must not carry them to a caller: a stray "not-run" in it would be a false
+// statement in tealhall's name.
 var ownHeaders = []string{
 	contract.HeaderOutcome,
 	contract.HeaderReason,
--- a/internal/entry/engine.go
+++ b/internal/entry/engine.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/core"
 )
 
-// engine drives the decision core: it serialises the events, stamps them with
-// the time and hands the resulting actions to whoever carries them out.
+// engine drives the decision core: it serialises the events, stamps them with the time and passes
+// the resulting actions to the exchanges or to execute.
 type engine struct {
 	clock func() time.Duration
 	wall  func() time.Time
@@ -19,17 +19,17 @@
 	actions core.Actions
 	// exchanges are the callers' requests that are being served.
 	exchanges map[core.RequestID]*exchange
-	// execute gets the actions that concern no single request. It is called
-	// without the lock and must not keep the slices.
+	// execute carries out the actions that do not belong to a single request. It is called without
+	// the lock and must not keep the slices.
 	execute func(*core.Actions)
 
-	// idle says that ticks are rare since nothing is in flight; busy wakes
-	// the one who ticks when a request arrives or a belief changes then.
+	// idle is set while ticks are rare because nothing is in flight. wake asks the tick loop for
+	// frequent ticks when a request arrives or the core's state changes meanwhile.
 	idle bool
 	wake chan struct{}
 
 	nextID atomic.Uint64
-	// actionPool holds emptied action lists for carry.
+	// actionPool has empty action lists for execute.
 	actionPool sync.Pool
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// event runs f on the core and carries out what it appended.
+// event runs f on the core and carries out the actions that f appended.
 func (e *engine) event(f func(now time.Duration, c *core.Core, out *core.Actions)) {
 	e.mu.Lock()
 	f(e.clock(), e.core, &e.actions)
@@ -53,11 +53,11 @@
 	e.executeRest(rest)
 }
 
-// dispatchLocked hands the directives to their requests and returns the other
-// actions, or nil if there are none. The lock is held.
+// dispatchLocked passes the directives to their exchanges and returns the other actions, or nil if
+// there are none. e.mu is held.
 func (e *engine) dispatchLocked() *core.Actions {
 	if len(e.actions.Notes) > 0 {
-		e.wakeLocked() // what changed here may be news to peers
+		e.wakeLocked() // peers may need to learn of the change
 	}
 	for i := range e.actions.Requests {
 		d := &e.actions.Requests[i]
@@ -87,7 +87,7 @@
 	e.actionPool.Put(rest)
 }
 
-// arrive registers an exchange and feeds its request to the core.
+// arrive registers an exchange and passes its request to the core.
 func (e *engine) arrive(x *exchange, a *core.Arrival) {
 	e.mu.Lock()
 	e.exchanges[a.ID] = x
@@ -114,8 +114,8 @@
 	}
 }
 
-// head feeds the head of an answer and reports whether the answer is to be
-// passed on and with which outcome.
+// head passes the head of an answer to the core. It reports whether the answer goes to the caller,
+// and with which outcome.
 func (e *engine) head(h core.Head) (commit bool, outcome core.Outcome) {
 	e.mu.Lock()
 	e.core.Head(e.clock(), h, &e.actions)
@@ -131,7 +131,7 @@
 	return commit, outcome
 }
 
-// end feeds the end of an attempt.
+// end passes the end of an attempt to the core.
 func (e *engine) end(end core.End) {
 	e.mu.Lock()
 	e.core.End(e.clock(), end, &e.actions)
@@ -140,15 +140,15 @@
 	e.executeRest(rest)
 }
 
-// maySend asks whether an attempt may still be written.
+// maySend reports whether an attempt may still be written.
 func (e *engine) maySend(id core.RequestID, n core.Attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.MaySend(e.clock(), id, n)
 }
 
-// callerGone says that nobody waits for a request any more, and reports whether
-// it runs on nevertheless.
+// callerGone tells the core that the caller of a request has left, and reports whether the request
+// runs on nevertheless.
 func (e *engine) callerGone(id core.RequestID) (runsOn bool) {
 	e.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		runsOn = c.CallerGone(now, id, out)
@@ -156,7 +156,7 @@
 	return runsOn
 }
 
-// wakeLocked asks for frequent ticks again. The lock is held.
+// wakeLocked asks for frequent ticks again. e.mu is held.
 func (e *engine) wakeLocked() {
 	if !e.idle {
 		return
@@ -168,7 +168,7 @@
 	}
 }
 
-// tick runs the core's systems and returns when to run them next.
+// tick runs the core's periodic work and returns the time until the next tick.
 func (e *engine) tick() (next time.Duration) {
 	e.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		c.Tick(now, e.wall(), out)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the shell around the decision core: it owns the goroutines,
-// the clock, the sockets and the locks, feeds events to the core and carries
-// out its actions. Its life is plain: New checks and builds, Start listens and
-// runs, Stop leaves gracefully.
+// Package entry runs the decision core of package core as a process: it owns the goroutines, the
+// clock, the sockets and the locks, feeds events to the core and carries out the actions that the
+// core returns. New checks the settings and builds an entry, Start listens and runs, Stop leaves
+// gracefully.
 package entry
 
 import (
@@ -34,48 +34,49 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// tickPeriod is how often the core's systems run. It bounds how late a queued
-// request is answered after its deadline and how late a hedge starts.
+// tickPeriod is the interval of the core's periodic work. It bounds how late a queued request is
+// answered after its deadline and how late a hedge starts.
 const tickPeriod = 5 * time.Millisecond
 
-// idleTickPeriod is the same while nothing is in flight and no belief has changed;
-// either asks for a tick at once. Each tick wakes the process, which costs it more
-// than the tick itself.
+// idleTickPeriod replaces tickPeriod while no request is in flight and the core's state does not
+// change; a request or a change asks for a tick at once. Each tick wakes the process, which costs
+// more than the tick itself.
 const idleTickPeriod = 100 * time.Millisecond
 
-// Options are what an Entry is built from besides its settings.
+// Options configure an Entry besides its settings.
 type Options struct {
 	// Platform is the configuration service.
 	Platform published.Service
-	// Audit gets every change; nil makes a trail that logs.
+	// Audit receives every change; nil creates a trail that writes to the log.
 	Audit *audit.Trail
 	// Wall is the wall clock; nil means time.Now.
 	Wall func() time.Time
-	// Incarnation identifies the process; 0 draws one.
+	// Incarnation identifies the process; 0 generates one.
 	Incarnation uint64
-	// CallerListener and PeerListener, if not nil, are served in place of the
-	// addresses in the settings. The entry closes them.
+	// CallerListener and PeerListener, if not nil, are served in place of the addresses in the
+	// settings. The entry closes them.
 	CallerListener *net.TCPListener
 	PeerListener   net.Listener
-	// TLS encrypts the sides of the entry; the zero value leaves them plain.
+	// TLS encrypts the connections of the entry; the zero value leaves them plain.
 	TLS TLS
-	// Dialect is how callers and endpoints speak; nil for tealhall's own contract.
+	// Dialect translates the headers and statuses of callers and endpoints; nil for tealhall's own
+	// contract.
 	Dialect Dialect
-	// RouteProfiles treats the requests of published routes. When it is nil, profile
+	// RouteProfiles has the profiles for the requests of published routes. If it is nil, profile
 	// documents are published and requests name their service.
 	RouteProfiles *profile.Snapshot
 }
 
-// TLS is how the sides of an entry are encrypted. Configurations that read
-// their certificates at each handshake let files be replaced while it runs.
+// TLS configures the encryption of an entry's connections. Configurations that read their
+// certificates at each handshake allow the files to be replaced while the entry runs.
 type TLS struct {
-	// Callers is for connections of callers; nil for plain HTTP. Homes is then
-	// called for each connection on which a request is passed on to another
-	// entry, the home of its key. All entries of a fleet are alike in this.
+	// Callers is for connections of callers; nil for plain HTTP. If it is set, HomeClient is called
+	// for each connection on which this entry forwards a request to the home of its key. All
+	// entries of a fleet have the same setting.
 	Callers    *tls.Config
 	HomeClient func() *tls.Config
-	// PeerServer and PeerClient are for the two ends of links between entries;
-	// both or none are set. PeerClient is called for each dial.
+	// PeerServer and PeerClient are for the two ends of links between entries; both or none are
+	// set. PeerClient is called for each dial.
 	PeerServer *tls.Config
 	PeerClient func() *tls.Config
 }
@@ -85,14 +86,14 @@
 	settings *settings.Settings
 	options  Options
 	hello    message.Hello
-	// requestPrefix starts the names of requests, unique to this process.
+	// requestPrefix begins the names that this entry gives requests; it is unique to the process.
 	requestPrefix string
 
 	engine      *engine
 	dialect     Dialect
 	connections *forward.Connections
-	// homeConnections are the connections to other entries' callers' side; the same as
-	// connections where that is plain HTTP.
+	// homeConnections are the connections on which requests are forwarded to other entries. They
+	// are the same as connections if callers use plain HTTP.
 	homeConnections *forward.Connections
 	front           *front.Server
 	peerServer      *peer.Server
@@ -105,9 +106,9 @@
 	instruments     *instruments
 	recent          recent
 
-	// revision of the profiles in force, for answers.
+	// revision of the profiles in force, for answers to callers.
 	revision atomic.Uint64
-	// routeLimits is what the routes in force allow callers.
+	// routeLimits are the limits on callers' connections that the routes in force set.
 	routeLimits atomic.Pointer[front.Limits]
 
 	callerListener *net.TCPListener
@@ -116,7 +117,7 @@
 	life   context.Context
 	cancel context.CancelFunc
 
-	// failed has room for the end of each server, so that none waits to tell.
+	// failed has room for the error of each server, so that no server blocks on reporting it.
 	failed chan error
 
 	runMu   sync.Mutex // guards ended and the start of goroutines
@@ -196,7 +197,7 @@
 	}
 }
 
-// capacityOf is what the VM gives this entry, in thousandths of a core.
+// capacityOf returns the processing capacity of this entry, in thousandths of a core.
 func capacityOf(cores float64) uint32 {
 	if cores <= 0 {
 		cores = float64(runtime.GOMAXPROCS(0))
@@ -211,33 +212,33 @@
 	return value
 }
 
-// monotonic returns a clock that counts from now on.
+// monotonic returns a clock that starts at 0 now.
 func monotonic() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
-// incarnationOf draws the number of this process: the second of its start in
-// the upper half, so that later processes have higher numbers, and 32 random
-// bits, so that no two processes share one.
+// incarnationOf generates the incarnation number of this process: the second of its start in the
+// upper half, so that later processes have higher numbers, and 32 random bits, so that no two
+// processes share a number.
 func incarnationOf(opts Options) (uint64, error) {
 	if opts.Incarnation != 0 {
 		return opts.Incarnation, nil
 	}
 	var random [4]byte
 	if _, err := cryptorand.Read(random[:]); err != nil {
-		return 0, fault.Wrap(err, fault.Unavailable, "check the system's source of randomness", "can't draw an incarnation")
+		return 0, fault.Wrap(err, fault.Unavailable, "check the system's source of randomness", "can't generate an incarnation number")
 	}
 	return uint64(opts.Wall().Unix())<<32 | uint64(binary.BigEndian.Uint32(random[:])), nil
 }
 
-// platformStartDelay is how long an entry that starts waits to hear from a peer before it asks the
-// platform: the links to its seeds open within a tenth of a second. The seeds themselves ask
-// at once, so that a fleet that lost power as a whole has somebody to hear from.
+// platformStartDelay returns how long a starting entry waits to hear from a peer before it reads
+// the platform: the links to its seeds open within a tenth of a second. The seeds themselves read
+// at once, so that a fleet that lost power as a whole gets the values from them.
 //
-// Beyond leastLeave entries spread over leaveSpan, few of them early: what the first have read
-// reaches the others before their turn. Where seeds are away too, the first of 14 asks after
-// 0.7 s on average, and a tenth of 472 have asked by then.
+// Beyond leastDelay, entries are spread over delaySpread, with few of them early: the values that
+// the first entries read reach the others before these read. If the seeds are away too, the first
+// of 14 entries reads after 0.7 s on average, and a tenth of 472 entries have read by then.
 func (e *Entry) platformStartDelay() time.Duration {
 	const leastDelay, delaySpread = 250 * time.Millisecond, time.Second
 	seeds := e.settings.Peers.Seeds
@@ -266,17 +267,17 @@
 	return nil
 }
 
-// servers is how many servers an entry runs, one for callers and one for peers.
+// servers is the number of servers that an entry runs, one for callers and one for peers.
 const servers = 2
 
-// Failed gives an error for each server that ends before a stop. The entry goes
-// on with what is left; nobody can reach it on that side any more.
+// Failed delivers an error for each server that ends before a stop. The entry continues with the
+// other server, but no longer accepts connections on the failed one.
 func (e *Entry) Failed() <-chan error { return e.failed }
 
-// reportServerEnd reports the end of a server, which is nil after a stop.
+// reportServerEnd reports the error of a server; err is nil after a stop.
 func (e *Entry) reportServerEnd(side string, err error) {
 	if err != nil {
-		e.failed <- fault.Wrap(err, fault.Unavailable, "start the entry again and look into the system's log", "the server for %s ended", side)
+		e.failed <- fault.Wrap(err, fault.Unavailable, "restart the entry and check the system's log", "the server for %s ended", side)
 	}
 }
 
@@ -304,10 +305,10 @@
 	return l, nil
 }
 
-// run starts a goroutine that Stop waits for, or none when the entry has ended.
-// Handlers that were cut off may still feed the core while the entry ends; a
-// goroutine that they started then would be added to a WaitGroup that is being
-// waited for, which is a data race, and outlive the entry.
+// run starts a goroutine that Stop waits for, or none when the entry has ended. Handlers that were
+// cut off may still feed the core while the entry ends. A goroutine that they started then would be
+// added to a WaitGroup on which endRunning already waits, which is a data race, and it would
+// outlive the entry.
 func (e *Entry) run(f func()) {
 	e.runMu.Lock()
 	defer e.runMu.Unlock()
@@ -316,7 +317,7 @@
 	}
 }
 
-// endRunning waits for the goroutines that run started; it starts no more.
+// endRunning waits for the goroutines that run started and prevents new ones.
 func (e *Entry) endRunning() {
 	e.runMu.Lock()
 	e.ended = true
@@ -324,7 +325,7 @@
 	e.running.Wait()
 }
 
-// tickLoop runs the core's systems.
+// tickLoop runs the core's periodic work.
 func (e *Entry) tickLoop(ctx context.Context) {
 	timer := time.NewTimer(tickPeriod)
 	defer timer.Stop()
@@ -347,17 +348,17 @@
 // Name returns the entry's name.
 func (e *Entry) Name() string { return e.settings.Name }
 
-// CallerAddress returns where callers are served.
+// CallerAddress returns the address for callers.
 func (e *Entry) CallerAddress() string { return e.hello.CallerAddress }
 
-// Ready reports whether the entry may be given to callers, and if not why.
+// Ready reports whether callers may be sent to the entry, and the reason if not.
 func (e *Entry) Ready() (ready bool, reason string) {
 	e.engine.view(func(now time.Duration, c *core.Core) { ready, reason = c.ReadyReason(now) })
 	return ready, reason
 }
 
-// EntriesNear returns the addresses of up to most entries that a caller of a failure
-// domain may use, and how long it may keep them.
+// EntriesNear returns the addresses of up to most entries that a caller of a failure domain may
+// use, and how long the caller may use this list.
 func (e *Entry) EntriesNear(domain string, most int) (addresses []string, ttl time.Duration) {
 	e.engine.view(func(now time.Duration, c *core.Core) {
 		addresses, ttl = c.EntriesNear(domain, most), c.AnswersTTL(now)
@@ -365,11 +366,11 @@
 	return addresses, ttl
 }
 
-// PeerAddress returns where peers are served.
+// PeerAddress returns the address for peers.
 func (e *Entry) PeerAddress() string { return e.hello.PeerAddress }
 
-// KnownEntries returns how many entries may be given to callers as far as this
-// one knows, itself included.
+// KnownEntries returns the number of entries, this one included, that callers may be sent to as far
+// as this entry knows.
 func (e *Entry) KnownEntries() (n int) {
 	e.engine.view(func(_ time.Duration, c *core.Core) { n = c.UsableEntries() })
 	return n
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -17,8 +17,8 @@
 	return n
 }
 
-// evacuatedEverywhere reports whether all entries have failure domains as evacuated, and nothing of
-// theirs runs there.
+// evacuatedEverywhere reports whether all entries regard exactly these failure domains as
+// evacuated, and no request runs there.
 func (f *fleet) evacuatedEverywhere(domains ...string) bool {
 	for _, e := range f.Entries {
 		var known []string
@@ -34,20 +34,20 @@
 	return true
 }
 
-// An operator empties a failure domain in the middle of a working day. Then the configuration
-// service goes down, and an entry is replaced by a new process, which has only its peers to ask. Nothing
-// may reach the domain's endpoints all the while, callers don't notice, and when it is taken back
-// its endpoints are used again.
+// An operator evacuates a failure domain under load. Then the configuration service goes down, and
+// an entry is replaced by a new process, which can only ask its peers. Meanwhile no request may
+// reach the domain's endpoints and callers must not notice; when the evacuation ends, the endpoints
+// are used again.
 func TestEvacuatedFailureDomainGetsNoRequests(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 4)
 	l := startCalmTraffic(t, f)
 	l.awaitMore(t, 100)
 	if f.requestsIn("a") == 0 {
-		t.Fatal("nothing goes to the failure domain before")
+		t.Fatal("no requests reach the failure domain before its evacuation")
 	}
 	f.Evacuate("a")
-	await(t, "all entries know and nothing runs there", func() bool { return f.evacuatedEverywhere("a") })
+	await(t, "all entries know of the evacuation and no request runs there", func() bool { return f.evacuatedEverywhere("a") })
 	before := f.requestsIn("a")
 	l.awaitMore(t, 100)
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
@@ -60,7 +60,7 @@
 	}
 	f.Platform.SetFaults(standin.PlatformFaults{})
 	f.Evacuate()
-	await(t, "all entries know that it is taken back", func() bool { return f.evacuatedEverywhere() })
+	await(t, "all entries know that the evacuation has ended", func() bool { return f.evacuatedEverywhere() })
 	await(t, "its endpoints are used again", func() bool { return f.requestsIn("a") > before })
 	l.calm(t, f)
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -10,36 +10,36 @@
 	"github.com/tealhall/tealhall/internal/front"
 )
 
-// exchange is one caller's request while it is served. The handler's goroutine
-// owns it; directives and the answer reach it through push and offer.
+// exchange is one caller's request while it is served. The handler's goroutine owns it; directives
+// and the answer reach it through push and offer.
 type exchange struct {
 	entry   *Entry
 	id      core.RequestID
 	request *http.Request
 	body    *front.ReplayBody
-	// requestName is the same over all attempts of the request.
+	// requestName is the same for all attempts of the request.
 	requestName   string
 	service       string
 	caller        string
 	depth         int
 	callerAttempt int
 	keyed         bool
-	// began is when the request had arrived, and ending how it ended.
+	// began is the time of the request's arrival, and ending is how the request ended.
 	began  time.Duration
 	ending ending
 
-	// mu guards the fields below; it may be taken under the engine's lock.
+	// mu guards the fields below; it may be taken while the engine's lock is held.
 	mu         sync.Mutex
 	directives []core.Directive
 	answer     *committed
 	closed     bool
-	// abandoned: the caller has gone and the request does not run on.
+	// abandoned: the caller has left and the request does not run on.
 	abandoned bool
-	// tooLarge: the body was found to be beyond its bound while it was sent.
+	// tooLarge: the body exceeded its limit while it was sent.
 	tooLarge bool
-	// inline: the handler's goroutine is busy with an attempt.
+	// inline: the handler's goroutine is making an attempt.
 	inline bool
-	// cancels end the attempts that are out.
+	// cancels are the cancel functions of the running attempts.
 	cancels [core.MaxAttempts + 1]context.CancelFunc
 
 	wake     chan struct{}
@@ -51,21 +51,21 @@
 	response *http.Response
 	attempt  core.Attempt
 	outcome  core.Outcome
-	// forwarded says that the answer comes from another entry.
+	// forwarded is set if the answer comes from another entry.
 	forwarded bool
-	// waited is how long the endpoint took to the head of its answer.
+	// waited is the time that the endpoint took to the head of its answer.
 	waited time.Duration
 }
 
-// push gives the exchange a directive. It never blocks. While the handler is
-// busy with an attempt, other attempts are started and cancelled from here, and
-// the attempt is cut short for an answer of the entry's own.
+// push adds a directive to the exchange. It never blocks. While the handler's goroutine makes an
+// attempt, push itself starts and cancels other attempts, and cancels all attempts if the entry
+// answers the caller itself.
 func (x *exchange) push(d core.Directive) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch {
 	case d.Step == core.StepCommit || d.Step == core.StepDiscard:
-		return // told to the attempt itself, see engine.head
+		return // engine.head passes these to the attempt itself
 	case d.Step == core.StepCancel:
 		x.cancelLocked(d.Attempt)
 		return
@@ -79,11 +79,11 @@
 	x.signal()
 }
 
-// isAttempt reports whether the step is an attempt.
+// isAttempt reports whether the step makes an attempt.
 func isAttempt(s core.Step) bool { return s == core.StepDispatch || s == core.StepForward }
 
-// offer gives the exchange the answer that the core committed to. It is false
-// when nobody waits for it any more.
+// offer gives the exchange an answer to which the core committed. It returns false if the exchange
+// is closed.
 func (x *exchange) offer(c *committed) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -114,8 +114,8 @@
 	return d, true
 }
 
-// takeAnswer returns the answer to pass on, if there is one, and whether the
-// request was abandoned.
+// takeAnswer removes and returns the answer for the caller, if there is one, and reports whether
+// the request was abandoned.
 func (x *exchange) takeAnswer() (c *committed, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -123,7 +123,7 @@
 	return c, x.abandoned
 }
 
-// serve carries out directives until the caller has its answer or has gone.
+// serve carries out directives until the caller has its answer or has left.
 func (x *exchange) serve(w http.ResponseWriter) {
 	stop := context.AfterFunc(x.request.Context(), x.callerGone)
 	defer stop()
@@ -134,8 +134,8 @@
 	}
 }
 
-// callerGone runs when the caller closes its connection. Work that nobody waits
-// for is cancelled; what has an idempotency key may run on.
+// callerGone runs when the caller closes its connection. It cancels the attempts, unless the core
+// lets the request run on, as it may with an idempotency key.
 func (x *exchange) callerGone() {
 	if x.entry.engine.callerGone(x.id) {
 		return
@@ -147,7 +147,8 @@
 	x.signal()
 }
 
-// handlePending carries out what waits; it reports whether the exchange is over.
+// handlePending carries out the pending directives and passes on the answer; it reports whether the
+// exchange is over.
 func (x *exchange) handlePending(w http.ResponseWriter) (over bool) {
 	for {
 		d, ok := x.next()
@@ -175,8 +176,8 @@
 	return abandoned
 }
 
-// refineReason gives the reason for a refusal in the words that fit best: to the core,
-// a body that proves too large while it is sent is one that breaks off.
+// refineReason makes the reason of a refusal more precise: the core only knows that the body broke
+// off when the body turns out to be too large while it is sent.
 func (x *exchange) refineReason(d core.Directive) core.Directive {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -186,8 +187,8 @@
 	return d
 }
 
-// run makes an attempt on the handler's goroutine, which saves two changes of
-// goroutine for a request that is sent once.
+// run makes an attempt on the handler's goroutine, which saves two goroutine switches for a request
+// that is sent once.
 func (x *exchange) run(d core.Directive) {
 	x.mu.Lock()
 	x.inline = true
@@ -199,7 +200,7 @@
 	x.mu.Unlock()
 }
 
-// startLocked makes an attempt on a goroutine of its own. x.mu is held.
+// startLocked makes an attempt on its own goroutine. x.mu is held.
 func (x *exchange) startLocked(d core.Directive) {
 	ctx, cancel := x.prepareLocked(d)
 	x.attempts.Add(1)
@@ -209,7 +210,7 @@
 	}()
 }
 
-// prepareLocked makes the context of an attempt. x.mu is held.
+// prepareLocked creates the context of an attempt. x.mu is held.
 func (x *exchange) prepareLocked(d core.Directive) (context.Context, context.CancelFunc) {
 	left := d.Deadline - x.entry.engine.clock()
 	ctx, cancel := context.WithTimeout(context.Background(), max(left, time.Nanosecond))
@@ -235,9 +236,9 @@
 	}
 }
 
-// close ends the exchange: no directive or answer reaches it any more and its
-// attempts are cancelled, which ends their reading of the body. One that reads
-// the caller's connection must have ended before the handler returns.
+// close ends the exchange: it gets no more directives or answers, and its attempts are cancelled,
+// which ends their reading of the body. Attempts that read the caller's connection must end before
+// the handler returns.
 func (x *exchange) close() {
 	x.entry.engine.forget(x.id)
 	x.mu.Lock()
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// handoverRecords is how many keys one message of a hand-over holds at most.
+	// handoverRecords bounds the number of keys in one message of a hand-over.
 	handoverRecords = 256
 	// handoverTimeout bounds a hand-over as a whole.
 	handoverTimeout = 10 * time.Second
-	// successorsPerTable is how many successors take each table.
+	// successorsPerTable is the number of successors that receive each table.
 	successorsPerTable = 2
 )
 
-// handoverResult says how a hand-over went.
+// handoverResult is the result of a hand-over.
 type handoverResult struct {
 	keys int
-	// successors counts the entries that took whole tables.
+	// successors counts the entries that accepted whole tables.
 	successors int
 }
 
-// keyTable is the keys of one home, in parts, with who may take them.
+// keyTable is the key table of one home, in parts, with the addresses of the entries that may adopt
+// it.
 type keyTable struct {
 	parts     []message.Handover
 	addresses []string
 }
 
-// handOver gives the sealed idempotency table to its successors, and with it
-// what this entry adopted from others before.
+// handOver gives this entry's sealed key table, and the tables that it adopted from others, to
+// their successors.
 func (e *Entry) handOver(ctx context.Context) handoverResult {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -45,7 +46,7 @@
 			result.keys += len(part.Records)
 		}
 		if accepted == 0 && len(t.addresses) > 0 {
-			klog.InfoS("nobody took the idempotency keys of an entry; callers that ask for them will be told unknown", "home", t.parts[0].Home)
+			klog.InfoS("no successor accepted the idempotency keys of an entry; requests with these keys get the outcome unknown", "home", t.parts[0].Home)
 		}
 	}
 	result.successors = len(successors)
@@ -67,8 +68,8 @@
 	return tables
 }
 
-// handOverTable gives a table to the first successorsPerTable that accept it and adds
-// them to takers.
+// handOverTable gives a table to the first successorsPerTable successors that accept it and adds
+// these to successors.
 func (e *Entry) handOverTable(ctx context.Context, t keyTable, successors map[string]bool) (accepted int) {
 	for _, address := range t.addresses {
 		if accepted == successorsPerTable {
@@ -86,7 +87,7 @@
 	for _, part := range parts {
 		ack, err := e.links.Handover(ctx, address, part)
 		if err != nil || !ack.Accepted {
-			klog.InfoS("a successor did not take the idempotency keys; the next one is asked", "peer", address, "reason", ack.Reason, "err", err)
+			klog.InfoS("a successor did not accept the idempotency keys; trying the next one", "peer", address, "reason", ack.Reason, "err", err)
 			return false
 		}
 	}
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -18,14 +18,14 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// answer is what an entry answered to one try.
+// answer is the answer of an entry to one try.
 type answer struct {
 	outcome, reason, replayed, body string
 	err                             error
 }
 
-// booking is a request that must run once, as a caller without package client
-// sends it. Its answer has size bytes, or one line if that is 0.
+// booking is a request that must run once, as a caller without package client sends it. Its answer
+// has size bytes, or one line if size is 0.
 type booking struct {
 	key, id string
 	size    int64
@@ -61,27 +61,28 @@
 	return answer{h.Get(contract.HeaderOutcome), h.Get(contract.HeaderReason), h.Get(contract.HeaderReplayed), string(body), err}
 }
 
-// expect makes one try and compares what the caller is told.
+// expect makes one try and compares the outcome and the reason.
 func (b booking) expect(t *testing.T, e *entry.Entry, outcome, reason string) {
 	t.Helper()
 	got := b.send(t.Context(), e)
 	if got.err != nil || got.outcome != outcome || got.reason != reason {
-		t.Errorf("%s at %s: told %q %q %v, not %q %q", b.id, e.Name(), got.outcome, got.reason, got.err, outcome, reason)
+		t.Errorf("%s at %s: got outcome %q, reason %q, error %v, want outcome %q, reason %q", b.id, e.Name(), got.outcome, got.reason, got.err, outcome, reason)
 	}
 }
 
-// expectReplay makes one try that has to bring the answer of the run that was.
+// expectReplay makes one try, which must return the stored answer of the first run.
 func (b booking) expectReplay(t *testing.T, e *entry.Entry) {
 	t.Helper()
 	got := b.send(t.Context(), e)
 	if got.outcome != string(contract.OutcomeDone) || got.replayed != contract.ReplayedValue {
-		t.Errorf("%s at %s: %s %s is no replay", b.id, e.Name(), got.outcome, got.reason)
+		t.Errorf("%s at %s: outcome %q, reason %q, want a replay", b.id, e.Name(), got.outcome, got.reason)
 	} else if err := standin.CheckAnswer([]byte(got.body), b.id, b.answerSize()); err != nil {
 		t.Error(err)
 	}
 }
 
-// homeOf returns an entry that serves bookings and a maker of keys for it.
+// homeOf returns an entry that serves bookings, and a function that makes requests with keys for
+// it.
 func homeOf(t *testing.T, f *fleet) (home *entry.Entry, newKey func(id string) booking) {
 	t.Helper()
 	response, err := http.Get("http://" + f.Entries[0].CallerAddress() + contract.EntriesPath + "?service=bookings")
@@ -91,7 +92,7 @@
 	defer response.Body.Close()
 	var list contract.EntriesAnswer
 	if err := json.NewDecoder(response.Body).Decode(&list); err != nil || len(list.Entries) == 0 {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("entries for bookings: %+v, error %v", list, err)
 	}
 	first := list.Entries[0]
 	at := slices.IndexFunc(f.Entries, func(e *entry.Entry) bool { return e.Name() == first.Name })
@@ -111,14 +112,13 @@
 func (f *fleet) expectRuns(t *testing.T, b booking, want int) {
 	t.Helper()
 	if got := f.Ledger.Key(b.key).Runs; got != want {
-		t.Errorf("%s ran %d times, not %d", b.id, got, want)
+		t.Errorf("%s ran %d times, want %d", b.id, got, want)
 	}
 }
 
-// A tablet closes its connection: a read that it does not wait for any more must
-// free its slot, a waste entry must go on. The steward sends the entry again
-// through both the same and another entry, while it runs and after it: each time
-// he gets the answer of the one run.
+// A caller closes its connection. A read must then be cancelled and free its slot, while a request
+// with a key runs on. The caller repeats the keyed request through the same and another entry,
+// during the run and after it: each try must get the answer of the one run.
 func TestKeyedRequestRunsOnceAfterCallerLeaves(t *testing.T) {
 	clock := standin.NewManualClock()
 	f := newFleet(t, 4, func(cfg *demo.FleetConfig) { cfg.Pools[1].Endpoint.Clock = clock })
@@ -134,12 +134,12 @@
 	read, cancel := context.WithCancel(t.Context())
 	go sendSlowRead(read, home)
 	working := func(s standin.EndpointStats) bool { return s.Runs > 0 }
-	await(t, "the read is worked on", func() bool { return f.anyEndpoint("counts", working) })
+	await(t, "the read runs at an endpoint", func() bool { return f.anyEndpoint("counts", working) })
 	cancel()
 	cancelled := func(s standin.EndpointStats) bool { return s.CancelledRunning > 0 }
 	await(t, "the read is cancelled", func() bool { return f.anyEndpoint("counts", cancelled) })
 	if f.anyEndpoint("bookings", cancelled) {
-		t.Error("the booking was cancelled with its caller")
+		t.Error("the booking was cancelled when its caller left")
 	}
 
 	other := entriesExcept(f, home)[0]
@@ -151,7 +151,7 @@
 	clock.Advance(time.Second)
 	for range 3 {
 		if got := <-answers; got.outcome != string(contract.OutcomeDone) || got.body != b.id+"\n" {
-			t.Errorf("a try beside the running one: %+v", got)
+			t.Errorf("a try during the run: %+v", got)
 		}
 	}
 	for _, e := range f.Entries {
@@ -172,18 +172,18 @@
 	return slices.ContainsFunc(f.Endpoints, func(e *demo.Endpoint) bool { return e.VM.Pool == pool && is(e.Stats()) })
 }
 
-// The kept answers of these bookings take more than one message of a hand-over.
+// The stored answers of these bookings take more than one message of a hand-over.
 const (
 	largeAnswers     = 40
 	largeAnswerBytes = 12_000
 )
 
-// Entries are replaced one after the other while a booking's caller still asks
-// what became of it. The home's keys move to successors, from them to others,
-// and processes join that rank before those that hold the keys. Each entry has
-// to find the answer, and to tell that a key which was never sent was not run.
+// All entries are replaced one after the other while the caller of a booking still asks for its
+// outcome. The home's keys move to its successors and from them to others, and new processes join
+// with a rank before the entries that have the keys. Each entry must find the answer, and must
+// report that a key which was never sent was not run.
 func TestKeysSurviveReplacementOfEveryEntry(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 5)
 	home, newKey := homeOf(t, f)
 	ran, unused, other := newKey("ran"), newKey("unused"), newKey("other")
@@ -211,9 +211,8 @@
 	f.expectRuns(t, unused, 0)
 }
 
-// The home of a booking dies without a word. Nobody can know whether it ran the
-// booking, so nobody may say that it was not run, nor run it; that holds for a
-// key that never arrived as well.
+// The home of a booking is killed. No other entry can know whether the booking ran, so none may
+// report that it was not run, nor run it. The same holds for a key that never arrived.
 func TestOutcomeUnknownAfterHomeIsKilled(t *testing.T) {
 	f := newFleet(t, 3)
 	home, newKey := homeOf(t, f)
@@ -229,11 +228,11 @@
 	f.expectRuns(t, unused, 0)
 }
 
-// An entry's VM dies in the middle of traffic, with bookings in flight at it.
-// Callers turn to the others, reads are answered, and what callers are told of
-// bookings is true, if only that nobody knows.
+// An entry's VM is lost under load, with bookings in flight at the entry. Callers turn to other
+// entries, reads are answered, and the outcomes that callers get for bookings are true, if only
+// "unknown".
 func TestEntryKilledUnderLoad(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 5, func(cfg *demo.FleetConfig) {
 		cfg.Pools[0].Endpoint.ServiceTime = standin.Constant(20 * time.Millisecond)
 		cfg.Pools[1].Endpoint.ServiceTime = standin.Constant(80 * time.Millisecond)
@@ -250,6 +249,6 @@
 	l.awaitMore(t, 200)
 	reads, bookings := l.finish(t, f)
 	if reads.notRun+reads.unknown+bookings.notRun > 0 || bookings.done == 0 {
-		t.Errorf("reads %+v, bookings %+v", reads, bookings)
+		t.Errorf("reads %+v, bookings %+v, want every read done, no booking not run and some done", reads, bookings)
 	}
 }
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -13,37 +13,38 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// livenessTimeout is how long the platform may take to answer a glance before this entry
-// tells the others not to rely on it. A glance that is answered later than that shows
-// that the platform is slow, so this entry reads on.
+// livenessTimeout is how long the platform may take to answer a liveness check before this entry
+// tells its peers not to rely on it. A later answer shows that the platform is slow but alive, so
+// this entry continues to read.
 const livenessTimeout = 300 * time.Millisecond
 
-// livenessChecks is what an entry that reads the platform learns from cheap calls beside its
-// watches. Guards against a platform that stops answering some entries, the readers
-// among them: their watches wait in silence, and published changes come into force
-// only when the watches time out. Guards as well against a platform that has forgotten a watch,
-// as one that drops its history does: it answers, and the watch waits in silence.
+// livenessChecks is the state of a reader's liveness checks: cheap calls to the platform beside the
+// watches. They guard against a platform that stops answering some entries, readers included, whose
+// watches wait in silence: published changes would come into force only when the watches time out.
+// They also guard against a platform that forgets a watch, as one that drops its history does: the
+// platform answers, but the watch waits in silence.
 type livenessChecks struct {
 	platform published.LivenessChecker
 	every    time.Duration
-	// done and late count them, late those that were not answered in time.
+	// done counts the checks, late those that were not answered in time.
 	done, late atomic.Uint64
-	// renewed counts the watches that were made anew.
+	// renewed counts the watches that were renewed.
 	renewed atomic.Uint64
-	// failed says that the latest glance had no answer at all. While it stays so,
-	// nothing is read: the next glance tells sooner, and for less.
+	// failed is set if the latest check had no answer. Nothing is read while it is set: the next
+	// check detects the platform's return sooner and at a lower cost than a read.
 	failed atomic.Bool
-	// answered says that a glance was answered since this entry reads.
+	// answered is set if a check was answered since this entry began to read.
 	answered atomic.Bool
-	// latest is how far the platform was at the glance before, renewedAt when a watch was last
-	// made anew.
+	// latest is the newest revision that the platform had at the previous check, renewedAt when a
+	// watch was last renewed.
 	latest    uint64
 	renewedAt time.Duration
-	// nextSpread is when an entry glances next that is one of those who try last, 0 for none.
+	// nextSpread is the time of the next check if checks are spread, as for entries of the last
+	// standby group; 0 for none.
 	nextSpread time.Duration
 }
 
-// livenessLoop glances for as long as this entry reads the platform.
+// livenessLoop makes liveness checks while this entry is a reader.
 func (e *Entry) livenessLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !e.isReader() {
@@ -65,9 +66,10 @@
 	}
 }
 
-// due reports whether to glance now. One that is spread glances at a random moment, on average a
-// pause after it began to read or after the glance before. It is asked again and again meanwhile:
-// an entry whose duty it becomes to read glances at once, rather than up to two pauses later.
+// due reports whether to make a check now. A check with spread set is due at a random time, on
+// average one pause after the entry began to read or after the previous check. due is called
+// repeatedly meanwhile, so that an entry that becomes assigned to read checks at once rather than
+// up to two pauses later.
 func (l *livenessChecks) due(now, pause time.Duration, spread bool) bool {
 	if !spread {
 		l.nextSpread = 0
@@ -88,7 +90,7 @@
 	return pause, spread
 }
 
-// checkLiveness makes one call and notes whether it was answered, and whether in time.
+// checkLiveness makes one liveness check and records whether it was answered, and whether in time.
 func (e *Entry) checkLiveness(life context.Context) {
 	ctx, cancel := context.WithTimeout(life, e.settings.Platform.Timeout.Duration)
 	defer cancel()
@@ -96,7 +98,7 @@
 	result, err := e.liveness.platform.Liveness(ctx)
 	inTime := late.Stop() && err == nil
 	if life.Err() != nil {
-		return // this entry stops
+		return // this entry is stopping
 	}
 	e.noteLiveness(inTime)
 	if err == nil {
@@ -108,22 +110,23 @@
 		e.liveness.late.Add(1)
 	}
 	if failed := err != nil; e.liveness.failed.Swap(failed) != failed {
-		klog.InfoS("the platform answers glances", "answers", !failed, "err", err)
+		klog.InfoS("the platform's answers to liveness checks changed", "answers", !failed, "err", err)
 	}
 }
 
-// renewWatch has a watch made anew that has not brought, a whole glance later, what the platform
-// held by then. Without it a profile that was published while the platform dropped its history
-// came into force when the watches ran out, 3 s later, and the list had to be read besides.
+// renewWatch renews the watch if it has not delivered, one whole check later, what the platform had
+// at the previous check. Without this, a profile that was published while the platform dropped its
+// history came into force only when the watches ran out, 3 s later, and the list had to be read as
+// well.
 func (e *Entry) renewWatch(result published.Liveness) {
 	previous := e.liveness.latest
 	e.liveness.latest = result.Latest
 	now, timeout := e.engine.clock(), e.settings.Platform.Timeout.Duration
 	if result.Delivered == 0 || result.Delivered >= previous || e.liveness.renewedAt != 0 && now-e.liveness.renewedAt < timeout {
-		return // nothing is missing, or the new call has had no time yet
+		return // nothing is missing, or the renewed watch has not had time yet
 	}
 	e.liveness.renewedAt = now
-	klog.InfoS("a watch has not brought what the platform holds; it is made anew", "brought", result.Delivered, "held", previous)
+	klog.InfoS("a watch did not deliver the newest revision of the platform; renewing it", "brought", result.Delivered, "held", previous)
 	e.liveness.renewed.Add(1)
 	e.liveness.platform.RenewWatch()
 }
@@ -135,13 +138,14 @@
 // shouldRead reports whether this entry should read the platform now.
 func (e *Entry) shouldRead() bool { return e.isReader() && e.liveness.allowsRead(e.assigned()) }
 
-// allowsRead reports whether an entry that reads may do so by what its glances tell. One that is not
-// assigned to read does when those that are have no answer, so most likely it gets none
-// either: it waits until a glance was answered. Guards against a platform that is down, to
-// which each entry of the fleet in turn would send reads, ten times as dear.
+// allowsRead reports whether the results of the liveness checks allow a reader to read. An entry
+// that is not assigned to read does so when the assigned readers have no answer, so it most likely
+// gets none either: it waits until a check was answered. This guards against a platform that is
+// down, to which each entry of the fleet in turn would send reads, which cost ten times as much as
+// checks.
 func (l *livenessChecks) allowsRead(assigned bool) bool {
 	return !l.failed.Load() && (assigned || !l.enabled() || l.answered.Load())
 }
 
-// enabled reports whether this entry glances at all.
+// enabled reports whether this entry makes liveness checks at all.
 func (l *livenessChecks) enabled() bool { return l.every > 0 && l.platform != nil }
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -12,13 +12,13 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// fakePlatform is a configuration service that can fall silent towards this entry: watches
-// that wait then hear nothing, and nothing is answered.
+// fakePlatform is a configuration service that can stop answering this entry: nothing is answered,
+// and waiting watches get nothing.
 type fakePlatform struct {
 	values
 	silent                              atomic.Bool
 	reads, livenessChecks, endedWatches atomic.Int64
-	// latest and brought are what a glance says, renewed counts the watches made anew.
+	// latest and delivered are the results of a liveness check, renewed counts the renewed watches.
 	latest, delivered atomic.Uint64
 	renewed           atomic.Int64
 }
@@ -50,7 +50,8 @@
 
 func (p *fakePlatform) RenewWatch() { p.renewed.Add(1) }
 
-// newReadingEntry starts an entry that glances at a service every 20 ms, and returns how to wait for it.
+// newReadingEntry starts an entry that checks a service every 20 ms, and returns a function that
+// waits for a condition.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
 	platform := &fakePlatform{values: values{
@@ -78,53 +79,53 @@
 			select {
 			case <-ticker.C:
 			case <-timeout:
-				t.Fatalf("waited in vain: %s", what)
+				t.Fatalf("timed out waiting: %s", what)
 			}
 		}
 	}
 	return platform, e, waitFor
 }
 
-// An operator publishes a profile in the moment in which the service drops its history. The
-// watches that wait are forgotten, and the service answers whoever asks: the profile came into
-// force when the watches ran out, four seconds later on 126 entries. A glance that shows the
-// service further than the watches have brought, a glance later still, has them made anew; a
-// service of which the watches bring all that changes is left alone.
+// An operator publishes a profile at the moment at which the service drops its history. The service
+// forgets the waiting watches but answers new calls: the profile came into force only when the
+// watches ran out, four seconds later on 126 entries. If a check shows a newer revision than the
+// watches have delivered one check later, the watch must be renewed. If the watches deliver all
+// changes, they must be left alone.
 func TestForgottenWatchIsRenewed(t *testing.T) {
 	platform, e, waitFor := newReadingEntry(t)
 	waitFor("ready", func() bool { ok, _ := e.Ready(); return ok })
 	waitForChecks := func() {
 		checks := platform.livenessChecks.Load()
-		waitFor("five glances", func() bool { return platform.livenessChecks.Load() >= checks+5 })
+		waitFor("five more checks", func() bool { return platform.livenessChecks.Load() >= checks+5 })
 	}
 	for range 20 {
 		platform.delivered.Store(platform.latest.Add(1))
 		waitForChecks()
 	}
 	if got := platform.renewed.Load(); got != 0 {
-		t.Errorf("%d watches made anew though they bring all", got)
+		t.Errorf("%d watches renewed though they deliver all changes", got)
 	}
 	platform.latest.Add(1)
-	waitFor("the watch is made anew", func() bool { return platform.renewed.Load() > 0 })
+	waitFor("the watch is renewed", func() bool { return platform.renewed.Load() > 0 })
 	platform.delivered.Store(platform.latest.Load())
 	waitForChecks()
 	renewed := platform.renewed.Load()
 	waitForChecks()
 	if got := platform.renewed.Load(); got != renewed {
-		t.Errorf("%d more watches made anew after they brought all", got-renewed)
+		t.Errorf("%d more watches renewed after they delivered all changes", got-renewed)
 	}
 }
 
-// The service falls silent while watches wait at it, for longer than they would wait.
-// The entry leaves them at once, asks nothing but whether it answers, and reads anew as
-// soon as it does.
+// The service stops answering while watches wait, for longer than a watch lasts. The entry must
+// leave the watches at once, make only liveness checks, and read again as soon as a check is
+// answered.
 func TestSilentServiceIsNotReadUntilItAnswers(t *testing.T) {
 	platform, e, waitFor := newReadingEntry(t)
 	waitFor("ready", func() bool { ok, _ := e.Ready(); return ok })
 	platform.silent.Store(true)
-	waitFor("both watches are left", func() bool { return platform.endedWatches.Load() >= 2 })
+	waitFor("both watches have ended", func() bool { return platform.endedWatches.Load() >= 2 })
 	reads, checks := platform.reads.Load(), platform.livenessChecks.Load()
-	waitFor("ten more glances", func() bool { return platform.livenessChecks.Load() >= checks+10 })
+	waitFor("ten more checks", func() bool { return platform.livenessChecks.Load() >= checks+10 })
 	if more := platform.reads.Load() - reads; more != 0 {
 		t.Errorf("%d reads of a silent service", more)
 	}
--- a/internal/entry/livenesschecks_test.go
+++ b/internal/entry/livenesschecks_test.go
@@ -14,19 +14,19 @@
 	return published.Liveness{}, nil
 }
 
-// The platform is down, and 87 entries that stand in for those assigned to read it each sent it
-// two reads and more before a glance, at a tenth of the price, had told them that it does not
-// answer: 270 calls in four seconds.
+// The platform was down, and 87 entries that read in place of those assigned to it each sent two or
+// more reads before a liveness check, which costs a tenth, had shown that the platform does not
+// answer: 270 calls in four seconds. An entry that is not assigned must wait for an answered check.
 func TestUnassignedReaderWaitsForLivenessCheck(t *testing.T) {
 	for _, tt := range []struct {
 		name                           string
 		off, failed, answered          bool
 		assignedReads, unassignedReads bool
 	}{
-		{"before the first glance", false, false, false, true, false},
-		{"glances are answered", false, false, true, true, true},
-		{"the latest glance was not", false, true, true, false, false},
-		{"no glances are made", true, false, false, true, true},
+		{"before the first check", false, false, false, true, false},
+		{"checks are answered", false, false, true, true, true},
+		{"the latest check was not answered", false, true, true, false, false},
+		{"checks are disabled", true, false, false, true, true},
 	} {
 		l := &livenessChecks{platform: answeringPlatform{}, every: time.Second}
 		if tt.off {
@@ -35,26 +35,27 @@
 		l.failed.Store(tt.failed)
 		l.answered.Store(tt.answered)
 		if l.allowsRead(true) != tt.assignedReads || l.allowsRead(false) != tt.unassignedReads {
-			t.Errorf("%s: an assigned entry reads %v, one that stands in %v", tt.name, l.allowsRead(true), l.allowsRead(false))
+			t.Errorf("%s: an assigned entry may read: %v, an unassigned one: %v", tt.name, l.allowsRead(true), l.allowsRead(false))
 		}
 	}
 }
 
-// An entry that tries last waits for its moment to glance, up to 14 s in a fleet of 139, when the
-// readers of its failure domain end and the duty falls to it. It slept on: it read for all others
-// and did not notice, for those seconds, that the platform had stopped answering it.
+// An entry of the last standby group waits for a random time before its check, up to 14 s in a
+// fleet of 139. When the readers of its failure domain ended and the entry became assigned to read,
+// it kept waiting: it read for all others and did not notice for those seconds that the platform
+// had stopped answering it.
 func TestNewlyAssignedReaderChecksLivenessAtOnce(t *testing.T) {
 	const pause = 7 * time.Second
 	for range 100 {
 		l := &livenessChecks{}
 		if l.due(time.Second, pause, true) {
-			continue // its moment has come at once
+			continue // the random time of the check is now
 		}
 		if !l.due(time.Second+readerCheckInterval, pause, false) {
-			t.Fatal("an entry whose duty it is to read waits on")
+			t.Fatal("an entry that became assigned to read still waits")
 		}
 		if !l.due(time.Second+2*pause+readerCheckInterval, pause, true) && l.nextSpread <= time.Second+2*pause {
-			t.Fatal("the moment of before holds on")
+			t.Fatal("the time of the previous check is still in force")
 		}
 	}
 	l, checks := &livenessChecks{}, 0
@@ -65,6 +66,6 @@
 		}
 	}
 	if most := int(2 * duration / pause); checks == 0 || checks > most {
-		t.Errorf("%d glances in %v with a pause of %v, want %d at most", checks, duration, pause, most)
+		t.Errorf("%d checks in %v with a pause of %v, want 1 to %d", checks, duration, pause, most)
 	}
 }
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -10,19 +10,19 @@
 	"github.com/tealhall/tealhall/internal/logging"
 )
 
-// logReply writes one line for an answer of the entry's own.
+// logReply logs an answer of the entry itself.
 func logReply(r *http.Request, d core.Directive) {
 	klog.InfoS("answered", "method", r.Method, "path", r.URL.Path, "outcome", d.Outcome.String(), "reason", d.Reason.String())
 }
 
-// traceFields are the fields of the line of a request, in their order.
-// docs/OPERATIONS.md explains each; a test compares the two.
+// traceFields are the fields of a request trace in the log, in their order. docs/OPERATIONS.md
+// explains each; a test compares the two.
 var traceFields = []string{
 	"request", "service", "content", "revision", "outcome", "reason", "status", "retry_after_ms", "gone", "age_ms", "took_ms",
 	"objective_ms", "looks", "held", "late", "endpoints", "full", "queued", "attempts",
 }
 
-// logTrace writes the line of a request that failed, was late, or is a sample.
+// logTrace logs the trace of a request that failed, was late, or is sampled.
 func logTrace(trace *core.RequestTrace) {
 	values := []any{
 		trace.Name, trace.Service, strconv.FormatUint(trace.Content, 16), trace.Revision, trace.Outcome.String(), trace.Reason.String(), trace.Status, trace.RetryAfter.Milliseconds(), trace.CallerGone,
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -15,8 +15,8 @@
 
 const operationsPage = "../../docs/OPERATIONS.md"
 
-// An engineer reads a line of the log by the page. A field that the page does not
-// explain, or that is gone from the line, leaves a failure unexplained.
+// An engineer reads the log with the help of the operations page. The page must explain every field
+// of a request trace, and name no field that traces lack.
 func TestLogFieldsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	if err != nil {
@@ -29,7 +29,7 @@
 		documented = append(documented, m[1])
 	}
 	if !slices.Equal(documented, traceFields) {
-		t.Errorf("the page explains %v, a line has %v", documented, traceFields)
+		t.Errorf("the page explains %v, a request trace has %v", documented, traceFields)
 	}
 	var out strings.Builder
 	w := logging.NewWriter(&out, logging.Config{})
@@ -43,7 +43,7 @@
 	}
 	for _, field := range traceFields {
 		if _, found := line[field]; !found {
-			t.Errorf("the line has no %s", field)
+			t.Errorf("the logged trace has no field %s", field)
 		}
 	}
 	attempt := line["attempts"].([]any)[0].(map[string]any)
@@ -55,11 +55,11 @@
 	for _, example := range regexp.MustCompile(`(?m)^\{.*$`).FindAllString(string(page), -1) {
 		var fields map[string]any
 		if err := json.Unmarshal([]byte(example), &fields); err != nil {
-			t.Errorf("an example is not JSON: %v", err)
+			t.Errorf("an example on the page is not JSON: %v", err)
 		}
 		for name := range fields {
 			if !slices.Contains(append([]string{"msg", "entry"}, traceFields...), name) {
-				t.Errorf("an example has a field %s that no line has", name)
+				t.Errorf("an example on the page has the unknown field %s", name)
 			}
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,19 +16,19 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// handoverBytes bounds a message of a hand-over beside one largest kept answer,
-// whose coding adds to its size.
+// handoverBytes bounds a message of a hand-over, in addition to the largest stored answer, whose
+// encoding adds to its size.
 const handoverBytes = 256 << 10
 
-// The waits before a peer is dialled again. Where the platform lists no entries, one
-// that comes back is found by dialling its address only, and until then it is named to
-// no caller; a dial to an address at which nobody listens costs two packets.
+// The backoff before a peer is dialled again. If the platform lists no entries, an entry that comes
+// back is found only by dialling its address, and callers are not sent to it until then. A dial to
+// an address without a listener costs two packets.
 const (
 	backoffMin = 100 * time.Millisecond
 	backoffMax = 1500 * time.Millisecond
 )
 
-// buildPeers builds the server for peers and the links to them.
+// buildPeers creates the server for peers and the links to them.
 func (e *Entry) buildPeers() {
 	cfg := peer.Config{
 		Heartbeat:      e.settings.Peers.Heartbeat.Duration,
@@ -45,34 +45,34 @@
 	e.links = peer.NewLinks(cfg, e.ownHello, e.helloAnswered)
 }
 
-// ownHello is how this entry introduces itself, with its state and which others it knows.
+// ownHello returns the hello of this entry, with its current status and record set.
 func (e *Entry) ownHello() message.Hello {
 	h := e.hello
 	e.engine.view(func(_ time.Duration, c *core.Core) { h.Status, h.Records = c.OwnStatus(), c.RecordSet() })
 	return h
 }
 
-// SetSeeds replaces the peer addresses to try first. Links to entries that are
-// known stay.
+// SetSeeds adds peer addresses to try. Links to known entries stay.
 func (e *Entry) SetSeeds(seeds []string) { e.knownAddresses.add(e.engine.clock(), seeds) }
 
-// addressLifetime is how long an address is tried at which no entry is known any more, and
-// maxKnownAddresses how many addresses are remembered.
+// addressLifetime is how long an address without a known entry is still tried, and
+// maxKnownAddresses bounds the number of addresses.
 const (
 	addressLifetime   = time.Hour
 	maxKnownAddresses = 4096
 )
 
-// addressBook are the addresses of seeds and of entries that were known, with when that was last.
-// Those at which no entry is known now are dialled by a few: one that was killed comes back at
-// its address, and the other part of a fleet that was cut in two is found there.
+// addressBook has the addresses of seeds and of entries that were known, with the time when each
+// was last known. A few entries dial the addresses at which no entry is known now: an entry that
+// was killed comes back at its address, and the other part of a fleet that was partitioned is found
+// there.
 type addressBook struct {
 	mu        sync.Mutex
 	lastKnown map[string]time.Duration
 	version   uint64
 }
 
-// add notes addresses.
+// add records that addresses are known at now.
 func (b *addressBook) add(now time.Duration, addresses []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// forget drops the addresses at which no entry was known for long.
+// forget removes the addresses at which no entry was known for addressLifetime.
 func (b *addressBook) forget(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// currentVersion is the version of the list of addresses; it is 0 while none is known.
+// currentVersion returns the version of the address list; it is 0 while the list is empty.
 func (b *addressBook) currentVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,27 +118,28 @@
 	return out
 }
 
-// helloReceived tells the core who opened a link.
+// helloReceived passes the hello of a peer that opened a link to the core.
 func (e *Entry) helloReceived(h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
 		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.HelloReceived(now, h, out) })
 	}
 }
 
-// helloAnswered tells the core who answered on a link that this entry opened.
+// helloAnswered passes the hello to the core with which a peer answered on a link that this entry
+// opened.
 func (e *Entry) helloAnswered(_ string, h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
 		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.HelloAnswered(now, h, out) })
 	}
 }
 
-// seedDialTime is how long an entry that starts dials all its seeds. After that it has neighbours,
-// and a seed that nobody knows is dialled by the few whose turn it is: links with the seeds for
-// good would make these the ends of as many links as there are entries.
+// seedDialTime is how long a starting entry dials all its seeds. After that it has neighbours, and
+// only a few entries dial a seed at which no entry is known: permanent links to the seeds would
+// give each seed as many links as there are entries.
 const seedDialTime = 3 * time.Second
 
-// wantedLinks are the addresses that links are held with, as of one version of
-// the core's links and of the addresses heard of.
+// wantedLinks has the addresses to which links are kept, for one version of the core's links and
+// one of the known addresses.
 type wantedLinks struct {
 	linksVersion   uint64
 	addressVersion uint64
@@ -146,13 +147,13 @@
 	addresses      []string
 }
 
-// updateLinks holds links with the entries that the core names, and with addresses at which
-// one may be that nobody knows.
+// updateLinks keeps links to the entries that the core names, and to addresses at which an unknown
+// entry may be.
 //
-// Those stay when others are known. Without the platform's list entries learn
-// of each other only by links; if the first seed that answered ended the dialling
-// of the others, two parts of a fleet could miss each other for good, and callers of one
-// would never be sent to the other.
+// The latter are kept even when other entries are known. Without the platform's list, entries learn
+// of each other only by links. If the first seed that answered ended the dialling of the others,
+// two parts of a fleet could stay unaware of each other, and callers of one part would never be
+// sent to the other.
 func (e *Entry) updateLinks(set *wantedLinks) {
 	version := e.knownAddresses.currentVersion()
 	var wanted, known []string
@@ -186,7 +187,8 @@
 	set.addresses = wanted
 }
 
-// lostAddresses returns the addresses heard of at which no entry is known.
+// lostAddresses returns the remembered addresses at which no entry is known. It modifies
+// remembered.
 func lostAddresses(remembered, known []string) []string {
 	isKnown := make(map[string]bool, len(known))
 	for _, address := range known {
@@ -195,7 +197,7 @@
 	return slices.DeleteFunc(remembered, func(address string) bool { return isKnown[address] })
 }
 
-// pullRecords asks a peer for the records of entries that this one lacks, if there is reason to.
+// pullRecords fetches the records that this entry lacks from a peer, if the core asks for it.
 func (e *Entry) pullRecords(ctx context.Context) {
 	var pull core.Pull
 	var due bool
@@ -214,14 +216,14 @@
 		records, err = wire.UnmarshalRecords(d.Data)
 	}
 	if err != nil {
-		klog.V(1).InfoS("a peer gave no records", "peer", pull.Address, "err", err)
+		klog.V(1).InfoS("could not pull records from a peer", "peer", pull.Address, "err", err)
 	}
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		c.Pulled(now, pull, records, err == nil, out)
 	})
 }
 
-// peerHandler answers peers.
+// peerHandler handles the calls of peers.
 type peerHandler Entry
 
 // Hello implements peer.Handler.
@@ -258,18 +260,18 @@
 	return d, nil
 }
 
-// recordsBeyond returns the records that a peer lacks which has those marked.
+// recordsBeyond returns the records that a peer lacks; marks identify the records that it has.
 func (e *Entry) recordsBeyond(marks []uint32) (message.Document, error) {
 	var records []message.Record
 	e.engine.view(func(_ time.Duration, c *core.Core) { records = c.RecordsBeyond(marks) })
 	data, err := wire.MarshalRecords(records)
 	if err != nil {
-		return message.Document{}, fault.Wrap(err, fault.BadMessage, "report this as a defect", "records can't be coded")
+		return message.Document{}, fault.Wrap(err, fault.BadMessage, "report this as a defect", "can't encode the records")
 	}
 	return message.Document{Name: message.RecordsValue, Data: data}, nil
 }
 
-// fetchFromPeer gets a published value from a peer.
+// fetchFromPeer fetches a published value from a peer. It reports whether the peer answered.
 func (e *Entry) fetchFromPeer(ctx context.Context, f core.FetchFrom) bool {
 	request := message.Fetch{Name: f.Name, After: f.After, Difference: e.documents.get(f.Name).Revision == f.After && f.After > 0}
 	d, err := e.links.Fetch(ctx, f.Address, request)
@@ -279,12 +281,12 @@
 			e.offerPatched(v, list, f.Source)
 			return true
 		}
-		klog.V(1).InfoS("a difference does not fit", "peer", f.Address, "value", f.Name, "err", patchErr)
+		klog.V(1).InfoS("could not apply a difference from a peer; fetching the whole value", "peer", f.Address, "value", f.Name, "err", patchErr)
 		request.Difference = false
 		d, err = e.links.Fetch(ctx, f.Address, request)
 	}
 	if err != nil {
-		klog.V(1).InfoS("a peer gave no value", "peer", f.Address, "value", f.Name, "err", err)
+		klog.V(1).InfoS("could not fetch a value from a peer", "peer", f.Address, "value", f.Name, "err", err)
 		return fault.KindOf(err) == fault.NotFound
 	}
 	if len(d.Data) > 0 {
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -20,23 +20,23 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// readerCheckInterval is how often an entry looks whether it reads the platform.
+// readerCheckInterval is how often an entry checks whether it has to read the platform.
 const readerCheckInterval = 200 * time.Millisecond
 
-// readRetry bounds the time between tries of an entry that does not reach the
-// platform: all entries of a fleet of this size may be trying.
+// readRetry bounds the time between tries of an entry that does not reach the platform: all entries
+// of a fleet may be trying at once.
 var readRetry = assign.CheckLimits{Shortest: 2 * time.Second, Longest: 30 * time.Second, FleetRate: 20, Values: 2}
 
-// documents holds the texts in force, to give them to peers, and what changed in the list
-// of VMs lately.
+// documents has the texts of the values in force, which peers fetch, and the recent changes to the
+// list of VMs.
 type documents struct {
 	mu     sync.Mutex
 	byName map[string]published.Value
 	vms    published.History
 }
 
-// put takes in a value that is in force; vms is its list if it is that of the VMs, and patched
-// says that a difference made it.
+// put stores a value that came into force. vms is the parsed list if the value is the list of VMs;
+// patched says that the value was made from a difference.
 func (d *documents) put(v published.Value, vms published.VMList, patched bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,8 +56,8 @@
 	}
 }
 
-// since returns what a peer gets that holds a revision and asks for a later one: what
-// changed, if it can do with that, else the text.
+// since returns the document for a peer that has revision f.After and asks for a later one: the
+// difference if the peer can apply it, else the whole text.
 func (d *documents) since(f message.Fetch) message.Document {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +75,8 @@
 	return answer
 }
 
-// patched returns the value, and its list, that a difference makes of the list of VMs held.
+// patched applies a difference to the stored list of VMs and returns the new value and the new
+// list.
 func (d *documents) patched(answer message.Document) (published.Value, published.VMList, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,8 +90,7 @@
 	return d.byName[name]
 }
 
-// followLoop watches a value at the platform for as long as this entry is one
-// of those that read for all.
+// followLoop watches a value at the platform while this entry is a reader.
 func (e *Entry) followLoop(ctx context.Context, name string) {
 	e.awaitPeers(ctx)
 	for ctx.Err() == nil {
@@ -109,34 +109,35 @@
 	return delay
 }
 
-// startWait is for how long an entry that starts waits to learn of others before
-// it reads for all: each entry of a fleet that starts would otherwise read as if it
-// were alone. meetingWait is the same while it and those that it met hold different
-// records, as hundreds that start together do for seconds, and at the first start of a whole
-// fleet, when no caller comes for longer.
+// startWait is how long a starting entry waits to learn of others before it reads the platform:
+// otherwise each entry of a starting fleet would read as if it were alone. meetingWait replaces
+// startWait while the entry and its peers have different records, which lasts seconds when hundreds
+// start together, and at the first start of a whole fleet, when no other entry may appear for
+// longer.
 const (
 	startWait   = time.Second
 	meetingWait = 3 * time.Second
 )
 
-// meeting tells when an entry that starts has met the others: it agrees with its peers on who
-// there is, and that stays so. An entry that divided the duty to read among the first two that
-// it met, or among the part of a large fleet that it has heard of, would begin to read, as most
-// others would.
+// meeting detects when a starting entry has met the others: its records agree with those of its
+// peers, and the number of known entries no longer changes. An entry that assigned the readers
+// among the first two entries that it met, or among a part of a large fleet, would begin to read,
+// and so would most others.
 type meeting struct {
 	known, unchanged int
-	// unchangedNeeded is for how many of them it has to stay the same.
+	// unchangedNeeded is the number of checks during which the number of entries must not change.
 	unchangedNeeded int
 }
 
-// meetingChecks is for how many checks the number of entries has to stay the same, and
+// meetingChecks is the number of checks during which the number of entries must not change, and
 // firstStartChecks the same at the first start of a whole fleet.
 const (
 	meetingChecks    = 4
 	firstStartChecks = 12
 )
 
-// observe takes in how many entries are known by now, and whether peers agree with that.
+// observe records the number of known entries and whether peers have the same records. It reports
+// whether the meeting is over.
 func (m *meeting) observe(known int, agree bool) bool {
 	if known != m.known || !agree {
 		m.known, m.unchanged = known, 0
@@ -148,7 +149,7 @@
 	return known >= 2 && m.unchanged > m.unchangedNeeded
 }
 
-// awaitPeers waits until this entry knows the others, if it has been told of any.
+// awaitPeers waits until this entry has met the others, if it knows any addresses.
 func (e *Entry) awaitPeers(ctx context.Context) {
 	if e.knownAddresses.currentVersion() == 0 {
 		return
@@ -169,7 +170,7 @@
 	}
 }
 
-// assigned reports whether it is this entry's duty to read, rather than in place of others.
+// assigned reports whether this entry is assigned to read, rather than reading in place of others.
 func (e *Entry) assigned() (assigned bool) {
 	e.engine.view(func(_ time.Duration, c *core.Core) { assigned = c.AssignedReader() })
 	return assigned
@@ -180,7 +181,7 @@
 	return reader
 }
 
-// follow watches until this entry is no longer a reader.
+// follow watches a value until this entry is no longer a reader.
 func (e *Entry) follow(ctx context.Context, name string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -195,7 +196,7 @@
 		published.Follow(ctx, e.platform, name, e.documents.get(name).Revision, options, e.platformAnswered)
 		return
 	}
-	// A watch may be held for long before it shows that the platform answers.
+	// A watch may wait for long before it shows that the platform answers, so read first.
 	if v, err := e.platform.Read(ctx, name); err == nil {
 		e.platformAnswered(v)
 	} else if ctx.Err() == nil {
@@ -206,8 +207,8 @@
 	published.Follow(ctx, e.platform, name, after, options, e.platformAnswered)
 }
 
-// tryResume has the platform's service go on from the list of VMs in force here, where it can,
-// and reports whether it does. The list is large, and peers have given it.
+// tryResume lets the platform's service continue from the list of VMs that is in force here, and
+// reports whether the service can do so. Peers have already sent this list, which is large.
 func (e *Entry) tryResume(name string) bool {
 	service, can := e.platform.service.(published.Resumer)
 	current := e.documents.get(name)
@@ -230,7 +231,8 @@
 	}
 }
 
-// cancelWhenNotReading cancels once others read for this entry, or the platform is silent.
+// cancelWhenNotReading cancels the watch once this entry should no longer read: other entries read,
+// or the platform does not answer.
 func (e *Entry) cancelWhenNotReading(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
 		wait.For(ctx, readerCheckInterval)
@@ -240,8 +242,8 @@
 	}
 }
 
-// offer parses a value and gives it to the core. A value without a text says
-// that there is no later revision.
+// offer parses a value and passes it to the core. A value without a text says that there is no
+// later revision.
 func (e *Entry) offer(v published.Value, source uint64) {
 	if v.Problem != nil {
 		e.engine.event(func(_ time.Duration, c *core.Core, out *core.Actions) { c.Unreadable(v.Name, v.Problem, out) })
@@ -260,13 +262,13 @@
 	e.offerParsed(v, offered, false)
 }
 
-// offerPatched gives the core a list of VMs that a difference from a peer made.
+// offerPatched passes a list of VMs to the core that was made from a peer's difference.
 func (e *Entry) offerPatched(v published.Value, list published.VMList, source uint64) {
 	e.offerParsed(v, core.Offered{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
 }
 
-// offerParsed gives the core a value and keeps its text if it comes into force. patched says that a
-// difference made it.
+// offerParsed passes a value to the core and stores its text if it comes into force. patched says
+// that the value was made from a difference.
 func (e *Entry) offerParsed(v published.Value, offered core.Offered, patched bool) {
 	var inForce *profile.Snapshot
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
@@ -286,7 +288,7 @@
 	}
 }
 
-// setRouteLimits lets callers take what the routes in force allow.
+// setRouteLimits applies the limits of the routes in force to callers' connections.
 func (e *Entry) setRouteLimits(routes *route.Table) {
 	if routes == nil {
 		return
@@ -299,7 +301,7 @@
 	return message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}
 }
 
-// parse reads a value's text. It takes no lock: a document may be large.
+// parse parses a value's text. It takes no lock, since a document may be large.
 func (e *Entry) parse(v published.Value) core.Offered {
 	o := core.Offered{Name: v.Name, Mark: markOf(v)}
 	if v.Name == published.VMsValue {
--- a/internal/entry/published_test.go
+++ b/internal/entry/published_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-// Fifteen entries start together and greet each other one after another. Each that took
-// the first two for the fleet would read the platform for all, with the calls of a reader,
-// until it knew better. The meeting is over when nobody has come for a while.
+// Fifteen entries start together and exchange hellos one after another. Each entry that took the
+// first two for the whole fleet would read the platform, with the calls of a reader, until it knew
+// of the others. The meeting is over when the number of known entries has not changed for a while.
 func TestMeetingEndsWhenEntryCountIsStable(t *testing.T) {
 	m := meeting{unchangedNeeded: meetingChecks}
 	for _, known := range []int{1, 1, 1, 1, 1, 1, 2, 3, 3, 3, 5, 9, 9, 14, 15, 15, 15, 15} {
 		if m.observe(known, true) {
-			t.Fatalf("over with %d entries known", known)
+			t.Fatalf("meeting over with %d entries known", known)
 		}
 	}
 	if m.observe(15, false) {
-		t.Error("over though a peer knows others")
+		t.Error("meeting over though a peer has other records")
 	}
 	for range meetingChecks {
 		if m.observe(15, true) {
-			t.Fatal("over right after a peer knew others")
+			t.Fatal("meeting over right after a peer had other records")
 		}
 	}
 	if !m.observe(15, true) {
-		t.Error("not over though nobody came for five checks")
+		t.Error("meeting not over after five checks without a new entry")
 	}
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -11,21 +11,21 @@
 	"github.com/tealhall/tealhall/internal/front"
 )
 
-// mark is what the entry says of itself on an answer.
+// mark returns what the headers of an answer say about this entry and the outcome.
 func (e *Entry) mark(outcome core.Outcome, reason core.Reason) Mark {
 	return Mark{Entry: e.settings.Name, Outcome: outcome, Reason: reason, Revision: e.revision.Load()}
 }
 
-// reply gives the caller an answer of the entry's own.
+// reply sends the caller an answer of the entry itself.
 func (e *Entry) reply(w http.ResponseWriter, r *http.Request, d core.Directive) {
 	e.replyAs(w, r, d, d.Reason.Status(), d.Reason.Remedy())
 }
 
-// replyAs is reply with a status and a remedy that say more than the reason's.
+// replyAs is reply with a status and a remedy that are more specific than those of the reason.
 func (e *Entry) replyAs(w http.ResponseWriter, r *http.Request, d core.Directive, status int, remedy string) {
 	if d.Reason == core.ReasonBodyTooLarge {
-		// Otherwise net/http reads what it can of the body before it answers, for
-		// as long as the caller takes to send it.
+		// Otherwise net/http reads the rest of the body before it answers, for as long as the
+		// caller takes to send it.
 		w.Header().Set("Connection", "close")
 	}
 	e.dialect.Refuse(w, r, Refusal{Mark: e.mark(d.Outcome, d.Reason), Status: status, Remedy: remedy, RetryAfter: d.RetryAfter})
@@ -34,23 +34,24 @@
 	}
 }
 
-// badRequest is the answer to what can't be a request to a service.
+// badRequest is the directive for a request that is malformed or sent to an unknown path of
+// tealhall.
 var badRequest = core.Directive{Outcome: core.OutcomeNotRun, Reason: core.ReasonBadRequest}
 
-// refuseShape answers a request whose head was refused.
+// refuseShape answers a request with a malformed head.
 func (e *Entry) refuseShape(w http.ResponseWriter, r *http.Request, shape front.Shape) {
 	e.instruments.refused(badRequest.Reason, badRequest.Outcome)
 	e.replyAs(w, r, badRequest, shape.Status(), shape.String())
 }
 
-// refuseWith refuses requests to tealhall's own paths.
+// refuseWith returns a handler that refuses requests to tealhall's own paths.
 func (e *Entry) refuseWith(status int, remedy string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.replyAs(w, r, badRequest, status, remedy)
 	})
 }
 
-// wholeSeconds rounds up: a caller must not come back too early.
+// wholeSeconds rounds up, so that a caller does not retry too early.
 func wholeSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
@@ -71,7 +72,7 @@
 	}
 }
 
-// replay gives the caller the kept answer of a request that ran before.
+// replay sends the caller the stored answer of a request that ran before.
 func (e *Entry) replay(w http.ResponseWriter, d core.Directive) {
 	h := w.Header()
 	for _, pair := range d.Answer.Header {
--- a/internal/entry/restart_test.go
+++ b/internal/entry/restart_test.go
@@ -14,7 +14,7 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// upload is a long upload whose body the test feeds.
+// upload is a long upload whose body the test writes.
 type upload struct {
 	body   *io.PipeWriter
 	result chan error
@@ -22,8 +22,7 @@
 
 const scanChunk = 128 << 10
 
-// startUpload begins an upload straight to an entry and waits until an endpoint
-// has it.
+// startUpload begins an upload directly through an entry and waits until an endpoint receives it.
 func startUpload(t *testing.T, f *fleet, e *entry.Entry, id string) *upload {
 	t.Helper()
 	reader, writer := io.Pipe()
@@ -60,7 +59,7 @@
 	}
 }
 
-// finish sends the rest and checks the answer.
+// finish sends the rest of the body and checks the answer.
 func (u *upload) finish(t *testing.T) {
 	t.Helper()
 	u.write(t)
@@ -72,8 +71,8 @@
 
 const freshClients = 4
 
-// awaitRefusal calls an entry, each time on a new connection, until it refuses
-// connections. A connection that it took has to bring an answer.
+// awaitRefusal calls an entry, each time on a new connection, until the entry refuses connections.
+// Each accepted connection must get an answer.
 func awaitRefusal(t *testing.T, e *entry.Entry) {
 	t.Helper()
 	var calling sync.WaitGroup
@@ -96,12 +95,11 @@
 	calling.Wait()
 }
 
-// Operators replace every entry, one after the other, in the middle of a working
-// day. Callers hold answers that name the entry that stops, connections to it,
-// bookings in flight at it, and one sends a long scan that ends only after the
-// entry refuses new connections. None of them may notice.
+// Operators replace every entry, one after the other, under load. Callers have directory answers
+// that name the stopping entry, connections to it, bookings in flight at it, and a long upload that
+// ends only after the entry refuses new connections. No caller may notice the replacement.
 func TestRollingRestartOfEveryEntry(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 6)
 	l := startCalmTraffic(t, f)
 	for i, e := range slices.Clone(f.Entries) {
@@ -118,12 +116,11 @@
 	l.calm(t, f)
 }
 
-// A failure domain is emptied for maintenance while the configuration service is
-// down: an endpoint drains and all entries stop at the same time, each handing
-// its keys to entries elsewhere, and new ones, which have only peers to ask, take
-// their place. Callers may not notice.
+// A failure domain is emptied for maintenance while the configuration service is down: an endpoint
+// drains, and all entries of the domain stop at the same time and hand over their keys to entries
+// elsewhere. New entries, which can only ask peers, take their place. No caller may notice this.
 func TestFailureDomainReplacedWhileServiceIsDown(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 9)
 	l := startCalmTraffic(t, f)
 	l.awaitMore(t, 100)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -18,8 +18,7 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// callerHandler routes what callers send: tealhall's own paths and, all else,
-// requests to services.
+// callerHandler routes callers' requests to tealhall's own paths, and all others to services.
 func (e *Entry) callerHandler() http.Handler {
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.HandleFunc(contract.EntriesPath, e.serveEntries).Methods(http.MethodGet)
@@ -27,7 +26,7 @@
 	router.NotFoundHandler = e.refuseWith(http.StatusNotFound, "use a path that docs/CALLERS.md names")
 	router.MethodNotAllowedHandler = e.refuseWith(http.StatusMethodNotAllowed, "use GET")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Requests to services skip the router: their paths are the services' own.
+		// Requests to services skip the router: their paths belong to the services.
 		if strings.HasPrefix(r.URL.Path, contract.ReservedPrefix) {
 			router.ServeHTTP(w, r)
 			return
@@ -36,7 +35,7 @@
 	})
 }
 
-// serveRequest brings one request to an endpoint and its answer back.
+// serveRequest sends a request to an endpoint and its answer back to the caller.
 func (e *Entry) serveRequest(w http.ResponseWriter, r *http.Request) {
 	x, arrival, refusal := e.admit(w, r)
 	if refusal != core.ReasonNone {
@@ -51,10 +50,9 @@
 	e.instruments.ended(x.service, x.ending, e.engine.clock()-x.began)
 }
 
-// admissionOutcome is what is known of a request that is refused before its key was
-// looked up. With a key it may be a later try of a request that has run: then
-// "not run" would be false, and its caller would send it again under a new key.
-// Only a key that is malformed can't have run.
+// admissionOutcome returns the outcome of a request that is refused before its key is looked up. A
+// request with a key may be a retry of one that has run: "not run" would then be false, and the
+// caller would send it again under a new key. Only a request with a malformed key can't have run.
 func admissionOutcome(r *http.Request, refusal core.Reason) core.Outcome {
 	if hasKey(r) && refusal != core.ReasonKeyBad {
 		return core.OutcomeUnknown
@@ -64,7 +62,7 @@
 
 func hasKey(r *http.Request) bool { return len(r.Header[contract.HeaderIdempotencyKey]) > 0 }
 
-// admit reads a request, or says why it is refused.
+// admit reads a request, or returns the reason for which it is refused.
 func (e *Entry) admit(w http.ResponseWriter, r *http.Request) (*exchange, *core.Arrival, core.Reason) {
 	admission := e.admission(r)
 	if admission.Reason != core.ReasonNone {
@@ -91,8 +89,8 @@
 	return x, arrival, reason
 }
 
-// admission asks the core what a request may be: by its host and path where
-// routes are published, else by the service that it names.
+// admission asks the core whether a request may be admitted: by its host and path if routes are
+// published, else by the service that it names.
 func (e *Entry) admission(r *http.Request) (a core.Admission) {
 	e.engine.view(func(_ time.Duration, c *core.Core) {
 		if e.options.RouteProfiles != nil {
@@ -104,8 +102,8 @@
 	return a
 }
 
-// mayBeginAhead reports whether a request may be worked on before those in front of
-// it on its connection are answered.
+// mayBeginAhead reports whether a request may be started before earlier requests on its connection
+// are answered.
 func (e *Entry) mayBeginAhead(r *http.Request) bool {
 	if strings.HasPrefix(r.URL.Path, contract.ReservedPrefix) || hasKey(r) {
 		return false
@@ -115,8 +113,8 @@
 	return may
 }
 
-// unknownServiceReason tells a service that isn't published from an entry that knows
-// no profiles yet.
+// unknownServiceReason returns the reason for an unknown service: the service isn't published, or
+// this entry has no profiles yet.
 func (e *Entry) unknownServiceReason() core.Reason {
 	if e.revision.Load() == 0 {
 		return core.ReasonStarting
@@ -124,8 +122,8 @@
 	return core.ReasonUnknownService
 }
 
-// serviceOf returns the service that a request names: in its header, else as
-// the first label of the host.
+// serviceOf returns the service that a request names in its header, else the first label of its
+// host.
 func serviceOf(r *http.Request) string {
 	if name := r.Header.Get(contract.HeaderService); name != "" {
 		return name
@@ -135,7 +133,7 @@
 	return label
 }
 
-// callerOf returns the name of the caller, else its IP number.
+// callerOf returns the name of the caller, else its IP address.
 func callerOf(r *http.Request) string {
 	if name := r.Header.Get(contract.HeaderCaller); name != "" {
 		return name
@@ -169,8 +167,8 @@
 	}
 	if depth := h.Get(contract.HeaderDepth); depth != "" {
 		var ok bool
-		// One that can't be read is refused as well: taken for none, it would let
-		// a cycle of calls go on for ever.
+		// A malformed depth is refused as well: treated as no depth, it would let a cycle of calls
+		// go on for ever.
 		if a.Depth, ok = contract.ParseDepth(depth); !ok {
 			return nil, core.ReasonTooDeep
 		}
@@ -209,7 +207,7 @@
 	return false
 }
 
-// serveEntries answers which entries a caller should use.
+// serveEntries returns the entries that a caller should use.
 func (e *Entry) serveEntries(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	req := directory.Request{
@@ -254,7 +252,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// serveHealth answers whether the entry may be used.
+// serveHealth reports whether the entry is ready.
 func (e *Entry) serveHealth(w http.ResponseWriter, r *http.Request) {
 	answer := healthAnswer{Revision: e.revision.Load()}
 	e.engine.view(func(now time.Duration, c *core.Core) { answer.Ready, answer.Reason = c.ReadyReason(now) })
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -13,38 +13,36 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// StopSummary says how a planned stop went.
+// StopSummary is the result of a planned stop.
 type StopSummary struct {
-	// Cut counts requests in flight that were cut off.
+	// Cut counts the requests in flight that were cut off.
 	Cut int
-	// HandedOver counts the keys given to successors, Successors who took them.
+	// HandedOver counts the keys given to successors, Successors the entries that accepted them.
 	HandedOver int
 	Successors int
 	Took       time.Duration
 }
 
-// Stop is a planned stop. Callers are no longer sent here and peers are told;
-// requests are served until the answers that name this entry have run out.
-// Then new connections are refused, requests in flight are finished and the
-// idempotency table is handed over. If ctx ends first, the stop is quick and
-// says what it cuts.
+// Stop makes a planned stop. Peers are notified and callers are no longer sent to this entry;
+// requests are served until the directory answers that name this entry have expired. Then new
+// connections are refused, requests in flight are finished and the key table is handed over. If ctx
+// ends first, the stop is quick and reports the number of requests that it cuts off.
 func (e *Entry) Stop(ctx context.Context) StopSummary {
 	began := e.engine.clock()
 	plan := planStop(e.answersTTL(), &e.settings.Timeouts)
 	until := func(step time.Duration) time.Duration { return step - (e.engine.clock() - began) }
 	e.leave("a planned stop")
 	wait.For(ctx, until(plan.askToClose))
-	// From here on only callers with late answers come. Each answer asks its
-	// caller to close the connection, so that the close of an idle one, which
-	// could meet a request on its way, is the exception.
+	// From here on only callers with expired directory answers come. Each answer asks its caller to
+	// close the connection, so that the entry seldom has to close an idle connection, on which a
+	// request may be under way.
 	e.front.Leave()
 	wait.For(ctx, until(plan.refuseConnections))
 	var running int
 	e.engine.view(func(now time.Duration, c *core.Core) { running = c.SealKeys(now) })
-	// The keys are handed over at once: from now on this entry refuses
-	// connections, and uploads may keep it for long. Keys that still run are
-	// unknown to the successors until the second hand-over.
-	// A quick stop hands them over as well.
+	// The keys are handed over at once, also in a quick stop: from now on this entry refuses
+	// connections, and uploads may delay its end for long. The successors see keys that still run
+	// as unknown until the second hand-over.
 	handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), until(plan.announceStopped))
 	defer cancel()
 	firstHandover := make(chan handoverResult, 1)
@@ -67,7 +65,7 @@
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Leave(now, why, out) })
 }
 
-// answersTTL is how long callers may still use answers that name this entry.
+// answersTTL returns how long callers may still use directory answers that name this entry.
 func (e *Entry) answersTTL() time.Duration {
 	if e.revision.Load() == 0 {
 		return 0
@@ -78,13 +76,13 @@
 	return directory.DefaultMaxTTL
 }
 
-// finishRequests refuses new connections, waits at most so long for the requests in flight and
-// returns how many it had to cut off. A wait that gets long is reported.
+// finishRequests refuses new connections, waits up to timeout for the requests in flight and
+// returns how many it had to cut off. It reports a wait that gets long.
 func (e *Entry) finishRequests(ctx context.Context, timeout time.Duration) int {
 	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	longWait := time.AfterFunc(min(e.settings.Timeouts.StopGrace.Duration, timeout/2), func() {
-		e.reportStop("waits", e.front.InFlight(), "they are cut off "+timeout.Round(time.Millisecond).String()+" after new connections were refused")
+		e.reportStop("waits", e.front.InFlight(), "the requests are cut off "+timeout.Round(time.Millisecond).String()+" after new connections were refused")
 	})
 	defer longWait.Stop()
 	return e.front.Stop(timeoutCtx, func(inFlight int) {
@@ -96,9 +94,9 @@
 	})
 }
 
-// reportStop says in log and audit trail what a stop does with requests in flight.
+// reportStop records in the log and the audit trail what a stop does with requests in flight.
 func (e *Entry) reportStop(action string, requests int, why string) {
-	klog.InfoS("a planned stop meets requests in flight", "action", action, "requests", requests, "why", why)
+	klog.InfoS("a planned stop has requests in flight", "action", action, "requests", requests, "why", why)
 	e.trail.Add(audit.Record{
 		Actor:   "entry " + e.settings.Name,
 		Subject: "planned stop",
@@ -108,19 +106,20 @@
 	})
 }
 
-// finish says goodbye, gives that so long on its way and ends all goroutines. Those that are not
-// through when the process has to end, in a call that nobody answers for one, end with it: a process
-// that waited for them would be killed.
+// finish tells peers that this entry has stopped, waits sendTime for the message to be sent and
+// ends all goroutines. Goroutines that do not end by the time when the process must end, for
+// example in a call that gets no answer, end with the process: a process that waited for them would
+// be killed.
 func (e *Entry) finish(sendTime time.Duration, timeLeft func() time.Duration) {
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Stopped(now, out) })
 	wait.For(context.Background(), sendTime)
 	if !wait.Done(timeLeft(), e.shutDown) {
-		klog.InfoS("the process ends before all its calls have", "entry", e.settings.Name)
+		klog.InfoS("the process ends before all its goroutines have ended", "entry", e.settings.Name)
 	}
 }
 
-// Kill ends the entry at once, as a crash would: nothing is said or finished.
-// It does nothing to an entry that was not started.
+// Kill ends the entry at once, as a crash would: peers are not notified and requests are not
+// finished. It does nothing to an entry that was not started.
 func (e *Entry) Kill() {
 	if e.cancel == nil {
 		return
@@ -138,7 +137,7 @@
 	e.peerServer.Close()
 	e.connections.Close()
 	e.homeConnections.Close()
-	// Requests that were cut off don't outlive the entry at an endpoint.
+	// Requests that were cut off must not outlive the entry at an endpoint.
 	e.engine.cancelAll()
 	e.endRunning()
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -12,10 +12,10 @@
 	users "github.com/tealhall/tealhall/platform"
 )
 
-// An operator loses patience with a long upload and sends the second signal. The
-// stop ends at once, says how many requests it cuts, and the caller sees that
-// its upload was not answered. Nothing of any entry is left running, also of
-// those that were stopped or killed while they started.
+// An operator sends a second signal while an upload is in flight. The stop must end at once and
+// report how many requests it cuts off, and the caller must see that its upload was not answered.
+// No goroutine of any entry may be left, also of entries that are stopped or killed while they
+// start.
 func TestQuickStopReportsCutRequestsAndLeaksNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	f := newFleet(t, 3)
@@ -27,14 +27,14 @@
 	awaitRefusal(t, e)
 	secondSignal()
 	if summary := <-stopped; summary.Cut != 1 {
-		t.Errorf("%+v: the upload was in flight", summary)
+		t.Errorf("%+v: want one request cut off, the upload in flight", summary)
 	}
 	_ = scan.body.Close()
 	if err := <-scan.result; err == nil {
-		t.Error("the upload that was cut off seemed answered")
+		t.Error("the upload was cut off, but its caller got an answer")
 	}
 	if f.audited(e.Name(), "planned stop", "cuts-off") != 1 {
-		t.Error("the audit trail doesn't say that requests were cut off")
+		t.Error("no audit record of the requests that were cut off")
 	}
 	for i := range 10 {
 		short, err := f.AddEntry("short", i)
@@ -53,10 +53,9 @@
 	await(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// An entry starts while the configuration service is down and no peer is there.
-// It isn't ready and says why. A caller that asks it nevertheless is told that
-// its read was not run; of a booking it must not say so, since an earlier try
-// may have run elsewhere.
+// An entry starts while the configuration service is down and there is no peer. It must report that
+// it isn't ready, and why. It refuses a read as not run; it must not say so for a booking, since an
+// earlier try may have run elsewhere.
 func TestEntryWithoutConfigurationRefusesRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	_, newKey := homeOf(t, f)
@@ -69,18 +68,18 @@
 		t.Fatal(err)
 	}
 	if ready, why := fresh.Ready(); ready || why == "" {
-		t.Errorf("ready %v: %q", ready, why)
+		t.Errorf("ready %v, reason %q, want not ready and a reason", ready, why)
 	}
 	newKey("earlier").expect(t, fresh, "unknown", "starting")
 	booking{id: "keyless"}.expect(t, fresh, "not-run", "starting")
 }
 
-// A tablet closed a tray through an entry that had been told to stop 1.6 s before. The endpoint
-// took long, and the entry closed the connection 4.2 s after its signal, 1.8 s before it would
-// have been killed: the steward logged the waste again. The time for the requests in flight had
-// been worked out beside the stop's own steps, which took 1.5 s less than it supposed.
+// A caller sent a write through an entry that had begun its stop 1.6 s before. The endpoint took
+// long, and the entry closed the connection 4.2 s after its signal, 1.8 s before it would have been
+// killed, so the caller repeated the write. The time for requests in flight had been computed apart
+// from the stop's other steps, which took 1.5 s less than assumed.
 func TestStopWaitsForAnswersUntilItsGraceTimeEnds(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	const grace = 6 * time.Second
 	f := newFleet(t, 1, func(cfg *demo.FleetConfig) {
 		cfg.Adjust = users.Terms{StopWithin: grace, AnswersTTL: 5 * time.Second}.Apply
@@ -91,9 +90,9 @@
 	summary := e.Stop(t.Context())
 	_ = scan.body.Close()
 	if summary.Cut != 1 {
-		t.Errorf("%+v: the upload was in flight", summary)
+		t.Errorf("%+v: want one request cut off, the upload in flight", summary)
 	}
 	if least := grace * 5 / 6; summary.Took < least {
-		t.Errorf("the stop took %v and cut off an upload that may take %v", summary.Took, least)
+		t.Errorf("the stop took %v and cut off an upload that may take %v from the signal", summary.Took, least)
 	}
 }
--- a/internal/entry/stopplan.go
+++ b/internal/entry/stopplan.go
@@ -7,38 +7,42 @@
 )
 
 const (
-	// stoppedMessageTime is how long the last message may take on its way.
+	// stoppedMessageTime is how long the last message to peers may take to be sent.
 	stoppedMessageTime = 500 * time.Millisecond
-	// processEndTime is what is left for ending the process itself, on a VM with a sixth of a core.
+	// processEndTime is the time left for ending the process itself, on a VM with a sixth of a
+	// core.
 	processEndTime = 200 * time.Millisecond
-	// noDeadline is the end of a stop that nobody puts an end to.
+	// noDeadline is the end of a stop that has no time limit.
 	noDeadline = 365 * 24 * time.Hour
 )
 
-// The least shares of the time until the process is killed: what the requests in flight are left
-// once new connections are refused, and what the end takes if that is less than its usual time.
+// The smallest shares of the time until the process is killed: inFlightShare for the requests in
+// flight once new connections are refused, shutdownShare for the last steps if that is less than
+// their usual time.
 const (
 	inFlightShare = 0.25
 	shutdownShare = 0.125
 )
 
-// stopPlan says when the steps of a planned stop begin, as times since its signal, in this order.
-// Each step is reckoned from the signal and not from the one before it: what an earlier one does
-// not use, or takes beyond its time, is had or lost by the requests in flight alone.
+// stopPlan has the times at which the steps of a planned stop begin, counted from its signal, in
+// this order. Each step is timed from the signal and not from the step before it: time that an
+// earlier step saves or overruns changes only the time of the requests in flight.
 type stopPlan struct {
-	// askToClose: callers' answers have run out; each answer asks to close its connection.
+	// askToClose: callers' directory answers have expired; each answer asks its caller to close the
+	// connection.
 	askToClose time.Duration
 	// refuseConnections: new connections are refused, idle ones closed.
 	refuseConnections time.Duration
 	// cutOff: requests that still run are cut off.
 	cutOff time.Duration
-	// announceStopped: peers are told that this entry has stopped, and keys are no longer handed over.
+	// announceStopped: peers are told that this entry has stopped, and keys are no longer handed
+	// over.
 	announceStopped time.Duration
-	// end: the process has to end.
+	// end: the process must end.
 	end time.Duration
 }
 
-// planStop plans the stop of an entry whose callers may keep their answers for ttl.
+// planStop plans the stop of an entry whose callers may use their directory answers for ttl.
 func planStop(ttl time.Duration, t *settings.Timeouts) stopPlan {
 	p := stopPlan{askToClose: ttl}
 	p.refuseConnections = p.askToClose + min(t.StopServe.Duration, ttl)
--- a/internal/entry/stopplan_test.go
+++ b/internal/entry/stopplan_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever an operator sets, the steps of a stop come in their order, the process has ended before
-// it is killed, and what runs has a quarter of the time at least once new connections are refused.
+// For all settings, the steps of a stop are in order, the process ends before it is killed, and the
+// requests in flight have at least a quarter of the time once new connections are refused.
 func TestStopPlanStepsAreInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string, least, most time.Duration) time.Duration {
@@ -25,21 +25,21 @@
 		steps := []time.Duration{0, p.askToClose, p.refuseConnections, p.cutOff, p.announceStopped, p.end, within}
 		for i := 1; i < len(steps); i++ {
 			if steps[i] < steps[i-1] {
-				t.Fatalf("step %d comes before the one before it: %v", i, steps)
+				t.Fatalf("step %d is earlier than the previous step: %v", i, steps)
 			}
 		}
 		if p.end >= within {
-			t.Errorf("ends after %v, is killed after %v", p.end, within)
+			t.Errorf("the process ends after %v but is killed after %v", p.end, within)
 		}
 		if left := p.announceStopped - p.refuseConnections; left < within/4 {
-			t.Errorf("requests in flight have %v of %v", left, within)
+			t.Errorf("requests in flight have %v of %v, want a quarter", left, within)
 		}
 	})
 }
 
-// A caller sends a request before half of the grace time is over, and its endpoint answers before
-// the last sixth of it begins: the answer has to reach the caller, however long the earlier steps
-// take, for every grace time that leaves as much.
+// A caller sends a request in the first half of the grace time, and the endpoint answers before its
+// last sixth. The answer must reach the caller however long the earlier steps take, for every grace
+// time that is long enough for this.
 func TestStopPlanCutsNothingBeforeTheLastSixth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(int64(2*time.Second), int64(time.Minute)).Draw(t, "grace"))
@@ -47,16 +47,16 @@
 		timeouts.StopWithin.Duration = grace
 		p := planStop(time.Duration(rapid.Int64Range(0, int64(12*time.Second)).Draw(t, "ttl")), &timeouts)
 		if last := grace * 5 / 6; p.cutOff < last {
-			t.Errorf("cut off after %v, an answer may come after %v", p.cutOff, last)
+			t.Errorf("requests are cut off after %v, but an answer may come until %v", p.cutOff, last)
 		}
 	})
 }
 
-// Without an end that is set from outside, a stop takes what its steps take together.
+// Without StopWithin, a stop lasts as long as its steps take together.
 func TestStopPlanWithoutStopWithin(t *testing.T) {
 	timeouts := settings.Default().Timeouts
 	p := planStop(12*time.Second, &timeouts)
 	if p.askToClose != 12*time.Second || p.refuseConnections != 13*time.Second || p.cutOff != 13*time.Second+15*time.Minute || p.end < 48*time.Hour {
-		t.Errorf("%+v", p)
+		t.Errorf("got plan %+v", p)
 	}
 }
