--- a/internal/entry/carry.go
+++ b/internal/entry/actions.go
@@ -16,18 +16,18 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// The bounds of work that serves no caller.
+// The limits of work that serves no caller.
 const (
 	probeTimeout = 2 * time.Second
 	fetchTimeout = 3 * time.Second
-	// probeBody is how many bytes of the answer to a probe are read.
-	probeBody = 16 << 10
+	// maxProbeBody is how many bytes of the answer to a probe are read.
+	maxProbeBody = 16 << 10
 )
 
-// carryOut does what the core asked for beside single requests.
-func (e *Entry) carryOut(a *core.Actions) {
+// executeActions carries out the core's actions that do not belong to a single request.
+func (e *Entry) executeActions(a *core.Actions) {
 	for i := range a.Notes {
-		e.trail.Add(e.recordOf(&a.Notes[i]))
+		e.trail.Add(e.auditRecord(&a.Notes[i]))
 	}
 	for i := range a.Traces {
 		logTrace(&a.Traces[i])
@@ -37,7 +37,7 @@
 	}
 	for _, address := range a.DropAddresses {
 		e.connections.Drop(address)
-		e.homes.Drop(address)
+		e.homeConnections.Drop(address)
 	}
 	for _, address := range a.SuspectAddresses {
 		e.connections.Suspect(address)
@@ -50,7 +50,7 @@
 	}
 }
 
-func (e *Entry) recordOf(n *core.Note) audit.Record {
+func (e *Entry) auditRecord(n *core.Note) audit.Record {
 	return audit.Record{
 		Actor:    orElse(n.Actor, "entry "+e.settings.Name),
 		Subject:  n.Subject,
@@ -62,8 +62,8 @@
 	}
 }
 
-// deliver sends an update and tells the core whether the peer accepted it: what
-// was lost on the way is owed still.
+// deliver sends an update and reports to the core whether the peer accepted it; a lost update stays
+// pending.
 func (e *Entry) deliver(u core.Outgoing) {
 	e.links.Deliver(u.Address, u.Update, func(r message.Receipt) { e.updateDone(u.To, u.Update.Sequence, r) })
 }
@@ -74,13 +74,13 @@
 	})
 }
 
-// probe asks an endpoint how it is.
+// probe sends a health, load or crash probe to an endpoint and reports the result to the core.
 func (e *Entry) probe(p core.Probe) {
-	limit := probeTimeout
+	timeout := probeTimeout
 	if p.Wait > 0 {
-		limit = p.Wait
+		timeout = p.Wait
 	}
-	ctx, cancel := context.WithTimeout(e.life, limit)
+	ctx, cancel := context.WithTimeout(e.life, timeout)
 	defer cancel()
 	end := core.ProbeEnd{Probe: p}
 	began := e.engine.clock()
@@ -104,9 +104,8 @@
 		end.Refused = forward.FailureOf(err) == forward.RefusedDial
 		return
 	}
-	// A body that is left unread costs the connection, and the endpoint a new one
-	// for each probe.
-	_, _ = io.CopyN(io.Discard, response.Body, probeBody)
+	// An unread body would cost the connection, and the endpoint a new one for each probe.
+	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody)
 	_ = response.Body.Close()
 	head := e.dialect.ReadHead(end.Probe.Endpoint, request.Header, response.Header, response.StatusCode)
 	end.OK = response.StatusCode < http.StatusInternalServerError || head.NotRun
--- a/internal/entry/pass.go
+++ b/internal/entry/answer.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// pass gives the caller the answer that the core committed to.
-func (x *exchange) pass(w http.ResponseWriter, c *committed) {
+// passAnswer sends the caller the answer that the core committed to.
+func (x *exchange) passAnswer(w http.ResponseWriter, c *committed) {
 	x.ending = c.ending()
 	x.entry.instruments.passed(x.entry.engine.clock()-x.began, c.waited)
 	if !c.forwarded {
@@ -23,13 +23,13 @@
 		x.entry.dialect.Mark(w.Header(), x.entry.mark(c.outcome, core.ReasonNone))
 	}
 	if x.keyed && !c.forwarded {
-		x.passKept(w, c)
+		x.passKeyedAnswer(w, c)
 		return
 	}
 	x.stream(w, c, nil)
 }
 
-// ending is how the exchange ends if the whole answer is passed on.
+// ending returns how the exchange ends if the whole answer reaches the caller.
 func (c *committed) ending() ending {
 	if !c.forwarded {
 		return endingOf(c.outcome)
@@ -43,7 +43,7 @@
 	return endedUnknown
 }
 
-// stream copies the answer to the caller and then reports its end.
+// stream copies the answer to the caller and reports the end of the attempt to the core.
 func (x *exchange) stream(w http.ResponseWriter, c *committed, answer *idem.Answer) {
 	size, err := front.CopyAnswer(w, c.response)
 	end := endOfCopy(err)
@@ -57,8 +57,8 @@
 		Bytes: max(x.body.Length(), 0) + size})
 }
 
-// endOfCopy tells an answer that broke off from a caller that went away: only
-// the reading side has errors of package forward.
+// endOfCopy distinguishes an answer that broke off from a caller that left: only errors of the
+// endpoint's side are errors of package forward.
 func endOfCopy(err error) core.EndKind {
 	switch {
 	case err == nil:
@@ -70,39 +70,39 @@
 	}
 }
 
-// passKept passes on the answer of a request that must run once. An answer
-// that is small enough is read whole first: then its result is recorded before
-// the caller sees it, and a caller that loses the answer gets it again. A
-// larger one is streamed, and only its result is recorded.
-func (x *exchange) passKept(w http.ResponseWriter, c *committed) {
+// passKeyedAnswer sends the answer of a request with an idempotency key. An answer of at most
+// KeyAnswerBytes is read whole first: its result is then recorded before the caller sees it, and a
+// caller that loses the answer gets it again. A larger answer is streamed, and only its result is
+// recorded.
+func (x *exchange) passKeyedAnswer(w http.ResponseWriter, c *committed) {
 	limit := int64(x.entry.settings.Limits.KeyAnswerBytes)
 	body := c.response.Body
-	start, err := io.ReadAll(io.LimitReader(body, limit+1))
+	prefix, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		_ = body.Close()
-		x.end(c.attempt, core.EndTruncated, nil)
+		x.reportEnd(c.attempt, core.EndTruncated, nil)
 		x.ending = endedUnknown
 		x.entry.reply(w, x.request, core.Directive{Outcome: core.OutcomeUnknown, Reason: core.ReasonAnswerBroken})
 		return
 	}
-	c.response.Body = rejoin(start, body)
-	if int64(len(start)) > limit {
+	c.response.Body = prependBytes(prefix, body)
+	if int64(len(prefix)) > limit {
 		x.stream(w, c, nil)
 		return
 	}
-	x.end(c.attempt, core.EndComplete, keptAnswer(c.response, start))
+	x.reportEnd(c.attempt, core.EndComplete, answerToKeep(c.response, prefix))
 	_, _ = front.CopyAnswer(w, c.response)
 }
 
-// rejoin puts bytes that were read back in front of a body.
-func rejoin(start []byte, body io.ReadCloser) io.ReadCloser {
+// prependBytes returns a body that begins with bytes that were already read.
+func prependBytes(prefix []byte, body io.ReadCloser) io.ReadCloser {
 	return struct {
 		io.Reader
 		io.Closer
-	}{io.MultiReader(bytes.NewReader(start), body), body}
+	}{io.MultiReader(bytes.NewReader(prefix), body), body}
 }
 
-func keptAnswer(response *http.Response, body []byte) *idem.Answer {
+func answerToKeep(response *http.Response, body []byte) *idem.Answer {
 	answer := &idem.Answer{Status: response.StatusCode, Body: body}
 	for name, values := range front.ResponseHeader(response.Header) {
 		if name == "Content-Length" {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -13,20 +13,21 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// attempt sends the request once and reports to the core what came of it. The
-// answer that the core commits to goes to the exchange.
+// attempt sends the request once and reports the result to the core. If the core commits to the
+// answer, the exchange gets it.
 func (x *exchange) attempt(ctx context.Context, done context.CancelFunc, d core.Directive) {
 	maySend := func() bool { return x.entry.engine.maySend(d.ID, d.Attempt) }
 	body, ok := x.body.Reader()
-	// Asked now as well, since a connection costs the endpoint something too.
+	// maySend is also checked before a connection is taken, since a connection costs the endpoint
+	// something too.
 	if !ok || !maySend() {
 		done()
-		x.end(d.Attempt, core.EndNotWritten, nil)
+		x.reportEnd(d.Attempt, core.EndNotWritten, nil)
 		return
 	}
 	connections := x.entry.connections
 	if d.Step == core.StepForward {
-		connections = x.entry.homes
+		connections = x.entry.homeConnections
 	}
 	response, delivery, err := connections.Send(ctx, forward.Outgoing{
 		Address:       d.Address,
@@ -47,10 +48,10 @@
 		x.entry.engine.end(x.failedEnd(d, delivery, err))
 		return
 	}
-	x.answered(d, response, delivery.FirstByte-delivery.Started, done)
+	x.handleHead(d, response, delivery.FirstByte-delivery.Started, done)
 }
 
-// extraHeader holds the headers that tealhall adds for the endpoint.
+// extraHeader returns the headers that the entry adds to an attempt.
 func (x *exchange) extraHeader(d core.Directive) http.Header {
 	return x.entry.dialect.AttemptHeader(&AttemptInfo{
 		Endpoint:  d.Endpoint,
@@ -65,15 +66,15 @@
 	})
 }
 
-// answered feeds the head of an answer, which was waited for, and either passes
-// the answer to the exchange or drops it.
-func (x *exchange) answered(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
+// handleHead passes the head of an answer to the core, and then the answer to the exchange or
+// closes it. waited is the time that the endpoint took to its first byte.
+func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
 	head := x.headOf(d, response)
 	commit, outcome := x.entry.engine.head(head)
 	if commit {
 		c := &committed{response: response, attempt: d.Attempt, outcome: outcome, forwarded: d.Step == core.StepForward, waited: waited}
 		if !x.offer(c) {
-			x.abandon(c)
+			x.dropAnswer(c)
 		}
 		return
 	}
@@ -83,24 +84,24 @@
 	if head.NotRun {
 		kind = core.EndNotRun
 	}
-	x.end(d.Attempt, kind, nil)
+	x.reportEnd(d.Attempt, kind, nil)
 }
 
-// abandon drops an answer that nobody waits for any more.
-func (x *exchange) abandon(c *committed) {
+// dropAnswer closes an answer whose caller has left.
+func (x *exchange) dropAnswer(c *committed) {
 	x.mu.Lock()
 	x.cancelLocked(c.attempt)
 	x.mu.Unlock()
 	_ = c.response.Body.Close()
-	x.end(c.attempt, core.EndCallerGone, nil)
+	x.reportEnd(c.attempt, core.EndCallerGone, nil)
 }
 
-// end reports the end of an attempt to the core.
-func (x *exchange) end(n core.Attempt, kind core.EndKind, answer *idem.Answer) {
+// reportEnd reports the end of an attempt to the core.
+func (x *exchange) reportEnd(n core.Attempt, kind core.EndKind, answer *idem.Answer) {
 	x.entry.engine.end(core.End{ID: x.id, Attempt: n, Kind: kind, Replayable: !x.body.Streamed(), Answer: answer})
 }
 
-// headOf reads what the head of an answer says.
+// headOf reads the head of an answer for the core.
 func (x *exchange) headOf(d core.Directive, response *http.Response) core.Head {
 	if d.Step == core.StepForward {
 		lost := response.Header.Get(contract.HeaderReason) == core.ReasonHomeLost.String()
@@ -111,7 +112,7 @@
 	return h
 }
 
-// failedEnd classifies an attempt that brought no head.
+// failedEnd classifies an attempt that failed before the head of an answer.
 func (x *exchange) failedEnd(d core.Directive, delivery forward.Delivery, err error) core.End {
 	failure := forward.FailureOf(err)
 	end := core.End{ID: d.ID, Attempt: d.Attempt, Kind: core.EndLost, Replayable: !x.body.Streamed(), Cause: failure.String()}
@@ -136,7 +137,7 @@
 	return end
 }
 
-// noteTooLarge remembers that the body failed because it is beyond its bound.
+// noteTooLarge records that the body failed because it exceeds its limit.
 func (x *exchange) noteTooLarge(err error) {
 	if beyond := (*front.TooLarge)(nil); !errors.As(err, &beyond) {
 		return
--- a/internal/entry/coreconfig.go
+++ b/internal/entry/coreconfig.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// coreConfig returns the core's configuration by the settings.
+// coreConfig returns the core's configuration that follows from the settings.
 func (e *Entry) coreConfig() core.Config {
 	limits := &e.settings.Limits
 	c := core.DefaultConfig(e.hello)
@@ -20,7 +20,7 @@
 	c.ReadersPerDomain = e.settings.Platform.ReadersPerDomain
 	c.CheckEvery = e.settings.Platform.CheckEvery.Duration
 	c.FirstStart = e.settings.Platform.FirstStart
-	c.StartFetchDelay = e.startLeave()
+	c.StartFetchDelay = e.platformStartDelay()
 	c.AlwaysCurrent = e.settings.Platform.AlwaysCurrent
 	c.ListIsFinal = e.settings.Platform.ListIsFinal
 	c.MissingAfter = e.settings.Platform.MissingAfter.Duration
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -11,82 +11,83 @@
 )
 
 const (
-	// handoverRecords is how many keys one message of a hand-over holds at most.
+	// handoverRecords bounds the number of keys in one message of a hand-over.
 	handoverRecords = 256
 	// handoverTimeout bounds a hand-over as a whole.
 	handoverTimeout = 10 * time.Second
-	// enoughSuccessors is how many successors take each table.
-	enoughSuccessors = 2
+	// successorsPerTable is the number of successors that receive each table.
+	successorsPerTable = 2
 )
 
-// handover says how a hand-over went.
-type handover struct {
+// handoverResult is the result of a hand-over.
+type handoverResult struct {
 	keys int
-	// successors counts the entries that took whole tables.
+	// successors counts the entries that accepted whole tables.
 	successors int
 }
 
-// table is the keys of one home, in parts, with who may take them.
-type table struct {
+// keyTable is the key table of one home, in parts, with the addresses of the entries that may adopt
+// it.
+type keyTable struct {
 	parts     []message.Handover
 	addresses []string
 }
 
-// handOver gives the sealed idempotency table to its successors, and with it
-// what this entry adopted from others before.
-func (e *Entry) handOver(ctx context.Context) handover {
+// handOver gives this entry's sealed key table, and the tables that it adopted from others, to
+// their successors.
+func (e *Entry) handOver(ctx context.Context) handoverResult {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	var done handover
-	takers := make(map[string]bool)
-	for _, t := range e.tables() {
-		took := e.handOverTable(ctx, t, takers)
+	var result handoverResult
+	successors := make(map[string]bool)
+	for _, t := range e.keyTables() {
+		accepted := e.handOverTable(ctx, t, successors)
 		for _, part := range t.parts {
-			done.keys += len(part.Records)
+			result.keys += len(part.Records)
 		}
-		if took == 0 && len(t.addresses) > 0 {
-			klog.InfoS("nobody took the idempotency keys of an entry; callers that ask for them will be told unknown", "home", t.parts[0].Home)
+		if accepted == 0 && len(t.addresses) > 0 {
+			klog.InfoS("no successor accepted the idempotency keys of an entry; requests with these keys get the outcome unknown", "home", t.parts[0].Home)
 		}
 	}
-	done.successors = len(takers)
-	return done
+	result.successors = len(successors)
+	return result
 }
 
-// tables returns this entry's own table and those that it adopted.
-func (e *Entry) tables() []table {
-	var tables []table
+// keyTables returns this entry's own table and those that it adopted.
+func (e *Entry) keyTables() []keyTable {
+	var tables []keyTable
 	e.engine.view(func(_ time.Duration, c *core.Core) {
 		for _, part := range c.Handover(handoverRecords) {
 			if n := len(tables); n > 0 && tables[n-1].parts[0].Home == part.Home {
 				tables[n-1].parts = append(tables[n-1].parts, part)
 				continue
 			}
-			tables = append(tables, table{parts: []message.Handover{part}, addresses: c.SuccessorAddresses(part.Home)})
+			tables = append(tables, keyTable{parts: []message.Handover{part}, addresses: c.SuccessorAddresses(part.Home)})
 		}
 	})
 	return tables
 }
 
-// handOverTable gives a table to the first enoughSuccessors that accept it and adds
-// them to takers.
-func (e *Entry) handOverTable(ctx context.Context, t table, takers map[string]bool) (took int) {
+// handOverTable gives a table to the first successorsPerTable successors that accept it and adds
+// these to successors.
+func (e *Entry) handOverTable(ctx context.Context, t keyTable, successors map[string]bool) (accepted int) {
 	for _, address := range t.addresses {
-		if took == enoughSuccessors {
+		if accepted == successorsPerTable {
 			break
 		}
 		if e.handOverTo(ctx, address, t.parts) {
-			takers[address] = true
-			took++
+			successors[address] = true
+			accepted++
 		}
 	}
-	return took
+	return accepted
 }
 
 func (e *Entry) handOverTo(ctx context.Context, address string, parts []message.Handover) bool {
 	for _, part := range parts {
 		ack, err := e.links.Handover(ctx, address, part)
 		if err != nil || !ack.Accepted {
-			klog.InfoS("a successor did not take the idempotency keys; the next one is asked", "peer", address, "reason", ack.Reason, "err", err)
+			klog.InfoS("a successor did not accept the idempotency keys; trying the next one", "peer", address, "reason", ack.Reason, "err", err)
 			return false
 		}
 	}
--- a/internal/entry/restart_test.go
+++ b/internal/entry/restart_test.go
@@ -14,28 +14,27 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// upload is a long upload whose body the test feeds.
+// upload is a long upload whose body the test writes.
 type upload struct {
-	body *io.PipeWriter
-	ends chan error
+	body   *io.PipeWriter
+	result chan error
 }
 
-const scanPart = 128 << 10
+const scanChunk = 128 << 10
 
-// startUpload begins an upload straight to an entry and waits until an endpoint
-// has it.
+// startUpload begins an upload directly through an entry and waits until an endpoint receives it.
 func startUpload(t *testing.T, f *fleet, e *entry.Entry, id string) *upload {
 	t.Helper()
 	reader, writer := io.Pipe()
-	u := &upload{body: writer, ends: make(chan error, 1)}
+	u := &upload{body: writer, result: make(chan error, 1)}
 	request, err := http.NewRequest(http.MethodPut, "http://"+e.CallerAddress()+"/scans?id="+id, reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set(contract.HeaderService, "scans")
 	request.Header.Set(contract.HeaderRequest, id)
-	go func() { u.ends <- sendUpload(request, id) }()
-	u.feed(t)
+	go func() { u.result <- sendUpload(request, id) }()
+	u.write(t)
 	await(t, "the upload reaches an endpoint", func() bool { return f.Ledger.Request(id).Runs > 0 })
 	return u
 }
@@ -53,31 +52,31 @@
 	return standin.CheckAnswer(body, id, standin.AnswerSize(id))
 }
 
-func (u *upload) feed(t *testing.T) {
+func (u *upload) write(t *testing.T) {
 	t.Helper()
-	if _, err := u.body.Write(make([]byte, scanPart)); err != nil {
+	if _, err := u.body.Write(make([]byte, scanChunk)); err != nil {
 		t.Error(err)
 	}
 }
 
-// finish sends the rest and checks the answer.
+// finish sends the rest of the body and checks the answer.
 func (u *upload) finish(t *testing.T) {
 	t.Helper()
-	u.feed(t)
+	u.write(t)
 	_ = u.body.Close()
-	if err := <-u.ends; err != nil {
+	if err := <-u.result; err != nil {
 		t.Errorf("the upload was cut off: %v", err)
 	}
 }
 
-const newcomers = 4
+const freshClients = 4
 
-// awaitRefusal calls an entry, each time on a new connection, until it refuses
-// connections. A connection that it took has to bring an answer.
+// awaitRefusal calls an entry, each time on a new connection, until the entry refuses connections.
+// Each accepted connection must get an answer.
 func awaitRefusal(t *testing.T, e *entry.Entry) {
 	t.Helper()
 	var calling sync.WaitGroup
-	for range newcomers {
+	for range freshClients {
 		calling.Go(func() {
 			fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for {
@@ -96,12 +95,11 @@
 	calling.Wait()
 }
 
-// Operators replace every entry, one after the other, in the middle of a working
-// day. Callers hold answers that name the entry that stops, connections to it,
-// bookings in flight at it, and one sends a long scan that ends only after the
-// entry refuses new connections. None of them may notice.
+// Operators replace every entry, one after the other, under load. Callers have directory answers
+// that name the stopping entry, connections to it, bookings in flight at it, and a long upload that
+// ends only after the entry refuses new connections. No caller may notice the replacement.
 func TestRollingRestartOfEveryEntry(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 6)
 	l := startCalmTraffic(t, f)
 	for i, e := range slices.Clone(f.Entries) {
@@ -118,12 +116,11 @@
 	l.calm(t, f)
 }
 
-// A failure domain is emptied for maintenance while the configuration service is
-// down: an endpoint drains and all entries stop at the same time, each handing
-// its keys to entries elsewhere, and new ones, which have only peers to ask, take
-// their place. Callers may not notice.
+// A failure domain is emptied for maintenance while the configuration service is down: an endpoint
+// drains, and all entries of the domain stop at the same time and hand over their keys to entries
+// elsewhere. New entries, which can only ask peers, take their place. No caller may notice this.
 func TestFailureDomainReplacedWhileServiceIsDown(t *testing.T) {
-	t.Parallel() // it mostly waits
+	t.Parallel() // waits most of the time
 	f := newFleet(t, 9)
 	l := startCalmTraffic(t, f)
 	l.awaitMore(t, 100)
