--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// lines opens the audit stream and returns a reader of its records.
-func lines(t *testing.T, ctx context.Context, url, query string) func() (admin.AuditLine, error) {
+// openAuditStream opens the audit stream and returns a reader of its records.
+func openAuditStream(t *testing.T, ctx context.Context, url, query string) func() (admin.AuditLine, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+admin.AuditPath+query, nil)
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			next := lines(t, context.Background(), serve(t, admintest.Sample{}, newTrail(c.size, c.records)), c.query)
+			next := openAuditStream(t, context.Background(), serve(t, admintest.Sample{}, newTrail(c.size, c.records)), c.query)
 			var got []mark
 			line, err := next()
 			for ; err == nil; line, err = next() {
@@ -132,13 +132,13 @@
 	}
 }
 
-func TestAuditFollow(t *testing.T) {
+func TestAuditStreamFollowsNewRecords(t *testing.T) {
 	trail := newTrail(4, 0)
 	url := serve(t, admintest.Sample{}, trail)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	// A number of an earlier process must not hide the records of this one.
-	next := lines(t, ctx, url, "?follow=true&since=500")
+	next := openAuditStream(t, ctx, url, "?follow=true&since=500")
 	for seq := range uint64(3) {
 		trail.Add(audit.Record{Action: "tested"})
 		if line, err := next(); err != nil || line.Seq != seq+1 {
--- a/internal/admin/admintest/sample.go
+++ b/internal/admin/admintest/sample.go
@@ -47,9 +47,9 @@
 		Refusals: []admin.RefusalView{{Reason: "queue-full", Count: 90, Remedy: "come back after Retry-After"},
 			{Reason: "key-required", Count: 9, Remedy: "send an Idempotency-Key"}},
 		Pools: []admin.PoolView{{Pool: "waste", Services: []string{"waste-entries"}, Slots: 6, Outstanding: 3, Waiting: 1, QueueLimit: 64,
-			Ejected: 1, Endpoints: 3, Watch: admin.BudgetView{Share: 0.01, Spent: 55, Denied: 1, Left: 0.5},
+			Ejected: 1, Endpoints: 3, HealthProbes: admin.BudgetView{Share: 0.01, Spent: 55, Denied: 1, Left: 0.5},
 			Retry: admin.BudgetView{Share: 0.1, Spent: 47, Denied: 1, Left: 12}}},
-		Keys:        admin.KeysView{Held: 812, Limit: 100000, Running: 3, AnswerBytes: 65536, MaxAnswerBytes: 16 << 20, Epoch: 40, OldestEpoch: 11, Adopted: 1},
+		Keys:        admin.KeysView{Keys: 812, Limit: 100000, Running: 3, AnswerBytes: 65536, MaxAnswerBytes: 16 << 20, Epoch: 40, OldestEpoch: 11, Adopted: 1},
 		Connections: admin.ConnectionsView{Callers: 120, Endpoints: 9, PeersIn: 2, PeersOut: 2},
 		Links: []admin.LinkView{
 			{Peer: "entry-2", Address: "10.0.0.2:7070", State: "open", HeardAge: 0.2, RTT: 0.0005, BytesIn: 5000, BytesOut: 6000, Messages: 44},
@@ -70,13 +70,13 @@
 // Endpoints implements admin.Source.
 func (Sample) Endpoints() []admin.EndpointView {
 	return []admin.EndpointView{
-		{Name: "waste-1", Pool: "waste", Address: "10.0.1.1:80", Region: "mx", FailureDomain: "mx-a", State: "live", Grant: "granted", Slots: 2,
-			Outstanding: 1, Foreign: 1, SightingAge: 0.04, Connections: 3, Latency: 0.012, Slowness: 1, SlowStart: 1},
-		{Name: "waste-2", Pool: "waste", Address: "10.0.1.2:80", Region: "mx", FailureDomain: "mx-b", State: "live", Grant: "cold-elsewhere", Slots: 2,
-			SightingAge: -1, Latency: 0.09, Slowness: 6.5, FailureRate: 0.4, SlowStart: 1,
+		{Name: "waste-1", Pool: "waste", Address: "10.0.1.1:80", Region: "mx", FailureDomain: "mx-a", State: "live", Quota: "granted", Slots: 2,
+			Outstanding: 1, Foreign: 1, LoadReportAge: 0.04, Connections: 3, Latency: 0.012, Slowness: 1, SlowStart: 1},
+		{Name: "waste-2", Pool: "waste", Address: "10.0.1.2:80", Region: "mx", FailureDomain: "mx-b", State: "live", Quota: "cold-elsewhere", Slots: 2,
+			LoadReportAge: -1, Latency: 0.09, Slowness: 6.5, FailureRate: 0.4, SlowStart: 1,
 			Ejection: &admin.EjectionView{Why: "40 % of its answers failed", For: 12, TrialIn: 3, InARow: 2, Clears: "three trial requests that succeed"}},
-		{Name: "waste-3", Pool: "waste", Address: "10.0.1.3:80", Region: "mx", FailureDomain: "mx-c", State: "leaving", Grant: "leaving", Missing: true,
-			Slots: 2, Outstanding: 2, SightingAge: 1, Latency: 0.013, Slowness: 1.1, SlowStart: 1},
+		{Name: "waste-3", Pool: "waste", Address: "10.0.1.3:80", Region: "mx", FailureDomain: "mx-c", State: "leaving", Quota: "leaving", Missing: true,
+			Slots: 2, Outstanding: 2, LoadReportAge: 1, Latency: 0.013, Slowness: 1.1, SlowStart: 1},
 	}
 }
 
--- a/internal/admin/auditstream.go
+++ b/internal/admin/auditstream.go
@@ -22,22 +22,22 @@
 func (h *handler) audit(w http.ResponseWriter, r *http.Request) {
 	since, err := parseSince(r.URL.Query().Get("since"))
 	if err != nil {
-		failure(http.StatusBadRequest, "since is no record number", "give the seq of the last record that you have, or 0").ServeHTTP(w, r)
+		errorHandler(http.StatusBadRequest, "since is no record number", "give the seq of the last record that you have, or 0").ServeHTTP(w, r)
 		return
 	}
-	s := &stream{handler: h, writer: w, control: http.NewResponseController(w), seq: since}
+	s := &auditStream{handler: h, writer: w, control: http.NewResponseController(w), seq: since}
 	if !isTrue(r.URL.Query().Get("follow")) {
-		_ = s.start() // a reader that went away is no fault
+		_ = s.begin() // a reader that went away is no fault
 		return
 	}
 	select {
 	case h.followers <- struct{}{}:
 		defer func() { <-h.followers }()
 	default:
-		failure(http.StatusServiceUnavailable, "too many readers follow the audit trail", "end one of them or read without follow").ServeHTTP(w, r)
+		errorHandler(http.StatusServiceUnavailable, "too many readers follow the audit trail", "end one of them or read without follow").ServeHTTP(w, r)
 		return
 	}
-	if s.start() == nil {
+	if s.begin() == nil {
 		s.follow(r.Context())
 	}
 }
@@ -54,29 +54,29 @@
 	return err == nil && value
 }
 
-// stream is one answer.
-type stream struct {
+// auditStream is one answer.
+type auditStream struct {
 	handler *handler
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	seq     uint64 // of the last record written
 }
 
-func (s *stream) start() error {
+func (s *auditStream) begin() error {
 	s.writer.Header().Set("Content-Type", "application/x-ndjson")
 	s.writer.Header().Set("Cache-Control", "no-store")
 	s.writer.WriteHeader(http.StatusOK)
-	return s.writeNew()
+	return s.writeNewRecords()
 }
 
 // follow writes records as they come until the reader goes away.
-func (s *stream) follow(ctx context.Context) {
+func (s *auditStream) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		waiting, cancel := context.WithTimeout(ctx, KeepAlive)
 		err := s.handler.trail.Wait(waiting, s.seq)
 		cancel()
 		if err == nil {
-			err = s.writeNew()
+			err = s.writeNewRecords()
 		} else if ctx.Err() == nil {
 			err = s.write([]byte("\n"))
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *stream) writeNew() error {
+func (s *auditStream) writeNewRecords() error {
 	records, dropped := s.handler.trail.Since(s.seq)
 	var text []byte
 	for _, record := range records {
@@ -105,7 +105,7 @@
 
 // write sends text at once. The deadline guards against a reader that stopped
 // reading, which would hold the stream and its goroutine for good.
-func (s *stream) write(text []byte) error {
+func (s *auditStream) write(text []byte) error {
 	// Writers that have no deadlines are those of tests.
 	_ = s.control.SetWriteDeadline(time.Now().Add(streamWrite))
 	if _, err := s.writer.Write(text); err != nil {
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -57,8 +57,8 @@
 	get(AuditPath, h.audit)
 	get(HealthPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, "ok") })
 	get(ReadyPath, h.ready)
-	r.NotFoundHandler = failure(http.StatusNotFound, "there is no such page", "see docs/design/admin.md for the paths")
-	r.MethodNotAllowedHandler = failure(http.StatusMethodNotAllowed, "the admin interface only reads",
+	r.NotFoundHandler = errorHandler(http.StatusNotFound, "there is no such page", "see docs/design/admin.md for the paths")
+	r.MethodNotAllowedHandler = errorHandler(http.StatusMethodNotAllowed, "the admin interface only reads",
 		"publish a profile to change what tealhall does")
 	return r
 }
@@ -66,15 +66,15 @@
 func (h *handler) ready(w http.ResponseWriter, r *http.Request) {
 	ready, reason := h.source.Ready()
 	if !ready {
-		failure(http.StatusServiceUnavailable, reason, "wait, or see tealhallctl status").ServeHTTP(w, r)
+		errorHandler(http.StatusServiceUnavailable, reason, "wait, or see tealhallctl status").ServeHTTP(w, r)
 		return
 	}
 	writeJSON(w, http.StatusOK, "ready")
 }
 
-func failure(status int, what, remedy string) http.Handler {
+func errorHandler(status int, what, remedy string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, status, Failure{Error: what, Remedy: remedy})
+		writeJSON(w, status, ErrorBody{Error: what, Remedy: remedy})
 	})
 }
 
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -50,8 +50,8 @@
 	return map[string]float64{}
 }
 
-func distribution(count, least, most int64, mean float64, percentile func(float64) float64) map[string]float64 {
-	values := map[string]float64{"count": float64(count), "min": float64(least), "max": float64(most), "mean": mean}
+func distribution(count, lowest, highest int64, mean float64, percentile func(float64) float64) map[string]float64 {
+	values := map[string]float64{"count": float64(count), "min": float64(lowest), "max": float64(highest), "mean": mean}
 	for name, quantile := range quantiles {
 		values[name] = percentile(quantile)
 	}
--- a/internal/admin/text_test.go
+++ b/internal/admin/text_test.go
@@ -10,7 +10,7 @@
 
 // A collector reads the page every few seconds; a name or number that it can't parse
 // would cost it all the others.
-func TestMetricsAsText(t *testing.T) {
+func TestMetricsTextFormat(t *testing.T) {
 	registry := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("service.r-1/t.done", registry).Inc(3)
 	metrics.GetOrRegisterGaugeFloat64("profiles.confirmed_age_s", registry).Update(-1.5)
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -219,8 +219,8 @@
 	Endpoints int `json:"endpoints"`
 	// ViewWrong says that most endpoints look bad, so that none is ejected.
 	ViewWrong bool `json:"view_wrong,omitempty"`
-	// Watch is the watching budget, as a share of the pool's slot time.
-	Watch BudgetView `json:"watch"`
+	// HealthProbes is the watching budget, as a share of the pool's slot time.
+	HealthProbes BudgetView `json:"watch"`
 	// Retry is the budget for retries and hedges, in requests.
 	Retry BudgetView `json:"retry"`
 }
@@ -238,7 +238,7 @@
 
 // KeysView is the table of idempotency keys.
 type KeysView struct {
-	Held           int    `json:"held"`
+	Keys           int    `json:"held"`
 	Limit          int    `json:"limit"`
 	Running        int    `json:"running"`
 	AnswerBytes    int64  `json:"answer_bytes"`
@@ -308,18 +308,18 @@
 	FailureDomain string `json:"failure_domain"`
 	// State is live, leaving or gone.
 	State string `json:"state"`
-	// Grant says whether it may get a request from this entry now: granted, or why not.
-	Grant string `json:"grant"`
+	// Quota says whether it may get a request from this entry now: granted, or why not.
+	Quota string `json:"grant"`
 	// Missing says that the platform's list has lost the endpoint.
 	Missing bool `json:"missing,omitempty"`
 	// RateLimit is how many requests a second it says that it takes from all entries together.
 	RateLimit float64 `json:"rate_limit,omitempty"`
 	Slots     int     `json:"slots"`
 	// Outstanding counts this entry's attempts in flight, Foreign the work that
-	// others have there as far as known, seen SightingAge ago; -1 for never.
-	Outstanding int     `json:"outstanding"`
-	Foreign     int     `json:"foreign"`
-	SightingAge float64 `json:"sighting_age_seconds"`
+	// others have there as far as known, seen LoadReportAge ago; -1 for never.
+	Outstanding   int     `json:"outstanding"`
+	Foreign       int     `json:"foreign"`
+	LoadReportAge float64 `json:"sighting_age_seconds"`
 	// Connections counts this entry's open connections to it.
 	Connections int `json:"connections"`
 	// Latency is a smoothed time from dispatch to answer, Slowness its ratio to
@@ -397,8 +397,8 @@
 	Values map[string]float64 `json:"values"`
 }
 
-// Failure is the body of an answer other than 200.
-type Failure struct {
+// ErrorBody is the body of an answer other than 200.
+type ErrorBody struct {
 	Error  string `json:"error"`
 	Remedy string `json:"remedy"`
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -38,9 +38,9 @@
 	clock func() time.Time
 	sink  func(Record)
 
-	// order is held over the sink's call so that the sink sees the records in
+	// sinkMu is held over the sink's call so that the sink sees the records in
 	// order, while readers need only mu and never wait for a slow sink.
-	order sync.Mutex
+	sinkMu sync.Mutex
 
 	mu sync.Mutex
 	// size is how many records are kept. The ring grows up to it: the trail of an
@@ -66,16 +66,16 @@
 // Add stamps the record with the next Seq and the time, keeps it and passes it
 // to the sink. It returns the stamped record.
 func (t *Trail) Add(r Record) Record {
-	t.order.Lock()
-	defer t.order.Unlock()
-	r = t.keep(r)
+	t.sinkMu.Lock()
+	defer t.sinkMu.Unlock()
+	r = t.store(r)
 	if t.sink != nil {
 		t.sink(r)
 	}
 	return r
 }
 
-func (t *Trail) keep(r Record) Record {
+func (t *Trail) store(r Record) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.last++
@@ -84,14 +84,14 @@
 	if len(t.ring) < t.size {
 		t.ring = append(t.ring, r)
 	} else {
-		t.ring[t.slot(r.Seq)] = r
+		t.ring[t.ringIndex(r.Seq)] = r
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return r
 }
 
-func (t *Trail) slot(seq uint64) int {
+func (t *Trail) ringIndex(seq uint64) int {
 	return int((seq - 1) % uint64(t.size))
 }
 
@@ -111,7 +111,7 @@
 	}
 	records = make([]Record, 0, t.last+1-first)
 	for s := first; s <= t.last; s++ {
-		records = append(records, t.ring[t.slot(s)])
+		records = append(records, t.ring[t.ringIndex(s)])
 	}
 	return records, dropped
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestWaitEndsWithARecordOrTheContext(t *testing.T) {
+func TestWaitEndsOnRecordOrCancellation(t *testing.T) {
 	trail := New(4, fixedClock, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	waited := make(chan error, 1)
@@ -98,12 +98,12 @@
 
 // The trail of an entry is sized for a busy hour, half a megabyte of it, and most entries
 // fill a few lines. What it keeps takes memory, what it could keep does not.
-func TestTrailGrowsWithItsRecords(t *testing.T) {
+func TestRingGrowsOnDemand(t *testing.T) {
 	trail := New(4096, fixedClock, nil)
 	for range 3 {
 		trail.Add(Record{Actor: "self", Action: "tested"})
 	}
-	if held := cap(trail.ring); held > 16 {
-		t.Errorf("room for %d records after 3", held)
+	if room := cap(trail.ring); room > 16 {
+		t.Errorf("room for %d records after 3", room)
 	}
 }
--- a/internal/audit/sink.go
+++ b/internal/audit/sink.go
@@ -16,7 +16,7 @@
 func LogSink(r Record) {
 	klog.InfoS("audit",
 		"action", r.Action,
-		"why", shortened(r.Why),
+		"why", truncatedText(r.Why),
 		"subject", r.Subject,
 		"from", r.From,
 		"to", r.To,
@@ -26,8 +26,8 @@
 	)
 }
 
-// shortened cuts a text at the end of a character.
-func shortened(text string) string {
+// truncatedText cuts a text at the end of a character.
+func truncatedText(text string) string {
 	if len(text) <= maxWhyBytes {
 		return text
 	}
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -76,7 +76,7 @@
 
 // failureOf returns the error that an answer other than 200 stands for.
 func failureOf(response *http.Response) error {
-	var f admin.Failure
+	var f admin.ErrorBody
 	err := json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(&f)
 	if err != nil || f.Error == "" {
 		return fault.New(fault.Unavailable, "check that --admin is the admin address of an entry", "the answer is %s", response.Status)
--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -108,7 +108,7 @@
 	for i := range endpoints {
 		v := &endpoints[i]
 		rows[i] = []string{v.Pool, v.Name, v.FailureDomain, v.Address, v.State,
-			fmt.Sprintf("%d+%d/%d", v.Outstanding, v.Foreign, v.Slots), age(v.SightingAge), span(v.Latency),
+			fmt.Sprintf("%d+%d/%d", v.Outstanding, v.Foreign, v.Slots), age(v.LoadReportAge), span(v.Latency),
 			fmt.Sprintf("%.2g", v.Slowness), percent(v.FailureRate), number(v.Connections), endpointNotes(v)}
 	}
 	p.table([]string{"POOL", "ENDPOINT", "FAILURE DOMAIN", "ADDRESS", "STATE", "OWN+OTHERS/SLOTS", "SEEN", "LATENCY", "SLOWNESS",
@@ -118,7 +118,7 @@
 func endpointNotes(v *admin.EndpointView) string {
 	notes := marks(
 		mark{v.Missing, "not in the platform's list"},
-		mark{v.Grant != "granted" && v.Grant != v.State, v.Grant},
+		mark{v.Quota != "granted" && v.Quota != v.State, v.Quota},
 		mark{v.SlowStart < 1, "slow start at " + percent(v.SlowStart)},
 	)
 	if v.Ejection == nil {
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -141,7 +141,7 @@
 		r.Done, r.NotRun, r.Unknown, r.Arrived)
 	p.line("             %d retried, %d denied a retry, %d hedged, %d replayed, %d forwarded; %d pauses", r.Retried, r.RetriesDenied,
 		r.Hedged, r.Replayed, r.Forwarded, r.Pauses)
-	p.line("keys         %d of %d held, %d running, %d of %d answer bytes, epochs %d to %d, %d tables adopted", k.Held, k.Limit, k.Running,
+	p.line("keys         %d of %d held, %d running, %d of %d answer bytes, epochs %d to %d, %d tables adopted", k.Keys, k.Limit, k.Running,
 		k.AnswerBytes, k.MaxAnswerBytes, k.OldestEpoch, k.Epoch, k.Adopted)
 	p.line("connections  %d callers, %d endpoints, %d peers in, %d peers out", c.Callers, c.Endpoints, c.PeersIn, c.PeersOut)
 }
@@ -164,7 +164,7 @@
 			number(v.Endpoints) + marks(mark{v.Ejected > 0, " (" + number(v.Ejected) + " ejected)"}, mark{v.ViewWrong, " (most look bad: none is ejected)"}),
 			number(v.Outstanding) + "/" + number(v.Slots),
 			number(v.Waiting) + "/" + number(v.QueueLimit),
-			budgetText(&v.Watch),
+			budgetText(&v.HealthProbes),
 			budgetText(&v.Retry),
 		}
 	}
--- a/internal/entry/admin_test.go
+++ b/internal/entry/admin_test.go
@@ -88,29 +88,29 @@
 // document with a mistake is published. Whoever is on call must see, at any one
 // entry and without a log, what is wrong, why tealhall did what it did and what
 // ends it; and that it is over when it is over.
-func TestOperatorSeesWhy(t *testing.T) {
+func TestOperatorSeesEjectionAndRefusal(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 3)
 	l := startTraffic(t, f)
-	l.awaitMore(t, 200) // which earns retries
+	l.awaitReplies(t, 200) // which earns retries
 	// In light traffic an entry sends to few endpoints, so one of them is taken.
 	bad := slices.MaxFunc(f.Endpoints[:4], func(a, b *demo.Endpoint) int { return int(a.Stats().Requests - b.Stats().Requests) })
 	bad.SetFaults(standin.EndpointFaults{Shed: true})
 	name := bad.VM.Name
-	leaver := f.Endpoints[4].VM.Name
-	f.MarkLeaving(leaver)
+	leaving := f.Endpoints[4].VM.Name
+	f.MarkLeaving(leaving)
 	refused := f.Publish([]byte(strings.Replace(fleetProfiles, `deadline = "3s"`, `deadline = "soon"`, 1)))
-	var judge *entry.Entry
+	var ejector *entry.Entry
 	await(t, "the bad endpoint is ejected", func() bool {
 		for _, e := range f.Entries {
-			if f.audited(e.Name(), "endpoint "+name, "ejected") > 0 {
-				judge = e
+			if f.auditCount(e.Name(), "endpoint "+name, "ejected") > 0 {
+				ejector = e
 			}
 		}
-		return judge != nil
+		return ejector != nil
 	})
-	o := newOperator(t, judge)
-	await(t, "the leaver is known", func() bool { return o.endpoint(leaver).State == "leaving" })
+	o := newOperator(t, ejector)
+	await(t, "the leaver is known", func() bool { return o.endpoint(leaving).State == "leaving" })
 	await(t, "the document is refused", func() bool { return ask[admin.Status](o, "status").Profiles.Refused == refused })
 
 	const clears = "3 good trial requests"
@@ -131,13 +131,13 @@
 	}
 	// The list says it to one entry, which tells its peers: whichever reaches this one
 	// first.
-	if why := o.why("endpoint "+leaver, "endpoint-leaving"); !strings.Contains(why, "list says so") && !strings.Contains(why, "a peer says") {
-		t.Errorf("audit: %s leaves: %q", leaver, why)
+	if why := o.why("endpoint "+leaving, "endpoint-leaving"); !strings.Contains(why, "list says so") && !strings.Contains(why, "a peer says") {
+		t.Errorf("audit: %s leaves: %q", leaving, why)
 	}
 	if _, code := o.run("status", "--require-calm"); code != ctl.ExitNotCalm {
 		t.Errorf("status --require-calm: exit code %d", code)
 	}
-	o.checkPages(f, judge, refused)
+	o.checkPages(f, ejector, refused)
 	o.checkMetrics()
 
 	bad.SetFaults(standin.EndpointFaults{})
@@ -203,7 +203,7 @@
 
 // The page for operators tells on which metrics to ring. A name that does not
 // exist would leave an alert silent for good.
-func TestOperatorsPageNamesWhatExists(t *testing.T) {
+func TestOperationsPageNamesExistingMetrics(t *testing.T) {
 	read := func(name string) string {
 		text, err := os.ReadFile("../../docs/" + name)
 		if err != nil {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -41,7 +41,7 @@
 			return x.entry.dialect.Stray(x.request.Header, answer)
 		},
 	})
-	x.entry.instruments.sent(delivery)
+	x.entry.instruments.countConnection(delivery)
 	if err != nil {
 		done()
 		x.entry.engine.end(x.failedEnd(d, delivery, err))
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -99,7 +99,7 @@
 		Request: request,
 		Stray:   func(answer http.Header) bool { return e.dialect.Stray(request.Header, answer) },
 	})
-	e.instruments.sent(delivery)
+	e.instruments.countConnection(delivery)
 	if err != nil {
 		end.Refused = forward.FailureOf(err) == forward.RefusedDial
 		return
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -23,89 +23,89 @@
 func TestEndpointDrainsWhileListIsStale(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 6)
-	l := startCalmTraffic(t, f)
-	l.awaitMore(t, 100)
-	for _, leaver := range []*demo.Endpoint{f.Endpoints[0], f.Endpoints[4]} {
-		leaver.Drain()
+	l := startBoundedTraffic(t, f)
+	l.awaitReplies(t, 100)
+	for _, draining := range []*demo.Endpoint{f.Endpoints[0], f.Endpoints[4]} {
+		draining.Drain()
 		announced := time.Now()
-		f.awaitAll(t, "knows that the endpoint leaves", func(name string) bool {
-			return f.audited(name, "endpoint "+leaver.VM.Name, "endpoint-leaving") > 0
+		f.awaitEveryEntry(t, "knows that the endpoint leaves", func(name string) bool {
+			return f.auditCount(name, "endpoint "+draining.VM.Name, "endpoint-leaving") > 0
 		})
-		t.Logf("%s: known everywhere after %v", leaver.VM.Name, time.Since(announced).Round(time.Millisecond))
-		l.awaitMore(t, 20) // what was on its way has arrived
-		before := leaver.Stats().Requests
-		l.awaitMore(t, 300)
-		if late := leaver.Stats().Requests - before; late > 0 {
-			t.Errorf("%s got %d requests after all entries knew that it leaves", leaver.VM.Name, late)
+		t.Logf("%s: known everywhere after %v", draining.VM.Name, time.Since(announced).Round(time.Millisecond))
+		l.awaitReplies(t, 20) // what was on its way has arrived
+		before := draining.Stats().Requests
+		l.awaitReplies(t, 300)
+		if late := draining.Stats().Requests - before; late > 0 {
+			t.Errorf("%s got %d requests after all entries knew that it leaves", draining.VM.Name, late)
 		}
 	}
-	l.calm(t, f)
+	l.finishWithoutLoss(t, f)
 }
 
-// reusableFor is how long ago a connection may have brought an answer to carry
+// reuseWindow is how long ago a connection may have brought an answer to carry
 // a request that must run once.
-const reusableFor = time.Second
+const reuseWindow = time.Second
 
 // Something between entries and endpoints loses track of all open connections;
 // new ones work. Bookings go on new connections and each is done at the first
 // try. Reads that went on dead ones are sent again on others, and no endpoint is
 // taken for the culprit.
 func TestOpenConnectionsToEndpointsGoSilent(t *testing.T) {
-	between := &paths{t: t}
+	proxies := &proxySet{t: t}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
 		for i := range cfg.Pools {
-			cfg.Pools[i].Path = between.through
+			cfg.Pools[i].Path = proxies.newProxy
 		}
 	})
 	l := startTraffic(t, f)
-	l.awaitMore(t, 300)
-	close(l.end)
+	l.awaitReplies(t, 300)
+	close(l.stop)
 	l.sending.Wait()
-	rest := time.Now()
-	await(t, "the connections are no longer fresh", func() bool { return time.Since(rest) > reusableFor })
-	between.lose()
-	l.end = make(chan struct{})
-	l.sending.Go(func() { l.stream(readEvery, l.read) })
-	l.sending.Go(func() { l.stream(bookingEvery, func(n int) { l.book(secondRound + n) }) })
-	l.awaitMore(t, 500)
+	paused := time.Now()
+	await(t, "the connections are no longer fresh", func() bool { return time.Since(paused) > reuseWindow })
+	proxies.dropSegments()
+	l.stop = make(chan struct{})
+	l.sending.Go(func() { l.sendEvery(readEvery, l.read) })
+	l.sending.Go(func() { l.sendEvery(bookingEvery, func(n int) { l.book(secondRoundOffset + n) }) })
+	l.awaitReplies(t, 500)
 	reads, bookings := l.finish(t, f)
 	if reads.notRun+reads.unknown+bookings.notRun+bookings.unknown > 0 {
 		t.Errorf("reads %+v, bookings %+v", reads, bookings)
 	}
 	for _, e := range f.Endpoints {
-		if f.any(func(name string) bool { return f.audited(name, "endpoint "+e.VM.Name, "ejected") > 0 }) {
+		if f.anyEntry(func(name string) bool { return f.auditCount(name, "endpoint "+e.VM.Name, "ejected") > 0 }) {
 			t.Errorf("%s was ejected", e.VM.Name)
 		}
 	}
 }
 
-// secondRound is where the numbers of bookings go on after a rest.
-const secondRound = 1_000_000
+// secondRoundOffset is where the numbers of bookings go on after a rest.
+const secondRoundOffset = 1_000_000
 
 // The same happens between callers and entries, and between entries. A caller's
 // request on a dead connection is sent again on another, with its key where it
 // must run once. Links between entries are opened anew, so that profiles
 // published afterwards are in force everywhere.
 func TestOpenConnectionsToEntriesGoSilent(t *testing.T) {
-	between := &paths{t: t}
+	proxies := &proxySet{t: t}
 	f := newFleet(t, 4, func(cfg *demo.FleetConfig) {
 		adjust := cfg.Adjust
 		cfg.Adjust = func(s *settings.Settings) {
 			adjust(s)
-			s.Addresses.CallerAdvertised = between.through(s.Addresses.Caller)
-			s.Addresses.PeerAdvertised = between.through(s.Addresses.Peer)
+			s.Addresses.CallerAdvertised = proxies.newProxy(s.Addresses.Caller)
+			s.Addresses.PeerAdvertised = proxies.newProxy(s.Addresses.Peer)
 		}
 	})
 	c, err := client.New(client.Options{Seeds: f.Seeds(), Caller: "tablet"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &traffic{callers: []*client.Client{c}, wire: newWire(), end: make(chan struct{})}
+	l := &traffic{callers: []*client.Client{c}, transport: newRecordingTransport(), stop: make(chan struct{})}
 	for i := range 10 {
 		l.read(i)
 		l.book(i)
 	}
-	between.lose()
+	proxies.dropSegments()
 	for i := range 10 {
 		l.sending.Go(func() { l.read(10 + i) })
 		l.sending.Go(func() { l.book(10 + i) })
@@ -120,7 +120,7 @@
 // Every endpoint breaks its answers off in the middle, both those with a length
 // and those in chunks. A caller that got a part must see that it is one; one
 // whose booking's answer was lost is told that nobody knows, now and later.
-func TestCutAnswersAreNeverWhole(t *testing.T) {
+func TestTruncatedAnswersAreNotTakenAsWhole(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, e := range f.Endpoints {
 		e.SetFaults(standin.EndpointFaults{CutAnswer: true})
@@ -156,16 +156,16 @@
 	return request
 }
 
-// dyingEndpoint answers the first request of each connection, and closes the
+// closingEndpoint answers the first request of each connection, and closes the
 // connection on the second one after it has read it.
-type dyingEndpoint struct {
+type closingEndpoint struct {
 	mu       sync.Mutex
 	arrivals map[string]int
 }
 
 type connKey struct{}
 
-func (d *dyingEndpoint) start(t *testing.T) string {
+func (d *closingEndpoint) start(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,14 +181,14 @@
 	return l.Addr().String()
 }
 
-func (d *dyingEndpoint) arrived(id string) int {
+func (d *closingEndpoint) arrived(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.arrivals[id]
 }
 
 // ServeHTTP implements http.Handler.
-func (d *dyingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *closingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.URL.Query().Get(standin.IDParameter)
 	d.mu.Lock()
 	d.arrivals[id]++
@@ -205,18 +205,18 @@
 // libraries send such a request again on their own when it carries an
 // Idempotency-Key; the endpoint would book twice. Over the whole path it arrives
 // once at most, and never after "not run".
-func TestBookingsOnDyingConnectionsArriveOnce(t *testing.T) {
-	dying := &dyingEndpoint{arrivals: make(map[string]int)}
+func TestBookingsOnClosingConnectionsArriveOnce(t *testing.T) {
+	closing := &closingEndpoint{arrivals: make(map[string]int)}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
-		cfg.Pools[1].Path = func(string) string { return dying.start(t) }
+		cfg.Pools[1].Path = func(string) string { return closing.start(t) }
 	})
-	l := &traffic{callers: []*client.Client{newCaller(t, f, newWire(), "tablet")}}
+	l := &traffic{callers: []*client.Client{newCaller(t, f, newRecordingTransport(), "tablet")}}
 	for n := range 60 {
 		l.book(n)
 	}
 	unknown := 0
 	for _, about := range l.replies {
-		arrivals := dying.arrived(about.id)
+		arrivals := closing.arrived(about.id)
 		if arrivals > 1 || arrivals > 0 && about.result.Outcome == client.NotRun {
 			t.Errorf("%s arrived %d times, told %s", about.id, arrivals, about.result.Outcome)
 		}
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -41,20 +41,20 @@
 func TestFailureDomainIsEvacuatedAndTakenBack(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 4)
-	l := startCalmTraffic(t, f)
-	l.awaitMore(t, 100)
+	l := startBoundedTraffic(t, f)
+	l.awaitReplies(t, 100)
 	if f.requestsIn("a") == 0 {
 		t.Fatal("nothing goes to the failure domain before")
 	}
 	f.Evacuate("a")
 	await(t, "all entries know and nothing runs there", func() bool { return f.evacuatedEverywhere("a") })
 	before := f.requestsIn("a")
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	e := f.Entries[1]
 	f.stop(t, e)
 	f.replace(t, e.Name(), 1)
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 	if got := f.requestsIn("a"); got != before {
 		t.Errorf("%d requests reached the evacuated failure domain", got-before)
 	}
@@ -62,5 +62,5 @@
 	f.Evacuate()
 	await(t, "all entries know that it is taken back", func() bool { return f.evacuatedEverywhere() })
 	await(t, "its endpoints are used again", func() bool { return f.requestsIn("a") > before })
-	l.calm(t, f)
+	l.finishWithoutLoss(t, f)
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -49,8 +49,8 @@
 	testTimeout = 60 * time.Second
 	// pollInterval is how often a condition is looked at.
 	pollInterval = 5 * time.Millisecond
-	// shortAnswers lets planned stops end soon.
-	shortAnswers = 300 * time.Millisecond
+	// shortAnswersTTL lets planned stops end soon.
+	shortAnswersTTL = 300 * time.Millisecond
 )
 
 // fleet is a running fleet with the audit records of its entries.
@@ -75,7 +75,7 @@
 			{Name: "bookings", Endpoints: 3, Endpoint: endpoint},
 			{Name: "scans", Endpoints: 2, Endpoint: endpoint},
 		},
-		Adjust: func(s *settings.Settings) { s.Timeouts.AnswersTTL.Duration = shortAnswers },
+		Adjust: func(s *settings.Settings) { s.Timeouts.AnswersTTL.Duration = shortAnswersTTL },
 		Audit: func(name string, r audit.Record) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -91,11 +91,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.ready(t)
+	f.awaitReady(t)
 	return f
 }
 
-func (f *fleet) ready(t *testing.T) {
+func (f *fleet) awaitReady(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -104,8 +104,8 @@
 	}
 }
 
-// audited counts an entry's records of an action on a subject.
-func (f *fleet) audited(name, subject, action string) (n int) {
+// auditCount counts an entry's records of an action on a subject.
+func (f *fleet) auditCount(name, subject, action string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.records[name] {
@@ -133,7 +133,7 @@
 	if _, err := f.AddEntry(name, place); err != nil {
 		t.Fatal(err)
 	}
-	f.ready(t)
+	f.awaitReady(t)
 }
 
 // await waits until a condition holds.
@@ -152,46 +152,46 @@
 	}
 }
 
-// any reports whether something holds of any running entry, by name.
-func (f *fleet) any(holds func(name string) bool) bool {
+// anyEntry reports whether something holds of any running entry, by name.
+func (f *fleet) anyEntry(holds func(name string) bool) bool {
 	return slices.ContainsFunc(f.Entries, func(e *entry.Entry) bool { return holds(e.Name()) })
 }
 
-// awaitAll waits until something holds of every running entry, by name.
-func (f *fleet) awaitAll(t *testing.T, what string, holds func(name string) bool) {
+// awaitEveryEntry waits until something holds of every running entry, by name.
+func (f *fleet) awaitEveryEntry(t *testing.T, what string, holds func(name string) bool) {
 	t.Helper()
-	await(t, what, func() bool { return !f.any(func(name string) bool { return !holds(name) }) })
+	await(t, what, func() bool { return !f.anyEntry(func(name string) bool { return !holds(name) }) })
 }
 
 // wire is the connections of all callers. It counts what a planned change must
 // not cause: exchanges that break after a connection was there.
-type wire struct {
+type recordingTransport struct {
 	*http.Transport
 	mu     sync.Mutex
 	broken []string
 }
 
-func newWire() *wire {
-	return &wire{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
+func newRecordingTransport() *recordingTransport {
+	return &recordingTransport{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 }
 
 // RoundTrip implements http.RoundTripper. net/http sends a request again on its
 // own when a kept connection breaks under it; that counts as well.
-func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent := 0
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent++ }}
 	response, err := w.Transport.RoundTrip(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
 	if sent > 1 || sent == 1 && err != nil {
-		w.note(r, fmt.Errorf("sent %d times: %v", sent, err))
+		w.recordBroken(r, fmt.Errorf("sent %d times: %v", sent, err))
 	}
 	if err != nil {
 		return nil, err
 	}
-	response.Body = &wireBody{response.Body, w, r}
+	response.Body = &recordingBody{response.Body, w, r}
 	return response, nil
 }
 
-func (w *wire) note(r *http.Request, err error) {
+func (w *recordingTransport) recordBroken(r *http.Request, err error) {
 	if r.Context().Err() != nil {
 		return
 	}
@@ -200,16 +200,16 @@
 	w.broken = append(w.broken, fmt.Sprintf("%s %s: %v", r.Method, r.URL, err))
 }
 
-type wireBody struct {
+type recordingBody struct {
 	io.ReadCloser
-	wire    *wire
-	request *http.Request
+	transport *recordingTransport
+	request   *http.Request
 }
 
-func (b *wireBody) Read(p []byte) (int, error) {
+func (b *recordingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF {
-		b.wire.note(b.request, err)
+		b.transport.recordBroken(b.request, err)
 	}
 	return n, err
 }
--- a/internal/entry/fixture_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -15,12 +15,12 @@
 
 // traffic is a steady load of reads and once-only bookings by several callers.
 type traffic struct {
-	wire    *wire
-	callers []*client.Client
-	sending sync.WaitGroup
-	end     chan struct{}
-	// room has a place for each request under way; nil for any number of them.
-	room chan struct{}
+	transport *recordingTransport
+	callers   []*client.Client
+	sending   sync.WaitGroup
+	stop      chan struct{}
+	// inFlight has a place for each request under way; nil for any number of them.
+	inFlight chan struct{}
 
 	mu      sync.Mutex
 	replies []reply
@@ -31,37 +31,37 @@
 	readEvery    = 5 * time.Millisecond
 	bookingEvery = 20 * time.Millisecond
 	readSize     = 2000
-	// requestLimit bounds one request with all its tries.
-	requestLimit = 15 * time.Second
-	// calmRoom bounds the requests under way where none may be refused. On a quiet machine
+	// requestTimeout bounds one request with all its tries.
+	requestTimeout = 15 * time.Second
+	// maxInFlight bounds the requests under way where none may be refused. On a quiet machine
 	// two or three are; on one so busy that 2 ms of work take a quarter of a second, more of
 	// them than that are an overload, and refusing some is right.
-	calmRoom = 24
+	maxInFlight = 24
 )
 
 // startTraffic sends until finish.
 func startTraffic(t *testing.T, f *fleet) *traffic {
 	t.Helper()
-	return start(t, f, &traffic{wire: newWire(), end: make(chan struct{})})
+	return startSending(t, f, &traffic{transport: newRecordingTransport(), stop: make(chan struct{})})
 }
 
-// startCalmTraffic sends until finish, and no more at a time than has room on any machine.
-func startCalmTraffic(t *testing.T, f *fleet) *traffic {
+// startBoundedTraffic sends until finish, and no more at a time than has room on any machine.
+func startBoundedTraffic(t *testing.T, f *fleet) *traffic {
 	t.Helper()
-	return start(t, f, &traffic{wire: newWire(), end: make(chan struct{}), room: make(chan struct{}, calmRoom)})
+	return startSending(t, f, &traffic{transport: newRecordingTransport(), stop: make(chan struct{}), inFlight: make(chan struct{}, maxInFlight)})
 }
 
-func start(t *testing.T, f *fleet, l *traffic) *traffic {
+func startSending(t *testing.T, f *fleet, l *traffic) *traffic {
 	t.Helper()
 	for i := range callers {
-		l.callers = append(l.callers, newCaller(t, f, l.wire, fmt.Sprintf("caller-%d", i)))
+		l.callers = append(l.callers, newCaller(t, f, l.transport, fmt.Sprintf("caller-%d", i)))
 	}
-	l.sending.Go(func() { l.stream(readEvery, l.read) })
-	l.sending.Go(func() { l.stream(bookingEvery, l.book) })
+	l.sending.Go(func() { l.sendEvery(readEvery, l.read) })
+	l.sending.Go(func() { l.sendEvery(bookingEvery, l.book) })
 	return l
 }
 
-func newCaller(t *testing.T, f *fleet, w *wire, name string) *client.Client {
+func newCaller(t *testing.T, f *fleet, w *recordingTransport, name string) *client.Client {
 	t.Helper()
 	c, err := client.New(client.Options{Seeds: f.Seeds(), Caller: name, HTTP: &http.Client{Transport: w}})
 	if err != nil {
@@ -70,41 +70,41 @@
 	return c
 }
 
-func (l *traffic) stream(every time.Duration, send func(n int)) {
+func (l *traffic) sendEvery(every time.Duration, send func(n int)) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-l.end:
+		case <-l.stop:
 			return
 		case <-ticker.C:
-			if !l.enter() {
+			if !l.acquire() {
 				continue
 			}
 			l.sending.Go(func() {
-				defer l.leave()
+				defer l.release()
 				send(n)
 			})
 		}
 	}
 }
 
-// enter takes a place for a request and reports whether there was one.
-func (l *traffic) enter() bool {
-	if l.room == nil {
+// acquire takes a place for a request and reports whether there was one.
+func (l *traffic) acquire() bool {
+	if l.inFlight == nil {
 		return true
 	}
 	select {
-	case l.room <- struct{}{}:
+	case l.inFlight <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *traffic) leave() {
-	if l.room != nil {
-		<-l.room
+func (l *traffic) release() {
+	if l.inFlight != nil {
+		<-l.inFlight
 	}
 }
 
@@ -128,18 +128,18 @@
 	})
 }
 
-func (l *traffic) do(n int, about reply, request client.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+func (l *traffic) do(n int, r reply, request client.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	request.Header = http.Header{contract.HeaderRequest: {about.id}}
+	request.Header = http.Header{contract.HeaderRequest: {r.id}}
 	result, err := l.callers[n%len(l.callers)].Do(ctx, request)
 	if err != nil {
 		result = client.Result{Outcome: client.NotRun, Err: err}
 	}
-	about.result = result
+	r.result = result
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.replies = append(l.replies, about)
+	l.replies = append(l.replies, r)
 }
 
 // answered returns how many requests have ended.
@@ -149,9 +149,9 @@
 	return len(l.replies)
 }
 
-// awaitMore waits until n more requests have ended, so that what came before
+// awaitReplies waits until n more requests have ended, so that what came before
 // was met by traffic.
-func (l *traffic) awaitMore(t *testing.T, n int) {
+func (l *traffic) awaitReplies(t *testing.T, n int) {
 	t.Helper()
 	from := l.answered()
 	await(t, "more answers", func() bool { return l.answered() >= from+n })
@@ -165,7 +165,7 @@
 // told is true of what the endpoints did.
 func (l *traffic) finish(t *testing.T, f *fleet) (reads, bookings outcomes) {
 	t.Helper()
-	close(l.end)
+	close(l.stop)
 	l.sending.Wait()
 	for _, about := range l.replies {
 		count := &reads
@@ -185,7 +185,7 @@
 	if twice := f.Ledger.RanTwice(); len(twice) > 0 {
 		t.Errorf("keys that ran twice: %v", twice)
 	}
-	t.Logf("reads %+v, bookings %+v, connections broken %d", reads, bookings, len(l.wire.broken))
+	t.Logf("reads %+v, bookings %+v, connections broken %d", reads, bookings, len(l.transport.broken))
 	return reads, bookings
 }
 
@@ -219,15 +219,15 @@
 	return ""
 }
 
-// calm demands that a planned change was not noticed by any caller: every
+// finishWithoutLoss demands that a planned change was not noticed by any caller: every
 // request is done and no exchange broke off.
-func (l *traffic) calm(t *testing.T, f *fleet) {
+func (l *traffic) finishWithoutLoss(t *testing.T, f *fleet) {
 	t.Helper()
 	reads, bookings := l.finish(t, f)
 	if reads.notRun+reads.unknown+bookings.notRun+bookings.unknown > 0 {
 		t.Errorf("requests were lost: reads %+v, bookings %+v", reads, bookings)
 	}
-	for _, broken := range l.wire.broken {
+	for _, broken := range l.transport.broken {
 		t.Errorf("cut off: %s", broken)
 	}
 }
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -240,14 +240,14 @@
 	})
 	l := startTraffic(t, f)
 	for i := range 2 {
-		l.awaitMore(t, 200)
+		l.awaitReplies(t, 200)
 		home, _ := homeOf(t, f)
 		f.Forget(home)
 		home.Kill()
-		l.awaitMore(t, 200)
+		l.awaitReplies(t, 200)
 		f.replace(t, home.Name(), i)
 	}
-	l.awaitMore(t, 200)
+	l.awaitReplies(t, 200)
 	reads, bookings := l.finish(t, f)
 	if reads.notRun+reads.unknown+bookings.notRun > 0 || bookings.done == 0 {
 		t.Errorf("reads %+v, bookings %+v", reads, bookings)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// reservoir and decay make a sample of about the latest five minutes. Half of
+	// reservoirSize and decay make a sample of about the latest five minutes. Half of
 	// go-metrics' usual size: each service has one, and the 99th percentile rests on five
 	// requests still.
-	reservoir = 514
-	decay     = 0.015
+	reservoirSize  = 514
+	reservoirAlpha = 0.015
 	// reasonCount is the number of core.Reason values.
 	reasonCount = len(core.Counters{}.Refused)
 )
@@ -24,24 +24,24 @@
 // ending is how an exchange ended for its caller.
 type ending uint8
 
-// The endings. An exchange has ended for goneCaller until it is told otherwise.
+// The endings. An exchange has ended for endedCallerGone until it is told otherwise.
 const (
-	goneCaller ending = iota
+	endedCallerGone ending = iota
 	endedDone
 	endedNotRun
 	endedUnknown
-	// cutOff: the answer broke off after its head was passed on.
-	cutOff
+	// endedCutOff: the answer broke off after its head was passed on.
+	endedCutOff
 	endingCount
 )
 
 // endingNames are the names of the counters.
 var endingNames = [endingCount]string{
-	goneCaller:   "caller_gone",
-	endedDone:    "done",
-	endedNotRun:  "not_run",
-	endedUnknown: "unknown",
-	cutOff:       "cut_off",
+	endedCallerGone: "caller_gone",
+	endedDone:       "done",
+	endedNotRun:     "not_run",
+	endedUnknown:    "unknown",
+	endedCutOff:     "cut_off",
 }
 
 // endingOf is the ending of an exchange whose caller was told an outcome.
@@ -60,9 +60,9 @@
 // measured as requests pass. docs/METRICS.md describes all of it.
 type instruments struct {
 	registry metrics.Registry
-	// added is the time that requests spent in the entry and not at an endpoint,
+	// addedLatency is the time that requests spent in the entry and not at an endpoint,
 	// until the head of the answer, in microseconds.
-	added metrics.Histogram
+	addedLatency metrics.Histogram
 	// newConnections counts connections that were opened, or tried, to endpoints
 	// and, for keys, to other entries.
 	newConnections metrics.Counter
@@ -89,17 +89,17 @@
 func newInstruments() *instruments {
 	m := &instruments{
 		registry:       metrics.NewRegistry(),
-		added:          newHistogram(),
+		addedLatency:   newHistogram(),
 		newConnections: metrics.NewCounter(),
 	}
 	m.gauges.registry = m.registry
-	m.register("entry.added_us", m.added)
+	m.register("entry.added_us", m.addedLatency)
 	m.register("connections.opened", m.newConnections)
 	return m
 }
 
 func newHistogram() metrics.Histogram {
-	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoir, decay))
+	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
 }
 
 // register adds a metric. Names are unique, so it can't fail; if it did, the
@@ -148,48 +148,48 @@
 	})
 }
 
-// refused counts a refusal before the core saw the request.
-func (m *instruments) refused(reason core.Reason, outcome core.Outcome) {
+// countRefusal counts a refusal before the core saw the request.
+func (m *instruments) countRefusal(reason core.Reason, outcome core.Outcome) {
 	m.atAdmission[reason].Add(1)
 	if outcome == core.OutcomeUnknown {
 		m.unknownAtAdmission.Add(1)
 	}
 }
 
-// sent counts the connection that a request or a probe needed.
-func (m *instruments) sent(d forward.Delivery) {
+// countConnection counts the connection that a request or a probe needed.
+func (m *instruments) countConnection(d forward.Delivery) {
 	if d.NewConn {
 		m.newConnections.Inc(1)
 	}
 }
 
-// passed measures the head of an endpoint's answer: how long the request was in
+// recordHead measures the head of an endpoint's answer: how long the request was in
 // the entry, and how much of that it waited for the endpoint.
-func (m *instruments) passed(inEntry, atEndpoint time.Duration) {
-	m.added.Update((inEntry - atEndpoint).Microseconds())
+func (m *instruments) recordHead(inEntry, atEndpoint time.Duration) {
+	m.addedLatency.Update((inEntry - atEndpoint).Microseconds())
 }
 
-// ended counts an exchange that took so long.
-func (m *instruments) ended(service string, how ending, took time.Duration) {
+// countEnding counts an exchange that took so long.
+func (m *instruments) countEnding(service string, end ending, took time.Duration) {
 	s := m.service(service)
-	s.endings[how].Inc(1)
-	if how != goneCaller {
+	s.endings[end].Inc(1)
+	if end != endedCallerGone {
 		s.latency.Update(took.Microseconds())
 	}
 }
 
-// include adds what was refused at the door to the core's counters.
-func (m *instruments) include(c *core.Counters) {
-	atDoor := uint64(0)
+// addRefusals adds what was refused at the door to the core's counters.
+func (m *instruments) addRefusals(c *core.Counters) {
+	refusals := uint64(0)
 	for i := range c.Refused {
 		n := m.atAdmission[i].Load()
 		c.Refused[i] += n
-		atDoor += n
+		refusals += n
 	}
-	unknown := min(m.unknownAtAdmission.Load(), atDoor)
-	c.Arrived += atDoor
+	unknown := min(m.unknownAtAdmission.Load(), refusals)
+	c.Arrived += refusals
 	c.Unknown += unknown
-	c.NotRun += atDoor - unknown
+	c.NotRun += refusals - unknown
 }
 
 // liveRegistry is a registry that is brought up to date before it is read.
--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -20,7 +20,7 @@
 	return reading{name: name, total: true, value: float64(value)}
 }
 
-func flag(name string, set bool) reading {
+func boolGauge(name string, set bool) reading {
 	if set {
 		return gauge(name, 1)
 	}
@@ -30,21 +30,21 @@
 // gaugeSet keeps a registry at the latest readings. It is not safe for
 // concurrent use.
 type gaugeSet struct {
-	registry metrics.Registry
-	shown    map[string]bool
+	registry   metrics.Registry
+	registered map[string]bool
 }
 
 // set puts the readings into the registry and takes out what is not among them
 // any more, such as those of a pool that is gone.
 func (g *gaugeSet) set(readings []reading) {
-	before := g.shown
-	g.shown = make(map[string]bool, len(readings))
+	stale := g.registered
+	g.registered = make(map[string]bool, len(readings))
 	for _, r := range readings {
-		g.shown[r.name] = true
-		delete(before, r.name)
+		g.registered[r.name] = true
+		delete(stale, r.name)
 		g.update(r)
 	}
-	for name := range before {
+	for name := range stale {
 		g.registry.Unregister(name)
 	}
 }
@@ -60,7 +60,7 @@
 
 // refresh brings the registry up to date.
 func (e *Entry) refresh() {
-	f := e.facts()
+	f := e.gatherFacts()
 	m := e.instruments
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,9 +84,9 @@
 	c := &f.view.Counters
 	return []reading{
 		gauge("entry.uptime_s", f.now.Seconds()),
-		flag("entry.ready", f.view.Ready),
+		boolGauge("entry.ready", f.view.Ready),
 		gauge("entry.concerns", float64(len(f.concerns()))),
-		flag("entry.closing", f.view.Closing),
+		boolGauge("entry.closing", f.view.Closing),
 		total("entry.pauses", c.Pauses),
 		total("entry.ticks_late", c.TicksLate),
 		gauge("process.heap_bytes", float64(f.process.heap)),
@@ -132,7 +132,7 @@
 func (f *facts) publishedReadings() []reading {
 	c, p := &f.view.Counters, &f.platform
 	all := []reading{
-		flag("platform.reader", f.view.Reader),
+		boolGauge("platform.reader", f.view.Reader),
 		total("platform.calls", p.calls),
 		total("platform.failures", p.failures),
 		total("platform.unusable", p.unusable),
@@ -160,7 +160,7 @@
 }
 
 func (f *facts) fleetReadings() []reading {
-	c, fleet, news := &f.view.Counters, f.fleetView(), &f.view.Evidence
+	c, fleet, evidence := &f.view.Counters, f.fleetView(), &f.view.Evidence
 	return []reading{
 		gauge("fleet.entries_usable", float64(fleet.EntriesUsable)),
 		gauge("fleet.entries_suspected", float64(fleet.EntriesSuspected)),
@@ -172,11 +172,11 @@
 		gauge("fleet.domains_evacuated", float64(len(fleet.Evacuated))),
 		total("fleet.ejections", c.Ejections),
 		total("fleet.readmissions", c.Readmissions),
-		total("news.pieces", news.Pieces),
-		total("news.copies", news.Copies),
-		total("news.late", news.Late),
-		gauge("news.owed", float64(news.Pending)),
-		gauge("news.room", news.Room),
+		total("news.pieces", evidence.Pieces),
+		total("news.copies", evidence.Copies),
+		total("news.late", evidence.Late),
+		gauge("news.owed", float64(evidence.Pending)),
+		gauge("news.room", evidence.Room),
 	}
 }
 
@@ -210,7 +210,7 @@
 		gauge(poolMetric(p.Name, "cold"), float64(p.Cold)),
 		gauge(poolMetric(p.Name, "cold_owned"), float64(p.Owned)),
 		gauge(poolMetric(p.Name, "limited"), float64(p.Limited)),
-		flag(poolMetric(p.Name, "view_wrong"), p.ViewWrong),
+		boolGauge(poolMetric(p.Name, "view_wrong"), p.ViewWrong),
 		gauge(poolMetric(p.Name, "watch_share"), p.WatchShare),
 		total(poolMetric(p.Name, "probes"), p.Probes),
 		total(poolMetric(p.Name, "probes_denied"), p.ProbesDenied),
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -12,8 +12,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			m.passed(3*time.Millisecond, 2*time.Millisecond)
-			m.ended("live-counts", endedDone, 3*time.Millisecond)
+			m.recordHead(3*time.Millisecond, 2*time.Millisecond)
+			m.countEnding("live-counts", endedDone, 3*time.Millisecond)
 		}
 	})
 }
--- a/internal/entry/overhead_test.go
+++ b/internal/entry/overhead_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	overheadRate  = 5000 // calls a second
-	overheadConns = 64
-	overheadRound = time.Second
+	overheadRate      = 5000 // calls a second
+	overheadConns     = 64
+	overheadRoundTime = time.Second
 )
 
 const overheadProfiles = `
@@ -60,8 +60,8 @@
 	return l
 }
 
-// startEcho starts an endpoint that answers at once.
-func startEcho(b *testing.B) string {
+// startEchoEndpoint starts an endpoint that answers at once.
+func startEchoEndpoint(b *testing.B) string {
 	b.Helper()
 	answer := make([]byte, 100)
 	l := listen(b)
@@ -115,21 +115,21 @@
 // and through one entry, in alternating rounds, and reports both.
 func BenchmarkAddedLatency(b *testing.B) {
 	entry.TuneMemory(settings.Default().Limits.HeapGrowth)
-	endpoint := startEcho(b)
+	endpoint := startEchoEndpoint(b)
 	e := startEntry(b, endpoint)
-	direct := newLoad(endpoint)
-	through := newLoad(e.CallerAddress())
-	direct.run(overheadRound / 4)
-	through.run(overheadRound / 4)
+	direct := newLoadGenerator(endpoint)
+	through := newLoadGenerator(e.CallerAddress())
+	direct.run(overheadRoundTime / 4)
+	through.run(overheadRoundTime / 4)
 	direct.histogram.Reset()
 	through.histogram.Reset()
 	b.ResetTimer()
 	var start, middle, end runtime.MemStats
 	for range b.N {
 		runtime.ReadMemStats(&start)
-		direct.run(overheadRound)
+		direct.run(overheadRoundTime)
 		runtime.ReadMemStats(&middle)
-		through.run(overheadRound)
+		through.run(overheadRoundTime)
 		runtime.ReadMemStats(&end)
 	}
 	b.StopTimer()
@@ -142,7 +142,7 @@
 	}
 	b.ReportMetric(float64(direct.failed+through.failed), "failed")
 	// Generator and endpoint allocate alike in both, so the difference is the entry's.
-	calls := overheadRate * overheadRound.Seconds()
+	calls := overheadRate * overheadRoundTime.Seconds()
 	inDirect := float64(middle.Mallocs - start.Mallocs)
 	inThrough := float64(end.Mallocs - middle.Mallocs)
 	b.ReportMetric((inThrough-inDirect)/calls, "entry-allocs/call")
@@ -152,8 +152,8 @@
 	b.ReportMetric(float64(end.HeapInuse)/(1<<20), "heap-MB")
 }
 
-// load is a bounded open-loop generator over a fixed number of connections.
-type load struct {
+// loadGenerator is a bounded open-loop generator over a fixed number of connections.
+type loadGenerator struct {
 	url       string
 	client    *http.Client
 	mu        sync.Mutex
@@ -161,8 +161,8 @@
 	failed    int
 }
 
-func newLoad(address string) *load {
-	return &load{
+func newLoadGenerator(address string) *loadGenerator {
+	return &loadGenerator{
 		url: "http://" + address + "/x?id=a&bytes=100",
 		client: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: overheadConns,
@@ -175,7 +175,7 @@
 
 // run sends overheadRate calls a second for a time. A call's latency counts
 // from when it was due, so that a stall is not hidden.
-func (l *load) run(d time.Duration) {
+func (l *loadGenerator) run(d time.Duration) {
 	calls := int(d.Seconds() * overheadRate)
 	due := make(chan time.Time, calls)
 	var workers sync.WaitGroup
@@ -206,7 +206,7 @@
 	}
 }
 
-func (l *load) call(due time.Time) {
+func (l *loadGenerator) call(due time.Time) {
 	request, _ := http.NewRequest(http.MethodGet, l.url, nil)
 	request.Header.Set(contract.HeaderService, "echo")
 	response, err := l.client.Do(request)
--- a/internal/entry/pass.go
+++ b/internal/entry/pass.go
@@ -15,7 +15,7 @@
 // pass gives the caller the answer that the core committed to.
 func (x *exchange) pass(w http.ResponseWriter, c *committed) {
 	x.ending = c.ending()
-	x.entry.instruments.passed(x.entry.engine.clock()-x.began, c.waited)
+	x.entry.instruments.recordHead(x.entry.engine.clock()-x.began, c.waited)
 	if !c.forwarded {
 		for _, name := range x.entry.dialect.OwnHeaders() {
 			delete(c.response.Header, name)
@@ -49,9 +49,9 @@
 	end := endOfCopy(err)
 	switch end {
 	case core.EndTruncated:
-		x.ending = cutOff
+		x.ending = endedCutOff
 	case core.EndCallerGone:
-		x.ending = goneCaller
+		x.ending = endedCallerGone
 	}
 	x.entry.engine.end(core.End{ID: x.id, Attempt: c.attempt, Kind: end, Broke: end == core.EndTruncated, Replayable: !x.body.Streamed(), Answer: answer,
 		Bytes: max(x.body.Length(), 0) + size})
--- a/internal/entry/profile_test.go
+++ b/internal/entry/profile_test.go
@@ -28,7 +28,7 @@
 
 func (f *fleet) awaitInForce(t *testing.T, revision uint64) {
 	t.Helper()
-	f.awaitAll(t, fmt.Sprintf("revision %d is in force", revision), func(name string) bool {
+	f.awaitEveryEntry(t, fmt.Sprintf("revision %d is in force", revision), func(name string) bool {
 		at, _ := f.inForce(name)
 		return at == revision
 	})
@@ -39,18 +39,18 @@
 // service comes back: what was published meanwhile comes into force everywhere,
 // a replica that lags changes nothing, and a document with a mistake is refused
 // everywhere alike.
-func TestConfigurationServiceDownStaleAndWrong(t *testing.T) {
+func TestConfigurationServiceDownStaleOrInvalid(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 4)
-	l := startCalmTraffic(t, f)
+	l := startBoundedTraffic(t, f)
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	f.Server.Kill()
 	f.replace(t, "entry-5", 1)
-	newcomer := f.Entries[len(f.Entries)-1]
-	if got := (booking{key: "none", id: "x"}).send(t.Context(), newcomer); got.reason != "key-bad" {
+	newEntry := f.Entries[len(f.Entries)-1]
+	if got := (booking{key: "none", id: "x"}).send(t.Context(), newEntry); got.reason != "key-bad" {
 		t.Errorf("the newcomer does not serve: %+v", got)
 	}
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 
 	newer := f.Publish([]byte(fleetProfiles + "# as changed while the service was down\n"))
 	f.Platform.SetFaults(standin.PlatformFaults{})
@@ -61,38 +61,38 @@
 
 	f.Platform.SetFaults(standin.PlatformFaults{OlderReplica: true})
 	await(t, "an entry met the older replica", func() bool {
-		return f.any(func(name string) bool { return f.audited(name, published.ProfilesValue, "ignored") > 0 })
+		return f.anyEntry(func(name string) bool { return f.auditCount(name, published.ProfilesValue, "ignored") > 0 })
 	})
 	f.awaitInForce(t, newer)
 	f.Platform.SetFaults(standin.PlatformFaults{})
 
 	f.Publish([]byte(strings.Replace(fleetProfiles, `deadline = "3s"`, `deadline = "soon"`, 1)))
-	f.awaitAll(t, "refused the mistake", func(name string) bool {
-		return f.audited(name, published.ProfilesValue, "refused") > 0
+	f.awaitEveryEntry(t, "refused the mistake", func(name string) bool {
+		return f.auditCount(name, published.ProfilesValue, "refused") > 0
 	})
 	f.awaitInForce(t, newer)
-	l.awaitMore(t, 100)
-	l.calm(t, f)
+	l.awaitReplies(t, 100)
+	l.finishWithoutLoss(t, f)
 }
 
 // Operators publish profiles with the service up, and when only one entry of
 // fifteen still reaches it, whichever that is. Each revision comes into force on
 // all of them; the times are printed.
 func TestProfileChangeReachesFifteenEntries(t *testing.T) {
-	toPlatform := &paths{t: t}
+	proxies := &proxySet{t: t}
 	f := newFleet(t, 15, func(cfg *demo.FleetConfig) {
 		adjust := cfg.Adjust
 		cfg.Adjust = func(s *settings.Settings) {
 			adjust(s)
-			s.Platform.URL = "http://" + toPlatform.through(strings.TrimPrefix(s.Platform.URL, "http://"))
+			s.Platform.URL = "http://" + proxies.newProxy(strings.TrimPrefix(s.Platform.URL, "http://"))
 		}
 	})
 	for range 5 {
 		f.measureChange(t, "service up")
 	}
-	for i, only := range toPlatform.all[:6] {
-		for _, one := range toPlatform.all {
-			one.block(one != only)
+	for i, only := range proxies.all[:6] {
+		for _, one := range proxies.all {
+			one.setBlocked(one != only)
 		}
 		f.measureChange(t, "only "+f.Entries[i].Name()+" reaches the service")
 	}
--- a/internal/entry/path_test.go
+++ b/internal/entry/proxy_test.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// path is what lies between two ends: it relays connections and may lose track
+// proxy is what lies between two ends: it relays connections and may lose track
 // of those that are open.
-type path struct {
+type proxy struct {
 	to string
 
 	mu      sync.Mutex
@@ -20,19 +20,19 @@
 	blocked bool
 }
 
-// paths makes a path to each address that it is asked for.
-type paths struct {
+// proxySet makes a path to each address that it is asked for.
+type proxySet struct {
 	t   *testing.T
-	all []*path
+	all []*proxy
 }
 
-// through returns the address of a new path to an address.
-func (p *paths) through(to string) string {
+// newProxy returns the address of a new path to an address.
+func (p *proxySet) newProxy(to string) string {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	added := &path{to: to}
+	added := &proxy{to: to}
 	p.all = append(p.all, added)
 	p.t.Cleanup(func() {
 		_ = l.Close()
@@ -42,14 +42,14 @@
 	return l.Addr().String()
 }
 
-// lose makes the paths lose track of all open connections.
-func (p *paths) lose() {
+// dropSegments makes the paths lose track of all open connections.
+func (p *proxySet) dropSegments() {
 	for _, one := range p.all {
-		one.lose(p.t)
+		one.dropSegments(p.t)
 	}
 }
 
-func (p *path) accept(l *net.TCPListener) {
+func (p *proxy) accept(l *net.TCPListener) {
 	for {
 		near, err := l.AcceptTCP()
 		if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (p *path) relay(near, far *net.TCPConn) bool {
+func (p *proxy) relay(near, far *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.blocked {
@@ -78,8 +78,8 @@
 	return true
 }
 
-// block ends all connections and lets none through, or lets them through again.
-func (p *path) block(blocked bool) {
+// setBlocked ends all connections and lets none through, or lets them through again.
+func (p *proxy) setBlocked(blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked = blocked
@@ -92,9 +92,9 @@
 	p.open = nil
 }
 
-// lose makes the kernel drop every segment that comes in on an open connection,
+// dropSegments makes the kernel drop every segment that comes in on an open connection,
 // so that neither end hears of the other again. New connections work.
-func (p *path) lose(t *testing.T) {
+func (p *proxy) dropSegments(t *testing.T) {
 	drop := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
 	program := unix.SockFprog{Len: 1, Filter: &drop}
 	p.mu.Lock()
@@ -115,7 +115,7 @@
 	}
 }
 
-func (p *path) close() {
+func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range p.open {
--- a/internal/entry/refusal_test.go
+++ b/internal/entry/refusal_test.go
@@ -19,7 +19,7 @@
 // A tablet's program reads the reason of a refusal to decide what to do. Some
 // refusals came as plain text with reasons that no page names, since they were
 // made by another layer than the rest, and the program took them for unknown.
-func TestRefusalsHaveOneForm(t *testing.T) {
+func TestAllRefusalsUseErrorAnswerFormat(t *testing.T) {
 	f := newFleet(t, 1, func(cfg *demo.FleetConfig) {
 		cfg.Profiles = []byte(strings.Replace(fleetProfiles, "64MB", "5KB", 1))
 		adjust := cfg.Adjust
@@ -48,7 +48,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			response, answer := refusal(t, e.CallerAddress(), c.request)
+			response, answer := sendRaw(t, e.CallerAddress(), c.request)
 			if response.StatusCode != c.status || answer.Reason != c.reason || answer.Outcome != c.outcome || answer.Remedy == "" {
 				t.Errorf("got status %d, %+v", response.StatusCode, answer)
 			}
@@ -61,8 +61,8 @@
 	}
 }
 
-// refusal sends a request as it is and reads the entry's own answer.
-func refusal(t *testing.T, address, request string) (*http.Response, contract.ErrorAnswer) {
+// sendRaw sends a request as it is and reads the entry's own answer.
+func sendRaw(t *testing.T, address, request string) (*http.Response, contract.ErrorAnswer) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -39,7 +39,7 @@
 
 // refuseShape answers a request whose head was refused.
 func (e *Entry) refuseShape(w http.ResponseWriter, r *http.Request, shape front.Shape) {
-	e.instruments.refused(badRequest.Reason, badRequest.Outcome)
+	e.instruments.countRefusal(badRequest.Reason, badRequest.Outcome)
 	e.replyAs(w, r, badRequest, shape.Status(), shape.String())
 }
 
--- a/internal/entry/restart_test.go
+++ b/internal/entry/restart_test.go
@@ -103,19 +103,19 @@
 func TestRollingRestartOfEveryEntry(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 6)
-	l := startCalmTraffic(t, f)
+	l := startBoundedTraffic(t, f)
 	for i, e := range slices.Clone(f.Entries) {
-		l.awaitMore(t, 50)
+		l.awaitReplies(t, 50)
 		scan := startUpload(t, f, e, "scan-"+e.Name())
 		stopped := make(chan entry.StopSummary)
 		go func() { stopped <- f.stop(t, e) }()
 		awaitRefusal(t, e)
-		l.awaitMore(t, 50)
+		l.awaitReplies(t, 50)
 		scan.finish(t)
 		t.Logf("%s: %+v", e.Name(), <-stopped)
 		f.replace(t, e.Name(), i)
 	}
-	l.calm(t, f)
+	l.finishWithoutLoss(t, f)
 }
 
 // A failure domain is emptied for maintenance while the configuration service is
@@ -125,8 +125,8 @@
 func TestFailureDomainReplacedWhileServiceIsDown(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 9)
-	l := startCalmTraffic(t, f)
-	l.awaitMore(t, 100)
+	l := startBoundedTraffic(t, f)
+	l.awaitReplies(t, 100)
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	f.Endpoints[0].Drain()
 	var leaving []*entry.Entry
@@ -142,10 +142,10 @@
 	for range leaving {
 		t.Logf("%+v", <-stopped)
 	}
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 	for i, e := range leaving {
 		f.replace(t, e.Name(), 3*i)
 	}
-	l.awaitMore(t, 100)
-	l.calm(t, f)
+	l.awaitReplies(t, 100)
+	l.finishWithoutLoss(t, f)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -41,14 +41,14 @@
 	x, arrival, refusal := e.admit(w, r)
 	if refusal != core.ReasonNone {
 		outcome := admissionOutcome(r, refusal)
-		e.instruments.refused(refusal, outcome)
+		e.instruments.countRefusal(refusal, outcome)
 		e.reply(w, r, core.Directive{Outcome: outcome, Reason: refusal})
 		return
 	}
 	defer x.close()
 	e.engine.arrive(x, arrival)
 	x.serve(w)
-	e.instruments.ended(x.service, x.ending, e.engine.clock()-x.began)
+	e.instruments.countEnding(x.service, x.ending, e.engine.clock()-x.began)
 }
 
 // admissionOutcome is what is known of a request that is refused before its key was
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -33,7 +33,7 @@
 	if err := <-scan.ends; err == nil {
 		t.Error("the upload that was cut off seemed answered")
 	}
-	if f.audited(e.Name(), "planned stop", "cuts-off") != 1 {
+	if f.auditCount(e.Name(), "planned stop", "cuts-off") != 1 {
 		t.Error("the audit trail doesn't say that requests were cut off")
 	}
 	for i := range 10 {
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -20,12 +20,12 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// secureEntry starts an entry with TLS on all sides. Its certificate bears its
+// startTLSEntry starts an entry with TLS on all sides. Its certificate bears its
 // IP number.
-func secureEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
+func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
 	t.Helper()
-	folder := t.TempDir()
-	files := certs.Files{Certificate: filepath.Join(folder, "cert"), Key: filepath.Join(folder, "key"), Authorities: filepath.Join(folder, "ca")}
+	dir := t.TempDir()
+	files := certs.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "ca")}
 	writeCertificate(t, files, authority)
 	mutual, err := certs.Open(files)
 	if err != nil {
@@ -38,7 +38,7 @@
 	client := func() *tls.Config { return mutual.Client("") }
 	s := settings.Default()
 	s.Name, s.Region, s.FailureDomain, s.Peers.Seeds = name, "r", "a", seeds
-	callerSide, peerSide := loopback(t), loopback(t)
+	callerSide, peerSide := listenLoopback(t), listenLoopback(t)
 	s.Addresses.Caller, s.Addresses.Peer = callerSide.Addr().String(), peerSide.Addr().String()
 	e, err := entry.New(s, entry.Options{
 		Platform:       published,
@@ -56,7 +56,7 @@
 	return e
 }
 
-func loopback(t *testing.T) *net.TCPListener {
+func listenLoopback(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -79,7 +79,7 @@
 // HTTP/2 is served, and a booking that reaches an entry which is not its key's
 // home is passed on to it, also when it comes again: it runs once. Who trusts
 // another authority, or speaks plain HTTP, gets nothing.
-func TestEverySideInsideTLS(t *testing.T) {
+func TestTLSOnAllConnections(t *testing.T) {
 	endpoint, err := standin.NewEndpoint(standin.EndpointConfig{Name: "bookings-1", Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -91,8 +91,8 @@
 			Data: published.EncodeVMs(published.VMList{VMs: []published.VM{endpoint.VM("bookings", "r", "a")}})},
 	}
 	authority := certstest.NewAuthority(t)
-	first := secureEntry(t, "entry-1", authority, published)
-	second := secureEntry(t, "entry-2", authority, published, first.PeerAddress())
+	first := startTLSEntry(t, "entry-1", authority, published)
+	second := startTLSEntry(t, "entry-2", authority, published, first.PeerAddress())
 	await(t, "the entries know each other", func() bool { return first.KnownEntries() == 2 && second.KnownEntries() == 2 })
 
 	trusted := x509.NewCertPool()
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -18,7 +18,7 @@
 
 var _ admin.Source = (*Entry)(nil)
 
-// facts are a copy of all that views and metrics are made from, as of one
+// gatherFacts are a copy of all that views and metrics are made from, as of one
 // moment. Nothing in it may be changed.
 type facts struct {
 	now      time.Duration
@@ -42,18 +42,18 @@
 	peerServer  peer.ServerStats
 	// peerBytesIn and peerBytesOut count the bytes of all peer links so far.
 	peerBytesIn, peerBytesOut uint64
-	process                   process
+	process                   processStats
 }
 
-// process is what the operating system and the runtime say of the process.
-type process struct {
+// processStats is what the operating system and the runtime say of the process.
+type processStats struct {
 	heap       uint64
 	goroutines int
 	cpu        time.Duration
 }
 
-// facts gathers what is known now.
-func (e *Entry) facts() *facts {
+// gatherFacts gathers what is known now.
+func (e *Entry) gatherFacts() *facts {
 	f := &facts{
 		wall:               e.options.Wall(),
 		settings:           e.settings,
@@ -70,8 +70,8 @@
 	}
 	e.engine.view(func(now time.Duration, c *core.Core) { f.now, f.view = now, c.View(now) })
 	f.view.Sort()
-	e.instruments.include(&f.view.Counters)
-	f.recent = e.recent.since(&f.view.Counters)
+	e.instruments.addRefusals(&f.view.Counters)
+	f.recent = e.recent.sinceOldestSample(&f.view.Counters)
 	in, out := e.links.Traffic()
 	f.peerBytesIn, f.peerBytesOut = in+f.peerServer.BytesIn, out+f.peerServer.BytesOut
 	for i := range f.view.Endpoints {
@@ -85,10 +85,10 @@
 // heapMetric is the memory of live and not yet swept objects.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-func readProcess() process {
+func readProcess() processStats {
 	sample := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(sample)
-	p := process{goroutines: runtime.NumGoroutine()}
+	p := processStats{goroutines: runtime.NumGoroutine()}
 	if sample[0].Value.Kind() == metrics.KindUint64 {
 		p.heap = sample[0].Value.Uint64()
 	}
@@ -102,7 +102,7 @@
 // counters are the core's counters with what was refused before it.
 func (e *Entry) counters() (c core.Counters) {
 	e.engine.view(func(_ time.Duration, known *core.Core) { c = known.Counters() })
-	e.instruments.include(&c)
+	e.instruments.addRefusals(&c)
 	return c
 }
 
@@ -129,7 +129,7 @@
 
 // Entries implements admin.Source.
 func (e *Entry) Entries() []admin.EntryView {
-	f := e.facts()
+	f := e.gatherFacts()
 	views := make([]admin.EntryView, 0, len(f.view.Entries))
 	for i := range f.view.Entries {
 		views = append(views, f.entryView(&f.view.Entries[i]))
@@ -179,7 +179,7 @@
 
 // Endpoints implements admin.Source.
 func (e *Entry) Endpoints() []admin.EndpointView {
-	f := e.facts()
+	f := e.gatherFacts()
 	views := make([]admin.EndpointView, 0, len(f.view.Endpoints))
 	for i := range f.view.Endpoints {
 		views = append(views, f.endpointView(&f.view.Endpoints[i]))
@@ -196,12 +196,12 @@
 		Region:        e.Region,
 		FailureDomain: e.Domain,
 		State:         endpointState(e.State),
-		Grant:         e.Quota.String(),
+		Quota:         e.Quota.String(),
 		Missing:       e.Missing,
 		RateLimit:     e.Limit.Rate,
 		Slots:         int(e.Slots),
 		Outstanding:   int(e.Outstanding),
-		SightingAge:   -1,
+		LoadReportAge: -1,
 		Connections:   f.connections[e.Address],
 		Latency:       time.Duration(e.Health.LatencyNanos).Seconds(),
 		Slowness:      e.Health.Slowness,
@@ -212,15 +212,15 @@
 		v.SlowStart = float64(e.Slots) / float64(max(e.Listed, 1))
 	}
 	if e.Reported.Seen {
-		v.Foreign, v.SightingAge = int(e.Reported.Foreign), (f.now - e.Reported.At).Seconds()
+		v.Foreign, v.LoadReportAge = int(e.Reported.Foreign), (f.now - e.Reported.At).Seconds()
 	}
-	if why := e.Ejection; why != nil {
+	if ejection := e.Ejection; ejection != nil {
 		v.Ejection = &admin.EjectionView{
-			Why:     why.Why,
-			For:     why.For.Seconds(),
-			TrialIn: why.TrialIn.Seconds(),
-			InARow:  why.InARow,
-			Clears:  why.Clears,
+			Why:     ejection.Why,
+			For:     ejection.For.Seconds(),
+			TrialIn: ejection.TrialIn.Seconds(),
+			InARow:  ejection.InARow,
+			Clears:  ejection.Clears,
 		}
 	}
 	return v
@@ -238,7 +238,7 @@
 
 // Profiles implements admin.Source.
 func (e *Entry) Profiles() admin.ProfilesView {
-	f := e.facts()
+	f := e.gatherFacts()
 	v := admin.ProfilesView{
 		Published: f.publishedView(&f.view.Profiles),
 		Mode:      f.modeView(),
--- a/internal/entry/views_concerns.go
+++ b/internal/entry/views_concerns.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// concernLimit is how many things of one kind are named one by one.
-	concernLimit = 5
-	// refusalShare and refusalLeast are the share and the number of refusals in
+	// maxConcernsPerKind is how many things of one kind are named one by one.
+	maxConcernsPerKind = 5
+	// minRefusalShare and minRefusals are the share and the number of refusals in
 	// the last minute that are a concern.
-	refusalShare = 0.01
-	refusalLeast = 10
-	// nearlyFull is the share of a bound from which on it is a concern.
-	nearlyFull = 0.9
-	// staleShown is how long an offer of an older revision is a concern.
-	staleShown = time.Minute
-	// holdTime is how long a list that loses many VMs is held back.
-	holdTime = "a minute"
+	minRefusalShare = 0.01
+	minRefusals     = 10
+	// nearLimitShare is the share of a bound from which on it is a concern.
+	nearLimitShare = 0.9
+	// staleConcernPeriod is how long an offer of an older revision is a concern.
+	staleConcernPeriod = time.Minute
+	// holdTimeText is how long a list that loses many VMs is held back.
+	holdTimeText = "a minute"
 )
 
 // concernList collects what an operator may want to look at.
@@ -39,11 +39,11 @@
 
 // addEach adds one concern for each of n things, and one for those above the limit.
 func (l *concernList) addEach(n int, what string, add func(i int)) {
-	for i := range min(n, concernLimit) {
+	for i := range min(n, maxConcernsPerKind) {
 		add(i)
 	}
-	if n > concernLimit {
-		l.add("see tealhallctl "+what, "%d more %s with the same concern", n-concernLimit, what)
+	if n > maxConcernsPerKind {
+		l.add("see tealhallctl "+what, "%d more %s with the same concern", n-maxConcernsPerKind, what)
 	}
 }
 
@@ -96,9 +96,9 @@
 		l.add("publish a corrected one; the other routes are in force as they are",
 			"%s: revision %d is in force, but for what can't be used of it: %s", name, p.InForce.Revision, strings.Join(p.Problems, "; "))
 	}
-	if p.Stale && f.now-p.StaleAt < staleShown {
+	if p.Stale && f.now-p.StaleAt < staleConcernPeriod {
 		l.add("by itself when the replica has caught up; what is in force never goes back",
-			"%s: an older revision than %s, which is in force, was offered %s ago", name, published.RevisionText(p.InForce.Revision), since(f.now, p.StaleAt))
+			"%s: an older revision than %s, which is in force, was offered %s ago", name, published.RevisionText(p.InForce.Revision), ageText(f.now, p.StaleAt))
 	}
 }
 
@@ -107,13 +107,13 @@
 		v := f.platform.values[names[0]]
 		last := "it has never answered"
 		if v.answered {
-			last = "the last answer came " + since(f.now, v.answeredAt) + " ago"
+			last = "the last answer came " + ageText(f.now, v.answeredAt) + " ago"
 		}
 		l.add("by itself when the service answers again; entries go on with what is in force, and closes begin and end by the calendar",
 			"the configuration service failed %d times in a row for %s, %s: %s", v.failing, strings.Join(names, " and "), last, firstLine(v.cause))
 	}
 	if f.view.ListHeld {
-		l.add("by itself, when the list has them again or after "+holdTime+"; correct the list if it is wrong",
+		l.add("by itself, when the list has them again or after "+holdTimeText+"; correct the list if it is wrong",
 			"the VM list loses many VMs at once, so that its losses do not count yet")
 	}
 }
@@ -132,7 +132,7 @@
 	l.addEach(len(suspected), "entries", func(i int) {
 		e := suspected[i]
 		l.add("by itself when it is heard again, or when the platform's list drops it; check the VM and the network between",
-			"entry %s has not been heard for %s; callers are not sent there from here", e.VM.Name, since(f.now, e.SeenAt))
+			"entry %s has not been heard for %s; callers are not sent there from here", e.VM.Name, ageText(f.now, e.SeenAt))
 	})
 	l.addEach(len(leaving), "entries", func(i int) {
 		l.add("by itself when it has stopped", "entry %s is leaving", leaving[i].VM.Name)
@@ -217,18 +217,18 @@
 
 func (f *facts) requestConcerns(l *concernList) {
 	r := &f.recent
-	total, most := uint64(0), core.ReasonNone
+	total, mostFrequent := uint64(0), core.ReasonNone
 	for i, n := range r.refused {
-		if reason := core.Reason(i); ours(reason) {
+		if reason := core.Reason(i); countsAsConcern(reason) {
 			total += n
-			if n > r.refused[most] {
-				most = reason
+			if n > r.refused[mostFrequent] {
+				mostFrequent = reason
 			}
 		}
 	}
-	if total >= refusalLeast && float64(total) >= refusalShare*float64(r.arrived) {
-		l.add(operatorRemedy(most), "%d of %d requests were refused in the last minute, %d of them for %s",
-			total, r.arrived, r.refused[most], most)
+	if total >= minRefusals && float64(total) >= minRefusalShare*float64(r.arrived) {
+		l.add(operatorRemedy(mostFrequent), "%d of %d requests were refused in the last minute, %d of them for %s",
+			total, r.arrived, r.refused[mostFrequent], mostFrequent)
 	}
 	if n := len(f.view.Quarantined); n > 0 {
 		l.add("by itself some minutes after the last crash, or when a run completes; grep the log for request lines with this content to see who sends it, and mend the request or the service",
@@ -244,9 +244,9 @@
 	}
 }
 
-// ours reports whether a reason is about this entry or the endpoints rather than
+// countsAsConcern reports whether a reason is about this entry or the endpoints rather than
 // about what a caller sent.
-func ours(reason core.Reason) bool {
+func countsAsConcern(reason core.Reason) bool {
 	return reason != core.ReasonNone && (reason.Status() >= http.StatusInternalServerError && reason != core.ReasonTooDeep ||
 		reason == core.ReasonCallerShare)
 }
@@ -274,7 +274,7 @@
 
 func (f *facts) boundConcerns(l *concernList) {
 	near := func(n, limit int, what, setting string) {
-		if limit > 0 && float64(n) >= nearlyFull*float64(limit) {
+		if limit > 0 && float64(n) >= nearLimitShare*float64(limit) {
 			l.add("by itself when the load falls; add entries or raise "+setting, "%d of %d %s", n, limit, what)
 		}
 	}
@@ -296,8 +296,8 @@
 	return cmp.Or(line, "no error is known")
 }
 
-// since renders the time since a moment.
-func since(now, at time.Duration) string {
+// ageText renders the time since a moment.
+func ageText(now, at time.Duration) string {
 	d := max(0, now-at)
 	if d < time.Minute {
 		return d.Round(100 * time.Millisecond).String()
--- a/internal/entry/views_concerns_test.go
+++ b/internal/entry/views_concerns_test.go
@@ -17,8 +17,8 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// calmFacts are an entry that serves, with a peer and two endpoints.
-func calmFacts() *facts {
+// factsWithoutConcerns are an entry that serves, with a peer and two endpoints.
+func factsWithoutConcerns() *facts {
 	f := &facts{now: time.Hour, settings: settings.Default()}
 	f.view.State, f.view.Ready = message.EntryServing, true
 	f.view.Profiles = core.PublishedView{InForce: message.Mark{Revision: 7}, Confirmed: true, ConfirmedAt: time.Hour - time.Second}
@@ -99,7 +99,7 @@
 		{"full key table", func(f *facts) { f.view.Keys.Keys = 99_000 }, [2]string{"99000 of 100000 idempotency keys", "limits.keys"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := calmFacts()
+			f := factsWithoutConcerns()
 			c.change(f)
 			concerns := f.concerns()
 			if c.want == [2]string{} {
@@ -113,40 +113,40 @@
 			}
 		})
 	}
-	f := calmFacts()
+	f := factsWithoutConcerns()
 	f.view.Endpoints = make([]core.EndpointView, 30)
 	for i := range f.view.Endpoints {
 		f.view.Endpoints[i].Missing = true
 	}
-	if concerns := f.concerns(); len(concerns) != concernLimit+1 || !strings.Contains(concerns[concernLimit].What, "25 more endpoints") {
+	if concerns := f.concerns(); len(concerns) != maxConcernsPerKind+1 || !strings.Contains(concerns[maxConcernsPerKind].What, "25 more endpoints") {
 		t.Errorf("30 of a kind: %+v", concerns)
 	}
 }
 
-// fails is a configuration service whose calls end with an error.
-type fails struct{ err error }
+// failingService is a configuration service whose calls end with an error.
+type failingService struct{ err error }
 
-func (s fails) Read(context.Context, string) (published.Value, error) {
+func (s failingService) Read(context.Context, string) (published.Value, error) {
 	return published.Value{}, s.err
 }
 
-func (s fails) Watch(context.Context, string, uint64) (published.Value, error) {
+func (s failingService) Watch(context.Context, string, uint64) (published.Value, error) {
 	return published.Value{}, s.err
 }
 
 // An operator judges the configuration service by the calls that failed. Those
 // that the entry stopped itself, by its bound or because others read for it,
 // must not make a service look bad that is well.
-func TestCallsOfThePlatformAreCounted(t *testing.T) {
+func TestPlatformCallsAreCounted(t *testing.T) {
 	down := errors.New("connection refused")
-	over, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	p := newCountedPlatform(fails{}, func() time.Duration { return time.Second })
+	p := newCountedPlatform(failingService{}, func() time.Duration { return time.Second })
 	for _, call := range []struct {
 		ctx context.Context
 		err error
-	}{{t.Context(), down}, {t.Context(), nil}, {t.Context(), down}, {t.Context(), down}, {over, down}, {t.Context(), fault.New(fault.RateLimited, "wait", "too many")}} {
-		p.service = fails{call.err}
+	}{{t.Context(), down}, {t.Context(), nil}, {t.Context(), down}, {t.Context(), down}, {cancelled, down}, {t.Context(), fault.New(fault.RateLimited, "wait", "too many")}} {
+		p.service = failingService{call.err}
 		_, _ = p.Watch(call.ctx, "a", 0)
 	}
 	got := p.snapshot()
--- a/internal/entry/views_platform.go
+++ b/internal/entry/views_platform.go
@@ -50,20 +50,20 @@
 // Read implements published.Service.
 func (p *countedPlatform) Read(ctx context.Context, name string) (published.Value, error) {
 	v, err := p.service.Read(ctx, name)
-	p.note(ctx, name, err)
+	p.record(ctx, name, err)
 	return v, err
 }
 
 // Watch implements published.Service.
 func (p *countedPlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
 	v, err := p.service.Watch(ctx, name, after)
-	p.note(ctx, name, err)
+	p.record(ctx, name, err)
 	return v, err
 }
 
-// note counts a call. One that the entry's own bound stopped was none, and one
+// record counts a call. One that the entry's own bound stopped was none, and one
 // that the entry gave up says nothing about the service.
-func (p *countedPlatform) note(ctx context.Context, name string, err error) {
+func (p *countedPlatform) record(ctx context.Context, name string, err error) {
 	if fault.KindOf(err) == fault.RateLimited {
 		return
 	}
--- a/internal/entry/views_recent.go
+++ b/internal/entry/views_recent.go
@@ -49,22 +49,22 @@
 	refused                                 [reasonCount]uint64
 }
 
-// since returns what was counted since the oldest sample.
-func (r *recent) since(now *core.Counters) recentCounts {
+// sinceOldestSample returns what was counted since the oldest sample.
+func (r *recent) sinceOldestSample(current *core.Counters) recentCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var from core.Counters
+	var oldest core.Counters
 	if len(r.samples) > 0 {
-		from = r.samples[0]
+		oldest = r.samples[0]
 	}
 	counts := recentCounts{
-		arrived:       now.Arrived - from.Arrived,
-		unknown:       now.Unknown - from.Unknown,
-		retriesDenied: now.RetriesDenied - from.RetriesDenied,
-		pauses:        now.Pauses - from.Pauses,
+		arrived:       current.Arrived - oldest.Arrived,
+		unknown:       current.Unknown - oldest.Unknown,
+		retriesDenied: current.RetriesDenied - oldest.RetriesDenied,
+		pauses:        current.Pauses - oldest.Pauses,
 	}
 	for i := range counts.refused {
-		counts.refused[i] = now.Refused[i] - from.Refused[i]
+		counts.refused[i] = current.Refused[i] - oldest.Refused[i]
 	}
 	return counts
 }
--- a/internal/entry/views_routes.go
+++ b/internal/entry/views_routes.go
@@ -12,7 +12,7 @@
 // Routes implements admin.Source.
 func (e *Entry) Routes() []admin.RouteView {
 	views := []admin.RouteView{}
-	s := e.facts().view.Snapshot
+	s := e.gatherFacts().view.Snapshot
 	if s == nil || s.Routes() == nil {
 		return views
 	}
@@ -30,12 +30,12 @@
 		Route: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind), Priority: r.Priority,
 		Objective: r.Objective.Duration().Seconds(), Timeout: r.Timeout.Duration().Seconds(), MaxAttempts: r.MaxAttempts,
 	}
-	whole := 0.0
+	totalWeight := 0.0
 	for _, part := range r.Parts {
-		whole += part.Weight
+		totalWeight += part.Weight
 	}
 	for _, part := range r.Parts {
-		view := admin.RoutePartView{Service: part.Service, Share: part.Weight / whole}
+		view := admin.RoutePartView{Service: part.Service, Share: part.Weight / totalWeight}
 		if service, known := s.Service(profile.PartName(r, part)); known {
 			view.Profile = service.Profile
 		}
--- a/internal/entry/views_status.go
+++ b/internal/entry/views_status.go
@@ -13,7 +13,7 @@
 )
 
 // Status implements admin.Source.
-func (e *Entry) Status() admin.Status { return e.facts().status() }
+func (e *Entry) Status() admin.Status { return e.gatherFacts().status() }
 
 func (f *facts) status() admin.Status {
 	concerns := f.concerns()
@@ -211,15 +211,15 @@
 // the largest that one of them has.
 func poolView(p *core.PoolView) admin.PoolView {
 	v := admin.PoolView{
-		Pool:        p.Name,
-		Services:    []string{},
-		Slots:       p.Slots,
-		Outstanding: p.Outstanding,
-		Waiting:     p.Waiting,
-		Ejected:     p.Ejected,
-		Endpoints:   p.Live + p.Leaving,
-		ViewWrong:   p.ViewWrong,
-		Watch:       admin.BudgetView{Share: p.WatchShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
+		Pool:         p.Name,
+		Services:     []string{},
+		Slots:        p.Slots,
+		Outstanding:  p.Outstanding,
+		Waiting:      p.Waiting,
+		Ejected:      p.Ejected,
+		Endpoints:    p.Live + p.Leaving,
+		ViewWrong:    p.ViewWrong,
+		HealthProbes: admin.BudgetView{Share: p.WatchShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
 	}
 	for i := range p.Services {
 		s := &p.Services[i]
@@ -236,7 +236,7 @@
 func (f *facts) keysView() admin.KeysView {
 	k := &f.view.Keys
 	return admin.KeysView{
-		Held:           k.Keys,
+		Keys:           k.Keys,
 		Limit:          f.settings.Limits.Keys,
 		Running:        k.Running,
 		AnswerBytes:    k.AnswerBytes,
