--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// lines opens the audit stream and returns a reader of its records.
-func lines(t *testing.T, ctx context.Context, url, query string) func() (admin.AuditLine, error) {
+// openAuditStream opens the audit stream and returns a function that reads its next record.
+func openAuditStream(t *testing.T, ctx context.Context, url, query string) func() (admin.AuditLine, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+admin.AuditPath+query, nil)
 	if err != nil {
@@ -112,14 +112,14 @@
 		want          []mark
 	}{
 		{"empty", 4, 0, "", nil},
-		{"all", 4, 2, "?since=0", []mark{{1, false}, {2, false}}},
-		{"rest", 4, 2, "?since=1&follow=0", []mark{{2, false}}},
-		{"overwritten", 2, 4, "?since=1", []mark{{3, true}, {4, false}}},
+		{"all records", 4, 2, "?since=0", []mark{{1, false}, {2, false}}},
+		{"records after a number", 4, 2, "?since=1&follow=0", []mark{{2, false}}},
+		{"overwritten records", 2, 4, "?since=1", []mark{{3, true}, {4, false}}},
 		{"number of an earlier process", 4, 1, "?since=77", []mark{{1, true}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			next := lines(t, context.Background(), serve(t, admintest.Sample{}, newTrail(c.size, c.records)), c.query)
+			next := openAuditStream(t, context.Background(), serve(t, admintest.Sample{}, newTrail(c.size, c.records)), c.query)
 			var got []mark
 			line, err := next()
 			for ; err == nil; line, err = next() {
@@ -132,13 +132,13 @@
 	}
 }
 
-func TestAuditFollow(t *testing.T) {
+func TestAuditStreamFollowsNewRecords(t *testing.T) {
 	trail := newTrail(4, 0)
 	url := serve(t, admintest.Sample{}, trail)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	// A number of an earlier process must not hide the records of this one.
-	next := lines(t, ctx, url, "?follow=true&since=500")
+	// A number from an earlier process must not hide the records of this one.
+	next := openAuditStream(t, ctx, url, "?follow=true&since=500")
 	for seq := range uint64(3) {
 		trail.Add(audit.Record{Action: "tested"})
 		if line, err := next(); err != nil || line.Seq != seq+1 {
@@ -147,7 +147,7 @@
 	}
 	cancel()
 	if _, err := next(); err == nil {
-		t.Error("the stream goes on after its reader left")
+		t.Error("the stream continues after its context was cancelled")
 	}
 }
 
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -41,20 +41,20 @@
 func TestEvacuatedFailureDomainGetsNoRequests(t *testing.T) {
 	t.Parallel() // waits most of the time
 	f := newFleet(t, 4)
-	l := startCalmTraffic(t, f)
-	l.awaitMore(t, 100)
+	l := startBoundedTraffic(t, f)
+	l.awaitReplies(t, 100)
 	if f.requestsIn("a") == 0 {
 		t.Fatal("no requests reach the failure domain before its evacuation")
 	}
 	f.Evacuate("a")
 	await(t, "all entries know of the evacuation and no request runs there", func() bool { return f.evacuatedEverywhere("a") })
 	before := f.requestsIn("a")
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	e := f.Entries[1]
 	f.stop(t, e)
 	f.replace(t, e.Name(), 1)
-	l.awaitMore(t, 100)
+	l.awaitReplies(t, 100)
 	if got := f.requestsIn("a"); got != before {
 		t.Errorf("%d requests reached the evacuated failure domain", got-before)
 	}
@@ -62,5 +62,5 @@
 	f.Evacuate()
 	await(t, "all entries know that the evacuation has ended", func() bool { return f.evacuatedEverywhere() })
 	await(t, "its endpoints are used again", func() bool { return f.requestsIn("a") > before })
-	l.calm(t, f)
+	l.finishWithoutLoss(t, f)
 }
--- a/internal/entry/fixture_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -13,14 +13,14 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// traffic is a steady load of reads and once-only bookings by several callers.
+// traffic is a steady load of reads, and of bookings that must run once, by several callers.
 type traffic struct {
-	wire    *wire
-	callers []*client.Client
-	sending sync.WaitGroup
-	end     chan struct{}
-	// room has a place for each request under way; nil for any number of them.
-	room chan struct{}
+	transport *recordingTransport
+	callers   []*client.Client
+	sending   sync.WaitGroup
+	stop      chan struct{}
+	// inFlight is a semaphore that bounds the requests under way; nil means no bound.
+	inFlight chan struct{}
 
 	mu      sync.Mutex
 	replies []reply
@@ -31,37 +31,38 @@
 	readEvery    = 5 * time.Millisecond
 	bookingEvery = 20 * time.Millisecond
 	readSize     = 2000
-	// requestLimit bounds one request with all its tries.
-	requestLimit = 15 * time.Second
-	// calmRoom bounds the requests under way where none may be refused. On a quiet machine
-	// two or three are; on one so busy that 2 ms of work take a quarter of a second, more of
-	// them than that are an overload, and refusing some is right.
-	calmRoom = 24
+	// requestTimeout bounds one request with all its attempts.
+	requestTimeout = 15 * time.Second
+	// maxInFlight bounds the requests under way in tests where none may be refused. On a quiet
+	// machine two or three are under way; on one so busy that 2 ms of work take a quarter of a
+	// second, more than maxInFlight would be an overload, which entries refuse rightly.
+	maxInFlight = 24
 )
 
-// startTraffic sends until finish.
+// startTraffic starts traffic that runs until finish.
 func startTraffic(t *testing.T, f *fleet) *traffic {
 	t.Helper()
-	return start(t, f, &traffic{wire: newWire(), end: make(chan struct{})})
+	return startSending(t, f, &traffic{transport: newRecordingTransport(), stop: make(chan struct{})})
 }
 
-// startCalmTraffic sends until finish, and no more at a time than has room on any machine.
-func startCalmTraffic(t *testing.T, f *fleet) *traffic {
+// startBoundedTraffic starts traffic with at most maxInFlight requests under way, which runs until
+// finish.
+func startBoundedTraffic(t *testing.T, f *fleet) *traffic {
 	t.Helper()
-	return start(t, f, &traffic{wire: newWire(), end: make(chan struct{}), room: make(chan struct{}, calmRoom)})
+	return startSending(t, f, &traffic{transport: newRecordingTransport(), stop: make(chan struct{}), inFlight: make(chan struct{}, maxInFlight)})
 }
 
-func start(t *testing.T, f *fleet, l *traffic) *traffic {
+func startSending(t *testing.T, f *fleet, l *traffic) *traffic {
 	t.Helper()
 	for i := range callers {
-		l.callers = append(l.callers, newCaller(t, f, l.wire, fmt.Sprintf("caller-%d", i)))
+		l.callers = append(l.callers, newCaller(t, f, l.transport, fmt.Sprintf("caller-%d", i)))
 	}
-	l.sending.Go(func() { l.stream(readEvery, l.read) })
-	l.sending.Go(func() { l.stream(bookingEvery, l.book) })
+	l.sending.Go(func() { l.sendEvery(readEvery, l.read) })
+	l.sending.Go(func() { l.sendEvery(bookingEvery, l.book) })
 	return l
 }
 
-func newCaller(t *testing.T, f *fleet, w *wire, name string) *client.Client {
+func newCaller(t *testing.T, f *fleet, w *recordingTransport, name string) *client.Client {
 	t.Helper()
 	c, err := client.New(client.Options{Seeds: f.Seeds(), Caller: name, HTTP: &http.Client{Transport: w}})
 	if err != nil {
@@ -70,41 +71,41 @@
 	return c
 }
 
-func (l *traffic) stream(every time.Duration, send func(n int)) {
+func (l *traffic) sendEvery(every time.Duration, send func(n int)) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-l.end:
+		case <-l.stop:
 			return
 		case <-ticker.C:
-			if !l.enter() {
+			if !l.acquire() {
 				continue
 			}
 			l.sending.Go(func() {
-				defer l.leave()
+				defer l.release()
 				send(n)
 			})
 		}
 	}
 }
 
-// enter takes a place for a request and reports whether there was one.
-func (l *traffic) enter() bool {
-	if l.room == nil {
+// acquire reserves a place for a request and reports whether one was free.
+func (l *traffic) acquire() bool {
+	if l.inFlight == nil {
 		return true
 	}
 	select {
-	case l.room <- struct{}{}:
+	case l.inFlight <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *traffic) leave() {
-	if l.room != nil {
-		<-l.room
+func (l *traffic) release() {
+	if l.inFlight != nil {
+		<-l.inFlight
 	}
 }
 
@@ -128,44 +129,44 @@
 	})
 }
 
-func (l *traffic) do(n int, about reply, request client.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+func (l *traffic) do(n int, r reply, request client.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	request.Header = http.Header{contract.HeaderRequest: {about.id}}
+	request.Header = http.Header{contract.HeaderRequest: {r.id}}
 	result, err := l.callers[n%len(l.callers)].Do(ctx, request)
 	if err != nil {
 		result = client.Result{Outcome: client.NotRun, Err: err}
 	}
-	about.result = result
+	r.result = result
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.replies = append(l.replies, about)
+	l.replies = append(l.replies, r)
 }
 
-// answered returns how many requests have ended.
+// answered returns the number of requests that have ended.
 func (l *traffic) answered() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.replies)
 }
 
-// awaitMore waits until n more requests have ended, so that what came before
-// was met by traffic.
-func (l *traffic) awaitMore(t *testing.T, n int) {
+// awaitReplies waits until n more requests have ended, so that traffic has run under the conditions
+// set before.
+func (l *traffic) awaitReplies(t *testing.T, n int) {
 	t.Helper()
 	from := l.answered()
 	await(t, "more answers", func() bool { return l.answered() >= from+n })
 }
 
-// outcomes are how many requests ended how.
+// outcomes counts requests by their outcome.
 type outcomes struct{ done, notRun, unknown int }
 
-// finish ends the traffic and checks what holds whatever happens: every answer
-// is whole and the request's own, no booking ran twice, and what callers were
-// told is true of what the endpoints did.
+// finish ends the traffic and checks what must hold in every test: each answer is complete and
+// belongs to its request, no booking ran twice, and the outcome that the caller received agrees with
+// what the endpoints did.
 func (l *traffic) finish(t *testing.T, f *fleet) (reads, bookings outcomes) {
 	t.Helper()
-	close(l.end)
+	close(l.stop)
 	l.sending.Wait()
 	for _, about := range l.replies {
 		count := &reads
@@ -174,18 +175,18 @@
 		}
 		count.add(about.result.Outcome)
 		if about.result.Outcome != client.Done {
-			t.Logf("%s: %s %q by %s after %d tries: %v", about.id, about.result.Outcome, about.result.Reason,
+			t.Logf("%s: outcome %s %q from %s after %d tries: %v", about.id, about.result.Outcome, about.result.Reason,
 				about.result.Entry, about.result.Tries, about.result.Err)
 		}
 		if problem := about.problem(f.Ledger.Request(about.id)); problem != "" {
-			t.Errorf("%s: %s; told %s %q by %s after %d tries (%v)", about.id, problem, about.result.Outcome,
+			t.Errorf("%s: %s; got outcome %s %q from %s after %d tries (%v)", about.id, problem, about.result.Outcome,
 				about.result.Reason, about.result.Entry, about.result.Tries, about.result.Err)
 		}
 	}
 	if twice := f.Ledger.RanTwice(); len(twice) > 0 {
 		t.Errorf("keys that ran twice: %v", twice)
 	}
-	t.Logf("reads %+v, bookings %+v, connections broken %d", reads, bookings, len(l.wire.broken))
+	t.Logf("reads %+v, bookings %+v, connections broken %d", reads, bookings, len(l.transport.broken))
 	return reads, bookings
 }
 
@@ -200,15 +201,16 @@
 	}
 }
 
-// problem says how a promise was broken to the caller of one request.
+// problem describes how the reply contradicts the endpoint's record of the request, "" if it does
+// not.
 func (a reply) problem(ran standin.Count) string {
 	switch {
 	case a.once && ran.Runs > 1:
 		return fmt.Sprintf("ran %d times", ran.Runs)
 	case a.result.Outcome == client.NotRun && ran.Runs > 0:
-		return "a false \"not run\""
+		return "it ran in spite of the outcome \"not run\""
 	case a.result.Outcome == client.Done && ran.Finished == 0:
-		return "a false \"done\""
+		return "it never finished in spite of the outcome \"done\""
 	}
 	if a.result.Outcome != client.Done || a.result.Status != http.StatusOK {
 		return ""
@@ -219,15 +221,15 @@
 	return ""
 }
 
-// calm demands that a planned change was not noticed by any caller: every
-// request is done and no exchange broke off.
-func (l *traffic) calm(t *testing.T, f *fleet) {
+// finishWithoutLoss ends the traffic and checks that a planned change affected no caller: every
+// request is done and no exchange broke.
+func (l *traffic) finishWithoutLoss(t *testing.T, f *fleet) {
 	t.Helper()
 	reads, bookings := l.finish(t, f)
 	if reads.notRun+reads.unknown+bookings.notRun+bookings.unknown > 0 {
-		t.Errorf("requests were lost: reads %+v, bookings %+v", reads, bookings)
+		t.Errorf("requests were not done: reads %+v, bookings %+v", reads, bookings)
 	}
-	for _, broken := range l.wire.broken {
-		t.Errorf("cut off: %s", broken)
+	for _, broken := range l.transport.broken {
+		t.Errorf("exchange broke: %s", broken)
 	}
 }
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// BenchmarkInstruments is what measuring adds to each request: the head and the
-// end of one answer.
+// BenchmarkInstruments measures the cost of the metrics of one request: those of the head and of the
+// end of its answer.
 func BenchmarkInstruments(b *testing.B) {
 	m := newInstruments()
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			m.passed(3*time.Millisecond, 2*time.Millisecond)
-			m.ended("live-counts", endedDone, 3*time.Millisecond)
+			m.recordHead(3*time.Millisecond, 2*time.Millisecond)
+			m.countEnding("live-counts", endedDone, 3*time.Millisecond)
 		}
 	})
 }
--- a/internal/entry/overhead_test.go
+++ b/internal/entry/overhead_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	overheadRate  = 5000 // calls a second
-	overheadConns = 64
-	overheadRound = time.Second
+	overheadRate      = 5000 // calls a second
+	overheadConns     = 64
+	overheadRoundTime = time.Second
 )
 
 const overheadProfiles = `
@@ -38,7 +38,7 @@
 time_zone = "UTC"
 `
 
-// values is a configuration service that holds fixed values.
+// values is a configuration service with fixed values.
 type values map[string]published.Value
 
 func (v values) Read(_ context.Context, name string) (published.Value, error) { return v[name], nil }
@@ -60,8 +60,8 @@
 	return l
 }
 
-// startEcho starts an endpoint that answers at once.
-func startEcho(b *testing.B) string {
+// startEchoEndpoint starts an endpoint that answers immediately and returns its address.
+func startEchoEndpoint(b *testing.B) string {
 	b.Helper()
 	answer := make([]byte, 100)
 	l := listen(b)
@@ -74,7 +74,7 @@
 	return l.Addr().String()
 }
 
-// startEntry starts one entry in front of the endpoint.
+// startEntry starts one entry in front of the endpoint and waits until it is ready.
 func startEntry(b *testing.B, endpoint string) *entry.Entry {
 	b.Helper()
 	vms := published.EncodeVMs(published.VMList{VMs: []published.VM{{
@@ -115,21 +115,21 @@
 // and through one entry, in alternating rounds, and reports both.
 func BenchmarkAddedLatency(b *testing.B) {
 	entry.TuneMemory(settings.Default().Limits.HeapGrowth)
-	endpoint := startEcho(b)
+	endpoint := startEchoEndpoint(b)
 	e := startEntry(b, endpoint)
-	direct := newLoad(endpoint)
-	through := newLoad(e.CallerAddress())
-	direct.run(overheadRound / 4)
-	through.run(overheadRound / 4)
+	direct := newLoadGenerator(endpoint)
+	through := newLoadGenerator(e.CallerAddress())
+	direct.run(overheadRoundTime / 4)
+	through.run(overheadRoundTime / 4)
 	direct.histogram.Reset()
 	through.histogram.Reset()
 	b.ResetTimer()
 	var start, middle, end runtime.MemStats
 	for range b.N {
 		runtime.ReadMemStats(&start)
-		direct.run(overheadRound)
+		direct.run(overheadRoundTime)
 		runtime.ReadMemStats(&middle)
-		through.run(overheadRound)
+		through.run(overheadRoundTime)
 		runtime.ReadMemStats(&end)
 	}
 	b.StopTimer()
@@ -141,8 +141,9 @@
 		b.ReportMetric(t-d, fmt.Sprintf("added-p%v-µs", q))
 	}
 	b.ReportMetric(float64(direct.failed+through.failed), "failed")
-	// Generator and endpoint allocate alike in both, so the difference is the entry's.
-	calls := overheadRate * overheadRound.Seconds()
+	// The load generator and the endpoint allocate the same in both runs, so the difference is the
+	// entry's.
+	calls := overheadRate * overheadRoundTime.Seconds()
 	inDirect := float64(middle.Mallocs - start.Mallocs)
 	inThrough := float64(end.Mallocs - middle.Mallocs)
 	b.ReportMetric((inThrough-inDirect)/calls, "entry-allocs/call")
@@ -152,8 +153,8 @@
 	b.ReportMetric(float64(end.HeapInuse)/(1<<20), "heap-MB")
 }
 
-// load is a bounded open-loop generator over a fixed number of connections.
-type load struct {
+// loadGenerator is a bounded open-loop generator over a fixed number of connections.
+type loadGenerator struct {
 	url       string
 	client    *http.Client
 	mu        sync.Mutex
@@ -161,8 +162,8 @@
 	failed    int
 }
 
-func newLoad(address string) *load {
-	return &load{
+func newLoadGenerator(address string) *loadGenerator {
+	return &loadGenerator{
 		url: "http://" + address + "/x?id=a&bytes=100",
 		client: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: overheadConns,
@@ -173,9 +174,9 @@
 	}
 }
 
-// run sends overheadRate calls a second for a time. A call's latency counts
-// from when it was due, so that a stall is not hidden.
-func (l *load) run(d time.Duration) {
+// run sends overheadRate calls a second for d. A call's latency counts from the time at which it was
+// due, so that a stall is not hidden.
+func (l *loadGenerator) run(d time.Duration) {
 	calls := int(d.Seconds() * overheadRate)
 	due := make(chan time.Time, calls)
 	var workers sync.WaitGroup
@@ -198,15 +199,15 @@
 	workers.Wait()
 }
 
-// spinUntil waits without a timer: timers of an idle process are late by up to
-// a millisecond, which is more than what is measured.
+// spinUntil waits without a timer, because timers of an idle process fire up to a millisecond late,
+// which is more than the latency measured.
 func spinUntil(at time.Time) {
 	for time.Now().Before(at) {
 		runtime.Gosched()
 	}
 }
 
-func (l *load) call(due time.Time) {
+func (l *loadGenerator) call(due time.Time) {
 	request, _ := http.NewRequest(http.MethodGet, l.url, nil)
 	request.Header.Set(contract.HeaderService, "echo")
 	response, err := l.client.Do(request)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -33,7 +33,7 @@
 	if err := <-scan.result; err == nil {
 		t.Error("the upload was cut off, but its caller got an answer")
 	}
-	if f.audited(e.Name(), "planned stop", "cuts-off") != 1 {
+	if f.auditCount(e.Name(), "planned stop", "cuts-off") != 1 {
 		t.Error("no audit record of the requests that were cut off")
 	}
 	for i := range 10 {
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -20,12 +20,11 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// secureEntry starts an entry with TLS on all sides. Its certificate bears its
-// IP number.
-func secureEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
+// startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP address.
+func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
 	t.Helper()
-	folder := t.TempDir()
-	files := certs.Files{Certificate: filepath.Join(folder, "cert"), Key: filepath.Join(folder, "key"), Authorities: filepath.Join(folder, "ca")}
+	dir := t.TempDir()
+	files := certs.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "ca")}
 	writeCertificate(t, files, authority)
 	mutual, err := certs.Open(files)
 	if err != nil {
@@ -38,7 +37,7 @@
 	client := func() *tls.Config { return mutual.Client("") }
 	s := settings.Default()
 	s.Name, s.Region, s.FailureDomain, s.Peers.Seeds = name, "r", "a", seeds
-	callerSide, peerSide := loopback(t), loopback(t)
+	callerSide, peerSide := listenLoopback(t), listenLoopback(t)
 	s.Addresses.Caller, s.Addresses.Peer = callerSide.Addr().String(), peerSide.Addr().String()
 	e, err := entry.New(s, entry.Options{
 		Platform:       published,
@@ -56,7 +55,7 @@
 	return e
 }
 
-func loopback(t *testing.T) *net.TCPListener {
+func listenLoopback(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -75,11 +74,10 @@
 	}
 }
 
-// All sides are encrypted. Entries find each other, a caller that would speak
-// HTTP/2 is served, and a booking that reaches an entry which is not its key's
-// home is passed on to it, also when it comes again: it runs once. Who trusts
-// another authority, or speaks plain HTTP, gets nothing.
-func TestEverySideInsideTLS(t *testing.T) {
+// With TLS on all connections, entries find each other, a caller that offers HTTP/2 is served, and a
+// booking that is sent to several entries is forwarded to its key's home and runs once. A caller that
+// does not trust the authority, or that uses plain HTTP, is not served.
+func TestTLSOnAllConnections(t *testing.T) {
 	endpoint, err := standin.NewEndpoint(standin.EndpointConfig{Name: "bookings-1", Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -91,8 +89,8 @@
 			Data: published.EncodeVMs(published.VMList{VMs: []published.VM{endpoint.VM("bookings", "r", "a")}})},
 	}
 	authority := certstest.NewAuthority(t)
-	first := secureEntry(t, "entry-1", authority, published)
-	second := secureEntry(t, "entry-2", authority, published, first.PeerAddress())
+	first := startTLSEntry(t, "entry-1", authority, published)
+	second := startTLSEntry(t, "entry-2", authority, published, first.PeerAddress())
 	await(t, "the entries know each other", func() bool { return first.KnownEntries() == 2 && second.KnownEntries() == 2 })
 
 	trusted := x509.NewCertPool()
@@ -106,7 +104,7 @@
 		}
 		response.Body.Close()
 		if outcome := response.Header.Get(contract.HeaderOutcome); outcome != string(contract.OutcomeDone) {
-			t.Errorf("by %s: %s %s", e.Name(), outcome, response.Header.Get(contract.HeaderReason))
+			t.Errorf("booking sent to %s: outcome %s %s", e.Name(), outcome, response.Header.Get(contract.HeaderReason))
 		}
 	}
 	if runs := endpoint.Ledger().Request("b1").Runs; runs != 1 {
@@ -118,12 +116,12 @@
 	if response, err := http.DefaultClient.Do(bookingRequest(t, "http://"+first.CallerAddress(), key)); err == nil {
 		response.Body.Close()
 		if response.StatusCode < http.StatusBadRequest {
-			t.Errorf("plain HTTP: %s", response.Status)
+			t.Errorf("plain HTTP was served: %s", response.Status)
 		}
 	}
 }
 
-// keyPrefix asks an entry for the prefix of keys whose home it is.
+// keyPrefix asks an entry for the prefix of the keys whose home it is.
 func keyPrefix(t *testing.T, c *http.Client, e *entry.Entry) string {
 	t.Helper()
 	response, err := c.Get("https://" + e.CallerAddress() + contract.EntriesPath + "?service=bookings")
@@ -140,7 +138,7 @@
 			return known.KeyPrefix
 		}
 	}
-	t.Fatalf("%s does not name itself: %+v", e.Name(), list)
+	t.Fatalf("the list from %s lacks the entry itself: %+v", e.Name(), list)
 	return ""
 }
 
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -18,42 +18,42 @@
 
 var _ admin.Source = (*Entry)(nil)
 
-// facts are a copy of all that views and metrics are made from, as of one
-// moment. Nothing in it may be changed.
+// facts is a copy, taken at one moment, of all data from which views and metrics are made. It must
+// not be modified.
 type facts struct {
 	now      time.Duration
 	wall     time.Time
 	settings *settings.Settings
 	hello    *message.Hello
-	// view is what the core knows; its counters include what was refused before
-	// the core saw it.
+	// view is the core's state; its counters include requests that were refused before they
+	// reached the core.
 	view     core.View
 	recent   recentCounts
 	platform platformCounts
-	// livenessChecks are the cheap calls beside those, lateLivenessChecks the ones without an
-	// answer in time.
+	// livenessChecks counts the liveness checks of the configuration service, lateLivenessChecks
+	// those that got no answer in time. platform does not include them.
 	livenessChecks, lateLivenessChecks uint64
-	// renewedWatches are the watches that were made anew.
+	// renewedWatches counts the watches that were renewed.
 	renewedWatches uint64
 	callers        int
-	// connections counts the open connections to each endpoint by address.
+	// connections counts the open connections to each endpoint, by address.
 	connections map[string]int
 	links       []peer.LinkStats
 	peerServer  peer.ServerStats
-	// peerBytesIn and peerBytesOut count the bytes of all peer links so far.
+	// peerBytesIn and peerBytesOut count the bytes of all peer links since the start.
 	peerBytesIn, peerBytesOut uint64
-	process                   process
+	process                   processStats
 }
 
-// process is what the operating system and the runtime say of the process.
-type process struct {
+// processStats are figures of the process from the operating system and the Go runtime.
+type processStats struct {
 	heap       uint64
 	goroutines int
 	cpu        time.Duration
 }
 
-// facts gathers what is known now.
-func (e *Entry) facts() *facts {
+// gatherFacts returns the facts as of now.
+func (e *Entry) gatherFacts() *facts {
 	f := &facts{
 		wall:               e.options.Wall(),
 		settings:           e.settings,
@@ -70,8 +70,8 @@
 	}
 	e.engine.view(func(now time.Duration, c *core.Core) { f.now, f.view = now, c.View(now) })
 	f.view.Sort()
-	e.instruments.include(&f.view.Counters)
-	f.recent = e.recent.since(&f.view.Counters)
+	e.instruments.addRefusals(&f.view.Counters)
+	f.recent = e.recent.sinceOldestSample(&f.view.Counters)
 	in, out := e.links.Traffic()
 	f.peerBytesIn, f.peerBytesOut = in+f.peerServer.BytesIn, out+f.peerServer.BytesOut
 	for i := range f.view.Endpoints {
@@ -82,13 +82,13 @@
 	return f
 }
 
-// heapMetric is the memory of live and not yet swept objects.
+// heapMetric is the runtime metric for the memory of live objects and objects not yet swept.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-func readProcess() process {
+func readProcess() processStats {
 	sample := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(sample)
-	p := process{goroutines: runtime.NumGoroutine()}
+	p := processStats{goroutines: runtime.NumGoroutine()}
 	if sample[0].Value.Kind() == metrics.KindUint64 {
 		p.heap = sample[0].Value.Uint64()
 	}
@@ -99,10 +99,11 @@
 	return p
 }
 
-// counters are the core's counters with what was refused before it.
+// counters returns the core's counters, with requests included that were refused before they
+// reached the core.
 func (e *Entry) counters() (c core.Counters) {
 	e.engine.view(func(_ time.Duration, known *core.Core) { c = known.Counters() })
-	e.instruments.include(&c)
+	e.instruments.addRefusals(&c)
 	return c
 }
 
@@ -122,14 +123,14 @@
 	return n
 }
 
-// AdminHandler returns the interface towards operators.
+// AdminHandler returns the handler of the admin interface.
 func (e *Entry) AdminHandler() http.Handler {
 	return admin.NewHandler(e, e.trail, liveRegistry{Registry: e.instruments.registry, refresh: e.refresh})
 }
 
 // Entries implements admin.Source.
 func (e *Entry) Entries() []admin.EntryView {
-	f := e.facts()
+	f := e.gatherFacts()
 	views := make([]admin.EntryView, 0, len(f.view.Entries))
 	for i := range f.view.Entries {
 		views = append(views, f.entryView(&f.view.Entries[i]))
@@ -164,7 +165,7 @@
 	return v
 }
 
-// stateName is the state of an entry as operators see it.
+// stateName returns the name of an entry's state in the admin interface.
 func stateName(s message.EntryState) string {
 	switch s {
 	case message.EntryStarting:
@@ -179,7 +180,7 @@
 
 // Endpoints implements admin.Source.
 func (e *Entry) Endpoints() []admin.EndpointView {
-	f := e.facts()
+	f := e.gatherFacts()
 	views := make([]admin.EndpointView, 0, len(f.view.Endpoints))
 	for i := range f.view.Endpoints {
 		views = append(views, f.endpointView(&f.view.Endpoints[i]))
@@ -196,12 +197,12 @@
 		Region:        e.Region,
 		FailureDomain: e.Domain,
 		State:         endpointState(e.State),
-		Grant:         e.Quota.String(),
+		Quota:         e.Quota.String(),
 		Missing:       e.Missing,
 		RateLimit:     e.Limit.Rate,
 		Slots:         int(e.Slots),
 		Outstanding:   int(e.Outstanding),
-		SightingAge:   -1,
+		LoadReportAge: -1,
 		Connections:   f.connections[e.Address],
 		Latency:       time.Duration(e.Health.LatencyNanos).Seconds(),
 		Slowness:      e.Health.Slowness,
@@ -212,15 +213,15 @@
 		v.SlowStart = float64(e.Slots) / float64(max(e.Listed, 1))
 	}
 	if e.Reported.Seen {
-		v.Foreign, v.SightingAge = int(e.Reported.Foreign), (f.now - e.Reported.At).Seconds()
+		v.Foreign, v.LoadReportAge = int(e.Reported.Foreign), (f.now - e.Reported.At).Seconds()
 	}
-	if why := e.Ejection; why != nil {
+	if ejection := e.Ejection; ejection != nil {
 		v.Ejection = &admin.EjectionView{
-			Why:     why.Why,
-			For:     why.For.Seconds(),
-			TrialIn: why.TrialIn.Seconds(),
-			InARow:  why.InARow,
-			Clears:  why.Clears,
+			Why:     ejection.Why,
+			For:     ejection.For.Seconds(),
+			TrialIn: ejection.TrialIn.Seconds(),
+			InARow:  ejection.InARow,
+			Clears:  ejection.Clears,
 		}
 	}
 	return v
@@ -238,7 +239,7 @@
 
 // Profiles implements admin.Source.
 func (e *Entry) Profiles() admin.ProfilesView {
-	f := e.facts()
+	f := e.gatherFacts()
 	v := admin.ProfilesView{
 		Published: f.publishedView(&f.view.Profiles),
 		Mode:      f.modeView(),
@@ -276,8 +277,8 @@
 	return v
 }
 
-// entriesBehind are the entries that hold an older revision of the profiles than
-// this one. Those that did not tell this one hold none that is known.
+// entriesBehind returns the entries that have an older revision of the profiles in force than this
+// entry. It leaves out entries that have not reported their revision to this one.
 func (f *facts) entriesBehind() []*core.EntryView {
 	var behind []*core.EntryView
 	for i := range f.view.Entries {
@@ -289,8 +290,8 @@
 	return behind
 }
 
-// failingValues are the published values for which the configuration service
-// failed more than once since it last answered, by name.
+// failingValues returns the names, sorted, of the published values for which the configuration
+// service failed more than once since its last answer.
 func (f *facts) failingValues() []string {
 	var names []string
 	for name, value := range f.platform.values {
--- a/internal/entry/views_status.go
+++ b/internal/entry/views_status.go
@@ -13,7 +13,7 @@
 )
 
 // Status implements admin.Source.
-func (e *Entry) Status() admin.Status { return e.facts().status() }
+func (e *Entry) Status() admin.Status { return e.gatherFacts().status() }
 
 func (f *facts) status() admin.Status {
 	concerns := f.concerns()
@@ -147,7 +147,8 @@
 	return v
 }
 
-// evacuationViews tells what of each evacuated failure domain there is, and still runs.
+// evacuationViews returns, for each evacuated failure domain, its live endpoints and the requests
+// that still run there.
 func (f *facts) evacuationViews() []admin.EvacuationView {
 	var views []admin.EvacuationView
 	for _, evacuation := range f.view.Evacuated {
@@ -186,8 +187,7 @@
 	}
 }
 
-// refusalViews are the reasons that were given to callers, the most frequent
-// first.
+// refusalViews returns the reasons for which requests were refused, the most frequent first.
 func (f *facts) refusalViews() []admin.RefusalView {
 	views := []admin.RefusalView{}
 	for i, count := range f.view.Counters.Refused {
@@ -207,19 +207,19 @@
 	return views
 }
 
-// poolView adds up the retry budgets of the pool's services. The share shown is
-// the largest that one of them has.
+// poolView returns the view of a pool. Its retry budget is the sum of its services' budgets; the
+// share is the largest of theirs.
 func poolView(p *core.PoolView) admin.PoolView {
 	v := admin.PoolView{
-		Pool:        p.Name,
-		Services:    []string{},
-		Slots:       p.Slots,
-		Outstanding: p.Outstanding,
-		Waiting:     p.Waiting,
-		Ejected:     p.Ejected,
-		Endpoints:   p.Live + p.Leaving,
-		ViewWrong:   p.ViewWrong,
-		Watch:       admin.BudgetView{Share: p.HealthProbeShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
+		Pool:         p.Name,
+		Services:     []string{},
+		Slots:        p.Slots,
+		Outstanding:  p.Outstanding,
+		Waiting:      p.Waiting,
+		Ejected:      p.Ejected,
+		Endpoints:    p.Live + p.Leaving,
+		ViewWrong:    p.ViewWrong,
+		HealthProbes: admin.BudgetView{Share: p.HealthProbeShare, Spent: p.Probes, Denied: p.ProbesDenied, Left: p.ProbesLeft},
 	}
 	for i := range p.Services {
 		s := &p.Services[i]
@@ -236,7 +236,7 @@
 func (f *facts) keysView() admin.KeysView {
 	k := &f.view.Keys
 	return admin.KeysView{
-		Held:           k.Keys,
+		Keys:           k.Keys,
 		Limit:          f.settings.Limits.Keys,
 		Running:        k.Running,
 		AnswerBytes:    k.AnswerBytes,
