--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -9,19 +9,19 @@
 )
 
 var (
-	errSwitching  = errors.New("the endpoint switched protocols unasked")
-	errUnframed   = errors.New("the answer has neither a length nor chunks")
-	errNoProgress = errors.New("no acknowledgement came back")
-	errStray      = errors.New("the answer belongs to another request")
-	errSlow       = errors.New("the endpoint is alive but gave no answer")
+	errSwitchedProtocols = errors.New("the endpoint switched protocols unasked")
+	errUnframed          = errors.New("the answer has neither a length nor chunks")
+	errUnacknowledged    = errors.New("no acknowledgement came back")
+	errStray             = errors.New("the answer belongs to another request")
+	errHeadTimeout       = errors.New("the endpoint is alive but gave no answer")
 )
 
 // readHead reads informational answers and the head of the final one.
 func (x *exchange) readHead(delivery *Delivery) (*http.Response, error) {
 	x.conn.limitHead(x.connections.cfg.MaxResponseHeaderBytes)
-	defer x.conn.unlimit()
+	defer x.conn.unlimitHead()
 	for {
-		if err := x.awaitByte(); err != nil {
+		if err := x.awaitFirstByte(); err != nil {
 			return nil, err
 		}
 		if delivery.FirstByte == 0 {
@@ -33,9 +33,9 @@
 		}
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errSwitching}
+			return nil, &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errSwitchedProtocols}
 		case resp.StatusCode == http.StatusContinue:
-			if x.bodyDue {
+			if x.bodyPending {
 				x.startUpload()
 			}
 		case resp.StatusCode < http.StatusOK:
@@ -43,7 +43,7 @@
 				x.out.Informational(resp.StatusCode, resp.Header)
 			}
 		case x.out.Stray != nil && x.out.Stray(resp.Header):
-			if err := x.dropStray(resp); err != nil {
+			if err := x.discardStray(resp); err != nil {
 				return nil, err
 			}
 		default:
@@ -52,16 +52,16 @@
 	}
 }
 
-// maxStrays bounds the answers of other requests that are dropped for one.
-const maxStrays = 2
+// maxStrayAnswers bounds the answers of other requests that are dropped for one.
+const maxStrayAnswers = 2
 
-// dropStray reads over an answer that belongs to another request.
-func (x *exchange) dropStray(resp *http.Response) error {
-	x.strays++
-	if x.strays > maxStrays || unframed(resp, false) {
+// discardStray reads over an answer that belongs to another request.
+func (x *exchange) discardStray(resp *http.Response) error {
+	x.strayAnswers++
+	if x.strayAnswers > maxStrayAnswers || unframed(resp, false) {
 		return &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errStray}
 	}
-	x.conn.unlimit()
+	x.conn.unlimitHead()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return err
 	}
@@ -90,42 +90,42 @@
 	return nil, &Error{Failure: failure, Address: x.out.Address, Cause: err}
 }
 
-// awaitByte waits for the next byte of the answer. It wakes up from time to
+// awaitFirstByte waits for the next byte of the answer. It wakes up from time to
 // time to tell a dead connection from a slow endpoint.
-func (x *exchange) awaitByte() error {
+func (x *exchange) awaitFirstByte() error {
 	if x.conn.reader.Buffered() > 0 {
 		return nil
 	}
 	defer x.conn.SetReadDeadline(time.Time{})
 	cfg := &x.connections.cfg
-	waiting := cfg.Clock()
+	waitStart := cfg.Clock()
 	for {
-		x.conn.SetReadDeadline(time.Now().Add(x.waitStep(cfg.Clock() - waiting)))
+		x.conn.SetReadDeadline(time.Now().Add(x.waitStep(cfg.Clock() - waitStart)))
 		_, err := x.conn.reader.Peek(1)
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
 		if x.conn.probe.Silent(cfg.SilentAfter) {
-			return &Error{Failure: Silent, Address: x.out.Address, Cause: errNoProgress}
+			return &Error{Failure: Silent, Address: x.out.Address, Cause: errUnacknowledged}
 		}
-		if err := x.checkWait(waiting); err != nil {
+		if err := x.checkTimeouts(waitStart); err != nil {
 			return err
 		}
 	}
 }
 
-// laterChecks is how many times per Config.SilentAfter a connection is looked at
+// checksPerSilentAfter is how many times per Config.SilentAfter a connection is looked at
 // again: the kernel's first retransmission may fall just after the first look.
-const laterChecks = 4
+const checksPerSilentAfter = 4
 
 // waitStep returns how long to wait before the connection is looked at again.
 func (x *exchange) waitStep(waited time.Duration) time.Duration {
 	cfg := &x.connections.cfg
 	step := cfg.SilentAfter
 	if waited >= step {
-		step /= laterChecks
+		step /= checksPerSilentAfter
 	}
-	if x.bodyDue {
+	if x.bodyPending {
 		step = min(step, cfg.ContinueTimeout-waited)
 	}
 	if cfg.HeaderTimeout > 0 && waited < cfg.HeaderTimeout {
@@ -134,13 +134,13 @@
 	return max(step, time.Millisecond)
 }
 
-// checkWait acts on the time-outs that passed: the body is sent to an endpoint
+// checkTimeouts acts on the time-outs that passed: the body is sent to an endpoint
 // that says nothing about the expectation, and a slow endpoint is given up. The
 // wait for the head begins when the body is sent.
-func (x *exchange) checkWait(since time.Duration) error {
+func (x *exchange) checkTimeouts(waitStart time.Duration) error {
 	cfg := &x.connections.cfg
-	if x.bodyDue {
-		if cfg.Clock()-since >= cfg.ContinueTimeout {
+	if x.bodyPending {
+		if cfg.Clock()-waitStart >= cfg.ContinueTimeout {
 			x.startUpload()
 		}
 		return nil
@@ -148,19 +148,19 @@
 	if x.upload != nil {
 		select {
 		case <-x.upload.done:
-			since = max(since, x.upload.ended)
+			waitStart = max(waitStart, x.upload.ended)
 		default:
 			return nil
 		}
 	}
-	if cfg.HeaderTimeout > 0 && cfg.Clock()-since >= cfg.HeaderTimeout {
-		return &Error{Failure: Slow, Address: x.out.Address, Cause: errSlow}
+	if cfg.HeaderTimeout > 0 && cfg.Clock()-waitStart >= cfg.HeaderTimeout {
+		return &Error{Failure: Slow, Address: x.out.Address, Cause: errHeadTimeout}
 	}
 	return nil
 }
 
-// answer prepares the final answer for the caller of Send.
-func (x *exchange) answer(resp *http.Response) (*http.Response, error) {
+// prepareAnswer prepares the final answer for the caller of Send.
+func (x *exchange) prepareAnswer(resp *http.Response) (*http.Response, error) {
 	head := x.out.Request.Method == http.MethodHead
 	if unframed(resp, head) && !x.connections.cfg.AllowUnframed {
 		return nil, &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errUnframed}
@@ -168,8 +168,8 @@
 	if resp.Body == http.NoBody || head {
 		// An endpoint that wrongly sends a body here would have it taken for the
 		// head of the next answer on this connection, another caller's.
-		bare := !head && resp.ContentLength <= 0
-		x.release(!resp.Close && bare)
+		noBody := !head && resp.ContentLength <= 0
+		x.release(!resp.Close && noBody)
 		resp.Body = http.NoBody
 		return resp, nil
 	}
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -17,8 +17,8 @@
 // The sizes of each connection's buffers. An entry holds some to each endpoint, most
 // of them idle; what is larger than a buffer passes in several pieces.
 const (
-	readBuffer  = 2 << 10
-	writeBuffer = 1 << 10
+	readBufferSize  = 2 << 10
+	writeBufferSize = 1 << 10
 )
 
 // errHeadTooLarge ends the reading of an answer whose head is too large.
@@ -44,8 +44,8 @@
 	// line that was cut off malformed.
 	readErr error
 
-	// slot is the index in pool.all; guarded by the pool.
-	slot int
+	// index is the index in pool.all; guarded by the pool.
+	index int
 	// aliveAt is when the connection was set up or last brought a whole answer.
 	aliveAt time.Duration
 
@@ -60,8 +60,8 @@
 		return nil, err
 	}
 	c := &conn{Conn: tcp, tcp: tcp, probe: socket.NewProbe(raw), headLeft: math.MaxInt64, aliveAt: now}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
-	c.writer = bufio.NewWriterSize(c, writeBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
+	c.writer = bufio.NewWriterSize(c, writeBufferSize)
 	return c, nil
 }
 
@@ -102,8 +102,8 @@
 // limitHead bounds the bytes that may be read until unlimit.
 func (c *conn) limitHead(limit int64) { c.headLeft = limit }
 
-// unlimit lifts the bound for the body of the answer.
-func (c *conn) unlimit() { c.headLeft = math.MaxInt64 }
+// unlimitHead lifts the bound for the body of the answer.
+func (c *conn) unlimitHead() { c.headLeft = math.MaxInt64 }
 
 // reusable reports whether the idle connection can carry another request. Bytes
 // that came unasked would be taken for the answer to the next request, which
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -139,7 +139,7 @@
 // it waits for one, as long as setting one up may take. Guards against a process that is
 // short of processor time, whose answered requests give their connections back late.
 func (c *Connections) acquire(ctx context.Context, address string, once bool) (acquired, error) {
-	var waited <-chan time.Time
+	var timeout <-chan time.Time
 	for {
 		p := c.pool(address)
 		if p == nil {
@@ -152,14 +152,14 @@
 		if ok {
 			return c.dial(ctx, p)
 		}
-		if waited == nil {
-			patience := time.NewTimer(c.cfg.DialTimeout)
-			defer patience.Stop()
-			waited = patience.C
+		if timeout == nil {
+			timer := time.NewTimer(c.cfg.DialTimeout)
+			defer timer.Stop()
+			timeout = timer.C
 		}
 		select {
 		case <-freed:
-		case <-waited:
+		case <-timeout:
 			return acquired{}, &Error{Failure: NoConnection, Address: address}
 		case <-ctx.Done():
 			return acquired{}, &Error{Failure: contextFailure(ctx), Address: address}
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -24,7 +24,7 @@
 	return listener.Addr().String()
 }
 
-func TestAnswers(t *testing.T) {
+func TestAnswerFraming(t *testing.T) {
 	tests := []struct {
 		name, method, answer string
 		cfg                  Config
@@ -56,9 +56,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			e := newEndpoint(t, func(p *peer, _ int) {
-				p.request()
-				p.say(test.answer)
+			e := newEndpoint(t, func(p *endpointConn, _ int) {
+				p.readRequest()
+				p.writeText(test.answer)
 				p.CloseWrite()
 			})
 			c := newConnections(t, test.cfg)
@@ -78,8 +78,8 @@
 // contractor's phone. Each part must reach the endpoint before the next is read.
 func TestUploadIsStreamed(t *testing.T) {
 	parts := make(chan string)
-	e := newEndpoint(t, func(p *peer, _ int) {
-		p.arrive()
+	e := newEndpoint(t, func(p *endpointConn, _ int) {
+		p.awaitRequest()
 		r, err := http.ReadRequest(p.reader)
 		if err != nil {
 			t.Error(err)
@@ -92,7 +92,7 @@
 		}
 		io.Copy(io.Discard, r.Body)
 		parts <- r.Trailer.Get("Sum")
-		p.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Got\r\n\r\n2\r\nok\r\n0\r\nGot: 6\r\n\r\n")
+		p.writeText("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Got\r\n\r\n2\r\nok\r\n0\r\nGot: 6\r\n\r\n")
 	})
 	c := newConnections(t, Config{})
 	reader, writer := io.Pipe()
@@ -137,18 +137,18 @@
 // An endpoint says early that it does not want a scan. The caller sees that
 // answer at once instead of after an upload for nothing, and the connection, on
 // which the rest of the body is due, is not used again.
-func TestAnswerBeforeTheUploadEnds(t *testing.T) {
+func TestEarlyAnswerStopsTheUpload(t *testing.T) {
 	const refusal = "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno"
 	for _, expect := range []string{"", "100-continue"} {
 		t.Run("expect "+expect, func(t *testing.T) {
-			e := newEndpoint(t, func(p *peer, _ int) { p.arrive(); p.say(refusal) })
+			e := newEndpoint(t, func(p *endpointConn, _ int) { p.awaitRequest(); p.writeText(refusal) })
 			c := newConnections(t, Config{})
 			out := outgoing(t, e.address, http.MethodPut, "")
 			body := &blockedBody{interrupted: make(chan struct{})}
 			out.Body, out.ContentLength = body, 1<<30
 			if expect != "" {
 				out.Request.Header.Set("Expect", expect)
-				out.Body = iotestFailing{t}
+				out.Body = forbiddenBody{t}
 			}
 			text, _, err := exchangeText(c, out)
 			if text != "no" || err != nil {
@@ -161,38 +161,38 @@
 	}
 }
 
-// iotestFailing fails the test when it is read.
-type iotestFailing struct{ t *testing.T }
+// forbiddenBody fails the test when it is read.
+type forbiddenBody struct{ t *testing.T }
 
-func (f iotestFailing) Read([]byte) (int, error) {
+func (f forbiddenBody) Read([]byte) (int, error) {
 	f.t.Error("the body was read though the endpoint refused it")
 	return 0, io.EOF
 }
 
 func TestExpectContinue(t *testing.T) {
-	for _, word := range []string{"HTTP/1.1 100 Continue\r\n\r\n", ""} {
-		e := newEndpoint(t, func(p *peer, _ int) {
-			p.arrive()
+	for _, interim := range []string{"HTTP/1.1 100 Continue\r\n\r\n", ""} {
+		e := newEndpoint(t, func(p *endpointConn, _ int) {
+			p.awaitRequest()
 			head, _ := http.ReadRequest(p.reader)
-			p.say(word)
+			p.writeText(interim)
 			text, _ := io.ReadAll(head.Body)
-			p.say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" + string(text))
+			p.writeText("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" + string(text))
 		})
 		c := newConnections(t, Config{ContinueTimeout: 20 * time.Millisecond})
 		out := outgoing(t, e.address, http.MethodPost, "scan")
 		out.Extra = http.Header{"Expect": {"100-continue"}}
 		if text, _, err := exchangeText(c, out); text != "scan" || err != nil {
-			t.Errorf("word %q: got %q, %v", word, text, err)
+			t.Errorf("word %q: got %q, %v", interim, text, err)
 		}
 	}
 }
 
 // A caller's upload breaks off. The endpoint must not take the part for the
 // whole, and the entry must not blame the endpoint.
-func TestBodyThatEndsEarly(t *testing.T) {
+func TestShortBodyIsNotTheEndpointsFailure(t *testing.T) {
 	result := make(chan error, 1)
-	e := newEndpoint(t, func(p *peer, _ int) {
-		p.arrive()
+	e := newEndpoint(t, func(p *endpointConn, _ int) {
+		p.awaitRequest()
 		r, _ := http.ReadRequest(p.reader)
 		_, err := io.Copy(io.Discard, r.Body)
 		result <- err
@@ -220,15 +220,15 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			gone := make(chan error, 1)
-			e := newEndpoint(t, func(p *peer, _ int) {
-				p.request()
-				p.say(test.answer)
+			readErr := make(chan error, 1)
+			e := newEndpoint(t, func(p *endpointConn, _ int) {
+				p.readRequest()
+				p.writeText(test.answer)
 				if !strings.HasSuffix(test.answer, "ok") {
 					cancel()
 				}
 				_, err := bufio.NewReader(p).ReadByte()
-				gone <- err
+				readErr <- err
 			})
 			c := newConnections(t, Config{})
 			resp, _, err := c.Send(ctx, outgoing(t, e.address, http.MethodGet, ""))
@@ -240,7 +240,7 @@
 			if FailureOf(err) != Cancelled {
 				t.Errorf("got %v", err)
 			}
-			if err := <-gone; err == nil {
+			if err := <-readErr; err == nil {
 				t.Error("the endpoint saw no end")
 			}
 		})
--- a/internal/forward/storm_test.go
+++ b/internal/forward/failing_conns_test.go
@@ -16,12 +16,12 @@
 // and after an answer, answers some requests twice, and callers leave. Each
 // caller must get its own answer whole or an error, and no request may arrive
 // twice.
-func TestOwnAnswerInAStorm(t *testing.T) {
+func TestCallersGetOwnAnswersOnFailingConnections(t *testing.T) {
 	var arrivals sync.Map
-	e := newEndpoint(t, func(p *peer, number int) {
+	e := newEndpoint(t, func(p *endpointConn, number int) {
 		rng := rand.New(rand.NewPCG(1, uint64(number)))
 		for {
-			r := p.request()
+			r := p.readRequest()
 			if r == nil {
 				return
 			}
@@ -33,15 +33,15 @@
 			case 0:
 				p.reset()
 			case 1:
-				p.say(answer[:rng.IntN(len(answer))])
+				p.writeText(answer[:rng.IntN(len(answer))])
 				p.Close()
 			case 2:
-				p.say(answer + answer)
+				p.writeText(answer + answer)
 			case 3:
-				p.say(answer)
+				p.writeText(answer)
 				p.Close()
 			default:
-				p.say(answer)
+				p.writeText(answer)
 			}
 		}
 	})
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -24,14 +24,14 @@
 	conns    atomic.Int32
 }
 
-// peer is one connection of a fake endpoint.
-type peer struct {
+// endpointConn is one connection of a fake endpoint.
+type endpointConn struct {
 	*net.TCPConn
 	endpoint *endpoint
 	reader   *bufio.Reader
 }
 
-func newEndpoint(t *testing.T, script func(p *peer, number int)) *endpoint {
+func newEndpoint(t *testing.T, script func(p *endpointConn, number int)) *endpoint {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -45,7 +45,7 @@
 			if err != nil {
 				return
 			}
-			p := &peer{TCPConn: tcp, endpoint: e, reader: bufio.NewReader(tcp)}
+			p := &endpointConn{TCPConn: tcp, endpoint: e, reader: bufio.NewReader(tcp)}
 			t.Cleanup(func() { tcp.Close() })
 			number := int(e.conns.Add(1))
 			go script(p, number)
@@ -54,8 +54,8 @@
 	return e
 }
 
-// arrive waits for the first byte of a request and counts it.
-func (p *peer) arrive() bool {
+// awaitRequest waits for the first byte of a request and counts it.
+func (p *endpointConn) awaitRequest() bool {
 	if _, err := p.reader.Peek(1); err != nil {
 		return false
 	}
@@ -63,9 +63,9 @@
 	return true
 }
 
-// request reads a whole request.
-func (p *peer) request() *http.Request {
-	if !p.arrive() {
+// readRequest reads a whole request.
+func (p *endpointConn) readRequest() *http.Request {
+	if !p.awaitRequest() {
 		return nil
 	}
 	r, err := http.ReadRequest(p.reader)
@@ -76,17 +76,17 @@
 	return r
 }
 
-func (p *peer) say(text string) { io.WriteString(p, text) }
+func (p *endpointConn) writeText(text string) { io.WriteString(p, text) }
 
 // reset closes the connection with a RST.
-func (p *peer) reset() {
+func (p *endpointConn) reset() {
 	p.SetLinger(0)
 	p.Close()
 }
 
-// blackHole makes the kernel drop every segment that comes in, as if something
+// dropIncoming makes the kernel drop every segment that comes in, as if something
 // between the two ends had lost track of the connection.
-func (p *peer) blackHole() {
+func (p *endpointConn) dropIncoming() {
 	raw, err := p.SyscallConn()
 	if err != nil {
 		p.endpoint.t.Error(err)
@@ -104,11 +104,11 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answering serves every request with the same answer.
-func answering(answer string) func(*peer, int) {
-	return func(p *peer, _ int) {
-		for p.request() != nil {
-			p.say(answer)
+// answerEvery serves every request with the same answer.
+func answerEvery(answer string) func(*endpointConn, int) {
+	return func(p *endpointConn, _ int) {
+		for p.readRequest() != nil {
+			p.writeText(answer)
 		}
 	}
 }
@@ -167,17 +167,17 @@
 }
 
 // eventually waits for what another goroutine or the kernel does shortly.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(10 * time.Second); !holds(); runtime.Gosched() {
-		if time.Now().After(limit) {
-			t.Fatal("never happened: " + what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatal("never happened: " + event)
 		}
 	}
 }
 
-// idleDead reports whether no idle connection to address can be used.
-func idleDead(c *Connections, address string) func() bool {
+// idleUnusable reports whether no idle connection to address can be used.
+func idleUnusable(c *Connections, address string) func() bool {
 	return func() bool {
 		p := c.lookup(address)
 		p.mu.Lock()
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -38,8 +38,8 @@
 // hasBody reports whether a body follows the head.
 func (f framing) hasBody() bool { return f.chunked || f.length > 0 }
 
-// asks reports whether the endpoint is asked before the body is sent.
-func (o *Outgoing) asks(body framing, small bool) bool {
+// awaitsContinue reports whether the endpoint is asked before the body is sent.
+func (o *Outgoing) awaitsContinue(body framing, small bool) bool {
 	if !body.hasBody() {
 		return false
 	}
@@ -48,16 +48,16 @@
 
 // writeHead writes the request line and the headers into w's buffer. ask is set
 // if the endpoint is to be asked for the body.
-func (o *Outgoing) writeHead(w *bufio.Writer, body framing, ask bool) error {
+func (o *Outgoing) writeHead(w *bufio.Writer, body framing, expectContinue bool) error {
 	r := o.Request
 	target := r.URL.RequestURI()
-	if err := checkLine(r, target); err != nil {
+	if err := checkRequestLine(r, target); err != nil {
 		return err
 	}
 	writeStrings(w, r.Method, " ", target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n")
 	connection := r.Header["Connection"]
 	for name, values := range r.Header {
-		if o.skip(name) || HopByHop(name, connection) {
+		if o.replacesHeader(name) || HopByHop(name, connection) {
 			continue
 		}
 		if err := writeHeader(w, name, values); err != nil {
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	if ask {
+	if expectContinue {
 		writeStrings(w, "Expect: 100-continue\r\n")
 	}
 	o.writeFraming(w, body)
@@ -80,8 +80,8 @@
 	return err
 }
 
-// skip reports whether a caller's header is replaced by one of the entry's.
-func (o *Outgoing) skip(name string) bool {
+// replacesHeader reports whether a caller's header is replaced by one of the entry's.
+func (o *Outgoing) replacesHeader(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "Expect":
 		return true
@@ -128,8 +128,8 @@
 	return false
 }
 
-// checkLine refuses what would not be one request line and one Host header.
-func checkLine(r *http.Request, target string) error {
+// checkRequestLine refuses what would not be one request line and one Host header.
+func checkRequestLine(r *http.Request, target string) error {
 	if !validToken(r.Method) || r.Method == http.MethodConnect {
 		return errMethod
 	}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -64,7 +64,7 @@
 	defer p.mu.Unlock()
 	p.usedAt = now
 	if p.retired {
-		return false, closed
+		return false, closedChan
 	}
 	if len(p.all)+p.dialing >= limit {
 		if len(p.idle) == 0 {
@@ -75,18 +75,18 @@
 		}
 		oldest := p.idle[0]
 		p.idle = append(p.idle[:0], p.idle[1:]...)
-		p.forget(oldest)
+		p.removeConn(oldest)
 		oldest.abort(Closed)
 	}
 	p.dialing++
 	return true, nil
 }
 
-// closed is a channel on which nobody waits.
-var closed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+// closedChan is a channel on which nobody waits.
+var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// free wakes those who wait for a connection. The lock is held.
-func (p *pool) free() {
+// wakeWaiters wakes those who wait for a connection. The lock is held.
+func (p *pool) wakeWaiters() {
 	if p.freed != nil {
 		close(p.freed)
 		p.freed = nil
@@ -99,28 +99,28 @@
 	defer p.mu.Unlock()
 	p.dialing--
 	if c == nil {
-		p.free()
+		p.wakeWaiters()
 		p.stats.DialFailed++
 		return
 	}
 	p.stats.Dialed++
-	c.slot = len(p.all)
+	c.index = len(p.all)
 	p.all = append(p.all, c)
 }
 
-// put makes a connection idle after a whole answer at now.
-func (p *pool) put(c *conn, now time.Duration) {
+// putIdle makes a connection idle after a whole answer at now.
+func (p *pool) putIdle(c *conn, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.retired {
-		p.forget(c)
+		p.removeConn(c)
 		c.abort(Closed)
 		return
 	}
 	c.aliveAt = now
 	p.usedAt = now
 	p.idle = append(p.idle, c)
-	p.free()
+	p.wakeWaiters()
 }
 
 // discard closes a connection that no exchange uses any more.
@@ -128,18 +128,18 @@
 	c.abort(Closed)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c)
+	p.removeConn(c)
 }
 
-// forget takes a connection off the list of open ones. The lock is held.
-func (p *pool) forget(c *conn) {
+// removeConn takes a connection off the list of open ones. The lock is held.
+func (p *pool) removeConn(c *conn) {
 	last := len(p.all) - 1
 	moved := p.all[last]
-	p.all[c.slot] = moved
-	moved.slot = c.slot
+	p.all[c.index] = moved
+	moved.index = c.index
 	p.all[last] = nil
 	p.all = p.all[:last]
-	p.free()
+	p.wakeWaiters()
 }
 
 // retire closes the idle connections and lets the busy ones end.
@@ -147,14 +147,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = true
-	p.dropIdle()
-	p.free()
+	p.closeIdle()
+	p.wakeWaiters()
 }
 
-// dropIdle closes all idle connections. The lock is held.
-func (p *pool) dropIdle() {
+// closeIdle closes all idle connections. The lock is held.
+func (p *pool) closeIdle() {
 	for i, c := range p.idle {
-		p.forget(c)
+		p.removeConn(c)
 		c.abort(Closed)
 		p.idle[i] = nil
 	}
@@ -166,7 +166,7 @@
 func (p *pool) suspect(silentAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropIdle()
+	p.closeIdle()
 	for _, c := range p.all {
 		if c.probe.Silent(silentAfter) {
 			c.abort(Silent)
@@ -186,7 +186,7 @@
 			continue
 		}
 		p.stats.Stale++
-		p.forget(c)
+		p.removeConn(c)
 		c.abort(Closed)
 	}
 	clear(p.idle[len(kept):])
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -12,17 +12,17 @@
 // the entry's open connections, whose segments now vanish, while new ones work.
 // The entry must see that nothing is acknowledged, close the connection and its
 // idle mates, and reach the endpoint by a new connection.
-func TestSilentConnection(t *testing.T) {
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	silenced := make(chan struct{}, 2)
-	e := newEndpoint(t, func(p *peer, number int) {
-		p.request()
-		p.say(okAnswer)
+	e := newEndpoint(t, func(p *endpointConn, number int) {
+		p.readRequest()
+		p.writeText(okAnswer)
 		if number <= 2 {
-			p.blackHole()
+			p.dropIncoming()
 			silenced <- struct{}{}
 			return
 		}
-		answering(okAnswer)(p, number)
+		answerEvery(okAnswer)(p, number)
 	})
 	c := newConnections(t, Config{SilentAfter: 100 * time.Millisecond})
 	openConnections(t, c, e.address, 2)
@@ -65,7 +65,7 @@
 // A straggler must not pass for a dead connection: its mates would be closed
 // and opened again, at 1 ms each, while it is slow already.
 func TestSlowEndpointIsNotSilent(t *testing.T) {
-	e := newEndpoint(t, func(p *peer, _ int) { p.request() })
+	e := newEndpoint(t, func(p *endpointConn, _ int) { p.readRequest() })
 	c := newConnections(t, Config{SilentAfter: 20 * time.Millisecond, HeaderTimeout: 200 * time.Millisecond})
 	_, _, err := exchangeText(c, outgoing(t, e.address, http.MethodGet, ""))
 	if FailureOf(err) != Slow {
@@ -78,10 +78,10 @@
 	}
 }
 
-func TestReuse(t *testing.T) {
+func TestIdleConnectionReuse(t *testing.T) {
 	clock := new(manualClock)
 	clock.advance(time.Hour)
-	e := newEndpoint(t, answering(okAnswer))
+	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{Clock: clock.read, FreshWithin: time.Second, IdleTimeout: time.Minute, MaxConnsPerEndpoint: 1})
 	steps := []struct {
 		name string
@@ -120,7 +120,7 @@
 // A leaving endpoint's answer in flight must come through, and its connection
 // must not outlive it.
 func TestDropLetsBusyConnectionsEnd(t *testing.T) {
-	e := newEndpoint(t, answering(okAnswer))
+	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{})
 	resp, _, err := c.Send(t.Context(), outgoing(t, e.address, http.MethodGet, ""))
 	if err != nil {
--- a/internal/forward/replay_test.go
+++ b/internal/forward/replay_test.go
@@ -7,68 +7,76 @@
 	"testing"
 )
 
-// deaths are the points at which a reused connection can die.
-var deaths = []struct {
+// connFailures are the points at which a reused connection can die.
+var connFailures = []struct {
 	name string
 	// idle is set when the connection dies before the request.
-	idle bool
-	die  func(*peer)
+	idle      bool
+	breakConn func(*endpointConn)
 	// body is the request's body.
 	body string
 	want Failure
 	// arrivals is how often the endpoint may see the second request.
 	arrivals int32
 }{
-	{"closed while idle", true, func(p *peer) { p.Close() }, "tray", None, 1},
-	{"reset while idle", true, (*peer).reset, "tray", None, 1},
-	{"unasked answer while idle", true, func(p *peer) { p.say(okAnswer) }, "tray", None, 1},
-	{"reset at the first byte", false, func(p *peer) { p.arrive(); p.reset() }, "tray", Died, 1},
-	{"closed after the request", false, func(p *peer) { p.request(); p.Close() }, "tray", Died, 1},
-	{"closed after a request without body", false, func(p *peer) { p.request(); p.Close() }, "", Died, 1},
-	{"reset in the middle of an upload", false, func(p *peer) { p.arrive(); p.reset() }, strings.Repeat("x", 1<<20), Died, 1},
-	{"closed in the status line", false, func(p *peer) { p.request(); p.say("HTTP/1.1 2"); p.Close() }, "tray", Died, 1},
-	{"closed in the head", false, func(p *peer) { p.request(); p.say("HTTP/1.1 200 OK\r\nContent-"); p.Close() }, "tray", Died, 1},
-	{"closed after the head", false, func(p *peer) { p.request(); p.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"); p.Close() }, "tray", Truncated, 1},
-	{"closed in the body", false, func(p *peer) { p.request(); p.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no"); p.Close() }, "tray", Truncated, 1},
+	{"closed while idle", true, func(p *endpointConn) { p.Close() }, "tray", None, 1},
+	{"reset while idle", true, (*endpointConn).reset, "tray", None, 1},
+	{"unasked answer while idle", true, func(p *endpointConn) { p.writeText(okAnswer) }, "tray", None, 1},
+	{"reset at the first byte", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, "tray", Died, 1},
+	{"closed after the request", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "tray", Died, 1},
+	{"closed after a request without body", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "", Died, 1},
+	{"reset in the middle of an upload", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, strings.Repeat("x", 1<<20), Died, 1},
+	{"closed in the status line", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 2"); p.Close() }, "tray", Died, 1},
+	{"closed in the head", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 200 OK\r\nContent-"); p.Close() }, "tray", Died, 1},
+	{"closed after the head", false, func(p *endpointConn) {
+		p.readRequest()
+		p.writeText("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
+		p.Close()
+	}, "tray", Truncated, 1},
+	{"closed in the body", false, func(p *endpointConn) {
+		p.readRequest()
+		p.writeText("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no")
+		p.Close()
+	}, "tray", Truncated, 1},
 }
 
 // A steward logs a tray's waste once, and tomorrow's order counts it twice. The
 // entry wrote the request on a connection used before, the endpoint ran it and
 // its connection died before the answer came back whole. The standard transport
 // then sends it again by itself, because it carries an Idempotency-Key.
-func TestNothingIsSentTwice(t *testing.T) {
-	for _, death := range deaths {
-		t.Run(death.name, func(t *testing.T) {
-			e := newEndpoint(t, dyingOnce(death.idle, death.die))
+func TestRequestIsNeverSentTwice(t *testing.T) {
+	for _, failure := range connFailures {
+		t.Run(failure.name, func(t *testing.T) {
+			e := newEndpoint(t, breakOnce(failure.idle, failure.breakConn))
 			c := newConnections(t, Config{})
 			mustExchange(t, c, outgoing(t, e.address, http.MethodPost, "first"))
-			if death.idle {
-				eventually(t, "the death is seen", idleDead(c, e.address))
+			if failure.idle {
+				eventually(t, "the death is seen", idleUnusable(c, e.address))
 			}
-			_, delivery, err := exchangeText(c, outgoing(t, e.address, http.MethodPost, death.body))
-			if FailureOf(err) != death.want {
-				t.Errorf("got %v, want %v", err, death.want)
+			_, delivery, err := exchangeText(c, outgoing(t, e.address, http.MethodPost, failure.body))
+			if FailureOf(err) != failure.want {
+				t.Errorf("got %v, want %v", err, failure.want)
 			}
 			if !delivery.Wrote {
 				t.Error("the request was written, but is reported as not written")
 			}
-			if got := e.arrivals.Load() - 1; got != death.arrivals {
-				t.Errorf("the request arrived %d times, want %d", got, death.arrivals)
+			if got := e.arrivals.Load() - 1; got != failure.arrivals {
+				t.Errorf("the request arrived %d times, want %d", got, failure.arrivals)
 			}
 		})
 	}
 }
 
-// dyingOnce answers the first request of the first connection, then dies.
-func dyingOnce(idle bool, die func(*peer)) func(*peer, int) {
-	return func(p *peer, number int) {
-		p.request()
-		p.say(okAnswer)
+// breakOnce answers the first request of the first connection, then dies.
+func breakOnce(idle bool, breakConn func(*endpointConn)) func(*endpointConn, int) {
+	return func(p *endpointConn, number int) {
+		p.readRequest()
+		p.writeText(okAnswer)
 		if number == 1 {
-			die(p)
+			breakConn(p)
 		}
 		if number > 1 || idle {
-			answering(okAnswer)(p, number)
+			answerEvery(okAnswer)(p, number)
 		}
 	}
 }
@@ -76,7 +84,7 @@
 // This is why the package does not use the standard transport: the same death
 // makes it send the request again. If it ever stops to, the design note changes.
 func TestStandardTransportReplays(t *testing.T) {
-	e := newEndpoint(t, dyingOnce(false, func(p *peer) { p.request(); p.Close() }))
+	e := newEndpoint(t, breakOnce(false, func(p *endpointConn) { p.readRequest(); p.Close() }))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for range 2 {
@@ -97,9 +105,9 @@
 // A caller is told "unknown" though nothing ran, and a booking has to be looked
 // up by hand. No byte was written: the dial failed, or the request was refused
 // before. The delivery must say so.
-func TestNotWritten(t *testing.T) {
-	e := newEndpoint(t, answering(okAnswer))
-	closed := newEndpoint(t, answering(okAnswer))
+func TestFailureBeforeWritingReportsNothingWritten(t *testing.T) {
+	e := newEndpoint(t, answerEvery(okAnswer))
+	full := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{MaxConnsPerEndpoint: 1})
 	cases := []struct {
 		name   string
@@ -113,9 +121,9 @@
 		{"target with line end", func(o *Outgoing) { o.Request.URL.RawQuery = "a\r\nb" }, BadRequest},
 		{"method with space", func(o *Outgoing) { o.Request.Method = "GET /" }, BadRequest},
 		{"tunnel", func(o *Outgoing) { o.Request.Method = http.MethodConnect }, BadRequest},
-		{"bound reached", func(o *Outgoing) { o.Address = closed.address }, NoConnection},
+		{"bound reached", func(o *Outgoing) { o.Address = full.address }, NoConnection},
 	}
-	busy, _, err := c.Send(t.Context(), outgoing(t, closed.address, http.MethodGet, ""))
+	busy, _, err := c.Send(t.Context(), outgoing(t, full.address, http.MethodGet, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -80,10 +80,10 @@
 		got.pool.discard(used) // put would take it for one that brought an answer
 		return nil, delivery, &Error{Failure: Withdrawn, Address: out.Address}
 	}
-	x := &exchange{connections: c, pool: got.pool, conn: used, ctx: ctx, out: out, before: used.written.Load()}
+	x := &exchange{connections: c, pool: got.pool, conn: used, ctx: ctx, out: out, writtenBefore: used.written.Load()}
 	x.watchContext()
 	resp, err := x.run(&delivery)
-	delivery.Wrote = used.written.Load() > x.before
+	delivery.Wrote = used.written.Load() > x.writtenBefore
 	if err != nil {
 		return nil, delivery, x.fail(err)
 	}
@@ -97,14 +97,14 @@
 	conn        *conn
 	ctx         context.Context
 	out         Outgoing
-	// before is conn.written at the start.
-	before int64
+	// writtenBefore is conn.written at the start.
+	writtenBefore int64
 	// upload is nil while no goroutine sends a body.
 	upload *upload
-	// bodyDue is set while the endpoint was not yet asked for, or sent, the body.
-	bodyDue bool
-	// strays counts answers that belonged to other requests.
-	strays int
+	// bodyPending is set while the endpoint was not yet asked for, or sent, the body.
+	bodyPending bool
+	// strayAnswers counts answers that belonged to other requests.
+	strayAnswers int
 	// unwatch ends the watch of ctx; it returns false if ctx ended before.
 	unwatch func() bool
 }
@@ -129,19 +129,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return x.answer(resp)
+	return x.prepareAnswer(resp)
 }
 
 // writeRequest writes the head and a small body, or starts the upload.
 func (x *exchange) writeRequest() error {
 	body := x.out.framing()
 	small, isSmall := x.out.inline(body)
-	x.bodyDue = x.out.asks(body, isSmall)
+	x.bodyPending = x.out.awaitsContinue(body, isSmall)
 	w := x.conn.writer
-	if err := x.out.writeHead(w, body, x.bodyDue); err != nil {
+	if err := x.out.writeHead(w, body, x.bodyPending); err != nil {
 		return &Error{Failure: BadRequest, Address: x.out.Address, Cause: err}
 	}
-	if isSmall && !x.bodyDue {
+	if isSmall && !x.bodyPending {
 		if _, err := small.WriteTo(w); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if body.hasBody() && !isSmall && !x.bodyDue {
+	if body.hasBody() && !isSmall && !x.bodyPending {
 		x.startUpload()
 	}
 	return nil
@@ -158,7 +158,7 @@
 // startUpload sends the body in another goroutine, so that an answer that comes
 // before the upload's end is seen.
 func (x *exchange) startUpload() {
-	x.bodyDue = false
+	x.bodyPending = false
 	x.upload = &upload{
 		conn:    x.conn,
 		body:    x.out.Body,
@@ -173,10 +173,10 @@
 // release ends the exchange after a whole answer: the connection is reused if
 // the answer allows it and both sides are done with their messages.
 func (x *exchange) release(reusable bool) {
-	reusable = reusable && x.strays == 0 && !x.conn.encrypted && !x.bodyDue && (x.upload == nil || x.upload.finished())
+	reusable = reusable && x.strayAnswers == 0 && !x.conn.encrypted && !x.bodyPending && (x.upload == nil || x.upload.finished())
 	watched := x.unwatch()
 	if reusable && watched && x.conn.reader.Buffered() == 0 {
-		x.pool.put(x.conn, x.connections.cfg.Clock())
+		x.pool.putIdle(x.conn, x.connections.cfg.Clock())
 		return
 	}
 	x.drop()
--- a/internal/forward/socket/socket.go
+++ b/internal/forward/socket/socket.go
@@ -47,26 +47,26 @@
 
 // The byte of the flags in a TCP header, and the flag of a first segment.
 const (
-	flagsByte = 13
-	flagSYN   = 0x02
-	passWhole = 1 << 16
+	tcpFlagsOffset   = 13
+	tcpFlagSYN       = 0x02
+	keepWholeSegment = 1 << 16
 )
 
-// noNewConnections is a filter that drops the segments that open connections.
-var noNewConnections = [...]unix.SockFilter{
-	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flagsByte},
-	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, Jf: 1, K: flagSYN},
+// dropSYN is a filter that drops the segments that open connections.
+var dropSYN = [...]unix.SockFilter{
+	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
+	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, Jf: 1, K: tcpFlagSYN},
 	{Code: unix.BPF_RET | unix.BPF_K},
-	{Code: unix.BPF_RET | unix.BPF_K, K: passWhole},
+	{Code: unix.BPF_RET | unix.BPF_K, K: keepWholeSegment},
 }
 
-// StopOpening makes a listening socket ignore those who want to open a
+// DropNewConnections makes a listening socket ignore those who want to open a
 // connection, while connections that are being opened are still completed.
 // Guards against the reset of a connection that the kernel opened just before a
 // listener closes: its caller may have sent a request already. Whoever is
 // ignored tries again after a second and is refused then.
-func StopOpening(raw syscall.RawConn) error {
-	program := unix.SockFprog{Len: uint16(len(noNewConnections)), Filter: &noNewConnections[0]}
+func DropNewConnections(raw syscall.RawConn) error {
+	program := unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]}
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
 		optErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &program)
@@ -113,8 +113,8 @@
 }
 
 func (p *Probe) peekFD(fd uintptr) {
-	var one [1]byte
-	n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	var buffer [1]byte
+	n, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN:
 		p.arrival = Nothing
@@ -136,6 +136,6 @@
 	if err != nil || infoErr != nil {
 		return false
 	}
-	quietFor := time.Duration(info.Last_ack_recv) * time.Millisecond
-	return info.Unacked > 0 && info.Retransmits > 0 && quietFor >= atLeast
+	sinceLastACK := time.Duration(info.Last_ack_recv) * time.Millisecond
+	return info.Unacked > 0 && info.Retransmits > 0 && sinceLastACK >= atLeast
 }
--- a/internal/forward/upload.go
+++ b/internal/forward/upload.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// inlineBody is the largest body in memory that is written before the
+	// maxInlineBody is the largest body in memory that is written before the
 	// answer is read. It fits any socket buffer, so that the write can't wait
 	// for an endpoint that itself waits for its answer to be read.
-	inlineBody = 8 << 10
-	// copySize is the size of the pieces in which a body is copied.
-	copySize = 32 << 10
-	// lastWriteWait bounds the wait for the end of a body that is read whole
+	maxInlineBody = 8 << 10
+	// copyBufferSize is the size of the pieces in which a body is copied.
+	copyBufferSize = 32 << 10
+	// finalWriteTimeout bounds the wait for the end of a body that is read whole
 	// when the answer is complete; only the upload's last step is missing then.
-	lastWriteWait = 50 * time.Millisecond
+	finalWriteTimeout = 50 * time.Millisecond
 )
 
 var (
@@ -33,21 +33,21 @@
 // read once more after that.
 type Interrupter interface{ Interrupt() }
 
-// copyBuffers holds buffers of copySize bytes.
-var copyBuffers = sync.Pool{New: func() any { return new([copySize]byte) }}
+// copyBuffers holds buffers of copyBufferSize bytes.
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// inMemory is what bytes.Reader, bytes.Buffer and strings.Reader have.
-type inMemory interface {
+// memoryBody is what bytes.Reader, bytes.Buffer and strings.Reader have.
+type memoryBody interface {
 	io.WriterTo
 	Len() int
 }
 
 // inline returns the body if it may be written before the answer is read.
-func (o *Outgoing) inline(body framing) (inMemory, bool) {
-	if body.chunked || body.length > inlineBody {
+func (o *Outgoing) inline(body framing) (memoryBody, bool) {
+	if body.chunked || body.length > maxInlineBody {
 		return nil, false
 	}
-	memory, ok := o.Body.(inMemory)
+	memory, ok := o.Body.(memoryBody)
 	return memory, ok && int64(memory.Len()) == body.length
 }
 
@@ -61,8 +61,8 @@
 	clock   func() time.Duration
 
 	stopped atomic.Bool
-	// sourceRead is set when the body was read to its end.
-	sourceRead atomic.Bool
+	// bodyRead is set when the body was read to its end.
+	bodyRead atomic.Bool
 	// done is closed at the end; err and ended are valid after that.
 	done chan struct{}
 	err  error
@@ -72,17 +72,17 @@
 	defer close(u.done)
 	u.err = u.copy()
 	u.ended = u.clock()
-	var bad *sourceError
-	if errors.As(u.err, &bad) {
+	var bodyErr *bodyError
+	if errors.As(u.err, &bodyErr) {
 		// The endpoint must not take a part of the body for the whole.
 		u.conn.abort(BadBody)
 	}
 }
 
-// sourceError is an error of the body, as opposed to one of the connection.
-type sourceError struct{ error }
+// bodyError is an error of the body, as opposed to one of the connection.
+type bodyError struct{ error }
 
-func (e *sourceError) Unwrap() error { return e.error }
+func (e *bodyError) Unwrap() error { return e.error }
 
 func (u *upload) copy() error {
 	if err := u.copyBody(); err != nil {
@@ -95,7 +95,7 @@
 	if !u.framing.chunked {
 		n, err := u.copyTo(u.conn.writer, io.LimitReader(u.body, u.framing.length))
 		if err == nil && n < u.framing.length {
-			return &sourceError{errShortBody}
+			return &bodyError{errShortBody}
 		}
 		return err
 	}
@@ -108,7 +108,7 @@
 	}
 	for name, values := range u.trailer {
 		if err := writeHeader(u.conn.writer, name, values); err != nil {
-			return &sourceError{err}
+			return &bodyError{err}
 		}
 	}
 	_, err := u.conn.writer.WriteString("\r\n")
@@ -119,7 +119,7 @@
 // passed on as it comes. The flag is checked between reading and writing: after
 // the exchange ended, the connection may not be written to any more.
 func (u *upload) copyTo(w io.Writer, r io.Reader) (int64, error) {
-	buffer := copyBuffers.Get().(*[copySize]byte)
+	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
 	var total int64
 	for {
@@ -134,11 +134,11 @@
 			}
 		}
 		if readErr == io.EOF {
-			u.sourceRead.Store(true)
+			u.bodyRead.Store(true)
 			return total, nil
 		}
 		if readErr != nil {
-			return total, &sourceError{readErr}
+			return total, &bodyError{readErr}
 		}
 	}
 }
@@ -153,7 +153,7 @@
 // finished reports whether the whole body was written. If only the last step
 // of a body that was read whole is missing, it waits for that.
 func (u *upload) finished() bool {
-	if !u.sourceRead.Load() {
+	if !u.bodyRead.Load() {
 		select {
 		case <-u.done:
 			return u.err == nil
@@ -161,7 +161,7 @@
 			return false
 		}
 	}
-	timer := time.NewTimer(lastWriteWait)
+	timer := time.NewTimer(finalWriteTimeout)
 	defer timer.Stop()
 	select {
 	case <-u.done:
--- a/internal/forward/wait_test.go
+++ b/internal/forward/wait_test.go
@@ -12,8 +12,8 @@
 // free slot, and yet all connections to it are in use. Requests were told that there is
 // no endpoint. They wait for one that comes free, whether it ends well or breaks off; a
 // caller that leaves is let go at once.
-func TestRequestsWaitForAConnection(t *testing.T) {
-	e := newEndpoint(t, answering(okAnswer))
+func TestRequestsWaitForAFreeConnection(t *testing.T) {
+	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{MaxConnsPerEndpoint: 1, DialTimeout: time.Minute})
 	for _, ends := range []struct {
 		name string
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -9,11 +9,11 @@
 // long to set up, or the process slept meanwhile; the caller's deadline passed,
 // "not run" was answered, and then the request was written after all. So whoever
 // sends is asked once more when the connection is there.
-func TestWithdrawnDuringDial(t *testing.T) {
+func TestRequestWithdrawnDuringDialIsNotSent(t *testing.T) {
 	accepted := make(chan struct{}, 1)
-	e := newEndpoint(t, func(p *peer, number int) {
+	e := newEndpoint(t, func(p *endpointConn, number int) {
 		accepted <- struct{}{}
-		answering(okAnswer)(p, number)
+		answerEvery(okAnswer)(p, number)
 	})
 	c := newConnections(t, Config{})
 	out := outgoing(t, e.address, http.MethodPost, "hall 7")
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -54,7 +54,7 @@
 	l.leaving.Store(true)
 	if raw, err := l.TCPListener.SyscallConn(); err == nil {
 		// Without it a connection that is opened in the last instant is reset.
-		_ = socket.StopOpening(raw)
+		_ = socket.DropNewConnections(raw)
 	}
 	l.TCPListener.SetDeadline(time.Now().Add(drainTime))
 }
--- a/internal/route/document.go
+++ b/internal/route/document.go
@@ -51,7 +51,7 @@
 		return nil, fault.Wrap(err, fault.BadProfile, remedy, "the routes are not readable")
 	}
 	found := problems{count: len(d.Problems), texts: d.Problems}
-	t := &Table{services: found.services(d.Services), routes: found.routes(d.Routes), limits: d.Limits, problems: found.list()}
+	t := &Table{services: found.usableServices(d.Services), routes: found.usableRoutes(d.Routes), limits: d.Limits, problems: found.list()}
 	t.index()
 	return t, nil
 }
--- a/internal/route/repair.go
+++ b/internal/route/repair.go
@@ -32,8 +32,8 @@
 	return p.texts
 }
 
-// services returns the usable services, sorted by name.
-func (p *problems) services(all []Service) []Service {
+// usableServices returns the usable services, sorted by name.
+func (p *problems) usableServices(all []Service) []Service {
 	all = slices.SortedStableFunc(slices.Values(all), func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	usable := all[:0]
 	for _, s := range all {
@@ -50,18 +50,18 @@
 	return usable
 }
 
-// place is what one route alone may occupy.
-type place struct{ host, prefix string }
+// routeKey is what one route alone may occupy.
+type routeKey struct{ host, prefix string }
 
-// routes returns the usable routes, sorted by name, each with what it lacks.
-func (p *problems) routes(all []Route) []Route {
+// usableRoutes returns the usable routes, sorted by name, each with what it lacks.
+func (p *problems) usableRoutes(all []Route) []Route {
 	all = slices.SortedStableFunc(slices.Values(all), func(a, b Route) int { return cmp.Compare(a.Name, b.Name) })
-	places, usable := make(map[place]string, len(all)), all[:0]
+	names, usable := make(map[routeKey]string, len(all)), all[:0]
 	for i := range all {
 		r := all[i]
-		at := place{strings.ToLower(r.Host), r.Prefix}
-		other, taken := places[at]
-		r.Parts = p.parts(&r)
+		key := routeKey{strings.ToLower(r.Host), r.Prefix}
+		other, taken := names[key]
+		r.Parts = p.mergeParts(&r)
 		switch {
 		case len(usable) > 0 && usable[len(usable)-1].Name == r.Name:
 			p.add("route %q stands twice; the first counts", r.Name)
@@ -73,16 +73,16 @@
 			p.add("routes %q and %q have the same host and prefix; the first counts", other, r.Name)
 			continue
 		}
-		places[at] = r.Name
-		p.bounds(&r)
+		names[key] = r.Name
+		p.checkBounds(&r)
 		usable = append(usable, r)
 	}
 	return usable
 }
 
-// bounds sets a route's own figures right. One that says nothing of its kind is treated as the
+// checkBounds sets a route's own figures right. One that says nothing of its kind is treated as the
 // kind that promises least.
-func (p *problems) bounds(r *Route) {
+func (p *problems) checkBounds(r *Route) {
 	if !slices.Contains(Kinds(), r.Kind) {
 		p.add("route %q: requests of the unknown kind %q run once at most", r.Name, r.Kind)
 		r.Kind = NonIdempotent
@@ -97,21 +97,21 @@
 	}
 }
 
-// wholeSplit bounds the sum of a split's weights, to which larger and broken ones are scaled.
-const wholeSplit = 1000
+// maxWeightSum bounds the sum of a split's weights, to which larger and broken ones are scaled.
+const maxWeightSum = 1000
 
-// largestWeight keeps sums of weights exact.
-const largestWeight = 1e9
+// maxWeight keeps sums of weights exact.
+const maxWeight = 1e9
 
-// parts returns the parts that get requests, each service once, with whole weights above 0. Where
+// mergeParts returns the parts that get requests, each service once, with whole weights above 0. Where
 // no part has a weight all are alike: the route is there to be served.
-func (p *problems) parts(r *Route) []Part {
+func (p *problems) mergeParts(r *Route) []Part {
 	var merged []Part
 	for _, part := range r.Parts {
 		if part.Weight < 0 {
 			p.add("route %q: the negative weight of service %q counts as 0", r.Name, part.Service)
 		}
-		part.Weight = min(max(part.Weight, 0), largestWeight)
+		part.Weight = min(max(part.Weight, 0), maxWeight)
 		same := func(other Part) bool { return other.Service == part.Service }
 		if i := slices.IndexFunc(merged, same); i >= 0 {
 			merged[i].Weight += part.Weight
@@ -133,22 +133,22 @@
 		return merged
 	}
 	merged = slices.DeleteFunc(merged, func(part Part) bool { return part.Weight == 0 })
-	return whole(merged, sum)
+	return wholeWeights(merged, sum)
 }
 
-// whole turns the weights into small whole numbers, in which requests are dealt.
-func whole(parts []Part, sum float64) []Part {
+// wholeWeights turns the weights into small whole numbers, in which requests are dealt.
+func wholeWeights(parts []Part, sum float64) []Part {
 	if len(parts) == 1 {
 		parts[0].Weight = 1
 		return parts
 	}
 	isWhole := func(part Part) bool { return part.Weight == math.Trunc(part.Weight) }
-	if sum <= wholeSplit && !slices.ContainsFunc(parts, func(part Part) bool { return !isWhole(part) }) {
+	if sum <= maxWeightSum && !slices.ContainsFunc(parts, func(part Part) bool { return !isWhole(part) }) {
 		return parts
 	}
 	divisor := 0
 	for i := range parts {
-		parts[i].Weight = max(1, math.Round(parts[i].Weight/sum*wholeSplit))
+		parts[i].Weight = max(1, math.Round(parts[i].Weight/sum*maxWeightSum))
 		divisor = gcd(divisor, int(parts[i].Weight))
 	}
 	for i := range parts {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFind(t *testing.T) {
+func TestFindLongestPrefix(t *testing.T) {
 	table, err := Parse(Encode(sample()))
 	if err != nil {
 		t.Fatal(err)
@@ -56,30 +56,30 @@
 
 // Guards against a document that the platform has accepted and that one odd route keeps out of
 // force. What is odd is set right or left out by itself, and named.
-func TestOddRoutesAreSetRightOrLeftOut(t *testing.T) {
-	first := func(d *Document) *Route { return &d.Routes[1] } // "long", split between s and t
+func TestInvalidRoutesAreCorrectedOrSkipped(t *testing.T) {
+	long := func(d *Document) *Route { return &d.Routes[1] } // "long", split between s and t
 	for _, c := range []struct {
 		name   string
 		change func(d *Document)
 		// want is how the sample's route "long" ends, "" if it is left out; says is part of what is
 		// told, "" if nothing is to be told.
-		want, says string
+		want, wantProblem string
 	}{
 		{"as it is", func(*Document) {}, "s90 t10 non_idempotent 1500 2 0", ""},
-		{"prefix without an end", func(d *Document) { first(d).Prefix = "/x/y" }, "s90 t10 non_idempotent 1500 2 0", ""},
-		{"unknown kind", func(d *Document) { first(d).Kind = "safe" }, "s90 t10 non_idempotent 1500 2 0", `unknown kind "safe" run once at most`},
-		{"no part", func(d *Document) { first(d).Parts = nil }, "", `route "long" leads to no service and is left out`},
-		{"one part without weight", func(d *Document) { first(d).Parts[0].Weight = 0 }, "t1 non_idempotent 1500 2 0", ""},
-		{"no part with a weight", func(d *Document) { first(d).Parts[0].Weight, first(d).Parts[1].Weight = 0, 0 }, "s1 t1 non_idempotent 1500 2 0", `no service has a weight`},
-		{"negative weight", func(d *Document) { first(d).Parts[0].Weight = -3 }, "t1 non_idempotent 1500 2 0", `negative weight of service "s"`},
-		{"small weights", func(d *Document) { first(d).Parts[0].Weight, first(d).Parts[1].Weight = 0.75, 0.25 }, "s3 t1 non_idempotent 1500 2 0", ""},
-		{"large weights", func(d *Document) { first(d).Parts[0].Weight, first(d).Parts[1].Weight = 3e6, 1e6 }, "s3 t1 non_idempotent 1500 2 0", ""},
-		{"a trickle", func(d *Document) { first(d).Parts[0].Weight, first(d).Parts[1].Weight = 1e300, 1 }, "s1000 t1 non_idempotent 1500 2 0", ""},
-		{"a service twice", func(d *Document) { first(d).Parts[1].Service = "s" }, "s1 non_idempotent 1500 2 0", ""},
-		{"no attempt", func(d *Document) { first(d).MaxAttempts = 0 }, "s90 t10 non_idempotent 1500 1 0", "max_attempts 0 counts as 1"},
-		{"no timeout", func(d *Document) { first(d).Timeout = 0 }, "s90 t10 non_idempotent 0 2 0", ""},
-		{"negative timeout", func(d *Document) { first(d).Timeout = -5 }, "s90 t10 non_idempotent 0 2 0", "negative timeout"},
-		{"negative priority", func(d *Document) { first(d).Priority = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative timeout, objective or priority"},
+		{"prefix without an end", func(d *Document) { long(d).Prefix = "/x/y" }, "s90 t10 non_idempotent 1500 2 0", ""},
+		{"unknown kind", func(d *Document) { long(d).Kind = "safe" }, "s90 t10 non_idempotent 1500 2 0", `unknown kind "safe" run once at most`},
+		{"no part", func(d *Document) { long(d).Parts = nil }, "", `route "long" leads to no service and is left out`},
+		{"one part without weight", func(d *Document) { long(d).Parts[0].Weight = 0 }, "t1 non_idempotent 1500 2 0", ""},
+		{"no part with a weight", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 0, 0 }, "s1 t1 non_idempotent 1500 2 0", `no service has a weight`},
+		{"negative weight", func(d *Document) { long(d).Parts[0].Weight = -3 }, "t1 non_idempotent 1500 2 0", `negative weight of service "s"`},
+		{"small weights", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 0.75, 0.25 }, "s3 t1 non_idempotent 1500 2 0", ""},
+		{"large weights", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 3e6, 1e6 }, "s3 t1 non_idempotent 1500 2 0", ""},
+		{"a trickle", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 1e300, 1 }, "s1000 t1 non_idempotent 1500 2 0", ""},
+		{"a service twice", func(d *Document) { long(d).Parts[1].Service = "s" }, "s1 non_idempotent 1500 2 0", ""},
+		{"no attempt", func(d *Document) { long(d).MaxAttempts = 0 }, "s90 t10 non_idempotent 1500 1 0", "max_attempts 0 counts as 1"},
+		{"no timeout", func(d *Document) { long(d).Timeout = 0 }, "s90 t10 non_idempotent 0 2 0", ""},
+		{"negative timeout", func(d *Document) { long(d).Timeout = -5 }, "s90 t10 non_idempotent 0 2 0", "negative timeout"},
+		{"negative priority", func(d *Document) { long(d).Priority = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative timeout, objective or priority"},
 		{"same place", func(d *Document) { d.Routes[0].Prefix = "/x/y/" }, "s90 t10 non_idempotent 1500 2 0", `"long" and "short" have the same host and prefix`},
 		{"same name", func(d *Document) { d.Routes[0].Name = "long" }, "s1 idempotent 1500 2 0", `route "long" stands twice`},
 		{"service twice", func(d *Document) { d.Services[1].Name = "s" }, "s90 t10 non_idempotent 1500 2 0", `service "s" stands twice`},
@@ -107,8 +107,8 @@
 			if got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			if told := strings.Join(table.Problems(), "; "); (told != "") != (c.says != "") || !strings.Contains(told, c.says) {
-				t.Errorf("told %q, want %q", told, c.says)
+			if reported := strings.Join(table.Problems(), "; "); (reported != "") != (c.wantProblem != "") || !strings.Contains(reported, c.wantProblem) {
+				t.Errorf("told %q, want %q", reported, c.wantProblem)
 			}
 			if _, found := table.Find("b.example", "/x/1"); !found {
 				t.Error("another route is lost")
@@ -118,7 +118,7 @@
 }
 
 // Guards against a log line as long as a document with hundreds of odd routes.
-func TestToldProblemsAreBounded(t *testing.T) {
+func TestProblemListIsBounded(t *testing.T) {
 	d := sample()
 	for i := range 300 {
 		r := d.Routes[0]
@@ -129,9 +129,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := table.Problems()
-	if len(told) != maxProblems+1 || told[maxProblems] != "and 292 more" || len(table.Routes()) != 303 {
-		t.Errorf("%d routes, told %q", len(table.Routes()), told)
+	reported := table.Problems()
+	if len(reported) != maxProblems+1 || reported[maxProblems] != "and 292 more" || len(table.Routes()) != 303 {
+		t.Errorf("%d routes, told %q", len(table.Routes()), reported)
 	}
 }
 
@@ -146,7 +146,7 @@
 
 // Readers that got the same routes in another order must publish the same bytes, or
 // their peers would take one of them for wrong.
-func TestEncodingHasOneOrder(t *testing.T) {
+func TestEncodeIgnoresInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := sample()
 		d.Routes = rapid.Permutation(d.Routes).Draw(t, "routes")
