--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	errSwitchedProtocols = errors.New("the endpoint switched protocols unasked")
-	errUnframed          = errors.New("the answer has neither a length nor chunks")
-	errUnacknowledged    = errors.New("no acknowledgement came back")
+	errSwitchedProtocols = errors.New("the endpoint switched protocols without a request to do so")
+	errUnframed          = errors.New("the answer has neither a Content-Length nor the chunked coding")
+	errUnacknowledged    = errors.New("the endpoint has stopped acknowledging sent bytes")
 	errStray             = errors.New("the answer belongs to another request")
-	errHeadTimeout       = errors.New("the endpoint is alive but gave no answer")
+	errHeadTimeout       = errors.New("the connection is alive but no answer arrived")
 )
 
-// readHead reads informational answers and the head of the final one.
+// readHead reads the informational answers and the head of the final answer.
 func (x *exchange) readHead(delivery *Delivery) (*http.Response, error) {
 	x.conn.limitHead(x.connections.cfg.MaxResponseHeaderBytes)
 	defer x.conn.unlimitHead()
@@ -52,10 +52,10 @@
 	}
 }
 
-// maxStrayAnswers bounds the answers of other requests that are dropped for one.
+// maxStrayAnswers bounds the answers to other requests that one exchange discards.
 const maxStrayAnswers = 2
 
-// discardStray reads over an answer that belongs to another request.
+// discardStray reads and discards an answer that belongs to another request.
 func (x *exchange) discardStray(resp *http.Response) error {
 	x.strayAnswers++
 	if x.strayAnswers > maxStrayAnswers || unframed(resp, false) {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// parseHead reads one head whose first byte is there.
+// parseHead reads the head of an answer whose first byte has arrived.
 func (x *exchange) parseHead() (*http.Response, error) {
 	if timeout := x.connections.cfg.HeaderTimeout; timeout > 0 {
 		x.conn.SetReadDeadline(time.Now().Add(timeout))
@@ -84,14 +84,14 @@
 	case errors.Is(x.conn.readErr, os.ErrDeadlineExceeded):
 		failure = Slow
 	case x.conn.readErr == nil, x.conn.readErr == errHeadTooLarge:
-		// Nothing is wrong with the connection, only with what was read.
+		// The connection works; only the data on it is malformed.
 		failure = BadAnswer
 	}
 	return nil, &Error{Failure: failure, Address: x.out.Address, Cause: err}
 }
 
-// awaitFirstByte waits for the next byte of the answer. It wakes up from time to
-// time to tell a dead connection from a slow endpoint.
+// awaitFirstByte waits for the first byte of the next answer. It wakes up periodically to
+// distinguish a dead connection from a slow endpoint.
 func (x *exchange) awaitFirstByte() error {
 	if x.conn.reader.Buffered() > 0 {
 		return nil
@@ -114,11 +114,12 @@
 	}
 }
 
-// checksPerSilentAfter is how many times per Config.SilentAfter a connection is looked at
-// again: the kernel's first retransmission may fall just after the first look.
+// checksPerSilentAfter is how many times per Config.SilentAfter a connection is checked after the
+// first check. More than one, because the kernel's first retransmission may fall just after the
+// first check.
 const checksPerSilentAfter = 4
 
-// waitStep returns how long to wait before the connection is looked at again.
+// waitStep returns how long to wait before the connection is checked again.
 func (x *exchange) waitStep(waited time.Duration) time.Duration {
 	cfg := &x.connections.cfg
 	step := cfg.SilentAfter
@@ -134,9 +135,9 @@
 	return max(step, time.Millisecond)
 }
 
-// checkTimeouts acts on the time-outs that passed: the body is sent to an endpoint
-// that says nothing about the expectation, and a slow endpoint is given up. The
-// wait for the head begins when the body is sent.
+// checkTimeouts acts on the timeouts that have expired. After Config.ContinueTimeout it sends the
+// body to an endpoint that has not answered "Expect: 100-continue"; after Config.HeaderTimeout it
+// gives up on a slow endpoint. The header timeout starts when the body has been sent.
 func (x *exchange) checkTimeouts(waitStart time.Duration) error {
 	cfg := &x.connections.cfg
 	if x.bodyPending {
@@ -166,8 +167,8 @@
 		return nil, &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errUnframed}
 	}
 	if resp.Body == http.NoBody || head {
-		// An endpoint that wrongly sends a body here would have it taken for the
-		// head of the next answer on this connection, another caller's.
+		// If the endpoint sends a body here against the protocol, a reused connection would parse
+		// it as the head of the next answer, which may be another caller's.
 		noBody := !head && resp.ContentLength <= 0
 		x.release(!resp.Close && noBody)
 		resp.Body = http.NoBody
@@ -177,13 +178,13 @@
 	return resp, nil
 }
 
-// unframed reports whether only the end of the connection ends the body.
+// unframed reports whether the body is delimited only by the end of the connection.
 func unframed(resp *http.Response, head bool) bool {
 	return !head && resp.Body != http.NoBody && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// answerBody streams the body of an answer. Like any http.Response.Body it is
-// for one goroutine at a time.
+// answerBody streams the body of an answer. Like any http.Response.Body, it may be used by one
+// goroutine at a time.
 type answerBody struct {
 	exchange *exchange
 	source   io.Reader
@@ -192,7 +193,7 @@
 	err error
 }
 
-// Read returns io.EOF only after the whole body; trailers are set by then.
+// Read returns io.EOF only after the whole body has been read; the trailers are set by then.
 func (b *answerBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -210,8 +211,8 @@
 	return n, b.err
 }
 
-// Close ends the exchange. Before the end of the body it closes the connection,
-// which tells the endpoint that nobody waits for the rest.
+// Close ends the exchange. If the body has not been read to its end, Close closes the connection,
+// which tells the endpoint to stop sending.
 func (b *answerBody) Close() error {
 	if b.err == nil {
 		b.err = http.ErrBodyReadAfterClose
@@ -220,14 +221,14 @@
 	return nil
 }
 
-// fail ends the exchange before the body of the answer and classifies err.
+// fail ends an exchange that failed before the body of the answer and classifies err.
 func (x *exchange) fail(err error) error { return x.classify(err, Died) }
 
-// failBody ends the exchange in the body of the answer and classifies err.
+// failBody ends an exchange that failed in the body of the answer and classifies err.
 func (x *exchange) failBody(err error) error { return x.classify(err, Truncated) }
 
-// classify ends the exchange and returns the error that explains it best: why
-// this process closed the connection, else err itself, else fallback.
+// classify ends the exchange and returns an *Error with the most specific class known: the reason
+// for which this process closed the connection, else the class of err, else fallback.
 func (x *exchange) classify(err error, fallback Failure) error {
 	aborted := x.conn.abortedFor()
 	x.drop()
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkCall compares one small call on a kept connection by this package,
-// by the standard transport and by its single client connection.
+// BenchmarkCall compares one small call on a reused connection through this package, through the
+// standard transport and through a single client connection of that transport.
 func BenchmarkCall(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Tealhall-Load", "in-flight=1,queued=0,slots=2")
--- a/internal/forward/config.go
+++ b/internal/forward/config.go
@@ -10,51 +10,49 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// Config bounds the connections of one entry. Zero values take the defaults
-// named at each field.
+// Config configures the connections of one entry. Zero values take the defaults named at each
+// field.
 type Config struct {
-	// MaxConnsPerEndpoint bounds the open connections to one address, busy,
-	// idle and being dialled. Default 16: an instance has room for about 240
-	// connections from up to 15 entries.
+	// MaxConnsPerEndpoint limits the connections to one address, whether busy, idle or being
+	// dialled. Default 16: an endpoint accepts about 240 connections from up to 15 entries.
 	MaxConnsPerEndpoint int
-	// DialTimeout bounds the set-up of a connection. Default 1 s.
+	// DialTimeout limits the time for setting up a connection. Default 1 s.
 	DialTimeout time.Duration
-	// IdleTimeout is the age at which an idle connection is closed. Keep it
-	// below the idle time-out of the endpoints, so that the entry closes first.
-	// Default 30 s.
+	// IdleTimeout is how long a connection may stay idle before it is closed. Keep it below the
+	// idle timeout of the endpoints, so that the entry closes first. Default 30 s.
 	IdleTimeout time.Duration
-	// FreshWithin is how recently an idle connection must have brought an
-	// answer for a request that may run only once. Default 1 s.
+	// FreshWithin is how recently an idle connection must have been set up or have delivered an
+	// answer to carry a request that may run only once. Default 1 s.
 	FreshWithin time.Duration
-	// HeaderTimeout bounds the wait for the head of the answer after the whole
-	// request was written. Zero leaves the bound to the request's context.
+	// HeaderTimeout limits the wait for the head of the answer after the whole request was
+	// written. Zero means no limit but the request's context.
 	HeaderTimeout time.Duration
-	// SilentAfter is how long the endpoint's kernel may leave written bytes
-	// unacknowledged, while they are sent again, before the connection counts
-	// as silent. Default 400 ms, twice the shortest retransmission time-out.
+	// SilentAfter is how long the endpoint's kernel may send nothing back, while unacknowledged
+	// bytes are retransmitted, before the connection counts as silent. Default 400 ms, twice the
+	// shortest retransmission timeout.
 	SilentAfter time.Duration
-	// UserTimeout is the TCP user time-out: the kernel ends a connection whose
-	// bytes stay unacknowledged for so long. It also ends an upload that the
-	// endpoint stops reading for so long. Default 15 s.
+	// UserTimeout is the TCP user timeout: the kernel ends a connection whose bytes stay
+	// unacknowledged for this time. It also ends an upload that the endpoint does not read for
+	// this time. Default 15 s.
 	UserTimeout time.Duration
 	// KeepAlive is the idle time before the first TCP keep-alive probe and the
 	// time between probes. Default 5 s.
 	KeepAlive time.Duration
-	// ContinueTimeout is how long a request with "Expect: 100-continue" waits
-	// for the endpoint's word before its body is sent. Default 1 s.
+	// ContinueTimeout is how long a request with "Expect: 100-continue" waits for the endpoint's
+	// answer before its body is sent. Default 1 s.
 	ContinueTimeout time.Duration
-	// MaxResponseHeaderBytes bounds the head of an answer together with the
+	// MaxResponseHeaderBytes limits the size of the head of an answer together with the
 	// informational answers before it. Default 64 KiB.
 	MaxResponseHeaderBytes int64
-	// AllowUnframed passes on answers that have neither a Content-Length nor
-	// the chunked coding. Their end can't be told from a lost connection, so
-	// they are refused by default.
+	// AllowUnframed passes on answers that have neither a Content-Length nor the chunked coding.
+	// By default they are refused, because their end can't be distinguished from a lost
+	// connection.
 	AllowUnframed bool
-	// TLS, if not nil, encrypts connections; it is called for each new one. A
-	// configuration without a server name makes the other end's certificate bear
-	// the IP number of its address. Such a connection carries one request.
+	// TLS, if not nil, returns the configuration that encrypts a new connection. If the
+	// configuration has no server name, the certificate of the other end must name the IP address
+	// that was dialled. An encrypted connection carries one request only.
 	TLS func() *tls.Config
-	// Clock is the monotonic time since the process started. Required.
+	// Clock returns the monotonic time since the process started. Required.
 	Clock func() time.Duration
 }
 
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -14,39 +14,39 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// The sizes of each connection's buffers. An entry holds some to each endpoint, most
-// of them idle; what is larger than a buffer passes in several pieces.
+// The sizes of each connection's buffers. They are small because an entry keeps several
+// connections to each endpoint, most of them idle. Larger data passes through in several pieces.
 const (
 	readBufferSize  = 2 << 10
 	writeBufferSize = 1 << 10
 )
 
-// errHeadTooLarge ends the reading of an answer whose head is too large.
+// errHeadTooLarge is the read error when the head of an answer exceeds its limit.
 var errHeadTooLarge = errors.New("the head of the answer is too large")
 
-// conn is one TCP connection to an endpoint. It belongs to one exchange at a
-// time, or to its pool; only abort and silent may be called by others.
+// conn is one TCP connection to an endpoint. It belongs to one exchange at a time, or to its pool.
+// Other goroutines may only call abort and probe.Silent.
 type conn struct {
 	net.Conn
-	// tcp is Conn, or what it is on top of; encrypted tells the two apart.
+	// tcp is Conn itself, or the connection below it if Conn is TLS; encrypted says which.
 	tcp       *net.TCPConn
 	encrypted bool
 	probe     *socket.Probe
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 
-	// written counts the bytes that the kernel took over, for "no byte of this
-	// request was written"; the uploading goroutine writes too.
+	// written counts the bytes handed to the kernel. It shows whether any byte of a request was
+	// written. It is atomic because the uploading goroutine writes too.
 	written atomic.Int64
 	// headLeft is how many bytes the head of the answer may still take.
 	headLeft int64
-	// readErr is the last error of Read, for what the parsers hide: they call a
-	// line that was cut off malformed.
+	// readErr is the last error of Read. The parsers hide it: they report a truncated line as
+	// malformed.
 	readErr error
 
-	// index is the index in pool.all; guarded by the pool.
+	// index is the position in pool.all; guarded by the lock of the pool.
 	index int
-	// aliveAt is when the connection was set up or last brought a whole answer.
+	// aliveAt is when the connection was set up or last delivered a whole answer.
 	aliveAt time.Duration
 
 	abortOnce sync.Once
@@ -65,7 +65,7 @@
 	return c, nil
 }
 
-// encrypt puts the connection inside TLS.
+// encrypt performs the TLS handshake and encrypts the connection from then on.
 func (c *conn) encrypt(ctx context.Context, config *tls.Config) error {
 	secure := tls.Client(c.tcp, config)
 	if err := secure.HandshakeContext(ctx); err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Read reads from the connection within the bound on the answer's head.
+// Read reads from the connection, within the limit on the answer's head.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headLeft <= 0 {
 		c.readErr = errHeadTooLarge
@@ -92,33 +92,32 @@
 	return n, err
 }
 
-// Write writes to the connection and counts.
+// Write writes to the connection and counts the bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// limitHead bounds the bytes that may be read until unlimit.
+// limitHead limits the bytes that may be read until unlimitHead is called.
 func (c *conn) limitHead(limit int64) { c.headLeft = limit }
 
-// unlimitHead lifts the bound for the body of the answer.
+// unlimitHead lifts the limit, so that the body of the answer can be read.
 func (c *conn) unlimitHead() { c.headLeft = math.MaxInt64 }
 
-// reusable reports whether the idle connection can carry another request. Bytes
-// that came unasked would be taken for the answer to the next request, which
-// may be another caller's. Inside TLS that can't be seen: it sends bytes of its
-// own, and keeps some that it has read.
+// reusable reports whether the idle connection can carry another request. Unsolicited bytes would
+// be taken for the answer to the next request, which may be another caller's. With TLS they can't
+// be detected, because TLS sends records of its own and buffers bytes that it has read.
 func (c *conn) reusable() bool {
 	return !c.encrypted && c.reader.Buffered() == 0 && c.probe.Arrival() == socket.Nothing
 }
 
-// abort closes the connection for the given reason; the first reason counts.
-// For the endpoint this is the cancellation of the request.
+// abort closes the connection for the given reason; only the first call has an effect. The endpoint
+// sees this as the cancellation of the request.
 func (c *conn) abort(reason Failure) {
 	c.abortOnce.Do(func() {
 		c.aborted.Store(uint32(reason))
-		c.tcp.Close() // TLS would wait to say goodbye
+		c.tcp.Close() // closing the TLS connection would wait to send its close_notify alert
 	})
 }
 
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -1,11 +1,10 @@
-// Package forward brings requests over HTTP/1.1 to endpoints, and to other
-// entries when a request belongs to one of them.
+// Package forward sends requests over HTTP/1.1 to endpoints, and to other entries when a request
+// belongs to one of them.
 //
-// It sends each request at most once and on one connection: a request of which
-// one byte was written is never sent again by this package, whatever its method
-// or headers say. The standard http.Transport does otherwise, it replays a
-// request that carries an Idempotency-Key when a reused connection dies.
-// docs/design/http.md weighs the ways.
+// It sends each request at most once and on one connection. Once a byte of a request has been
+// written, this package never sends that request again, whatever its method or headers are. The
+// standard http.Transport can't be used, because it replays a request that carries an
+// Idempotency-Key when a reused connection dies. docs/design/http.md compares the alternatives.
 package forward
 
 import (
@@ -16,16 +15,15 @@
 	"time"
 )
 
-// The sweep of idle connections runs this many times per idle time-out, within
-// the two limits.
+// The sweep of idle connections runs sweepsPerTimeout times per idle timeout, at intervals between
+// minSweepInterval and maxSweepInterval.
 const (
 	sweepsPerTimeout = 4
 	minSweepInterval = 50 * time.Millisecond
 	maxSweepInterval = 2 * time.Second
 )
 
-// Connections holds one entry's connections to endpoints. It is safe for
-// concurrent use.
+// Connections manages one entry's connections to endpoints. It is safe for concurrent use.
 type Connections struct {
 	cfg    Config
 	dialer *net.Dialer
@@ -38,8 +36,7 @@
 	ended chan struct{}
 }
 
-// New returns Connections without any connection open. Close them to end their
-// goroutine.
+// New returns Connections with no open connection. Close stops its background goroutine.
 func New(cfg Config) *Connections {
 	cfg = cfg.withDefaults()
 	c := &Connections{
@@ -53,8 +50,8 @@
 	return c
 }
 
-// Drop closes the idle connections to address and lets each busy one end with
-// its answer. A later Send to the address starts anew.
+// Drop closes the idle connections to address and lets each busy connection finish its answer. A
+// later Send to the address uses a new connection.
 func (c *Connections) Drop(address string) {
 	c.mu.Lock()
 	p := c.pools[address]
@@ -65,16 +62,16 @@
 	}
 }
 
-// Suspect is called when a connection to address went silent. Idle connections
-// are closed, since whatever forgot the one may have forgotten them all; busy
-// ones are closed if nothing that they sent is acknowledged.
+// Suspect is called when a connection to address went silent. It closes the idle connections, since
+// a network device that lost the state of one connection may have lost that of all. It closes a
+// busy connection if the endpoint has stopped acknowledging its bytes.
 func (c *Connections) Suspect(address string) {
 	if p := c.lookup(address); p != nil {
 		p.suspect(c.cfg.SilentAfter)
 	}
 }
 
-// Stats returns the counts for address.
+// Stats returns the statistics of the connections to address.
 func (c *Connections) Stats(address string) ConnStats {
 	if p := c.lookup(address); p != nil {
 		return p.snapshot()
@@ -82,8 +79,8 @@
 	return ConnStats{}
 }
 
-// Close closes the idle connections and refuses new requests. Busy connections
-// end with their answers.
+// Close closes the idle connections and refuses new requests. Each busy connection is closed after
+// its answer.
 func (c *Connections) Close() {
 	c.mu.Lock()
 	if c.closed {
@@ -125,19 +122,19 @@
 	return p
 }
 
-// acquired is a connection for one exchange.
+// acquired is a connection that acquire or dial returned for one exchange.
 type acquired struct {
 	pool *pool
 	conn *conn
-	// fresh is set if the connection is new; dial is what its set-up took.
+	// fresh is set if the connection is new; dial is how long its setup took.
 	fresh bool
 	dial  time.Duration
 }
 
-// acquire returns a connection on which the request can be written: an idle one
-// that the endpoint has not closed, or a new one. Where all that are allowed are in use
-// it waits for one, as long as setting one up may take. Guards against a process that is
-// short of processor time, whose answered requests give their connections back late.
+// acquire returns a connection on which the request can be written: an idle one that the endpoint
+// has not closed, or a new one. If all allowed connections are in use, it waits up to
+// Config.DialTimeout for one to become free. Without the wait, requests would fail when this
+// process is short of CPU time, because it then releases the connections of finished requests late.
 func (c *Connections) acquire(ctx context.Context, address string, once bool) (acquired, error) {
 	var timeout <-chan time.Time
 	for {
@@ -167,7 +164,8 @@
 	}
 }
 
-// reuse returns an idle connection that is good for another request, or nil.
+// reuse returns an idle connection that can carry another request, or nil. If once is set, the
+// connection must also have been alive within Config.FreshWithin.
 func (c *Connections) reuse(p *pool, once bool) *conn {
 	now := c.cfg.Clock()
 	within := c.cfg.IdleTimeout
@@ -188,7 +186,7 @@
 	}
 }
 
-// dial sets up a connection for which room was reserved.
+// dial sets up a connection for which pool.reserve has made room.
 func (c *Connections) dial(ctx context.Context, p *pool) (acquired, error) {
 	started := c.cfg.Clock()
 	fresh, err := c.connect(ctx, p.address)
@@ -222,7 +220,8 @@
 	return fresh, nil
 }
 
-// tlsConfig names the other end by its IP number unless the configuration does.
+// tlsConfig returns the TLS configuration for address. A configuration without a server name gets
+// the IP address as its server name.
 func (c *Connections) tlsConfig(address string) *tls.Config {
 	config := c.cfg.TLS().Clone()
 	if host, _, err := net.SplitHostPort(address); err == nil && config.ServerName == "" {
@@ -231,8 +230,8 @@
 	return config
 }
 
-// sweepLoop closes idle connections in time, also to addresses that get no
-// requests any more.
+// sweepLoop closes expired idle connections, including those to addresses that no longer get
+// requests.
 func (c *Connections) sweepLoop() {
 	defer close(c.ended)
 	interval := min(max(c.cfg.IdleTimeout/sweepsPerTimeout, minSweepInterval), maxSweepInterval)
@@ -248,7 +247,7 @@
 	}
 }
 
-// sweep closes what is too old in each pool and forgets unused pools.
+// sweep closes the expired idle connections of each pool and removes unused pools.
 func (c *Connections) sweep() {
 	since := c.cfg.Clock() - c.cfg.IdleTimeout
 	c.mu.RLock()
@@ -264,7 +263,7 @@
 	}
 }
 
-// remove forgets a retired pool, unless its address has a new one already.
+// remove deletes a retired pool, unless its address already has a new one.
 func (c *Connections) remove(p *pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -14,7 +14,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// unusedAddress returns an address on which nobody listens.
+// unusedAddress returns an address on which no process listens.
 func unusedAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A site team's scan is larger than the entry's memory, or trickles in from a
-// contractor's phone. Each part must reach the endpoint before the next is read.
+// An upload may be larger than the entry's memory or arrive slowly. Each part must reach the
+// endpoint before the next one is read.
 func TestUploadIsStreamed(t *testing.T) {
 	parts := make(chan string)
 	e := newEndpoint(t, func(p *endpointConn, _ int) {
@@ -108,7 +108,7 @@
 		out.Trailer.Set("Sum", "42")
 		writer.Close()
 		if got := <-parts; got != "42" {
-			t.Errorf("got trailer %q", got)
+			t.Errorf("the endpoint got trailer %q, want 42", got)
 		}
 	}()
 	resp, _, err := c.Send(t.Context(), out)
@@ -118,14 +118,14 @@
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
 	if got := resp.Trailer.Get("Got"); got != "6" {
-		t.Errorf("got trailer %q of the answer", got)
+		t.Errorf("the answer has trailer %q, want 6", got)
 	}
 	if c.Stats(e.address).Idle != 1 {
 		t.Error("the connection was not kept")
 	}
 }
 
-// blockedBody never has a byte until it is interrupted.
+// blockedBody is a body whose Read blocks until it is interrupted.
 type blockedBody struct{ interrupted chan struct{} }
 
 func (b *blockedBody) Read([]byte) (int, error) {
@@ -134,9 +134,9 @@
 }
 func (b *blockedBody) Interrupt() { close(b.interrupted) }
 
-// An endpoint says early that it does not want a scan. The caller sees that
-// answer at once instead of after an upload for nothing, and the connection, on
-// which the rest of the body is due, is not used again.
+// An endpoint may refuse an upload before it has received the body. The caller must get that answer
+// at once rather than after the upload. The connection must not be reused, because the endpoint
+// still expects the rest of the body on it.
 func TestEarlyAnswerStopsTheUpload(t *testing.T) {
 	const refusal = "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno"
 	for _, expect := range []string{"", "100-continue"} {
@@ -182,13 +182,13 @@
 		out := outgoing(t, e.address, http.MethodPost, "scan")
 		out.Extra = http.Header{"Expect": {"100-continue"}}
 		if text, _, err := exchangeText(c, out); text != "scan" || err != nil {
-			t.Errorf("word %q: got %q, %v", interim, text, err)
+			t.Errorf("interim answer %q: got %q, %v", interim, text, err)
 		}
 	}
 }
 
-// A caller's upload breaks off. The endpoint must not take the part for the
-// whole, and the entry must not blame the endpoint.
+// When a caller's upload ends early, the endpoint must not take the partial body for a whole one,
+// and the failure must not be attributed to the endpoint.
 func TestShortBodyIsNotTheEndpointsFailure(t *testing.T) {
 	result := make(chan error, 1)
 	e := newEndpoint(t, func(p *endpointConn, _ int) {
@@ -205,12 +205,12 @@
 		t.Errorf("got %v", err)
 	}
 	if err := <-result; !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("the endpoint saw the end of the body as %v", err)
+		t.Errorf("the endpoint's read of the body returned %v, want an unexpected EOF", err)
 	}
 }
 
-// An architect closes the page. The endpoint's work is of no use any more, and
-// its slot is needed: it must see the connection end, wherever the answer is.
+// When the caller leaves, the endpoint must see its connection end, however far the answer has got.
+// Otherwise it goes on with useless work and keeps a slot occupied.
 func TestCancellationReachesTheEndpoint(t *testing.T) {
 	tests := []struct{ name, answer string }{
 		{"before the answer", ""},
@@ -241,7 +241,7 @@
 				t.Errorf("got %v", err)
 			}
 			if err := <-readErr; err == nil {
-				t.Error("the endpoint saw no end")
+				t.Error("the endpoint did not see the connection end")
 			}
 		})
 	}
--- a/internal/forward/failing_conns_test.go
+++ b/internal/forward/failing_conns_test.go
@@ -11,11 +11,10 @@
 	"testing"
 )
 
-// A tablet shows another kitchen's count, or a tray is logged twice. Many
-// callers share few connections, while the endpoint closes some before, within
-// and after an answer, answers some requests twice, and callers leave. Each
-// caller must get its own answer whole or an error, and no request may arrive
-// twice.
+// Guards against answers that reach the wrong caller and requests that are sent twice. Many callers
+// share few connections, while the endpoint closes some of them before, within and after an answer
+// and answers some requests twice. Each caller must get its own whole answer or an error, and no
+// request may arrive twice.
 func TestCallersGetOwnAnswersOnFailingConnections(t *testing.T) {
 	var arrivals sync.Map
 	e := newEndpoint(t, func(p *endpointConn, number int) {
@@ -76,9 +75,9 @@
 		return true
 	})
 	if whole.Load() == 0 {
-		t.Error("no answer came through")
+		t.Error("no request got a whole answer")
 	}
 	if got := c.Stats(e.address); got.Busy != 0 || got.Dialing != 0 {
-		t.Errorf("connections are left busy: %+v", got)
+		t.Errorf("connections are still busy: %+v", got)
 	}
 }
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -10,14 +10,14 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Failure classifies why a request got no whole answer.
+// Failure classifies why a request did not get a whole answer.
 type Failure uint8
 
 // The failures.
 const (
 	// None: there was no failure, or the error is not of this package.
 	None Failure = iota
-	// RefusedDial: the address refused the connection; no process listens.
+	// RefusedDial: the address refused the connection; no process listens there.
 	RefusedDial
 	// DialTimeout: no connection could be set up in time.
 	DialTimeout
@@ -28,17 +28,18 @@
 	NoConnection
 	// Died: the connection ended before the head of the answer.
 	Died
-	// Silent: nothing came back, not even acknowledgements of the bytes that
-	// were sent. The connection is dead; the endpoint may be well.
+	// Silent: nothing came back, not even acknowledgements of the bytes that were sent. The
+	// connection is dead; the endpoint may be healthy.
 	Silent
-	// Slow: the endpoint's kernel acknowledged the request but the head of the
-	// answer did not come within Config.HeaderTimeout.
+	// Slow: the endpoint's kernel acknowledged the request, but the head of the answer did not
+	// arrive within Config.HeaderTimeout.
 	Slow
-	// Truncated: the answer ended before it was whole.
+	// Truncated: the answer ended before its body was complete.
 	Truncated
-	// BadAnswer: the answer is malformed, too large in its head, or unframed.
+	// BadAnswer: the answer is malformed or unframed, its head is too large, or it belongs to
+	// another request.
 	BadAnswer
-	// BadBody: reading the caller's body failed or gave too few bytes.
+	// BadBody: reading the caller's body failed or returned too few bytes.
 	BadBody
 	// BadRequest: the request can't be written as HTTP/1.1.
 	BadRequest
@@ -48,11 +49,11 @@
 	Deadline
 	// Closed: Connections.Close was called.
 	Closed
-	// Withdrawn: Outgoing.MaySend was false before the first byte.
+	// Withdrawn: Outgoing.MaySend returned false before the first byte was written.
 	Withdrawn
 )
 
-// failureText describes a failure for people and for programs.
+// failureText describes a failure: name and remedy for operators, kind for programs.
 type failureText struct {
 	name   string
 	kind   fault.Kind
@@ -78,11 +79,11 @@
 	Withdrawn:    {"request was withdrawn before it was sent", fault.Unavailable, "ask again if the answer is still wanted"},
 }
 
-// String returns a short name.
+// String returns the failure's name, such as "dial timed out".
 func (f Failure) String() string { return failureTexts[f].name }
 
-// Error is the error type of this package. It is cheap to make: its text and
-// its fault are built only when asked for.
+// Error is the error type of this package. It is cheap to create: its text and its fault are built
+// only on demand.
 type Error struct {
 	// Failure is the class of the error.
 	Failure Failure
@@ -105,8 +106,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// As lets fault.KindOf and fault.Remedy see the typed fault, which is made only
-// then: a typed fault records a stack, too dear for each failed attempt.
+// As lets fault.KindOf and fault.Remedy see the typed fault. The fault is created only here,
+// because it records a stack, which is too expensive for each failed attempt.
 func (e *Error) As(target any) bool {
 	text := failureTexts[e.Failure]
 	return errors.As(fault.New(text.kind, text.remedy, "%s: %s", e.Address, text.name), target)
@@ -121,7 +122,7 @@
 	return None
 }
 
-// contextFailure returns the class of a done context.
+// contextFailure returns the class of a context that has ended.
 func contextFailure(ctx context.Context) Failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return Deadline
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// endpoint is a fake endpoint. Its script handles each connection.
+// endpoint is a fake endpoint. Its script handles each connection in a goroutine.
 type endpoint struct {
 	t       *testing.T
 	address string
-	// arrivals counts the requests of which at least a byte came in.
+	// arrivals counts the requests of which at least one byte arrived.
 	arrivals atomic.Int32
 	conns    atomic.Int32
 }
@@ -84,8 +84,8 @@
 	p.Close()
 }
 
-// dropIncoming makes the kernel drop every segment that comes in, as if something
-// between the two ends had lost track of the connection.
+// dropIncoming makes the kernel drop every incoming segment, as if a network device between the two
+// ends had lost the state of the connection.
 func (p *endpointConn) dropIncoming() {
 	raw, err := p.SyscallConn()
 	if err != nil {
@@ -104,7 +104,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answerEvery serves every request with the same answer.
+// answerEvery returns a script that sends the same answer to every request.
 func answerEvery(answer string) func(*endpointConn, int) {
 	return func(p *endpointConn, _ int) {
 		for p.readRequest() != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// manualClock is a clock that the test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) read() time.Duration     { return time.Duration(c.now.Load()) }
@@ -146,7 +146,7 @@
 	return out
 }
 
-// exchangeText sends a request and reads the answer whole.
+// exchangeText sends a request and returns the whole body of the answer.
 func exchangeText(c *Connections, out Outgoing) (string, Delivery, error) {
 	resp, delivery, err := c.Send(context.Background(), out)
 	if err != nil {
@@ -166,17 +166,17 @@
 	return delivery
 }
 
-// eventually waits for what another goroutine or the kernel does shortly.
+// eventually waits up to 10 s for a condition that another goroutine or the kernel brings about.
 func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatal("never happened: " + event)
+			t.Fatal("did not happen within 10 s: " + event)
 		}
 	}
 }
 
-// idleUnusable reports whether no idle connection to address can be used.
+// idleUnusable returns a condition: no idle connection to address can be reused.
 func idleUnusable(c *Connections, address string) func() bool {
 	return func() bool {
 		p := c.lookup(address)
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -9,11 +9,11 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// The errors of a request that can't be written as HTTP/1.1. A line end in any
-// part would let a caller write headers, or a whole request, of its own making.
+// The errors of a request that can't be written as HTTP/1.1. A line break in any part would let a
+// caller inject headers or a whole request.
 var (
 	errMethod = errors.New("the method is not a token")
-	errTarget = errors.New("the target holds a space or a control character")
+	errTarget = errors.New("the target contains a space or a control character")
 	errHost   = errors.New("the host is not valid")
 	errHeader = errors.New("a header name or value is not valid")
 )
@@ -35,10 +35,12 @@
 	return framing{length: o.ContentLength}
 }
 
-// hasBody reports whether a body follows the head.
+// hasBody reports whether the request has a body after its head.
 func (f framing) hasBody() bool { return f.chunked || f.length > 0 }
 
-// awaitsContinue reports whether the endpoint is asked before the body is sent.
+// awaitsContinue reports whether the request asks the endpoint, by "Expect: 100-continue", before
+// its body is sent. A small body in memory is sent without asking, unless the entry's own headers
+// say otherwise.
 func (o *Outgoing) awaitsContinue(body framing, small bool) bool {
 	if !body.hasBody() {
 		return false
@@ -46,8 +48,8 @@
 	return expectsContinue(o.Extra) || !small && expectsContinue(o.Request.Header)
 }
 
-// writeHead writes the request line and the headers into w's buffer. ask is set
-// if the endpoint is to be asked for the body.
+// writeHead writes the request line and the headers into w's buffer. If expectContinue is set, the
+// headers include "Expect: 100-continue".
 func (o *Outgoing) writeHead(w *bufio.Writer, body framing, expectContinue bool) error {
 	r := o.Request
 	target := r.URL.RequestURI()
@@ -80,7 +82,7 @@
 	return err
 }
 
-// replacesHeader reports whether a caller's header is replaced by one of the entry's.
+// replacesHeader reports whether the entry writes the header itself, in place of the caller's.
 func (o *Outgoing) replacesHeader(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "Expect":
@@ -109,7 +111,7 @@
 	}
 }
 
-// acceptsTrailers reports whether the caller said that it reads trailers.
+// acceptsTrailers reports whether the caller accepts trailers, by "TE: trailers".
 func (o *Outgoing) acceptsTrailers() bool {
 	for _, value := range o.Request.Header["Te"] {
 		if listContains(value, "trailers") {
@@ -119,7 +121,8 @@
 	return false
 }
 
-// methodWithBody reports whether an empty body is to be stated as such.
+// methodWithBody reports whether requests of the method usually have a body. For them an empty body
+// is announced by "Content-Length: 0".
 func methodWithBody(method string) bool {
 	switch method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -128,7 +131,8 @@
 	return false
 }
 
-// checkRequestLine refuses what would not be one request line and one Host header.
+// checkRequestLine returns an error unless method, target and host form exactly one request line
+// and one Host header.
 func checkRequestLine(r *http.Request, target string) error {
 	if !validToken(r.Method) || r.Method == http.MethodConnect {
 		return errMethod
@@ -159,7 +163,7 @@
 	return nil
 }
 
-// writeStrings writes into the buffer; its errors stay in w until the flush.
+// writeStrings writes into w's buffer. An error stays in w and is returned by its Flush.
 func writeStrings(w *bufio.Writer, parts ...string) {
 	for _, part := range parts {
 		w.WriteString(part)
--- a/internal/forward/hopbyhop.go
+++ b/internal/forward/hopbyhop.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1),
-// with the older ones that some callers still send. The framing is made anew for
-// each connection.
+// hopByHop lists the headers that apply to a single connection only (RFC 9110, 7.6.1), and older
+// ones that some callers still send. The framing headers are among them, because the entry frames
+// the body anew for each connection.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -20,9 +20,9 @@
 	"Upgrade":             true,
 }
 
-// HopByHop reports whether the header with the canonical name concerns one
-// connection only, either by its nature or because connection, the values of
-// the message's Connection header, names it.
+// HopByHop reports whether the header with the canonical name applies to a single connection only,
+// either by definition or because it is listed in connection, the values of the message's
+// Connection header.
 func HopByHop(name string, connection []string) bool {
 	if hopByHop[name] {
 		return true
@@ -35,7 +35,7 @@
 	return false
 }
 
-// listContains reports whether a comma-separated list holds token, in any case.
+// listContains reports whether a comma-separated list contains token, ignoring case.
 func listContains(list, token string) bool {
 	for more := list != ""; more; {
 		var item string
@@ -47,7 +47,7 @@
 	return false
 }
 
-// expectsContinue reports whether header asks for word before the body is sent.
+// expectsContinue reports whether header contains "Expect: 100-continue".
 func expectsContinue(header http.Header) bool {
 	for _, value := range header["Expect"] {
 		if listContains(value, "100-continue") {
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -7,42 +7,42 @@
 
 // ConnStats counts the connections to one address.
 type ConnStats struct {
-	// Idle, Busy and Dialing are the connections of this moment.
+	// Idle, Busy and Dialing count the current connections by state.
 	Idle, Busy, Dialing int
-	// Dialed and DialFailed count connections set up and failed so far.
+	// Dialed and DialFailed count the connections that were set up and those that failed, so far.
 	Dialed, DialFailed uint64
-	// Reused counts requests sent on a connection used before.
+	// Reused counts requests sent on a connection that had carried another request.
 	Reused uint64
-	// Stale counts idle connections that were found dead, with unexpected
-	// bytes, or past their age.
+	// Stale counts idle connections that were found closed by the endpoint, with unexpected bytes
+	// to read, or idle for longer than Config.IdleTimeout.
 	Stale uint64
 	// Silent counts connections that went silent.
 	Silent uint64
 }
 
-// pool holds the connections to one address. It is safe for concurrent use.
+// pool manages the connections to one address. It is safe for concurrent use.
 type pool struct {
 	address string
 
 	mu sync.Mutex
-	// all holds every open connection; conn.slot is its index.
+	// all lists every open connection; conn.index is its position in the list.
 	all []*conn
-	// idle is a stack: the connection that was alive last is on top, so that
-	// the others grow old and are closed.
+	// idle is a stack with the most recently used connection on top, so that surplus connections
+	// stay idle and expire.
 	idle    []*conn
 	dialing int
-	// retired is set when the pool left Connections; its connections are
-	// closed as they end.
+	// retired is set when the pool is removed from Connections. Its busy connections are then
+	// closed after their answers.
 	retired bool
-	// freed is closed when a connection comes free or room for one; nil while nobody
-	// waits for that.
+	// freed is closed when a connection becomes idle or a new one may be dialled. It is nil while
+	// no request waits for that.
 	freed  chan struct{}
 	usedAt time.Duration
 	stats  ConnStats
 }
 
-// takeIdle pops the connection that was alive last, provided that it was alive
-// at or after since. It returns nil if there is none.
+// takeIdle removes and returns the most recently used idle connection, if it was alive at or after
+// since. Otherwise it returns nil.
 func (p *pool) takeIdle(since time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,9 +56,9 @@
 	return c
 }
 
-// reserve makes room for one more connection. When only idle connections that
-// the caller must not use fill the bound, the oldest of them makes room. Without room
-// it returns a channel that is closed when it is worth trying again.
+// reserve makes room for one more connection. If the limit is reached but some connections are
+// idle, which the caller was not allowed to use, it closes the oldest of these. If all connections
+// are busy, it returns a channel that is closed when the caller should try again.
 func (p *pool) reserve(limit int, now time.Duration) (ok bool, freed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,10 +82,10 @@
 	return true, nil
 }
 
-// closedChan is a channel on which nobody waits.
+// closedChan is a closed channel: a receive from it never blocks.
 var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// wakeWaiters wakes those who wait for a connection. The lock is held.
+// wakeWaiters wakes the requests that wait for a connection. The lock is held.
 func (p *pool) wakeWaiters() {
 	if p.freed != nil {
 		close(p.freed)
@@ -108,7 +108,7 @@
 	p.all = append(p.all, c)
 }
 
-// putIdle makes a connection idle after a whole answer at now.
+// putIdle makes a connection idle after it delivered a whole answer at now.
 func (p *pool) putIdle(c *conn, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	p.wakeWaiters()
 }
 
-// discard closes a connection that no exchange uses any more.
+// discard closes a connection that its exchange no longer uses.
 func (p *pool) discard(c *conn) {
 	c.abort(Closed)
 	p.mu.Lock()
@@ -131,7 +131,7 @@
 	p.removeConn(c)
 }
 
-// removeConn takes a connection off the list of open ones. The lock is held.
+// removeConn removes a connection from the list of open ones. The lock is held.
 func (p *pool) removeConn(c *conn) {
 	last := len(p.all) - 1
 	moved := p.all[last]
@@ -142,7 +142,7 @@
 	p.wakeWaiters()
 }
 
-// retire closes the idle connections and lets the busy ones end.
+// retire closes the idle connections and lets the busy ones finish their answers.
 func (p *pool) retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +161,8 @@
 	p.idle = p.idle[:0]
 }
 
-// suspect closes the idle connections, which can't be told from silent ones
-// without sending something, and the busy ones that are silent by now.
+// suspect closes the idle connections, which can't be distinguished from silent ones without
+// sending data, and the busy ones that are already silent.
 func (p *pool) suspect(silentAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,8 +174,8 @@
 	}
 }
 
-// sweep closes idle connections that were alive before since or that the
-// endpoint closed, and retires a pool that was not used since then.
+// sweep closes idle connections that were last alive before since or that the endpoint closed. It
+// retires the pool if it has no connections and was last used before since.
 func (p *pool) sweep(since time.Duration) (retired bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,14 +195,14 @@
 	return p.retired
 }
 
-// count changes the counters under the lock.
+// count updates the counters under the lock.
 func (p *pool) count(change func(*ConnStats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.stats)
 }
 
-// snapshot returns the counts of this moment.
+// snapshot returns the current statistics.
 func (p *pool) snapshot() ConnStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Kitchen tablets wait though the endpoint is well: something on the way forgot
-// the entry's open connections, whose segments now vanish, while new ones work.
-// The entry must see that nothing is acknowledged, close the connection and its
-// idle mates, and reach the endpoint by a new connection.
+// A network device may lose the state of the entry's open connections, whose segments are then
+// dropped, while new connections work and the endpoint is healthy. The entry must detect that
+// nothing is acknowledged, close the connection and the idle ones to the same address, and reach
+// the endpoint on a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	silenced := make(chan struct{}, 2)
 	e := newEndpoint(t, func(p *endpointConn, number int) {
@@ -33,14 +33,14 @@
 		t.Fatalf("got %v, %+v", err, delivery)
 	}
 	if got := c.Stats(e.address); got.Idle != 0 || got.Silent != 1 {
-		t.Errorf("the idle mate was kept: %+v", got)
+		t.Errorf("the other idle connection was kept: %+v", got)
 	}
 	if delivery := mustExchange(t, c, outgoing(t, e.address, http.MethodPost, "tray")); !delivery.NewConn {
 		t.Error("no new connection was used")
 	}
 }
 
-// openConnections makes number connections idle at once.
+// openConnections opens number connections to address and leaves them idle.
 func openConnections(t *testing.T, c *Connections, address string, number int) {
 	t.Helper()
 	var answers []*http.Response
@@ -62,8 +62,8 @@
 	}
 }
 
-// A straggler must not pass for a dead connection: its mates would be closed
-// and opened again, at 1 ms each, while it is slow already.
+// A slow endpoint must not be taken for a dead connection. Otherwise its other connections would be
+// closed and opened again, at 1 ms each, while it is already slow.
 func TestSlowEndpointIsNotSilent(t *testing.T) {
 	e := newEndpoint(t, func(p *endpointConn, _ int) { p.readRequest() })
 	c := newConnections(t, Config{SilentAfter: 20 * time.Millisecond, HeaderTimeout: 200 * time.Millisecond})
@@ -91,10 +91,10 @@
 	}{
 		{"first", 0, true, 1},
 		{"fresh enough for once", time.Second, true, 1},
-		{"too old for once, the old one makes room", 2 * time.Second, true, 2},
-		{"good for a read", 2 * time.Second, false, 2},
-		{"a read keeps it alive", time.Second, true, 2},
-		{"past the idle time-out", 2 * time.Minute, false, 3},
+		{"too old for once, replaced by a new one", 2 * time.Second, true, 2},
+		{"reused by a request that may run twice", 2 * time.Second, false, 2},
+		{"that request kept it alive", time.Second, true, 2},
+		{"past the idle timeout", 2 * time.Minute, false, 3},
 	}
 	for _, step := range steps {
 		clock.advance(step.wait)
@@ -108,7 +108,7 @@
 	clock.advance(2 * time.Minute)
 	c.sweep()
 	if got := c.Stats(e.address).Idle; got != 0 {
-		t.Errorf("%d connections are idle past their time", got)
+		t.Errorf("%d connections are idle past the idle timeout", got)
 	}
 	mustExchange(t, c, outgoing(t, e.address, http.MethodGet, ""))
 	c.Drop(e.address)
@@ -117,8 +117,8 @@
 	}
 }
 
-// A leaving endpoint's answer in flight must come through, and its connection
-// must not outlive it.
+// When an endpoint leaves, an answer in progress must be delivered whole, and its connection must
+// be closed afterwards.
 func TestDropLetsBusyConnectionsEnd(t *testing.T) {
 	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{})
--- a/internal/forward/replay_test.go
+++ b/internal/forward/replay_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// connFailures are the points at which a reused connection can die.
+// connFailures are the points at which a reused connection can fail.
 var connFailures = []struct {
 	name string
-	// idle is set when the connection dies before the request.
+	// idle is set when the connection fails before the request.
 	idle      bool
 	breakConn func(*endpointConn)
 	// body is the request's body.
@@ -21,7 +21,7 @@
 }{
 	{"closed while idle", true, func(p *endpointConn) { p.Close() }, "tray", None, 1},
 	{"reset while idle", true, (*endpointConn).reset, "tray", None, 1},
-	{"unasked answer while idle", true, func(p *endpointConn) { p.writeText(okAnswer) }, "tray", None, 1},
+	{"unsolicited answer while idle", true, func(p *endpointConn) { p.writeText(okAnswer) }, "tray", None, 1},
 	{"reset at the first byte", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, "tray", Died, 1},
 	{"closed after the request", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "tray", Died, 1},
 	{"closed after a request without body", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "", Died, 1},
@@ -40,10 +40,9 @@
 	}, "tray", Truncated, 1},
 }
 
-// A steward logs a tray's waste once, and tomorrow's order counts it twice. The
-// entry wrote the request on a connection used before, the endpoint ran it and
-// its connection died before the answer came back whole. The standard transport
-// then sends it again by itself, because it carries an Idempotency-Key.
+// Guards against a request that runs twice: the entry writes it on a reused connection, the
+// endpoint runs it, and the connection fails before the whole answer has arrived. The standard
+// transport then sends the request again by itself, because it carries an Idempotency-Key.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	for _, failure := range connFailures {
 		t.Run(failure.name, func(t *testing.T) {
@@ -51,7 +50,7 @@
 			c := newConnections(t, Config{})
 			mustExchange(t, c, outgoing(t, e.address, http.MethodPost, "first"))
 			if failure.idle {
-				eventually(t, "the death is seen", idleUnusable(c, e.address))
+				eventually(t, "the idle connection's failure is visible", idleUnusable(c, e.address))
 			}
 			_, delivery, err := exchangeText(c, outgoing(t, e.address, http.MethodPost, failure.body))
 			if FailureOf(err) != failure.want {
@@ -67,7 +66,8 @@
 	}
 }
 
-// breakOnce answers the first request of the first connection, then dies.
+// breakOnce returns a script that answers the first request of the first connection and then breaks
+// that connection. Other connections answer every request.
 func breakOnce(idle bool, breakConn func(*endpointConn)) func(*endpointConn, int) {
 	return func(p *endpointConn, number int) {
 		p.readRequest()
@@ -81,8 +81,9 @@
 	}
 }
 
-// This is why the package does not use the standard transport: the same death
-// makes it send the request again. If it ever stops to, the design note changes.
+// Documents why the package does not use the standard transport: it sends a request again after the
+// same connection failure. If this test fails because the transport no longer does so, the design
+// document must be updated.
 func TestStandardTransportReplays(t *testing.T) {
 	e := newEndpoint(t, breakOnce(false, func(p *endpointConn) { p.readRequest(); p.Close() }))
 	transport := &http.Transport{}
@@ -102,9 +103,9 @@
 	}
 }
 
-// A caller is told "unknown" though nothing ran, and a booking has to be looked
-// up by hand. No byte was written: the dial failed, or the request was refused
-// before. The delivery must say so.
+// If the dial fails or the request can't be written, no byte has been sent, and the Delivery must
+// say so. Otherwise the caller gets the outcome "unknown" although nothing ran, and an operator has
+// to look up by hand whether the request was carried out.
 func TestFailureBeforeWritingReportsNothingWritten(t *testing.T) {
 	e := newEndpoint(t, answerEvery(okAnswer))
 	full := newEndpoint(t, answerEvery(okAnswer))
@@ -115,13 +116,13 @@
 		want   Failure
 	}{
 		{"nobody listens", func(o *Outgoing) { o.Address = unusedAddress(t) }, RefusedDial},
-		{"header with line end", func(o *Outgoing) { o.Extra = http.Header{"X": {"a\r\nb: c"}} }, BadRequest},
+		{"header with line break", func(o *Outgoing) { o.Extra = http.Header{"X": {"a\r\nb: c"}} }, BadRequest},
 		{"header name with space", func(o *Outgoing) { o.Extra = http.Header{"X y": {"a"}} }, BadRequest},
 		{"host with space", func(o *Outgoing) { o.Request.Host = "a b" }, BadRequest},
-		{"target with line end", func(o *Outgoing) { o.Request.URL.RawQuery = "a\r\nb" }, BadRequest},
+		{"target with line break", func(o *Outgoing) { o.Request.URL.RawQuery = "a\r\nb" }, BadRequest},
 		{"method with space", func(o *Outgoing) { o.Request.Method = "GET /" }, BadRequest},
-		{"tunnel", func(o *Outgoing) { o.Request.Method = http.MethodConnect }, BadRequest},
-		{"bound reached", func(o *Outgoing) { o.Address = full.address }, NoConnection},
+		{"CONNECT method", func(o *Outgoing) { o.Request.Method = http.MethodConnect }, BadRequest},
+		{"connection limit reached", func(o *Outgoing) { o.Address = full.address }, NoConnection},
 	}
 	busy, _, err := c.Send(t.Context(), outgoing(t, full.address, http.MethodGet, ""))
 	if err != nil {
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -11,60 +11,59 @@
 type Outgoing struct {
 	// Address is the endpoint's IP and port.
 	Address string
-	// Request gives method, URL path and query, host and headers. It is not
-	// modified. Hop-by-hop headers are left out; its Body is not used.
+	// Request supplies the method, URL path and query, host and headers. It is not modified.
+	// Hop-by-hop headers are left out; its Body is not used.
 	Request *http.Request
-	// Body is what to send; nil for none. Send reads it in another goroutine
-	// unless it is small and in memory, see Interrupter. The caller decides
-	// whether it can be read again for another attempt.
+	// Body is the body to send, nil for none. Send reads it in another goroutine unless it is small
+	// and in memory; see Interrupter. The caller of Send decides whether the body can be read again
+	// for another attempt.
 	Body io.Reader
-	// ContentLength is the length of Body, negative if it is not known.
+	// ContentLength is the length of Body, negative if unknown.
 	ContentLength int64
-	// Trailer names the trailers; its values are read after Body's end. A body
-	// with trailers is sent in chunks.
+	// Trailer names the trailers. Its values are read after the end of Body. A body with trailers
+	// is sent in chunks.
 	Trailer http.Header
-	// Extra holds the entry's own headers; they replace those of Request. Names
-	// are in canonical form. With "Expect: 100-continue" in it, or in Request
-	// unless the body is small and in memory, the endpoint is asked before the
-	// body is sent.
+	// Extra contains the entry's own headers, which replace those of Request. Names are in
+	// canonical form. If it contains "Expect: 100-continue", the endpoint is asked before the body
+	// is sent. The same header in Request has this effect unless the body is small and in memory.
 	Extra http.Header
-	// Once is set when the request must run at most once: it goes only on a new
-	// connection or one that brought an answer within Config.FreshWithin.
+	// Once is set when the request must run at most once. It is then sent only on a new connection
+	// or on one that was alive within Config.FreshWithin.
 	Once bool
-	// MaySend, if not nil, is asked once the connection is there, right before the
-	// first byte is written. If it is false, nothing is, and Send fails with
-	// Withdrawn. To set up a connection may take long, and the process may sleep
-	// meanwhile; whoever waited may have been told that nothing was sent.
+	// MaySend, if not nil, is called when the connection is ready, right before the first byte is
+	// written. If it returns false, nothing is written and Send fails with Withdrawn. Setting up a
+	// connection may take long, and the process may be suspended meanwhile, so the caller may
+	// already have been told that its request was not run.
 	MaySend func() bool
-	// Stray, if not nil, reports by its headers whether an answer belongs to another
-	// request: an endpoint may answer a request twice, and the second answer arrives
-	// where the next one is due. A stray answer is dropped, the next one is read, and
-	// the connection is closed after that.
+	// Stray, if not nil, reports from an answer's headers whether the answer belongs to another
+	// request. An endpoint may answer a request twice, and the second answer then arrives in place
+	// of the answer to the next request. A stray answer is discarded, the next one is read, and the
+	// connection is closed afterwards.
 	Stray func(answer http.Header) bool
-	// Informational, if not nil, gets the endpoint's 1xx answers but 100. It is
-	// called before Send returns.
+	// Informational, if not nil, is called with each 1xx answer of the endpoint except 100 and 101,
+	// before Send returns.
 	Informational func(status int, header http.Header)
 }
 
-// Delivery tells how far a request got. Times are those of Config.Clock.
+// Delivery describes how far a request got. Times are those of Config.Clock.
 type Delivery struct {
-	// Wrote is set when at least one byte of the request was handed to the
-	// kernel. If it is not set, the endpoint can't have seen the request.
+	// Wrote is set when at least one byte of the request was handed to the kernel. If it is not
+	// set, the endpoint can't have seen the request.
 	Wrote bool
-	// NewConn is set when a new connection was set up, or tried, for it.
+	// NewConn is set when a new connection was dialled for the request, even if the dial failed.
 	NewConn bool
-	// Dial is how long the set-up of the connection took.
+	// Dial is how long setting up the connection took.
 	Dial time.Duration
-	// Started is when writing began, FirstByte when the answer began; zero if
-	// they did not.
+	// Started is when writing the request began, FirstByte when the first byte of an answer
+	// arrived. Each is zero if that did not happen.
 	Started, FirstByte time.Duration
 }
 
-// Send sends a request on one connection and returns the head of its answer.
-// The body of the answer is streamed; the caller closes it. An error of its
-// Read is an *Error; a cut-off answer never ends in io.EOF. Ending ctx closes
-// the connection, which cancels the endpoint's work, also while the body of the
-// answer is read. Errors are *Error. Nothing is ever sent twice.
+// Send sends a request on one connection and returns the head of its answer. The body of the answer
+// is streamed; the caller of Send must close it. When ctx ends, also while the body is being read,
+// the connection is closed, which cancels the endpoint's work. Errors of Send and of the body's
+// Read are of type *Error; reading a truncated body never returns io.EOF. Send never sends a
+// request twice.
 func (c *Connections) Send(ctx context.Context, out Outgoing) (*http.Response, Delivery, error) {
 	var delivery Delivery
 	if ctx.Err() != nil {
@@ -77,7 +76,7 @@
 	}
 	used := got.conn
 	if out.MaySend != nil && !out.MaySend() {
-		got.pool.discard(used) // put would take it for one that brought an answer
+		got.pool.discard(used) // putIdle would count the connection as having delivered an answer
 		return nil, delivery, &Error{Failure: Withdrawn, Address: out.Address}
 	}
 	x := &exchange{connections: c, pool: got.pool, conn: used, ctx: ctx, out: out, writtenBefore: used.written.Load()}
@@ -101,11 +100,11 @@
 	writtenBefore int64
 	// upload is nil while no goroutine sends a body.
 	upload *upload
-	// bodyPending is set while the endpoint was not yet asked for, or sent, the body.
+	// bodyPending is set while the body waits for the answer to "Expect: 100-continue".
 	bodyPending bool
 	// strayAnswers counts answers that belonged to other requests.
 	strayAnswers int
-	// unwatch ends the watch of ctx; it returns false if ctx ended before.
+	// unwatch stops watching ctx. It returns false if ctx has already ended.
 	unwatch func() bool
 }
 
@@ -132,7 +131,8 @@
 	return x.prepareAnswer(resp)
 }
 
-// writeRequest writes the head and a small body, or starts the upload.
+// writeRequest writes the head. It also writes a small body or starts the upload of a large one,
+// unless the body waits for the answer to "Expect: 100-continue".
 func (x *exchange) writeRequest() error {
 	body := x.out.framing()
 	small, isSmall := x.out.inline(body)
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// startUpload sends the body in another goroutine, so that an answer that comes
-// before the upload's end is seen.
+// startUpload sends the body in another goroutine, so that an answer that arrives before the end of
+// the upload can be read.
 func (x *exchange) startUpload() {
 	x.bodyPending = false
 	x.upload = &upload{
@@ -170,8 +170,8 @@
 	go x.upload.run()
 }
 
-// release ends the exchange after a whole answer: the connection is reused if
-// the answer allows it and both sides are done with their messages.
+// release ends the exchange after a whole answer. It keeps the connection for reuse if the answer
+// allows that and both the request and the answer are complete.
 func (x *exchange) release(reusable bool) {
 	reusable = reusable && x.strayAnswers == 0 && !x.conn.encrypted && !x.bodyPending && (x.upload == nil || x.upload.finished())
 	watched := x.unwatch()
--- a/internal/forward/socket/socket.go
+++ b/internal/forward/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket sets the TCP options of tealhall's connections and asks the
-// kernel about a connection without reading from it.
+// Package socket sets the TCP options of tealhall's connections and queries the kernel about the
+// state of a connection without reading from it.
 package socket
 
 import (
@@ -15,16 +15,15 @@
 // keepAliveCount is how many keep-alive probes may stay unanswered.
 const keepAliveCount = 3
 
-// KeepAlive returns the options by which an idle connection whose other end is
-// gone ends after four periods at most.
+// KeepAlive returns options with which an idle connection ends after at most four periods if the
+// other end no longer exists.
 func KeepAlive(period time.Duration) net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: period, Interval: period, Count: keepAliveCount}
 }
 
-// SetUserTimeout bounds how long sent bytes may stay unacknowledged, and how
-// long the other end may keep its window closed. Without it the kernel tries
-// for about 15 minutes, during which a connection that something between the
-// two ends has forgotten looks merely slow.
+// SetUserTimeout limits how long sent bytes may stay unacknowledged, and how long the other end may
+// keep its receive window closed. Without it the kernel retransmits for about 15 minutes, during
+// which a connection whose state a network device has lost can't be distinguished from a slow one.
 func SetUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
@@ -33,8 +32,8 @@
 	return errors.Join(err, optErr)
 }
 
-// Listen listens on an IP:port by plain TCP. Go's default for listeners is
-// Multipath TCP, whose sockets take neither filters nor all TCP options.
+// Listen listens on an IP:port with plain TCP. Go's default for listeners is Multipath TCP, whose
+// sockets support neither filters nor all TCP options.
 func Listen(address string) (*net.TCPListener, error) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
@@ -45,14 +44,15 @@
 	return l.(*net.TCPListener), nil
 }
 
-// The byte of the flags in a TCP header, and the flag of a first segment.
+// The offset of the flags in a TCP header, the SYN flag, and the return value of a filter that
+// keeps a segment of any length whole.
 const (
 	tcpFlagsOffset   = 13
 	tcpFlagSYN       = 0x02
 	keepWholeSegment = 1 << 16
 )
 
-// dropSYN is a filter that drops the segments that open connections.
+// dropSYN is a socket filter that drops the segments that open connections.
 var dropSYN = [...]unix.SockFilter{
 	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
 	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, Jf: 1, K: tcpFlagSYN},
@@ -60,11 +60,10 @@
 	{Code: unix.BPF_RET | unix.BPF_K, K: keepWholeSegment},
 }
 
-// DropNewConnections makes a listening socket ignore those who want to open a
-// connection, while connections that are being opened are still completed.
-// Guards against the reset of a connection that the kernel opened just before a
-// listener closes: its caller may have sent a request already. Whoever is
-// ignored tries again after a second and is refused then.
+// DropNewConnections makes a listening socket ignore new connection attempts, while handshakes
+// already under way still complete. Without it the kernel could accept a connection just before the
+// listener closes and then reset it, although its client may already have sent a request. An
+// ignored client retransmits its SYN after a second and is refused then.
 func DropNewConnections(raw syscall.RawConn) error {
 	program := unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]}
 	var optErr error
@@ -74,36 +73,36 @@
 	return errors.Join(err, optErr)
 }
 
-// Arrival is what a connection would give to a read.
+// Arrival is what a read from a connection would return.
 type Arrival uint8
 
 // The arrivals.
 const (
-	// Nothing: a read would wait.
+	// Nothing: a read would block.
 	Nothing Arrival = iota
-	// Bytes: there is something to read.
+	// Bytes: there are bytes to read.
 	Bytes
-	// Ended: the other end closed or reset the connection, or it is closed here.
+	// Ended: the connection was closed or reset by the other end, or closed locally.
 	Ended
 )
 
-// Probe asks the kernel about one connection. It is for one goroutine at a time,
-// but for Silent.
+// Probe queries the kernel about one connection. It may be used by one goroutine at a time, except
+// Silent, which is safe for concurrent use.
 type Probe struct {
 	raw syscall.RawConn
-	// peek is made once so that a look allocates nothing.
+	// peek is the method value p.peekFD, created once so that Arrival doesn't allocate.
 	peek    func(fd uintptr)
 	arrival Arrival
 }
 
-// NewProbe returns a probe of the connection.
+// NewProbe returns a Probe of the connection raw.
 func NewProbe(raw syscall.RawConn) *Probe {
 	p := &Probe{raw: raw}
 	p.peek = p.peekFD
 	return p
 }
 
-// Arrival tells what came in and was not read.
+// Arrival returns what a read would return, without consuming it.
 func (p *Probe) Arrival() Arrival {
 	p.arrival = Ended
 	if err := p.raw.Control(p.peek); err != nil {
@@ -123,10 +122,10 @@
 	}
 }
 
-// Silent reports whether the kernel has sent bytes again and for at least the
-// given time nothing at all came back. A slow endpoint differs: its kernel
-// acknowledges what its program does not read yet, and answers the probes of a
-// closed window, which leave no segment unacknowledged.
+// Silent reports whether the kernel is retransmitting bytes and has received no acknowledgement for
+// at least the given time. A slow endpoint does not count as silent: its kernel acknowledges bytes
+// that its process has not read yet, and answers zero-window probes, which leave no segment
+// unacknowledged.
 func (p *Probe) Silent(atLeast time.Duration) bool {
 	var info *unix.TCPInfo
 	var infoErr error
--- a/internal/forward/stray_test.go
+++ b/internal/forward/stray_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// answerFor is an answer with the name of the request that it belongs to.
+// answerFor returns an answer that carries the name of the request to which it belongs.
 func answerFor(name, body string) string {
 	return "HTTP/1.1 200 OK\r\nFor: " + name + "\r\nContent-Length: " + string('0'+rune(len(body))) + "\r\n\r\n" + body
 }
 
-// An endpoint answers a request twice, and the second answer arrives when the connection
-// carries another caller's request already. Its caller must get its own answer; what
-// belongs to nobody is dropped, and so is the connection, since who knows what follows.
+// An endpoint may answer a request twice, and the second answer may arrive when the connection
+// already carries another caller's request. That caller must get its own answer. The stray answer
+// is discarded and the connection is closed, since further stray answers may follow.
 func TestStrayAnswersAreDropped(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -21,10 +21,10 @@
 		failure Failure
 	}{
 		{"one stray answer", answerFor("a", "old") + answerFor("b", "new"), "new", None},
-		{"two", answerFor("a", "old") + answerFor("a", "old") + answerFor("b", "new"), "new", None},
-		{"no end of them", answerFor("a", "1") + answerFor("a", "2") + answerFor("a", "3") + answerFor("b", "new"), "", BadAnswer},
-		{"one without a length", "HTTP/1.1 200 OK\r\nFor: a\r\n\r\nold", "", BadAnswer},
-		{"one that breaks off", "HTTP/1.1 200 OK\r\nFor: a\r\nContent-Length: 9\r\n\r\nold", "", Died},
+		{"two stray answers", answerFor("a", "old") + answerFor("a", "old") + answerFor("b", "new"), "new", None},
+		{"too many stray answers", answerFor("a", "1") + answerFor("a", "2") + answerFor("a", "3") + answerFor("b", "new"), "", BadAnswer},
+		{"stray answer without a length", "HTTP/1.1 200 OK\r\nFor: a\r\n\r\nold", "", BadAnswer},
+		{"truncated stray answer", "HTTP/1.1 200 OK\r\nFor: a\r\nContent-Length: 9\r\n\r\nold", "", Died},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newEndpoint(t, func(p *endpointConn, _ int) {
--- a/internal/forward/upload.go
+++ b/internal/forward/upload.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxInlineBody is the largest body in memory that is written before the
-	// answer is read. It fits any socket buffer, so that the write can't wait
-	// for an endpoint that itself waits for its answer to be read.
+	// maxInlineBody is the size of the largest body in memory that is written before the answer is
+	// read. It fits into any socket buffer. A larger write could deadlock with an endpoint that
+	// itself waits for its answer to be read.
 	maxInlineBody = 8 << 10
-	// copyBufferSize is the size of the pieces in which a body is copied.
+	// copyBufferSize is the size of the buffer through which a body is copied.
 	copyBufferSize = 32 << 10
-	// finalWriteTimeout bounds the wait for the end of a body that is read whole
-	// when the answer is complete; only the upload's last step is missing then.
+	// finalWriteTimeout limits the wait, after a complete answer, for an upload that has read its
+	// whole body and has only its last write left.
 	finalWriteTimeout = 50 * time.Millisecond
 )
 
@@ -27,22 +27,21 @@
 	errUploadStopped = errors.New("the answer ended before the upload")
 )
 
-// Interrupter is a body whose blocked Read can be ended by another goroutine.
-// Send interrupts the body when the answer or the connection ended first, and
-// then waits until the body is no longer read. A body without the method may be
-// read once more after that.
+// Interrupter is a body whose blocked Read can be interrupted by another goroutine. If the answer
+// or the connection ends before the upload, Send interrupts the body and waits until it is no
+// longer read. A body without this method may be read once more after the exchange has ended.
 type Interrupter interface{ Interrupt() }
 
-// copyBuffers holds buffers of copyBufferSize bytes.
+// copyBuffers is a pool of buffers of copyBufferSize bytes.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// memoryBody is what bytes.Reader, bytes.Buffer and strings.Reader have.
+// memoryBody is a body in memory, such as a bytes.Reader, bytes.Buffer or strings.Reader.
 type memoryBody interface {
 	io.WriterTo
 	Len() int
 }
 
-// inline returns the body if it may be written before the answer is read.
+// inline returns the body and true if it may be written before the answer is read.
 func (o *Outgoing) inline(body framing) (memoryBody, bool) {
 	if body.chunked || body.length > maxInlineBody {
 		return nil, false
@@ -61,9 +60,9 @@
 	clock   func() time.Duration
 
 	stopped atomic.Bool
-	// bodyRead is set when the body was read to its end.
+	// bodyRead is set when the body has been read to its end.
 	bodyRead atomic.Bool
-	// done is closed at the end; err and ended are valid after that.
+	// done is closed when the upload ends; err and ended are valid after that.
 	done chan struct{}
 	err  error
 }
@@ -74,7 +73,7 @@
 	u.ended = u.clock()
 	var bodyErr *bodyError
 	if errors.As(u.err, &bodyErr) {
-		// The endpoint must not take a part of the body for the whole.
+		// Closing the connection keeps the endpoint from taking a partial body for a whole one.
 		u.conn.abort(BadBody)
 	}
 }
@@ -115,9 +114,9 @@
 	return err
 }
 
-// copyTo copies and flushes after each read, so that a slowly produced body is
-// passed on as it comes. The flag is checked between reading and writing: after
-// the exchange ended, the connection may not be written to any more.
+// copyTo copies r to w and flushes after each read, so that a slowly produced body is passed on as
+// it arrives. It checks stopped between reading and writing, because the connection must not be
+// written to after the exchange has ended.
 func (u *upload) copyTo(w io.Writer, r io.Reader) (int64, error) {
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
@@ -150,8 +149,8 @@
 	return u.conn.writer.Flush()
 }
 
-// finished reports whether the whole body was written. If only the last step
-// of a body that was read whole is missing, it waits for that.
+// finished reports whether the whole body has been written. If the body has been read to its end,
+// it waits up to finalWriteTimeout for the last write.
 func (u *upload) finished() bool {
 	if !u.bodyRead.Load() {
 		select {
@@ -171,8 +170,8 @@
 	}
 }
 
-// end stops the copying. The connection is closed by now, so that a blocked
-// write returns; a blocked read returns if the body can be interrupted.
+// end stops the upload. The connection is already closed, so a blocked write returns; a blocked
+// read returns if the body is an Interrupter.
 func (u *upload) end() {
 	u.stopped.Store(true)
 	select {
--- a/internal/forward/wait_test.go
+++ b/internal/forward/wait_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A process short of processor time returns its connections late: the endpoint has a
-// free slot, and yet all connections to it are in use. Requests were told that there is
-// no endpoint. They wait for one that comes free, whether it ends well or breaks off; a
-// caller that leaves is let go at once.
+// A process that is short of CPU time releases its connections late: all connections to an endpoint
+// are in use although it has a free slot. Requests then failed because no endpoint was available.
+// They must wait for a connection to become free, whether its answer is read whole or dropped. A
+// request whose caller leaves must stop waiting at once.
 func TestRequestsWaitForAFreeConnection(t *testing.T) {
 	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{MaxConnsPerEndpoint: 1, DialTimeout: time.Minute})
@@ -40,19 +40,19 @@
 				}()
 			}
 			p := c.lookup(e.address)
-			eventually(t, "someone waits", func() bool {
+			eventually(t, "a request waits for a connection", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				return p.freed != nil
 			})
 			leave()
 			if err := <-left; FailureOf(err) != Cancelled {
-				t.Errorf("the caller that left got %v", err)
+				t.Errorf("the request of the caller that left got %v, want a cancellation", err)
 			}
 			ends.end(busy)
 			for range 3 {
 				if err := <-answered; err != nil {
-					t.Errorf("one that waited got %v", err)
+					t.Errorf("a waiting request got %v", err)
 				}
 			}
 		})
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// A booking runs though its caller was told that it did not. The connection took
-// long to set up, or the process slept meanwhile; the caller's deadline passed,
-// "not run" was answered, and then the request was written after all. So whoever
-// sends is asked once more when the connection is there.
+// Guards against a request that runs although its caller was told that it did not. Setting up the
+// connection takes long, or the process is suspended meanwhile; the caller's deadline passes and it
+// gets the answer "not run"; then the request is written after all. Send must therefore call
+// MaySend once the connection is ready.
 func TestRequestWithdrawnDuringDialIsNotSent(t *testing.T) {
 	accepted := make(chan struct{}, 1)
 	e := newEndpoint(t, func(p *endpointConn, number int) {
@@ -18,7 +18,7 @@
 	c := newConnections(t, Config{})
 	out := outgoing(t, e.address, http.MethodPost, "hall 7")
 	out.MaySend = func() bool {
-		<-accepted // the connection is there, and the caller was answered meanwhile
+		<-accepted // the connection is ready, and the caller has been answered meanwhile
 		return false
 	}
 	_, delivery, err := exchangeText(c, out)
