--- a/internal/route/repair.go
+++ b/internal/route/repair.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// maxProblems bounds how many problems are named.
+// maxProblems limits how many problems of a document are listed one by one.
 const maxProblems = 8
 
-// problems collects what was set right or left out.
+// problems collects descriptions of what was corrected or left out.
 type problems struct {
 	count int
 	texts []string
@@ -24,7 +24,7 @@
 	}
 }
 
-// list returns the problems, with how many more there are.
+// list returns the descriptions, the last one with the number of problems not listed.
 func (p *problems) list() []string {
 	if more := p.count - len(p.texts); more > 0 {
 		return append(slices.Clone(p.texts), fmt.Sprintf("and %d more", more))
@@ -38,7 +38,7 @@
 	usable := all[:0]
 	for _, s := range all {
 		if len(usable) > 0 && usable[len(usable)-1].Name == s.Name {
-			p.add("service %q stands twice; the first counts", s.Name)
+			p.add("service %q is listed twice; the first one is used", s.Name)
 			continue
 		}
 		if s.Warmup < 0 || !(s.WarmupRate >= 0) {
@@ -50,10 +50,10 @@
 	return usable
 }
 
-// routeKey is what one route alone may occupy.
+// routeKey is the host and prefix of a route. Only one route may have it.
 type routeKey struct{ host, prefix string }
 
-// usableRoutes returns the usable routes, sorted by name, each with what it lacks.
+// usableRoutes returns the usable routes, sorted by name, with their values corrected.
 func (p *problems) usableRoutes(all []Route) []Route {
 	all = slices.SortedStableFunc(slices.Values(all), func(a, b Route) int { return cmp.Compare(a.Name, b.Name) })
 	names, usable := make(map[routeKey]string, len(all)), all[:0]
@@ -64,13 +64,13 @@
 		r.Parts = p.mergeParts(&r)
 		switch {
 		case len(usable) > 0 && usable[len(usable)-1].Name == r.Name:
-			p.add("route %q stands twice; the first counts", r.Name)
+			p.add("route %q is listed twice; the first one is used", r.Name)
 			continue
 		case len(r.Parts) == 0:
 			p.add("route %q leads to no service and is left out", r.Name)
 			continue
 		case taken:
-			p.add("routes %q and %q have the same host and prefix; the first counts", other, r.Name)
+			p.add("routes %q and %q have the same host and prefix; the first one is used", other, r.Name)
 			continue
 		}
 		names[key] = r.Name
@@ -80,8 +80,8 @@
 	return usable
 }
 
-// checkBounds sets a route's own figures right. One that says nothing of its kind is treated as the
-// kind that promises least.
+// checkBounds corrects a route's kind, timeout, objective, priority and attempts. A route of an
+// unknown kind is treated as NonIdempotent, the kind that permits the least.
 func (p *problems) checkBounds(r *Route) {
 	if !slices.Contains(Kinds(), r.Kind) {
 		p.add("route %q: requests of the unknown kind %q run once at most", r.Name, r.Kind)
@@ -97,14 +97,15 @@
 	}
 }
 
-// maxWeightSum bounds the sum of a split's weights, to which larger and broken ones are scaled.
+// maxWeightSum is the limit for the sum of a route's weights. Weights with a larger sum or with
+// fractions are scaled to it.
 const maxWeightSum = 1000
 
-// maxWeight keeps sums of weights exact.
+// maxWeight limits a single weight, so that sums of weights are exact.
 const maxWeight = 1e9
 
-// mergeParts returns the parts that get requests, each service once, with whole weights above 0. Where
-// no part has a weight all are alike: the route is there to be served.
+// mergeParts returns the parts that get requests, each service once, with whole weights above 0. If
+// no part has a weight, all get the same one, because a published route is meant to be served.
 func (p *problems) mergeParts(r *Route) []Part {
 	var merged []Part
 	for _, part := range r.Parts {
@@ -136,7 +137,8 @@
 	return wholeWeights(merged, sum)
 }
 
-// wholeWeights turns the weights into small whole numbers, in which requests are dealt.
+// wholeWeights converts the weights to small whole numbers, which the distribution of requests
+// needs.
 func wholeWeights(parts []Part, sum float64) []Part {
 	if len(parts) == 1 {
 		parts[0].Weight = 1
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// sample is a document with two hosts, a split and a prefix within another.
+// sample returns a document with two hosts, a route split between two services, and a prefix that
+// extends another one.
 func sample() Document {
 	one := []Part{{Service: "s", Weight: 1}}
 	base := Route{Host: "a.example", Kind: Idempotent, Timeout: 1500, Objective: 400, MaxAttempts: 2, Parts: one}
@@ -54,19 +55,19 @@
 	}
 }
 
-// Guards against a document that the platform has accepted and that one odd route keeps out of
-// force. What is odd is set right or left out by itself, and named.
+// Guards against a single invalid route that keeps a document, which the platform has accepted,
+// from coming into force. Each invalid value is corrected or left out by itself and reported.
 func TestInvalidRoutesAreCorrectedOrSkipped(t *testing.T) {
 	long := func(d *Document) *Route { return &d.Routes[1] } // "long", split between s and t
 	for _, c := range []struct {
 		name   string
 		change func(d *Document)
-		// want is how the sample's route "long" ends, "" if it is left out; says is part of what is
-		// told, "" if nothing is to be told.
+		// want describes the resulting route "long", "" if it is left out. wantProblem is a part of
+		// the reported problems, "" if none is to be reported.
 		want, wantProblem string
 	}{
-		{"as it is", func(*Document) {}, "s90 t10 non_idempotent 1500 2 0", ""},
-		{"prefix without an end", func(d *Document) { long(d).Prefix = "/x/y" }, "s90 t10 non_idempotent 1500 2 0", ""},
+		{"unchanged", func(*Document) {}, "s90 t10 non_idempotent 1500 2 0", ""},
+		{"prefix without a final slash", func(d *Document) { long(d).Prefix = "/x/y" }, "s90 t10 non_idempotent 1500 2 0", ""},
 		{"unknown kind", func(d *Document) { long(d).Kind = "safe" }, "s90 t10 non_idempotent 1500 2 0", `unknown kind "safe" run once at most`},
 		{"no part", func(d *Document) { long(d).Parts = nil }, "", `route "long" leads to no service and is left out`},
 		{"one part without weight", func(d *Document) { long(d).Parts[0].Weight = 0 }, "t1 non_idempotent 1500 2 0", ""},
@@ -74,17 +75,17 @@
 		{"negative weight", func(d *Document) { long(d).Parts[0].Weight = -3 }, "t1 non_idempotent 1500 2 0", `negative weight of service "s"`},
 		{"small weights", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 0.75, 0.25 }, "s3 t1 non_idempotent 1500 2 0", ""},
 		{"large weights", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 3e6, 1e6 }, "s3 t1 non_idempotent 1500 2 0", ""},
-		{"a trickle", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 1e300, 1 }, "s1000 t1 non_idempotent 1500 2 0", ""},
-		{"a service twice", func(d *Document) { long(d).Parts[1].Service = "s" }, "s1 non_idempotent 1500 2 0", ""},
+		{"one weight far above the other", func(d *Document) { long(d).Parts[0].Weight, long(d).Parts[1].Weight = 1e300, 1 }, "s1000 t1 non_idempotent 1500 2 0", ""},
+		{"two parts of the same service", func(d *Document) { long(d).Parts[1].Service = "s" }, "s1 non_idempotent 1500 2 0", ""},
 		{"no attempt", func(d *Document) { long(d).MaxAttempts = 0 }, "s90 t10 non_idempotent 1500 1 0", "max_attempts 0 counts as 1"},
 		{"no timeout", func(d *Document) { long(d).Timeout = 0 }, "s90 t10 non_idempotent 0 2 0", ""},
 		{"negative timeout", func(d *Document) { long(d).Timeout = -5 }, "s90 t10 non_idempotent 0 2 0", "negative timeout"},
 		{"negative priority", func(d *Document) { long(d).Priority = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative timeout, objective or priority"},
-		{"same place", func(d *Document) { d.Routes[0].Prefix = "/x/y/" }, "s90 t10 non_idempotent 1500 2 0", `"long" and "short" have the same host and prefix`},
-		{"same name", func(d *Document) { d.Routes[0].Name = "long" }, "s1 idempotent 1500 2 0", `route "long" stands twice`},
-		{"service twice", func(d *Document) { d.Services[1].Name = "s" }, "s90 t10 non_idempotent 1500 2 0", `service "s" stands twice`},
+		{"same host and prefix", func(d *Document) { d.Routes[0].Prefix = "/x/y/" }, "s90 t10 non_idempotent 1500 2 0", `"long" and "short" have the same host and prefix`},
+		{"same name", func(d *Document) { d.Routes[0].Name = "long" }, "s1 idempotent 1500 2 0", `route "long" is listed twice`},
+		{"service listed twice", func(d *Document) { d.Services[1].Name = "s" }, "s90 t10 non_idempotent 1500 2 0", `service "s" is listed twice`},
 		{"negative warm-up", func(d *Document) { d.Services[0].Warmup = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative warm-up"},
-		{"told by the reader", func(d *Document) { d.Problems = []string{"route x is not readable"} }, "s90 t10 non_idempotent 1500 2 0", "route x is not readable"},
+		{"problem reported by the reader", func(d *Document) { d.Problems = []string{"route x is not readable"} }, "s90 t10 non_idempotent 1500 2 0", "route x is not readable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := sample()
@@ -108,16 +109,16 @@
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 			if reported := strings.Join(table.Problems(), "; "); (reported != "") != (c.wantProblem != "") || !strings.Contains(reported, c.wantProblem) {
-				t.Errorf("told %q, want %q", reported, c.wantProblem)
+				t.Errorf("reported problems %q, want %q", reported, c.wantProblem)
 			}
 			if _, found := table.Find("b.example", "/x/1"); !found {
-				t.Error("another route is lost")
+				t.Error("another route is missing")
 			}
 		})
 	}
 }
 
-// Guards against a log line as long as a document with hundreds of odd routes.
+// Guards against a log line that lists each of hundreds of invalid routes.
 func TestProblemListIsBounded(t *testing.T) {
 	d := sample()
 	for i := range 300 {
@@ -131,11 +132,11 @@
 	}
 	reported := table.Problems()
 	if len(reported) != maxProblems+1 || reported[maxProblems] != "and 292 more" || len(table.Routes()) != 303 {
-		t.Errorf("%d routes, told %q", len(table.Routes()), reported)
+		t.Errorf("%d routes, reported problems %q", len(table.Routes()), reported)
 	}
 }
 
-// A text that can't be read says nothing of any route.
+// A document that can't be decoded contains no usable route.
 func TestUnreadableDocumentIsRefused(t *testing.T) {
 	for _, text := range []string{"", "{", `{"routes":7}`, string(Encode(sample())) + "x"} {
 		if _, err := Parse([]byte(text)); fault.KindOf(err) != fault.BadProfile {
@@ -144,8 +145,8 @@
 	}
 }
 
-// Readers that got the same routes in another order must publish the same bytes, or
-// their peers would take one of them for wrong.
+// Readers that received the same routes in different orders must publish the same bytes. Otherwise
+// their peers would take one of the documents for wrong.
 func TestEncodeIgnoresInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := sample()
@@ -164,13 +165,13 @@
 		table, err := Parse(data)
 		if err != nil {
 			if fault.KindOf(err) != fault.BadProfile {
-				t.Errorf("untyped: %v", err)
+				t.Errorf("error of another kind than BadProfile: %v", err)
 			}
 			return
 		}
 		for _, r := range table.Routes() {
 			if found, ok := table.Find(r.Host, r.Prefix); !ok || !strings.HasPrefix(r.Prefix, found.Prefix) {
-				t.Errorf("route %q is not found at its own place", r.Name)
+				t.Errorf("route %q is not found by its own host and prefix", r.Name)
 			}
 		}
 	})
