--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLoadSurvivesTheHeader(t *testing.T) {
+func TestLoadHeaderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load := Load{
 			InFlight: rapid.IntRange(0, maxCount).Draw(t, "inFlight"),
@@ -22,15 +22,15 @@
 }
 
 func TestParseLoad(t *testing.T) {
-	whole := Load{InFlight: 3, Queued: 1, Slots: 2}
+	complete := Load{InFlight: 3, Queued: 1, Slots: 2}
 	cases := map[string]struct {
 		value string
 		want  Load
 		ok    bool
 	}{
-		"as written":        {"in-flight=3,queued=1,slots=2", whole, true},
-		"spaces and order":  {" slots=2, queued=1 , in-flight=3", whole, true},
-		"unknown field":     {"in-flight=3,cpu=0.7,queued=1,slots=2", whole, true},
+		"as written":        {"in-flight=3,queued=1,slots=2", complete, true},
+		"spaces and order":  {" slots=2, queued=1 , in-flight=3", complete, true},
+		"unknown field":     {"in-flight=3,cpu=0.7,queued=1,slots=2", complete, true},
 		"empty":             {"", Load{}, false},
 		"field missing":     {"in-flight=3,slots=2", Load{}, false},
 		"field twice":       {"in-flight=3,in-flight=3,queued=1,slots=2", Load{}, false},
@@ -48,7 +48,7 @@
 			}
 		})
 	}
-	value := whole.String()
+	value := complete.String()
 	if allocs := testing.AllocsPerRun(100, func() { ParseLoad(value) }); allocs != 0 {
 		t.Errorf("ParseLoad allocates %v times", allocs)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestParseNumbers(t *testing.T) {
 	if got := FormatDeadline(1999 * time.Microsecond); got != "1" {
 		t.Errorf("a deadline of 1.999 ms is sent as %q, not rounded down", got)
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -138,7 +138,7 @@
 
 // noteTooLarge remembers that the body failed because it is beyond its bound.
 func (x *exchange) noteTooLarge(err error) {
-	if beyond := (*front.TooLarge)(nil); !errors.As(err, &beyond) {
+	if beyond := (*front.BodyTooLargeError)(nil); !errors.As(err, &beyond) {
 		return
 	}
 	x.mu.Lock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -170,11 +170,11 @@
 	e.buildPeers()
 	e.allowed.Store(&front.Limits{})
 	e.front = front.NewServer(front.ServerConfig{
-		Limits:  front.Limits{HeaderBytes: s.Limits.HeaderBytes, HeaderTimeout: s.Timeouts.Header.Duration, Idle: s.Timeouts.Idle.Duration},
-		Allowed: func() front.Limits { return *e.allowed.Load() },
-		TLS:     opts.TLS.Callers,
-		Refuse:  e.refuseShape,
-		Ahead:   e.mayBeginAhead,
+		Limits:      front.Limits{HeaderBytes: s.Limits.HeaderBytes, HeaderTimeout: s.Timeouts.Header.Duration, Idle: s.Timeouts.Idle.Duration},
+		Allowed:     func() front.Limits { return *e.allowed.Load() },
+		TLS:         opts.TLS.Callers,
+		Refuse:      e.refuseShape,
+		MayPipeline: e.mayBeginAhead,
 	}, e.callerHandler())
 	return e, nil
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -38,7 +38,7 @@
 var badRequest = core.Directive{Outcome: core.OutcomeNotRun, Reason: core.ReasonBadRequest}
 
 // refuseShape answers a request whose head was refused.
-func (e *Entry) refuseShape(w http.ResponseWriter, r *http.Request, shape front.Shape) {
+func (e *Entry) refuseShape(w http.ResponseWriter, r *http.Request, shape front.Violation) {
 	e.instruments.refused(badRequest.Reason, badRequest.Outcome)
 	e.replyAs(w, r, badRequest, shape.Status(), shape.String())
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -71,7 +71,7 @@
 		return nil, nil, admission.Reason
 	}
 	body, err := front.NewReplayBody(w, r, front.BodyLimits{Buffer: int64(e.settings.Limits.ReplayBodyBytes), Max: admission.MaxBody})
-	if tooLarge := (*front.TooLarge)(nil); errors.As(err, &tooLarge) {
+	if tooLarge := (*front.BodyTooLargeError)(nil); errors.As(err, &tooLarge) {
 		return nil, nil, core.ReasonBodyTooLarge
 	}
 	if err != nil {
@@ -154,7 +154,7 @@
 		ID:            x.id,
 		Service:       x.service,
 		Admission:     admission,
-		Content:       front.Content(x.request, x.body),
+		Content:       front.ContentHash(x.request, x.body),
 		Caller:        xxhash.Sum64String(x.caller),
 		Safe:          idempotentMethod(x.request.Method),
 		Replayable:    x.body.Whole(),
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -114,7 +114,7 @@
 func (e *Entry) finish(onItsWay time.Duration, left func() time.Duration) {
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Stopped(now, out) })
 	wait.For(context.Background(), onItsWay)
-	if !wait.Done(left(), e.shutDown) {
+	if !wait.Within(left(), e.shutDown) {
 		klog.InfoS("the process ends before all its calls have", "entry", e.settings.Name)
 	}
 }
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -20,14 +20,14 @@
 	Timeout time.Duration
 }
 
-// TooLarge is the error of a body beyond its bound.
-type TooLarge struct {
+// BodyTooLargeError is the error of a body beyond its bound.
+type BodyTooLargeError struct {
 	// Limit is the bound in bytes.
 	Limit int64
 }
 
 // Error names the bound and the remedy.
-func (e *TooLarge) Error() string {
+func (e *BodyTooLargeError) Error() string {
 	return "the body is larger than " + strconv.FormatInt(e.Limit, 10) + " bytes; send less at a time"
 }
 
@@ -55,7 +55,7 @@
 // NewReplayBody prepares the body of r, and reads up to limits.Buffer bytes of
 // it. It reads nothing if the caller waits for 100-continue with a body that
 // may not fit the buffer: the endpoint is to say first whether it wants it. The
-// error is *TooLarge, os.ErrDeadlineExceeded within another, or that of the
+// error is *BodyTooLargeError, os.ErrDeadlineExceeded within another, or that of the
 // caller's connection.
 func NewReplayBody(w http.ResponseWriter, r *http.Request, limits BodyLimits) (*ReplayBody, error) {
 	b := &ReplayBody{request: r, controller: http.NewResponseController(w), source: r.Body}
@@ -65,15 +65,15 @@
 	}
 	if limits.Max > 0 {
 		if r.ContentLength > limits.Max {
-			return nil, &TooLarge{Limit: limits.Max}
+			return nil, &BodyTooLargeError{Limit: limits.Max}
 		}
 		// The innermost writer learns of a body beyond the bound and closes the
 		// connection gently.
-		b.source = http.MaxBytesReader(innermost(w), r.Body, limits.Max)
+		b.source = http.MaxBytesReader(innermostWriter(w), r.Body, limits.Max)
 	}
 	fits := r.ContentLength >= 0 && r.ContentLength <= limits.Buffer
 	if !fits && (r.Header.Get("Expect") != "" || limits.Buffer <= 0) {
-		return b, b.stream(w)
+		return b, b.enableStreaming(w)
 	}
 	if limits.Timeout > 0 {
 		b.controller.SetReadDeadline(time.Now().Add(limits.Timeout))
@@ -85,21 +85,21 @@
 	if b.whole {
 		return b, nil
 	}
-	return b, b.stream(w)
+	return b, b.enableStreaming(w)
 }
 
 // fill reads up to limit bytes into the buffer.
 func (b *ReplayBody) fill(limit int64) error {
-	room := limit + 1 // one more, to see the end of a body that just fits
+	readLimit := limit + 1 // one more, to see the end of a body that just fits
 	if length := b.request.ContentLength; length >= 0 {
-		room = min(length, limit)
+		readLimit = min(length, limit)
 	}
 	var kept bytes.Buffer
-	kept.Grow(int(min(room, copySize)) + bytes.MinRead)
-	n, err := kept.ReadFrom(io.LimitReader(b.source, room))
+	kept.Grow(int(min(readLimit, copySize)) + bytes.MinRead)
+	n, err := kept.ReadFrom(io.LimitReader(b.source, readLimit))
 	b.buffer = kept.Bytes()
 	if err != nil {
-		return tooLarge(err)
+		return asTooLarge(err)
 	}
 	if n == b.request.ContentLength {
 		b.whole = true
@@ -108,16 +108,16 @@
 		var scrap [1]byte
 		_, err = b.source.Read(scrap[:])
 		if err != nil && err != io.EOF {
-			return tooLarge(err)
+			return asTooLarge(err)
 		}
 		return nil
 	}
-	b.whole = b.request.ContentLength < 0 && n < room
+	b.whole = b.request.ContentLength < 0 && n < readLimit
 	return nil
 }
 
-// stream lets an answer begin before the body was read whole.
-func (b *ReplayBody) stream(w http.ResponseWriter) error {
+// enableStreaming lets an answer begin before the body was read whole.
+func (b *ReplayBody) enableStreaming(w http.ResponseWriter) error {
 	if tracked, ok := unwrapTo[*answerWriter](w); ok {
 		tracked.body = b
 	}
@@ -171,8 +171,8 @@
 type streamReader struct {
 	body *ReplayBody
 	kept []byte
-	// stopped is guarded by body.mu.
-	stopped bool
+	// interrupted is guarded by body.mu.
+	interrupted bool
 }
 
 // Read implements io.Reader.
@@ -182,22 +182,22 @@
 		s.kept = s.kept[n:]
 		return n, nil
 	}
-	if !s.beginRest() {
+	if !s.startStreaming() {
 		return 0, errInterrupted
 	}
 	n, err := s.body.source.Read(p)
 	if err == io.EOF {
-		s.body.endRest()
+		s.body.endStreaming()
 	}
-	return n, tooLarge(err)
+	return n, asTooLarge(err)
 }
 
-// beginRest notes that the rest is read, unless this attempt was interrupted
+// startStreaming notes that the rest is read, unless this attempt was interrupted
 // before: then the body stays whole for another attempt.
-func (s *streamReader) beginRest() bool {
+func (s *streamReader) startStreaming() bool {
 	s.body.mu.Lock()
 	defer s.body.mu.Unlock()
-	if s.stopped {
+	if s.interrupted {
 		return false
 	}
 	s.body.streamed = true
@@ -211,7 +211,7 @@
 	return b.ended
 }
 
-func (b *ReplayBody) endRest() {
+func (b *ReplayBody) endStreaming() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ended = true
@@ -224,7 +224,7 @@
 func (s *streamReader) Interrupt() {
 	s.body.mu.Lock()
 	defer s.body.mu.Unlock()
-	s.stopped = true
+	s.interrupted = true
 	if !s.body.streamed || s.body.ended {
 		return
 	}
@@ -232,17 +232,17 @@
 	s.body.controller.SetReadDeadline(time.Unix(1, 0))
 }
 
-// tooLarge turns net/http's error for a body beyond its bound into ours.
-func tooLarge(err error) error {
+// asTooLarge turns net/http's error for a body beyond its bound into ours.
+func asTooLarge(err error) error {
 	var exceeded *http.MaxBytesError
 	if errors.As(err, &exceeded) {
-		return &TooLarge{Limit: exceeded.Limit}
+		return &BodyTooLargeError{Limit: exceeded.Limit}
 	}
 	return err
 }
 
-// innermost returns the server's own writer below w.
-func innermost(w http.ResponseWriter) http.ResponseWriter {
+// innermostWriter returns the server's own writer below w.
+func innermostWriter(w http.ResponseWriter) http.ResponseWriter {
 	for {
 		wrapped, ok := w.(interface{ Unwrap() http.ResponseWriter })
 		if !ok {
--- a/internal/front/caller_test.go
+++ b/internal/front/caller_test.go
@@ -17,7 +17,7 @@
 // A contractor's phone walks out of the hall in the middle of a streamed answer.
 // No segment says so: what the entry sends is never acknowledged. The TCP user
 // time-out must end the connection, and with it the endpoint's work.
-func TestSilentCaller(t *testing.T) {
+func TestUnreachableCallerEndsRequest(t *testing.T) {
 	ended := make(chan struct{})
 	proceed := make(chan struct{})
 	_, address := serve(t, ServerConfig{UserTimeout: 100 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 		close(ended)
 	})
 	c := dial(t, address)
-	c.say(lines("GET / HTTP/1.1", "Host: a", "", ""))
+	c.send(lines("GET / HTTP/1.1", "Host: a", "", ""))
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -45,12 +45,12 @@
 	<-ended
 }
 
-func TestTLS(t *testing.T) {
+func TestTLSServesHTTP1(t *testing.T) {
 	// The test server lends its certificate and a client that trusts it.
-	lender := httptest.NewTLSServer(nil)
-	defer lender.Close()
-	_, address := serve(t, ServerConfig{TLS: lender.TLS}, echo)
-	resp, err := lender.Client().Get("https://" + address + "/tray")
+	tlsServer := httptest.NewTLSServer(nil)
+	defer tlsServer.Close()
+	_, address := serve(t, ServerConfig{TLS: tlsServer.TLS}, echo)
+	resp, err := tlsServer.Client().Get("https://" + address + "/tray")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,9 +60,9 @@
 	}
 }
 
-// BenchmarkWay compares a call on a kept raw connection directly to an endpoint
+// BenchmarkCall compares a call on a kept raw connection directly to an endpoint
 // and through front and forward, all in one process.
-func BenchmarkWay(b *testing.B) {
+func BenchmarkCall(b *testing.B) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "0123456789012345678901234567890123456789")
 	}))
@@ -74,18 +74,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := NewServer(ServerConfig{}, pass(connections, target.Host, BodyLimits{Buffer: 64 << 10}))
+	s := NewServer(ServerConfig{}, proxyTo(connections, target.Host, BodyLimits{Buffer: 64 << 10}))
 	go s.Serve(listener)
 	defer s.http.Close()
-	plain := httptest.NewServer(pass(connections, target.Host, BodyLimits{Buffer: 64 << 10}))
+	plain := httptest.NewServer(proxyTo(connections, target.Host, BodyLimits{Buffer: 64 << 10}))
 	defer plain.Close()
-	ways := []struct{ name, address string }{
+	routes := []struct{ name, address string }{
 		{"direct", target.Host},
 		{"through", listener.Addr().String()},
 		{"through-without-guard", plain.Listener.Addr().String()},
 	}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) { callRaw(b, way.address) })
+	for _, route := range routes {
+		b.Run(route.name, func(b *testing.B) { callRaw(b, route.address) })
 	}
 }
 
--- a/internal/front/copy_test.go
+++ b/internal/front/copy_test.go
@@ -16,7 +16,7 @@
 // endpoint died while it answered; the entry had passed on the first part. The
 // caller must see a broken connection, whichever way the answer is delimited:
 // by its length, in chunks, or in HTTP/1.0 by the connection's end.
-func TestCutOffAnswerIsNeverWhole(t *testing.T) {
+func TestCutOffAnswerBreaksConnection(t *testing.T) {
 	tests := []struct {
 		name, version string
 		length        int64
@@ -35,7 +35,7 @@
 				}
 			})
 			c := dial(t, address)
-			c.say(lines("GET / "+test.version, "Host: a", "", ""))
+			c.send(lines("GET / "+test.version, "Host: a", "", ""))
 			if _, _, err := c.answer(http.MethodGet); !errors.Is(err, test.want) {
 				t.Errorf("the caller saw %v, want %v", err, test.want)
 			}
@@ -50,7 +50,7 @@
 
 // Live counts are pushed part by part. Each must be with the caller before the
 // endpoint has the next; headers of the endpoint's connection must not be.
-func TestStreamingAnswer(t *testing.T) {
+func TestStreamingAnswerIsFlushedPartByPart(t *testing.T) {
 	source, endpoint := io.Pipe()
 	_, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, _ *http.Request) {
 		resp := fakeAnswer(source, -1)
@@ -61,7 +61,7 @@
 		}
 	})
 	c := dial(t, address)
-	c.say(lines("GET / HTTP/1.1", "Host: a", "", ""))
+	c.send(lines("GET / HTTP/1.1", "Host: a", "", ""))
 	io.WriteString(endpoint, "1")
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
@@ -91,13 +91,13 @@
 
 func (f atEnd) Read([]byte) (int, error) { f(); return 0, io.EOF }
 
-// pass is an entry in small: it brings a request to the endpoint and its answer
+// proxyTo is an entry in small: it brings a request to the endpoint and its answer
 // back.
-func pass(c *forward.Connections, address string, limits BodyLimits) http.HandlerFunc {
+func proxyTo(c *forward.Connections, address string, limits BodyLimits) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := NewReplayBody(w, r, limits)
 		if err != nil {
-			refuseBody(w, err, false)
+			refuseRequest(w, err, false)
 			return
 		}
 		reader, _ := body.Reader()
@@ -105,17 +105,17 @@
 			Address: address, Request: r, Body: reader, ContentLength: body.Length(), Trailer: r.Trailer,
 		})
 		if err != nil {
-			refuseBody(w, err, delivery.Wrote)
+			refuseRequest(w, err, delivery.Wrote)
 			return
 		}
 		CopyAnswer(w, resp)
 	}
 }
 
-// refuseBody tells what it knows in headers of its own, since the words of the
+// refuseRequest tells what it knows in headers of its own, since the words of the
 // answer are the entry's.
-func refuseBody(w http.ResponseWriter, err error, sentOn bool) {
-	var large *TooLarge
+func refuseRequest(w http.ResponseWriter, err error, sentOn bool) {
+	var large *BodyTooLargeError
 	if !errors.As(err, &large) {
 		w.WriteHeader(http.StatusBadGateway)
 		return
@@ -126,7 +126,7 @@
 
 // The whole way through front and forward, with bodies that fit the buffer and
 // larger ones, each bounded, and endpoints that answer early or not at all.
-func TestBodiesThroughAnEntry(t *testing.T) {
+func TestBodiesThroughEntry(t *testing.T) {
 	const kept, most = 100, 5000
 	_, endpoint := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/early" {
@@ -143,7 +143,7 @@
 	})
 	connections := forward.New(forward.Config{Clock: testClock()})
 	t.Cleanup(connections.Close)
-	_, address := serve(t, ServerConfig{}, pass(connections, endpoint, BodyLimits{Buffer: kept, Max: most}))
+	_, address := serve(t, ServerConfig{}, proxyTo(connections, endpoint, BodyLimits{Buffer: kept, Max: most}))
 	small, large, tooLarge := strings.Repeat("s", kept), strings.Repeat("l", most), strings.Repeat("t", most+1)
 	tests := []struct {
 		name, request, body string
@@ -163,7 +163,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := dial(t, address)
-			c.say(test.request)
+			c.send(test.request)
 			resp, text, err := c.answer(http.MethodPost)
 			if err != nil || resp.StatusCode != test.status || resp.StatusCode == 200 && text != test.body {
 				t.Fatalf("got %+v, %d bytes, %v", resp, len(text), err)
@@ -190,7 +190,7 @@
 
 // A tablet is switched off while its request waits. The entry's context ends, so
 // that the endpoint's slot is freed; also when the body was streamed.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerGoneEndsRequest(t *testing.T) {
 	for _, buffer := range []int64{100, 1} {
 		started, ended := make(chan struct{}), make(chan struct{})
 		_, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
@@ -206,7 +206,7 @@
 			close(ended)
 		})
 		c := dial(t, address)
-		c.say(withLength("/", "tray"))
+		c.send(withLength("/", "tray"))
 		<-started
 		c.Close()
 		<-ended
--- a/internal/front/digest.go
+++ b/internal/front/digest.go
@@ -39,10 +39,10 @@
 	h.Write(bytes[:])
 }
 
-// Content returns a number that requests share which have the same host, method, target and body,
+// ContentHash returns a number that requests share which have the same host, method, target and body,
 // whoever sends them; whatever differs between two attempts is left out. Of a body larger than its
 // buffer the length and the bytes kept count.
-func Content(r *http.Request, body *ReplayBody) uint64 {
+func ContentHash(r *http.Request, body *ReplayBody) uint64 {
 	h := sha256.New()
 	writeField(h, r.Host)
 	writeField(h, r.Method)
--- a/internal/front/digest_test.go
+++ b/internal/front/digest_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkContent measures what each request pays for being known again.
-func BenchmarkContent(b *testing.B) {
+// BenchmarkContentHash measures what each request pays for being known again.
+func BenchmarkContentHash(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		size int
@@ -21,7 +21,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				Content(r, body)
+				ContentHash(r, body)
 			}
 		})
 	}
--- a/internal/front/headcheck.go
+++ b/internal/front/headcheck.go
@@ -9,72 +9,72 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Shape is a way in which a request's head can mislead about where the request
+// Violation is a way in which a request's head can mislead about where the request
 // ends or whom it is for. Such requests are refused; two programs that read
 // them differently would take part of one caller's request for another's.
-type Shape uint8
+type Violation uint8
 
 // The refused shapes.
 const (
-	// ShapeNone: nothing is wrong.
-	ShapeNone Shape = iota
-	// ShapeLineEnd: a line feed without carriage return or the reverse.
-	ShapeLineEnd
-	// ShapeRequestLine: not "METHOD SP target SP HTTP/1.0 or 1.1".
-	ShapeRequestLine
-	// ShapeTarget: the target is not a path with an optional query, or has a
+	// ViolationNone: nothing is wrong.
+	ViolationNone Violation = iota
+	// ViolationLineEnd: a line feed without carriage return or the reverse.
+	ViolationLineEnd
+	// ViolationRequestLine: not "METHOD SP target SP HTTP/1.0 or 1.1".
+	ViolationRequestLine
+	// ViolationTarget: the target is not a path with an optional query, or has a
 	// percent sign in the path that no two hexadecimal digits follow.
-	ShapeTarget
-	// ShapeFolded: a header goes on in the next line (obs-fold).
-	ShapeFolded
-	// ShapeHeader: a header line without a valid name directly before the colon,
+	ViolationTarget
+	// ViolationFolded: a header goes on in the next line (obs-fold).
+	ViolationFolded
+	// ViolationHeader: a header line without a valid name directly before the colon,
 	// or with control characters in its value.
-	ShapeHeader
-	// ShapeBothLengths: Content-Length together with Transfer-Encoding.
-	ShapeBothLengths
-	// ShapeLength: more than one Content-Length, or not a plain number.
-	ShapeLength
-	// ShapeCoding: a transfer coding other than chunked alone, or one in HTTP/1.0.
-	ShapeCoding
-	// ShapeTooLarge: the head is larger than allowed.
-	ShapeTooLarge
-	// ShapeMethod: CONNECT, which asks for a tunnel.
-	ShapeMethod
-	// ShapeHost: not exactly one valid Host; none is allowed in HTTP/1.0.
-	ShapeHost
-	// ShapeExpectation: an expectation other than 100-continue.
-	ShapeExpectation
+	ViolationHeader
+	// ViolationBothLengths: Content-Length together with Transfer-Encoding.
+	ViolationBothLengths
+	// ViolationLength: more than one Content-Length, or not a plain number.
+	ViolationLength
+	// ViolationCoding: a transfer coding other than chunked alone, or one in HTTP/1.0.
+	ViolationCoding
+	// ViolationTooLarge: the head is larger than allowed.
+	ViolationTooLarge
+	// ViolationMethod: CONNECT, which asks for a tunnel.
+	ViolationMethod
+	// ViolationHost: not exactly one valid Host; none is allowed in HTTP/1.0.
+	ViolationHost
+	// ViolationExpectation: an expectation other than 100-continue.
+	ViolationExpectation
 )
 
-var shapeTexts = [...]string{
-	ShapeNone:        "none",
-	ShapeLineEnd:     "end each line of the head with CR LF",
-	ShapeRequestLine: "send METHOD, one space, the target, one space, HTTP/1.1",
-	ShapeTarget:      "send a target that begins with a slash, with valid percent-encoding and no fragment",
-	ShapeFolded:      "send each header on one line",
-	ShapeHeader:      "send header names as tokens directly before the colon and values without control characters",
-	ShapeBothLengths: "send either Content-Length or Transfer-Encoding",
-	ShapeLength:      "send one Content-Length, a plain decimal number",
-	ShapeCoding:      "send the transfer coding chunked alone, and only with HTTP/1.1",
-	ShapeTooLarge:    "send fewer or smaller headers",
-	ShapeMethod:      "use another method than CONNECT",
-	ShapeHost:        "send one Host with a valid name",
-	ShapeExpectation: "expect nothing but 100-continue",
+var violationTexts = [...]string{
+	ViolationNone:        "none",
+	ViolationLineEnd:     "end each line of the head with CR LF",
+	ViolationRequestLine: "send METHOD, one space, the target, one space, HTTP/1.1",
+	ViolationTarget:      "send a target that begins with a slash, with valid percent-encoding and no fragment",
+	ViolationFolded:      "send each header on one line",
+	ViolationHeader:      "send header names as tokens directly before the colon and values without control characters",
+	ViolationBothLengths: "send either Content-Length or Transfer-Encoding",
+	ViolationLength:      "send one Content-Length, a plain decimal number",
+	ViolationCoding:      "send the transfer coding chunked alone, and only with HTTP/1.1",
+	ViolationTooLarge:    "send fewer or smaller headers",
+	ViolationMethod:      "use another method than CONNECT",
+	ViolationHost:        "send one Host with a valid name",
+	ViolationExpectation: "expect nothing but 100-continue",
 }
 
 // String returns the remedy for the caller.
-func (s Shape) String() string { return shapeTexts[s] }
+func (v Violation) String() string { return violationTexts[v] }
 
 // Status returns the status code with which the shape is refused.
-func (s Shape) Status() int {
-	switch s {
-	case ShapeTooLarge:
+func (v Violation) Status() int {
+	switch v {
+	case ViolationTooLarge:
 		return http.StatusRequestHeaderFieldsTooLarge
-	case ShapeCoding:
+	case ViolationCoding:
 		return http.StatusNotImplemented
-	case ShapeMethod:
+	case ViolationMethod:
 		return http.StatusMethodNotAllowed
-	case ShapeExpectation:
+	case ViolationExpectation:
 		return http.StatusExpectationFailed
 	}
 	return http.StatusBadRequest
@@ -94,75 +94,75 @@
 const maxLengthDigits = 18
 
 // checkHead checks a whole head, up to and with its empty line.
-func checkHead(head []byte) (headInfo, Shape) {
+func checkHead(head []byte) (headInfo, Violation) {
 	var info headInfo
-	line, rest, shape := cutLine(head)
-	if shape != ShapeNone {
-		return info, shape
+	line, rest, violation := cutLine(head)
+	if violation != ViolationNone {
+		return info, violation
 	}
-	if shape = info.requestLine(line); shape != ShapeNone {
-		return info, shape
+	if violation = info.requestLine(line); violation != ViolationNone {
+		return info, violation
 	}
 	for {
-		line, rest, shape = cutLine(rest)
-		if shape != ShapeNone {
-			return info, shape
+		line, rest, violation = cutLine(rest)
+		if violation != ViolationNone {
+			return info, violation
 		}
 		if len(line) == 0 {
 			return info, info.checkWhole()
 		}
-		if shape = info.headerLine(line); shape != ShapeNone {
-			return info, shape
+		if violation = info.headerLine(line); violation != ViolationNone {
+			return info, violation
 		}
 	}
 }
 
 // cutLine returns the next line without its CR LF.
-func cutLine(head []byte) (line, rest []byte, shape Shape) {
+func cutLine(head []byte) (line, rest []byte, violation Violation) {
 	end := bytes.IndexByte(head, '\n')
 	if end < 1 || head[end-1] != '\r' {
-		return nil, nil, ShapeLineEnd
+		return nil, nil, ViolationLineEnd
 	}
 	line = head[:end-1]
 	if bytes.IndexByte(line, '\r') >= 0 {
-		return nil, nil, ShapeLineEnd
+		return nil, nil, ViolationLineEnd
 	}
-	return line, head[end+1:], ShapeNone
+	return line, head[end+1:], ViolationNone
 }
 
-func (h *headInfo) requestLine(line []byte) Shape {
+func (h *headInfo) requestLine(line []byte) Violation {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
 	if !ok || !ok2 || !validToken(method) {
-		return ShapeRequestLine
+		return ViolationRequestLine
 	}
 	switch string(version) {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
 		h.http10 = true
 	default:
-		return ShapeRequestLine
+		return ViolationRequestLine
 	}
 	if string(method) == http.MethodConnect {
-		return ShapeMethod
+		return ViolationMethod
 	}
 	return checkTarget(target)
 }
 
-func checkTarget(target []byte) Shape {
+func checkTarget(target []byte) Violation {
 	if len(target) == 0 || target[0] != '/' {
-		return ShapeTarget
+		return ViolationTarget
 	}
 	for _, b := range target {
 		if b <= ' ' || b >= 0x7f || b == '#' {
-			return ShapeTarget
+			return ViolationTarget
 		}
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
 	if !validEscapes(path) {
-		return ShapeTarget
+		return ViolationTarget
 	}
-	return ShapeNone
+	return ViolationNone
 }
 
 // validEscapes reports whether two hexadecimal digits follow each percent sign.
@@ -183,17 +183,17 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-func (h *headInfo) headerLine(line []byte) Shape {
+func (h *headInfo) headerLine(line []byte) Violation {
 	if line[0] == ' ' || line[0] == '\t' {
-		return ShapeFolded
+		return ViolationFolded
 	}
 	name, value, found := bytes.Cut(line, []byte(":"))
 	if !found || !validToken(name) {
-		return ShapeHeader
+		return ViolationHeader
 	}
 	for _, b := range value {
 		if b < ' ' && b != '\t' || b == 0x7f {
-			return ShapeHeader
+			return ViolationHeader
 		}
 	}
 	switch {
@@ -206,48 +206,48 @@
 	case equalFold(name, "Host"):
 		h.hosts++
 		if !httpguts.ValidHostHeader(string(bytes.Trim(value, " \t"))) {
-			return ShapeHost
+			return ViolationHost
 		}
 	case equalFold(name, "Expect"):
 		// net/http refuses any other by itself, without saying that nothing ran.
 		if value = bytes.Trim(value, " \t"); len(value) > 0 && !equalFold(value, "100-continue") {
-			return ShapeExpectation
+			return ViolationExpectation
 		}
 	}
-	return ShapeNone
+	return ViolationNone
 }
 
-func (h *headInfo) contentLength(value string) Shape {
+func (h *headInfo) contentLength(value string) Violation {
 	if value == "" || len(value) > maxLengthDigits {
-		return ShapeLength
+		return ViolationLength
 	}
 	for i := range len(value) {
 		if value[i] < '0' || value[i] > '9' {
-			return ShapeLength
+			return ViolationLength
 		}
 	}
 	length, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return ShapeLength
+		return ViolationLength
 	}
 	h.length = length
-	return ShapeNone
+	return ViolationNone
 }
 
 // checkWhole checks what takes all headers: that they name one host and delimit
 // the body in exactly one way.
-func (h *headInfo) checkWhole() Shape {
+func (h *headInfo) checkWhole() Violation {
 	switch {
 	case h.hosts > 1, h.hosts == 0 && !h.http10:
-		return ShapeHost
+		return ViolationHost
 	case h.codings > 0 && h.lengths > 0:
-		return ShapeBothLengths
+		return ViolationBothLengths
 	case h.lengths > 1:
-		return ShapeLength
+		return ViolationLength
 	case h.codings > 1, h.codings == 1 && (!h.isChunked || h.http10):
-		return ShapeCoding
+		return ViolationCoding
 	}
-	return ShapeNone
+	return ViolationNone
 }
 
 // validToken reports whether b is a token of RFC 9110.
--- a/internal/front/shape_test.go
+++ b/internal/front/headcheck_test.go
@@ -12,7 +12,7 @@
 // way read the end of a request differently, so the rest of the first is taken
 // for a second. Each shape that allows this is refused before any of it runs,
 // as not run, and the connection, whose next byte can't be placed, is closed.
-func TestMisleadingShapes(t *testing.T) {
+func TestHeadViolationsAreRefused(t *testing.T) {
 	tests := []struct {
 		name, request string
 		status        int
@@ -52,7 +52,7 @@
 		{"endless line", strings.Repeat("x", 9000), 431, 400},
 	}
 	ran := make(chan string, 1)
-	cfg := ServerConfig{Limits: Limits{HeaderBytes: 4096}, Refuse: func(w http.ResponseWriter, _ *http.Request, shape Shape) {
+	cfg := ServerConfig{Limits: Limits{HeaderBytes: 4096}, Refuse: func(w http.ResponseWriter, _ *http.Request, shape Violation) {
 		w.Header().Set("Remedy", shape.String())
 		w.WriteHeader(shape.Status())
 	}}
@@ -65,7 +65,7 @@
 				t.Errorf("net/http alone answers %d, want %d", got, test.plain)
 			}
 			c := dial(t, address)
-			c.say(test.request)
+			c.send(test.request)
 			resp, _, err := c.answer(http.MethodGet)
 			if err != nil || resp.StatusCode != test.status {
 				t.Fatalf("got %+v, %v; want status %d", resp, err, test.status)
@@ -87,7 +87,7 @@
 
 // Requests that follow each other without waiting keep their own bodies, in
 // pieces of any size, and a refused one takes its turn behind them.
-func TestPipelinedRequests(t *testing.T) {
+func TestPipelinedRequestsKeepTheirBodies(t *testing.T) {
 	_, address := serve(t, ServerConfig{}, echo)
 	stream := lines("POST /1 HTTP/1.1", "Host: a", "Content-Length: 3", "", "one") +
 		lines("POST /2 HTTP/1.1", "Host: a", "Transfer-Encoding: chunked", "", "2;ext=1", "tw", "1", "o", "0", "Sum: 1", "", "") +
@@ -98,7 +98,7 @@
 		c.SetNoDelay(true)
 		go func() {
 			for rest := stream; rest != ""; rest = rest[min(size, len(rest)):] {
-				c.say(rest[:min(size, len(rest))])
+				c.send(rest[:min(size, len(rest))])
 			}
 		}()
 		for _, want := range []string{"/1 one", "/2 two", "/3 "} {
@@ -117,11 +117,11 @@
 
 // Many callers each send a head byte by byte, or nothing, and hold an entry's
 // connections. They are closed in time, also behind an answered request.
-func TestSlowCallers(t *testing.T) {
+func TestSlowHeadIsNotAnswered(t *testing.T) {
 	_, address := serve(t, ServerConfig{Limits: Limits{HeaderTimeout: 30 * time.Millisecond, Idle: time.Hour}}, echo)
 	for _, begun := range []string{"", lines("GET / HTTP/1.1", "Host: a", "", "")} {
 		c := dial(t, address)
-		c.say(begun + "GET /slow HTTP/1.1\r\n")
+		c.send(begun + "GET /slow HTTP/1.1\r\n")
 		if begun != "" {
 			c.answer(http.MethodGet)
 		}
@@ -134,7 +134,7 @@
 // plainStatus returns the status with which a plain server answers.
 func plainStatus(t *testing.T, address, request string) int {
 	c := dial(t, address)
-	c.say(request)
+	c.send(request)
 	c.CloseWrite()
 	resp, _, err := c.answer(http.MethodGet)
 	if err != nil {
--- a/internal/front/fake_test.go
+++ b/internal/front/helpers_test.go
@@ -45,7 +45,7 @@
 	return &caller{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 }
 
-func (c *caller) say(text string) { io.WriteString(c, text) }
+func (c *caller) send(text string) { io.WriteString(c, text) }
 
 // answer reads one answer whole.
 func (c *caller) answer(method string) (*http.Response, string, error) {
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -13,9 +13,9 @@
 	HeaderTimeout, Idle time.Duration
 }
 
-// largest bounds what ServerConfig.Allowed may allow: a caller holds memory and a descriptor
+// maxAllowed bounds what ServerConfig.Allowed may allow: a caller holds memory and a descriptor
 // meanwhile.
-var largest = Limits{HeaderBytes: 1 << 20, HeaderTimeout: time.Minute, Idle: 10 * time.Minute}
+var maxAllowed = Limits{HeaderBytes: 1 << 20, HeaderTimeout: time.Minute, Idle: 10 * time.Minute}
 
 // wider returns the larger ones of two limits.
 func (l Limits) wider(other Limits) Limits {
@@ -38,7 +38,7 @@
 func (l Limits) withDefaults() Limits {
 	return Limits{
 		HeaderBytes:   cmp.Or(l.HeaderBytes, defaultHeaderBytes),
-		HeaderTimeout: cmp.Or(l.HeaderTimeout, defaultReadHeader),
+		HeaderTimeout: cmp.Or(l.HeaderTimeout, defaultHeaderTimeout),
 		Idle:          cmp.Or(l.Idle, defaultIdle),
 	}
 }
@@ -48,11 +48,11 @@
 	if c.Allowed == nil {
 		return c.Limits
 	}
-	return c.Limits.wider(c.Allowed().within(largest))
+	return c.Limits.wider(c.Allowed().within(maxAllowed))
 }
 
-// longer is how much longer than by Limits a caller may take now.
-func (c *ServerConfig) longer() time.Duration {
+// extraTime is how much longer than by Limits a caller may take now.
+func (c *ServerConfig) extraTime() time.Duration {
 	now := c.limits()
 	return max(now.Idle-c.Limits.Idle, now.HeaderTimeout-c.Limits.HeaderTimeout)
 }
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -16,7 +16,7 @@
 
 // Guards against a kept connection that is closed while its caller may still use it by the
 // configuration in force, and against one that is kept for as long as somebody likes.
-func TestIdleConnectionsAreKeptForAsLongAsIsAllowed(t *testing.T) {
+func TestIdleDeadlineFollowsAllowedLimits(t *testing.T) {
 	at := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
 		allowed time.Duration
@@ -24,11 +24,11 @@
 	}{
 		"less than the settings": {5 * time.Second, 0},
 		"more":                   {50 * time.Second, 30 * time.Second},
-		"beyond every bound":     {time.Hour, largest.Idle - 20*time.Second},
+		"beyond every bound":     {time.Hour, maxAllowed.Idle - 20*time.Second},
 	} {
 		cfg := ServerConfig{Limits: Limits{Idle: 20 * time.Second}, Allowed: func() Limits { return Limits{Idle: c.allowed} }}.withDefaults()
 		conn := &deadlines{}
-		g := &guard{Conn: conn, cfg: &cfg}
+		g := &guardedConn{Conn: conn, cfg: &cfg}
 		if g.SetReadDeadline(at); !conn.set.Equal(at) {
 			t.Errorf("%s: while a request is worked on the deadline is %v later", name, conn.set.Sub(at))
 		}
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -17,10 +17,10 @@
 // a caller and back.
 const drainTime = 30 * time.Millisecond
 
-// firstRequest is how long a new connection may wait for its first request until
+// firstRequestWait is how long a new connection may wait for its first request until
 // a stop takes it for idle. Closing it at once would cut off a caller that has
 // just connected and whose request is on its way.
-const firstRequest = time.Second
+const firstRequestWait = time.Second
 
 // listener gives the server guarded connections.
 type listener struct {
@@ -45,7 +45,7 @@
 			tcp.Close()
 			continue
 		}
-		return l.server.guard(tcp), nil
+		return l.server.newGuardedConn(tcp), nil
 	}
 }
 
@@ -72,10 +72,10 @@
 }
 
 // guard wraps a new connection, inside TLS if that is set.
-func (s *Server) guard(tcp *net.TCPConn) *guard {
-	g := &guard{Conn: tcp, tcp: tcp, cfg: &s.cfg, opened: time.Now()}
-	if s.cfg.Ahead != nil {
-		g.ahead.server = s
+func (s *Server) newGuardedConn(tcp *net.TCPConn) *guardedConn {
+	g := &guardedConn{Conn: tcp, tcp: tcp, cfg: &s.cfg, opened: time.Now()}
+	if s.cfg.MayPipeline != nil {
+		g.pipeline.server = s
 	}
 	if s.cfg.TLS != nil {
 		g.Conn = tls.Server(tcp, s.cfg.TLS)
@@ -83,12 +83,12 @@
 	return g
 }
 
-// quiet reports whether nothing of a request has arrived or is to be expected.
-func (g *guard) quiet() bool {
-	if !g.idle.Load() || g.partial.Load() {
+// isIdle reports whether nothing of a request has arrived or is to be expected.
+func (g *guardedConn) isIdle() bool {
+	if !g.idle.Load() || g.headStarted.Load() {
 		return false
 	}
-	if !g.used.Load() && time.Since(g.opened) < firstRequest {
+	if !g.used.Load() && time.Since(g.opened) < firstRequestWait {
 		return false
 	}
 	raw, err := g.tcp.SyscallConn()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -33,21 +33,21 @@
 	// Refuse answers a request whose head was refused. The connection is closed
 	// after that. The request that it gets stands in for the refused one and says
 	// nothing of it. Nil answers with the status alone.
-	Refuse func(w http.ResponseWriter, r *http.Request, shape Shape)
-	// Ahead reports whether a request may be begun before those in front of it on its
+	Refuse func(w http.ResponseWriter, r *http.Request, shape Violation)
+	// MayPipeline reports whether a request may be begun before those in front of it on its
 	// connection are answered: one that may run twice. Nil begins none.
-	Ahead func(r *http.Request) bool
+	MayPipeline func(r *http.Request) bool
 	// ErrorLog gets the server's errors; nil for the standard logger.
 	ErrorLog *log.Logger
 }
 
 // The defaults of ServerConfig.
 const (
-	defaultReadHeader  = 5 * time.Second
-	defaultIdle        = 60 * time.Second
-	defaultHeaderBytes = 32 << 10
-	defaultKeepAlive   = 10 * time.Second
-	defaultUserTimeout = 30 * time.Second
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdle          = 60 * time.Second
+	defaultHeaderBytes   = 32 << 10
+	defaultKeepAlive     = 10 * time.Second
+	defaultUserTimeout   = 30 * time.Second
 )
 
 func (c ServerConfig) withDefaults() ServerConfig {
@@ -67,7 +67,7 @@
 
 	mu        sync.Mutex
 	listeners []*listener
-	conns     map[*guard]struct{}
+	conns     map[*guardedConn]struct{}
 	stopped   bool
 	// accepting counts the listeners that still take connections.
 	accepting int
@@ -79,13 +79,13 @@
 	if cfg.TLS != nil {
 		cfg.TLS = http1Only(cfg.TLS)
 	}
-	s := &Server{cfg: cfg, handler: handler, conns: make(map[*guard]struct{})}
+	s := &Server{cfg: cfg, handler: handler, conns: make(map[*guardedConn]struct{})}
 	s.http = &http.Server{
 		Handler: s,
 		// The guard applies the bounds; the server's must not be reached first.
 		ReadHeaderTimeout:            cfg.Limits.HeaderTimeout,
 		IdleTimeout:                  cfg.Limits.Idle,
-		MaxHeaderBytes:               2 * cfg.Limits.wider(largest).HeaderBytes,
+		MaxHeaderBytes:               2 * cfg.Limits.wider(maxAllowed).HeaderBytes,
 		ErrorLog:                     cfg.ErrorLog,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    s.connState,
@@ -114,15 +114,15 @@
 	return c
 }
 
-// guardKey finds the connection of a request in its context.
-type guardKey struct{}
+// connKey finds the connection of a request in its context.
+type connKey struct{}
 
 func connContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, guardKey{}, c)
+	return context.WithValue(ctx, connKey{}, c)
 }
 
 func (s *Server) connState(c net.Conn, state http.ConnState) {
-	g, ok := c.(*guard)
+	g, ok := c.(*guardedConn)
 	if !ok {
 		return
 	}
@@ -133,16 +133,16 @@
 	case http.StateActive:
 		g.used.Store(true)
 		g.idle.Store(false)
-		g.partial.Store(false)
+		g.headStarted.Store(false)
 	case http.StateIdle:
 		g.idle.Store(true)
 	case http.StateClosed, http.StateHijacked:
-		g.ahead.callerGone()
+		g.pipeline.cancelAll()
 		s.track(g, false)
 	}
 }
 
-func (s *Server) track(g *guard, open bool) {
+func (s *Server) track(g *guardedConn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if open {
@@ -185,54 +185,54 @@
 
 // ServeHTTP is called by the http.Server for each request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g, _ := r.Context().Value(guardKey{}).(*guard)
+	g, _ := r.Context().Value(connKey{}).(*guardedConn)
 	var number uint64
 	if g != nil {
-		ctx, begun := r.Context(), (*aheadRequest)(nil)
-		number, begun, ctx = g.ahead.enter(ctx)
-		defer g.ahead.leave(number)
-		if begun != nil {
-			s.passAhead(w, r, g, begun)
+		ctx, started := r.Context(), (*pipelinedRequest)(nil)
+		number, started, ctx = g.pipeline.enter(ctx)
+		defer g.pipeline.leave(number)
+		if started != nil {
+			s.servePipelined(w, r, g, started)
 			return
 		}
 		r = r.WithContext(ctx)
 	}
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	if g != nil && r.URL.Path == refusedPath && g.refused() != ShapeNone {
-		s.refuse(w, r, g.refused())
+	if g != nil && r.URL.Path == refusedPath && g.violation() != ViolationNone {
+		s.refuse(w, r, g.violation())
 		return
 	}
-	tracked := &answerWriter{ResponseWriter: w, server: s, guard: g, number: number}
+	tracked := &answerWriter{ResponseWriter: w, server: s, conn: g, number: number}
 	s.handler.ServeHTTP(tracked, r)
-	tracked.end()
+	tracked.finish()
 	if tracked.cutOff {
 		abort(g, r)
 	}
 }
 
-// passAhead passes the answer of a request that was begun ahead.
-func (s *Server) passAhead(w http.ResponseWriter, r *http.Request, g *guard, begun *aheadRequest) {
-	tracked := &answerWriter{ResponseWriter: w, server: s, guard: g, number: begun.number}
-	if begun.pass(tracked) {
+// servePipelined passes the answer of a request that was begun ahead.
+func (s *Server) servePipelined(w http.ResponseWriter, r *http.Request, g *guardedConn, started *pipelinedRequest) {
+	tracked := &answerWriter{ResponseWriter: w, server: s, conn: g, number: started.number}
+	if started.deliver(tracked) {
 		abort(g, r)
 	}
 }
 
 // refuse answers a request whose head was refused.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, shape Shape) {
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, violation Violation) {
 	w.Header().Set("Connection", "close")
 	if s.cfg.Refuse == nil {
-		w.WriteHeader(shape.Status())
+		w.WriteHeader(violation.Status())
 		return
 	}
-	s.cfg.Refuse(w, r, shape)
+	s.cfg.Refuse(w, r, violation)
 }
 
 // abort ends the caller's connection so that the answer can't pass as whole.
 // In HTTP/1.0 an answer without a length ends with the connection; only a reset
 // shows such a caller that it was cut off.
-func abort(g *guard, r *http.Request) {
+func abort(g *guardedConn, r *http.Request) {
 	if g != nil && !r.ProtoAtLeast(1, 1) {
 		g.tcp.SetLinger(0)
 	}
@@ -242,17 +242,17 @@
 // answerWriter is the http.ResponseWriter that handlers get.
 type answerWriter struct {
 	http.ResponseWriter
-	server *Server
-	wrote  bool
+	server      *Server
+	wroteHeader bool
 	// body is set while the request's body is streamed.
 	body *ReplayBody
 	// cutOff is set when the answer that was begun can't be completed.
 	cutOff bool
 	// ahead is set for an answer that is kept until its turn. The writer that it goes
 	// to then decides on the connection.
-	ahead bool
+	pipelined bool
 	// guard is the connection, number that of the request on it.
-	guard  *guard
+	conn   *guardedConn
 	number uint64
 }
 
@@ -261,41 +261,41 @@
 // net/http panics if it reads the rest of such a body after the handler and
 // then waits for the next request.
 func (w *answerWriter) WriteHeader(status int) {
-	if status >= http.StatusOK && !w.wrote {
-		w.wrote = true
-		if w.closes() || w.body != nil && !w.body.finished() {
+	if status >= http.StatusOK && !w.wroteHeader {
+		w.wroteHeader = true
+		if w.closesConnection() || w.body != nil && !w.body.finished() {
 			w.Header().Set("Connection", "close")
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// closes reports whether the answer asks its caller to go elsewhere. One that has
+// closesConnection reports whether the answer asks its caller to go elsewhere. One that has
 // others behind it does not: they may be at work at endpoints already, and their
 // answers would be lost.
-func (w *answerWriter) closes() bool {
-	if w.ahead || !w.server.leaving.Load() {
+func (w *answerWriter) closesConnection() bool {
+	if w.pipelined || !w.server.leaving.Load() {
 		return false
 	}
-	return w.guard == nil || w.guard.ahead.closeBehind(w.number)
+	return w.conn == nil || w.conn.pipeline.mayCloseAfter(w.number)
 }
 
 // Write writes a part of the body, after the head if that is missing.
 func (w *answerWriter) Write(p []byte) (int, error) {
-	if !w.wrote {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(p)
 }
 
-// end is called when the handler returned. The server reads on for the rest of
+// finish is called when the handler returned. The server reads on for the rest of
 // a body, to end the connection gently; a caller that sends no more may not hold
 // it for long.
-func (w *answerWriter) end() {
+func (w *answerWriter) finish() {
 	if w.body == nil || w.body.finished() {
 		return
 	}
-	if !w.wrote {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	w.body.controller.SetReadDeadline(time.Now().Add(lingerTime))
--- a/internal/front/stop.go
+++ b/internal/front/stop.go
@@ -25,7 +25,7 @@
 	s.closeListeners()
 	ticker := time.NewTicker(stopPoll)
 	defer ticker.Stop()
-	for s.isAccepting() || s.closeQuiet() > 0 {
+	for s.isAccepting() || s.closeIdle() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -59,18 +59,18 @@
 	return s.accepting > 0
 }
 
-// closeQuiet closes the connections on which nothing of a request has arrived
+// closeIdle closes the connections on which nothing of a request has arrived
 // and returns how many others there are.
-func (s *Server) closeQuiet() int {
+func (s *Server) closeIdle() int {
 	s.mu.Lock()
-	open := make([]*guard, 0, len(s.conns))
+	open := make([]*guardedConn, 0, len(s.conns))
 	for g := range s.conns {
 		open = append(open, g)
 	}
 	s.mu.Unlock()
 	left := 0
 	for _, g := range open {
-		if g.quiet() {
+		if g.isIdle() {
 			g.Close()
 			continue
 		}
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -27,7 +27,7 @@
 // An operator replaces an entry during a close. Requests in flight, and one
 // whose head is on its way, are answered and told to go elsewhere; idle
 // connections end; new ones are refused, which tells callers that nothing ran.
-func TestStopCutsOffNothing(t *testing.T) {
+func TestStopWaitsForRequests(t *testing.T) {
 	entered, proceed := make(chan struct{}), make(chan struct{})
 	s, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
@@ -38,13 +38,13 @@
 	})
 	idle, waiting, half := dial(t, address), dial(t, address), dial(t, address)
 	for _, c := range []*caller{idle, half} {
-		c.say(lines("GET / HTTP/1.1", "Host: a", "", ""))
+		c.send(lines("GET / HTTP/1.1", "Host: a", "", ""))
 		if resp, _, err := c.answer(http.MethodGet); err != nil || resp.Close {
 			t.Fatalf("got %+v, %v", resp, err)
 		}
 	}
-	waiting.say(lines("GET /wait HTTP/1.1", "Host: a", "", ""))
-	half.say("GET /half HTTP/1.1\r\n")
+	waiting.send(lines("GET /wait HTTP/1.1", "Host: a", "", ""))
+	half.send("GET /half HTTP/1.1\r\n")
 	<-entered
 	stopped := make(chan int)
 	go func() { stopped <- s.Stop(context.Background(), nil) }()
@@ -54,7 +54,7 @@
 	if got := s.InFlight(); got != 1 {
 		t.Errorf("%d requests are in flight, want 1", got)
 	}
-	half.say(lines("Host: a", "", ""))
+	half.send(lines("Host: a", "", ""))
 	close(proceed)
 	for _, c := range []*caller{waiting, half} {
 		resp, text, err := c.answer(http.MethodGet)
@@ -70,14 +70,14 @@
 	}
 }
 
-func TestStopReportsBeforeItCuts(t *testing.T) {
+func TestStopReportsRequestsBeforeCuttingThemOff(t *testing.T) {
 	entered := make(chan struct{})
 	s, address := serve(t, ServerConfig{}, func(_ http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-r.Context().Done()
 	})
 	c := dial(t, address)
-	c.say(lines("GET / HTTP/1.1", "Host: a", "", ""))
+	c.send(lines("GET / HTTP/1.1", "Host: a", "", ""))
 	<-entered
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -159,15 +159,15 @@
 
 // Guards against a request that is not known again: under another name for the attempt, or with
 // another time left; and against one that is taken for another.
-func TestContent(t *testing.T) {
-	content := func(attempt, method, url, body string) uint64 {
+func TestContentHash(t *testing.T) {
+	hash := func(attempt, method, url, body string) uint64 {
 		r, _ := http.NewRequest(method, url, strings.NewReader(body))
 		r.Header.Set("X-Attempt", attempt)
 		kept, err := NewReplayBody(httptest.NewRecorder(), r, BodyLimits{Buffer: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Content(r, kept)
+		return ContentHash(r, kept)
 	}
 	seen := make(map[uint64]string)
 	for _, parts := range [][3]string{
@@ -175,7 +175,7 @@
 		{"GET", "http://a/tray?a=11", ""}, {"GET", "http://a/tray?a=1", "2"}, {"GET", "http://a/tray?a=1", ""},
 		{"GET", "http://b/tray?a=1", "1"}, {"GET", "http://a/tray?a=1", "12345"}, {"GET", "http://a/tray?a=1", "123456"},
 	} {
-		once, again := content("1", parts[0], parts[1], parts[2]), content("2", parts[0], parts[1], parts[2])
+		once, again := hash("1", parts[0], parts[1], parts[2]), hash("2", parts[0], parts[1], parts[2])
 		if other, found := seen[once]; found || once != again {
 			t.Errorf("%v: %x and %x, and %x is that of %q", parts, once, again, once, other)
 		}
@@ -187,7 +187,7 @@
 // connection closes, is on its way. The entry asked whether it leaves before it looked at the
 // second read, and whether a read is behind the first before it began that one: each was told no.
 // The second read ran at an endpoint and its answer had no connection to go to.
-func TestNoRequestIsBegunBehindAnAnswerThatCloses(t *testing.T) {
+func TestNoRequestStartsBehindAnswerThatClosesConnection(t *testing.T) {
 	begun := make(chan string, 2)
 	proceed, answered := make(chan struct{}), make(chan struct{})
 	var s *Server
@@ -198,17 +198,17 @@
 		return true
 	}
 	var address string
-	s, address = serve(t, ServerConfig{Ahead: ahead}, func(w http.ResponseWriter, r *http.Request) {
+	s, address = serve(t, ServerConfig{MayPipeline: ahead}, func(w http.ResponseWriter, r *http.Request) {
 		begun <- r.URL.Path
 		<-proceed
 		io.WriteString(w, r.URL.Path)
 	})
 	c := dial(t, address)
-	c.say(get("/1"))
+	c.send(get("/1"))
 	if first := <-begun; first != "/1" {
 		t.Fatalf("%s was begun first", first)
 	}
-	c.say(get("/2"))
+	c.send(get("/2"))
 	resp, text, err := c.answer(http.MethodGet)
 	if err != nil || text != "/1" || !resp.Close {
 		t.Fatalf("the first answer: %+v, %q, %v", resp, text, err)
--- a/internal/front/stopmodel_test.go
+++ b/internal/front/stopmodel_test.go
@@ -14,7 +14,7 @@
 // answer in any order. Whatever the order of these, each request that was begun has its answer on
 // its connection, whole and in turn: the stop cuts off nothing, and no connection closes with a
 // request at work on it. A request that was not begun may be sent again elsewhere.
-func TestWhatIsBegunIsAnsweredInAnyOrderOfAStop(t *testing.T) {
+func TestStartedRequestsAreAnsweredDuringStop(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const connections = 3
 		var mu sync.Mutex
@@ -28,7 +28,7 @@
 			}
 			return gates[path]
 		}
-		s, address := serve(t, ServerConfig{Ahead: repeatable}, func(w http.ResponseWriter, r *http.Request) {
+		s, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			begun[r.URL.Path] = true
 			mu.Unlock()
@@ -49,7 +49,7 @@
 			callers[i] = dial(t, address)
 			// A connection that was used ends as soon as it is idle.
 			release(path(i, 0))
-			callers[i].say(get(path(i, 0)))
+			callers[i].send(get(path(i, 0)))
 			if _, _, err := callers[i].answer(http.MethodGet); err != nil {
 				rt.Fatal(err)
 			}
@@ -60,7 +60,7 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"send": func(rt *rapid.T) {
 				i := rapid.IntRange(0, connections-1).Draw(rt, "connection")
-				callers[i].say(get(path(i, sent[i])))
+				callers[i].send(get(path(i, sent[i])))
 				sent[i]++
 			},
 			"answer": func(rt *rapid.T) {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -14,7 +14,7 @@
 // Run executes the command with the process's arguments. SIGINT and SIGTERM end
 // its context. An error is printed to standard error; the result is the exit
 // code that code gives for it, 0 for nil.
-func Run(root *cobra.Command, code func(error) int) int {
+func Run(root *cobra.Command, exitCode func(error) int) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	root.SilenceUsage = true
@@ -24,7 +24,7 @@
 		return 0
 	}
 	fmt.Fprintf(os.Stderr, "%s: %v\n", root.Name(), err)
-	return code(err)
+	return exitCode(err)
 }
 
 // Failure is the exit code of programs that don't tell errors apart.
--- a/internal/wait/done.go
+++ b/internal/wait/within.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Done does work and reports whether it ended within limit. Work that did not goes on by itself.
-func Done(limit time.Duration, work func()) bool {
+// Within does work and reports whether it ended within limit. Work that did not goes on by itself.
+func Within(limit time.Duration, work func()) bool {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/internal/wait/done_test.go
+++ b/internal/wait/within_test.go
@@ -7,13 +7,13 @@
 
 // An entry was told to stop and waited for a call to a peer that nobody answered, until its process
 // was killed. What does not end in time is not waited for.
-func TestWorkThatDoesNotEndIsLeft(t *testing.T) {
+func TestWithinReturnsBeforeUnfinishedWork(t *testing.T) {
 	unanswered := make(chan struct{})
 	defer close(unanswered)
-	if Done(time.Millisecond, func() { <-unanswered }) {
+	if Within(time.Millisecond, func() { <-unanswered }) {
 		t.Error("it ended")
 	}
-	if !Done(time.Hour, func() {}) {
+	if !Within(time.Hour, func() {}) {
 		t.Error("it did not end")
 	}
 }
