--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -12,33 +12,33 @@
 
 // BodyLimits bounds a request body.
 type BodyLimits struct {
-	// Buffer is how many bytes are kept so that the body can be sent again.
+	// Buffer is the largest part of the body, in bytes, that is kept so that it can be sent again.
 	Buffer int64
-	// Max is the largest body; zero for no bound.
+	// Max is the largest accepted body in bytes; 0 means no limit.
 	Max int64
-	// Timeout bounds the wait for the bytes that are kept; zero for no bound.
+	// Timeout bounds the time for reading the part that is kept; 0 means no limit.
 	Timeout time.Duration
 }
 
-// BodyTooLargeError is the error of a body beyond its bound.
+// BodyTooLargeError is the error for a body that exceeds its limit.
 type BodyTooLargeError struct {
-	// Limit is the bound in bytes.
+	// Limit is the limit in bytes.
 	Limit int64
 }
 
-// Error names the bound and the remedy.
+// Error returns the limit and the remedy.
 func (e *BodyTooLargeError) Error() string {
 	return "the body is larger than " + strconv.FormatInt(e.Limit, 10) + " bytes; send less at a time"
 }
 
-// errInterrupted is what a body returns that was interrupted.
-var errInterrupted = errors.New("the reading of the body was interrupted")
+// errInterrupted is returned by reads of a body after Interrupt.
+var errInterrupted = errors.New("reading the request body was interrupted")
 
-// ReplayBody is a request body of which the first bytes are kept. A body that
-// fits the buffer can be sent any number of times. A larger one can be sent
-// again until bytes beyond the buffer were read, since those are gone then.
+// ReplayBody is a request body whose first bytes are kept in a buffer. A body that fits the buffer
+// can be sent any number of times. A larger one can be sent again until bytes beyond the buffer
+// have been read, since those are not kept.
 //
-// It is for one goroutine at a time, but for Streamed.
+// A ReplayBody must be used by one goroutine at a time, except for Streamed.
 type ReplayBody struct {
 	request    *http.Request
 	controller *http.ResponseController
@@ -47,16 +47,15 @@
 	whole      bool
 
 	mu sync.Mutex
-	// streamed is set when the rest beyond the buffer was asked for, ended when
-	// it was read to its end.
+	// streamed is set when bytes beyond the buffer were requested, ended when the body was read to
+	// its end.
 	streamed, ended bool
 }
 
-// NewReplayBody prepares the body of r, and reads up to limits.Buffer bytes of
-// it. It reads nothing if the caller waits for 100-continue with a body that
-// may not fit the buffer: the endpoint is to say first whether it wants it. The
-// error is *BodyTooLargeError, os.ErrDeadlineExceeded within another, or that of the
-// caller's connection.
+// NewReplayBody prepares the body of r and reads up to limits.Buffer bytes of it. It reads nothing
+// if the caller waits for 100-continue and the body may not fit the buffer: the endpoint decides
+// first whether it accepts the body. The error is a *BodyTooLargeError, wraps
+// os.ErrDeadlineExceeded, or comes from the caller's connection.
 func NewReplayBody(w http.ResponseWriter, r *http.Request, limits BodyLimits) (*ReplayBody, error) {
 	b := &ReplayBody{request: r, controller: http.NewResponseController(w), source: r.Body}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
@@ -67,8 +66,8 @@
 		if r.ContentLength > limits.Max {
 			return nil, &BodyTooLargeError{Limit: limits.Max}
 		}
-		// The innermost writer learns of a body beyond the bound and closes the
-		// connection gently.
+		// MaxBytesReader needs net/http's own writer, which then closes the connection without a
+		// reset when the body exceeds the limit.
 		b.source = http.MaxBytesReader(innermostWriter(w), r.Body, limits.Max)
 	}
 	fits := r.ContentLength >= 0 && r.ContentLength <= limits.Buffer
@@ -90,7 +89,7 @@
 
 // fill reads up to limit bytes into the buffer.
 func (b *ReplayBody) fill(limit int64) error {
-	readLimit := limit + 1 // one more, to see the end of a body that just fits
+	readLimit := limit + 1 // one more byte detects the end of a body that just fits
 	if length := b.request.ContentLength; length >= 0 {
 		readLimit = min(length, limit)
 	}
@@ -103,8 +102,8 @@
 	}
 	if n == b.request.ContentLength {
 		b.whole = true
-		// One more read meets the end, which makes the server watch the
-		// connection for the caller's leaving, and sets trailers.
+		// One more read reaches the end of the body. This makes the server watch the connection for
+		// the caller's departure, and sets the trailers.
 		var scrap [1]byte
 		_, err = b.source.Read(scrap[:])
 		if err != nil && err != io.EOF {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// enableStreaming lets an answer begin before the body was read whole.
+// enableStreaming allows the answer to begin before the whole body has been read.
 func (b *ReplayBody) enableStreaming(w http.ResponseWriter) error {
 	if tracked, ok := unwrapTo[*answerWriter](w); ok {
 		tracked.body = b
@@ -128,22 +127,21 @@
 	return err
 }
 
-// Whole reports whether the whole body is kept.
+// Whole reports whether the buffer holds the whole body.
 func (b *ReplayBody) Whole() bool { return b.whole }
 
-// Bytes returns the bytes kept; the whole body if Whole. They must not be
-// changed.
+// Bytes returns the buffered bytes: the whole body if Whole, else its first part. The caller must
+// not modify them.
 func (b *ReplayBody) Bytes() []byte { return b.buffer }
 
-// Streamed reports whether bytes beyond the buffer were read, so that the body
-// can't be sent again.
+// Streamed reports whether bytes beyond the buffer were read, so that the body can't be sent again.
 func (b *ReplayBody) Streamed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.streamed
 }
 
-// Length returns the length of the body, -1 if it is not known.
+// Length returns the length of the body, or -1 if it is unknown.
 func (b *ReplayBody) Length() int64 {
 	if b.whole {
 		return int64(len(b.buffer))
@@ -151,9 +149,8 @@
 	return b.request.ContentLength
 }
 
-// Reader returns the body from its start for one attempt, nil for an empty
-// body; false if the body can't be sent again. Attempts at the same time need a
-// whole body.
+// Reader returns a reader of the body from its start for one attempt, or nil for an empty body. It
+// returns false if the body can't be sent again. Concurrent attempts need a whole body.
 func (b *ReplayBody) Reader() (io.Reader, bool) {
 	if b.whole {
 		if len(b.buffer) == 0 {
@@ -167,7 +164,8 @@
 	return &streamReader{body: b, kept: b.buffer}, true
 }
 
-// streamReader is the body for one attempt: the bytes kept, then the rest.
+// streamReader reads the body for one attempt: first the buffered bytes, then the rest from the
+// caller.
 type streamReader struct {
 	body *ReplayBody
 	kept []byte
@@ -192,8 +190,8 @@
 	return n, asTooLarge(err)
 }
 
-// startStreaming notes that the rest is read, unless this attempt was interrupted
-// before: then the body stays whole for another attempt.
+// startStreaming marks the body as streamed. It returns false if this attempt was interrupted
+// before; the body can then still be sent by another attempt.
 func (s *streamReader) startStreaming() bool {
 	s.body.mu.Lock()
 	defer s.body.mu.Unlock()
@@ -204,7 +202,7 @@
 	return true
 }
 
-// finished reports whether the rest was read to its end.
+// finished reports whether the part beyond the buffer was read to its end.
 func (b *ReplayBody) finished() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,10 +215,10 @@
 	b.ended = true
 }
 
-// Interrupt ends the attempt's reading of the body. If the rest is being read,
-// the read ends and the caller's connection is closed after the answer. The
-// read deadline must not be touched otherwise: net/http takes an expired one
-// for the caller's leaving once the body has ended.
+// Interrupt ends the reading of the body by this attempt. It interrupts a read that is in progress,
+// and the caller's connection is then closed after the answer. The read deadline must not be
+// changed in other cases: once the body has ended, net/http treats an expired deadline as the
+// caller's departure.
 func (s *streamReader) Interrupt() {
 	s.body.mu.Lock()
 	defer s.body.mu.Unlock()
@@ -228,11 +226,11 @@
 	if !s.body.streamed || s.body.ended {
 		return
 	}
-	// Any time in the past will do.
+	// Any time in the past interrupts the read.
 	s.body.controller.SetReadDeadline(time.Unix(1, 0))
 }
 
-// asTooLarge turns net/http's error for a body beyond its bound into ours.
+// asTooLarge converts net/http's error for a body that exceeds its limit to a BodyTooLargeError.
 func asTooLarge(err error) error {
 	var exceeded *http.MaxBytesError
 	if errors.As(err, &exceeded) {
@@ -241,7 +239,7 @@
 	return err
 }
 
-// innermostWriter returns the server's own writer below w.
+// innermostWriter returns the writer of net/http that w wraps.
 func innermostWriter(w http.ResponseWriter) http.ResponseWriter {
 	for {
 		wrapped, ok := w.(interface{ Unwrap() http.ResponseWriter })
--- a/internal/front/bodytracker.go
+++ b/internal/front/bodytracker.go
@@ -2,39 +2,39 @@
 
 import "math"
 
-// bodyTracker follows a request body to know where the next head begins. It
-// judges only the framing; net/http checks the chunked coding itself.
+// bodyTracker follows a request body to find where the next head begins. It checks only the
+// framing; net/http checks the chunked coding itself.
 type bodyTracker struct {
 	phase bodyPhase
-	// left is the rest of the body or of the chunk.
+	// left is the number of bytes left of the body or of the current chunk.
 	left int64
 	// line counts the bytes of the current line in the chunked coding.
 	line int
 	// cr is set when the last byte of the line was a carriage return.
 	cr bool
-	// digits is set once a chunk size has a digit; ext after the size's end.
+	// digits is set once the chunk size has a digit, ext once the chunk size has ended.
 	digits, ext bool
 }
 
 type bodyPhase uint8
 
 const (
-	phaseEnded   bodyPhase = iota // the next byte begins a head
-	phaseLength                   // a body with a length
-	phaseSize                     // the line with a chunk's size
-	phaseData                     // a chunk's data
-	phaseDataEnd                  // the line end after a chunk's data
-	phaseTrailer                  // trailer lines up to an empty one
+	phaseEnded   bodyPhase = iota // the body has ended; the next byte begins a head
+	phaseLength                   // the data of a body with a Content-Length
+	phaseSize                     // the line with the size of a chunk
+	phaseData                     // the data of a chunk
+	phaseDataEnd                  // the line end after the data of a chunk
+	phaseTrailer                  // the trailer lines up to the empty line
 )
 
 const (
 	// maxChunkLine bounds a chunk size line and a trailer line.
 	maxChunkLine = 4 << 10
-	// maxChunkSize keeps the size of a chunk far from overflow.
+	// maxChunkSize keeps the chunk size from overflowing an int64 by another hexadecimal digit.
 	maxChunkSize = math.MaxInt64 >> 5
 )
 
-// start begins the body that info delimits.
+// start prepares the tracker for the body that info delimits.
 func (t *bodyTracker) start(info headInfo) {
 	*t = bodyTracker{}
 	switch {
@@ -47,8 +47,8 @@
 
 func (t *bodyTracker) ended() bool { return t.phase == phaseEnded }
 
-// data returns how many bytes of plain data come next; zero within the lines of
-// the chunked coding.
+// data returns how many bytes of body data come next. It is 0 within the lines of the chunked
+// coding.
 func (t *bodyTracker) data() int64 {
 	if t.phase == phaseLength || t.phase == phaseData {
 		return t.left
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// advance follows the body through b. It returns how many bytes of b belong to
-// the body and whether they are well-formed.
+// advance follows the body through b. It returns how many bytes of b belong to the body and whether
+// their framing is well-formed.
 func (t *bodyTracker) advance(b []byte) (int, bool) {
 	for i := 0; i < len(b); {
 		switch t.phase {
@@ -75,7 +75,7 @@
 	return len(b), true
 }
 
-// skip passes over up to n bytes of data.
+// skip advances over up to n bytes of data and returns their number.
 func (t *bodyTracker) skip(n int) int {
 	n = int(min(int64(n), t.left))
 	t.left -= int64(n)
@@ -90,7 +90,8 @@
 	return n
 }
 
-// lineByte takes one byte of a line of the chunked coding.
+// lineByte processes one byte of a line of the chunked coding and reports whether it is
+// well-formed.
 func (t *bodyTracker) lineByte(b byte) bool {
 	t.line++
 	if t.line > maxChunkLine {
@@ -106,7 +107,7 @@
 	return t.phase == phaseTrailer || b == '\r'
 }
 
-// sizeByte takes one byte of a chunk's size or of the extensions behind it.
+// sizeByte processes one byte of a chunk size or of the chunk extensions behind it.
 func (t *bodyTracker) sizeByte(b byte) bool {
 	if t.ext {
 		return true
@@ -121,7 +122,7 @@
 	return t.left <= maxChunkSize
 }
 
-// lineEnd ends a line of the chunked coding.
+// lineEnd processes the end of a line of the chunked coding.
 func (t *bodyTracker) lineEnd() bool {
 	length := t.line
 	t.line, t.cr = 0, false
--- a/internal/front/caller_test.go
+++ b/internal/front/caller_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A contractor's phone walks out of the hall in the middle of a streamed answer.
-// No segment says so: what the entry sends is never acknowledged. The TCP user
-// time-out must end the connection, and with it the endpoint's work.
+// The network of a caller fails in the middle of a streamed answer. No segment reports this: the
+// sent data is just never acknowledged. The TCP user timeout must end the connection and thereby
+// the endpoint's work.
 func TestUnreachableCallerEndsRequest(t *testing.T) {
 	ended := make(chan struct{})
 	proceed := make(chan struct{})
@@ -46,7 +46,7 @@
 }
 
 func TestTLSServesHTTP1(t *testing.T) {
-	// The test server lends its certificate and a client that trusts it.
+	// The test server provides a certificate and a client that trusts it.
 	tlsServer := httptest.NewTLSServer(nil)
 	defer tlsServer.Close()
 	_, address := serve(t, ServerConfig{TLS: tlsServer.TLS}, echo)
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkCall compares a call on a kept raw connection directly to an endpoint
-// and through front and forward, all in one process.
+// BenchmarkCall compares calls on a kept connection directly to an endpoint with calls through
+// front and forward, all in one process.
 func BenchmarkCall(b *testing.B) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "0123456789012345678901234567890123456789")
@@ -89,6 +89,7 @@
 	}
 }
 
+// callRaw measures calls on one raw connection to address.
 func callRaw(b *testing.B, address string) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/front/copy.go
+++ b/internal/front/copy.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// copySize is the size of the pieces in which answers are copied.
+// copySize is the size of the buffers with which answers are copied.
 const copySize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copySize]byte) }}
 
-// CopyAnswer passes an endpoint's answer on: status, end-to-end headers, body
-// and trailers. Headers set on w before are kept unless the answer has them
-// too. Parts of a streaming answer are flushed as they come. It returns the
-// bytes of the body that were read, and closes the body.
+// CopyAnswer sends an endpoint's answer to the caller: status, end-to-end headers, body and
+// trailers. Headers set on w before are kept unless the answer has the same headers. Parts of a
+// streaming answer are flushed as they arrive. CopyAnswer returns the number of bytes read from the
+// body, and closes the body.
 //
-// When the answer is cut off, or the caller can't be written to, it returns the
-// error and the caller's connection is aborted once the handler returns, so
-// that the caller never takes a part of the answer for the whole.
+// If the answer is cut off or can't be written to the caller, CopyAnswer returns the error, and the
+// caller's connection is aborted once the handler returns, so that the caller never mistakes a
+// partial answer for a complete one.
 func CopyAnswer(w http.ResponseWriter, resp *http.Response) (n int64, err error) {
 	defer resp.Body.Close()
 	withoutHopByHop(w.Header(), resp.Header)
@@ -33,8 +33,8 @@
 	return n, nil
 }
 
-// CutOff marks the answer on w as one that can't be completed: the caller's
-// connection is aborted once the handler returns.
+// CutOff marks the answer on w as incomplete: the caller's connection is aborted once the handler
+// returns.
 func CutOff(w http.ResponseWriter) {
 	if tracked, ok := unwrapTo[*answerWriter](w); ok {
 		tracked.cutOff = true
@@ -43,8 +43,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// copyBody copies and flushes after each part but the last, which the server
-// flushes when the handler returns.
+// copyBody copies the body and flushes after each part except the last, which the server flushes
+// when the handler returns.
 func copyBody(w http.ResponseWriter, resp *http.Response) (int64, error) {
 	if resp.Body == http.NoBody {
 		return 0, nil
@@ -75,7 +75,7 @@
 	}
 }
 
-// announceTrailers names the trailers to the caller and returns their number.
+// announceTrailers announces the endpoint's trailers to the caller and returns their number.
 func announceTrailers(w http.ResponseWriter, resp *http.Response) int {
 	for name := range resp.Trailer {
 		w.Header().Add("Trailer", name)
@@ -83,8 +83,8 @@
 	return len(resp.Trailer)
 }
 
-// setTrailers passes on the values of the trailers, known after the body. Those
-// that the endpoint did not announce need net/http's prefix.
+// setTrailers sets the values of the trailers, which are known after the body. Trailers that the
+// endpoint did not announce need net/http's prefix.
 func setTrailers(w http.ResponseWriter, resp *http.Response, announced int) {
 	prefix := ""
 	if len(resp.Trailer) != announced {
--- a/internal/front/copy_test.go
+++ b/internal/front/copy_test.go
@@ -12,10 +12,9 @@
 	"github.com/tealhall/tealhall/internal/forward"
 )
 
-// An auditor's summary ends in the middle of a table and nobody notices. The
-// endpoint died while it answered; the entry had passed on the first part. The
-// caller must see a broken connection, whichever way the answer is delimited:
-// by its length, in chunks, or in HTTP/1.0 by the connection's end.
+// An endpoint dies while it answers, after the entry has passed on the first part. The caller must
+// see a broken connection rather than a complete answer, whether the answer is delimited by its
+// length, in chunks, or in HTTP/1.0 by the end of the connection.
 func TestCutOffAnswerBreaksConnection(t *testing.T) {
 	tests := []struct {
 		name, version string
@@ -37,19 +36,19 @@
 			c := dial(t, address)
 			c.send(lines("GET / "+test.version, "Host: a", "", ""))
 			if _, _, err := c.answer(http.MethodGet); !errors.Is(err, test.want) {
-				t.Errorf("the caller saw %v, want %v", err, test.want)
+				t.Errorf("the caller got the error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// failing fails every Read.
+// failing is a reader that always fails with err.
 type failing struct{ err error }
 
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
-// Live counts are pushed part by part. Each must be with the caller before the
-// endpoint has the next; headers of the endpoint's connection must not be.
+// Each part of a streaming answer must reach the caller before the endpoint sends the next one.
+// Hop-by-hop headers of the endpoint's connection must not reach the caller.
 func TestStreamingAnswerIsFlushedPartByPart(t *testing.T) {
 	source, endpoint := io.Pipe()
 	_, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, _ *http.Request) {
@@ -86,13 +85,12 @@
 	}
 }
 
-// atEnd is an empty reader that calls the function.
+// atEnd is an empty reader that calls the function when it is read.
 type atEnd func()
 
 func (f atEnd) Read([]byte) (int, error) { f(); return 0, io.EOF }
 
-// proxyTo is an entry in small: it brings a request to the endpoint and its answer
-// back.
+// proxyTo is a minimal entry: it sends each request to one endpoint and copies the answer back.
 func proxyTo(c *forward.Connections, address string, limits BodyLimits) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := NewReplayBody(w, r, limits)
@@ -112,8 +110,8 @@
 	}
 }
 
-// refuseRequest tells what it knows in headers of its own, since the words of the
-// answer are the entry's.
+// refuseRequest answers a request whose body failed. The header Sent-On states whether a part of
+// the body was sent to the endpoint.
 func refuseRequest(w http.ResponseWriter, err error, sentOn bool) {
 	var large *BodyTooLargeError
 	if !errors.As(err, &large) {
@@ -124,8 +122,8 @@
 	w.WriteHeader(http.StatusRequestEntityTooLarge)
 }
 
-// The whole way through front and forward, with bodies that fit the buffer and
-// larger ones, each bounded, and endpoints that answer early or not at all.
+// Sends bodies through front and forward: bodies that fit the buffer, larger ones, ones that exceed
+// the limit or are malformed, and one to an endpoint that answers before the upload ends.
 func TestBodiesThroughEntry(t *testing.T) {
 	const kept, most = 100, 5000
 	_, endpoint := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +167,7 @@
 				t.Fatalf("got %+v, %d bytes, %v", resp, len(text), err)
 			}
 			if got := resp.Header.Get("Sent-On"); got != test.sentOn {
-				t.Errorf("got sent on %q, want %q", got, test.sentOn)
+				t.Errorf("Sent-On is %q, want %q", got, test.sentOn)
 			}
 			if strings.Contains(test.request, "Sum") && resp.StatusCode == 200 && resp.Header.Get("Sum") != "7" {
 				t.Errorf("the trailer did not arrive: %v", resp.Header)
@@ -178,18 +176,20 @@
 	}
 }
 
+// withLength returns a POST request whose body has a Content-Length.
 func withLength(target, body string) string {
 	return lines("POST "+target+" HTTP/1.1", "Host: a", "Content-Length: "+decimal(len(body)), "", body)
 }
 
+// inChunks returns a POST request whose body is sent in two chunks with a trailer.
 func inChunks(target, body string) string {
 	half := len(body) / 2
 	return lines("POST "+target+" HTTP/1.1", "Host: a", "Transfer-Encoding: chunked", "Trailer: Sum", "",
 		hexadecimal(half), body[:half], hexadecimal(len(body)-half), body[half:], "0", "Sum: 7", "", "")
 }
 
-// A tablet is switched off while its request waits. The entry's context ends, so
-// that the endpoint's slot is freed; also when the body was streamed.
+// A caller closes its connection while its request waits. The context of the request must end, so
+// that the endpoint's slot is freed, also if the body was streamed.
 func TestCallerGoneEndsRequest(t *testing.T) {
 	for _, buffer := range []int64{100, 1} {
 		started, ended := make(chan struct{}), make(chan struct{})
--- a/internal/front/digest.go
+++ b/internal/front/digest.go
@@ -10,9 +10,9 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// Digest returns what binds an idempotency key to its request: a hash over
-// caller, method, target and body. complete is false if the body is larger than
-// its buffer; its length stands for it then.
+// Digest returns the hash that binds an idempotency key to its request, over caller, method, target
+// and body. If the body is larger than its buffer, complete is false and only the length of the
+// body is hashed.
 func Digest(caller string, r *http.Request, body *ReplayBody) (digest idem.Digest, complete bool) {
 	h := sha256.New()
 	writeField(h, caller)
@@ -26,8 +26,7 @@
 	return digest, body.Whole()
 }
 
-// writeField writes the length before the text, so that no two requests give
-// the same bytes.
+// writeField writes the length before the text, so that no two requests hash the same bytes.
 func writeField(h hash.Hash, text string) {
 	writeLength(h, int64(len(text)))
 	io.WriteString(h, text)
@@ -39,9 +38,9 @@
 	h.Write(bytes[:])
 }
 
-// ContentHash returns a number that requests share which have the same host, method, target and body,
-// whoever sends them; whatever differs between two attempts is left out. Of a body larger than its
-// buffer the length and the bytes kept count.
+// ContentHash returns a hash over the host, method, target and body of a request. It leaves out the
+// caller and everything that differs between two attempts. Of a body larger than its buffer it
+// covers the length and the buffered bytes.
 func ContentHash(r *http.Request, body *ReplayBody) uint64 {
 	h := sha256.New()
 	writeField(h, r.Host)
--- a/internal/front/digest_test.go
+++ b/internal/front/digest_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkContentHash measures what each request pays for being known again.
+// BenchmarkContentHash measures the cost of ContentHash, which every request pays.
 func BenchmarkContentHash(b *testing.B) {
 	for _, c := range []struct {
 		name string
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -9,57 +9,56 @@
 	"time"
 )
 
-// refusedPath is the target of the request that stands in for a refused one.
+// refusedPath is the target of the placeholder request.
 const refusedPath = "/.tealhall/refused"
 
-// placeholderHead is given to the server in place of a refused head. The refusal so
-// takes its turn behind the answers to earlier requests on the connection.
+// placeholderHead is the head of a placeholder request, which the server gets instead of a refused
+// request. The refusal is thereby sent after the answers to earlier requests on the connection.
 const placeholderHead = "GET " + refusedPath + " HTTP/1.1\r\nHost: refused\r\nConnection: close\r\n\r\n"
 
 const (
-	// headBufferSize is the first size of the buffer for heads, which most heads fit into, and
-	// that of what is read on for a refused request.
+	// headBufferSize is the initial size of the buffer for heads, which holds most heads, and the
+	// size of the buffer for discarding what follows a refused head.
 	headBufferSize = 1 << 10
 	lingerTime     = 500 * time.Millisecond
 	lingerBytes    = 256 << 10
 )
 
-// guardedConn is a caller's connection. It shows the server each head only after
-// checking it whole, since net/http accepts some misleading shapes and removes
-// their traces before a handler sees the request: a Content-Length beside a
-// Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded headers, bare line
-// feeds. Bodies are passed on as they come.
+// guardedConn is a caller's connection. It checks each head as a whole before it passes the head to
+// net/http. net/http accepts some ambiguous heads and removes the evidence before a handler sees
+// the request: a Content-Length beside a Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded
+// headers, bare line feeds. Bodies are passed on as they arrive.
 type guardedConn struct {
 	net.Conn
-	tcp *net.TCPConn // Conn, or what it is on top of
+	tcp *net.TCPConn // Conn itself, or the connection below its TLS
 	cfg *ServerConfig
 
 	// The fields below belong to the reading goroutine; the server has one at
 	// a time.
-	head      []byte // bytes read but not yet given out
-	scan      int    // where the search for the end of the head goes on
-	ready     int    // bytes at the start of head that may be given out
+	head      []byte // bytes read but not yet passed to the server
+	scan      int    // where the search for the end of the head continues
+	ready     int    // bytes at the start of head that may be passed to the server
 	body      bodyTracker
-	malformed bool // the body broke the rules; net/http refuses it too
-	// pipeline begins requests before the server comes to them.
+	malformed bool // the framing of the body is malformed; net/http refuses it too
+	// pipeline starts requests before their turn.
 	pipeline pipeline
 
-	// refusedFor is set when a head was refused.
+	// refusedFor is the Violation for which a head was refused.
 	refusedFor atomic.Uint32
-	// headStarted is set from the first byte of a head until the server works on the
+	// headStarted is set from the first byte of a head until the server begins to handle the
 	// request.
 	headStarted atomic.Bool
-	// idle is set while the server waits for a request, used once there was one.
+	// idle is set while the server waits for a request, used once the first request has arrived.
 	idle, used atomic.Bool
 	opened     time.Time
 
 	mu           sync.Mutex
-	deadline     time.Time // as the server set it
+	deadline     time.Time // the deadline set by the server
 	headDeadline time.Time // zero while no head is being read
 }
 
-// Read gives out checked heads and bodies. One call never crosses the end of a
-// request, so that the next head is checked before any of it is seen.
+// Read returns bytes of checked heads and of bodies. One call never returns bytes beyond the end of
+// a request, so that the next head is checked before the server gets any of it.
 func (g *guardedConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -80,16 +79,16 @@
 	return g.readBody(p)
 }
 
-// copyReady gives out bytes of a head that is ready.
+// copyReady copies bytes of a checked head to p.
 func (g *guardedConn) copyReady(p []byte) int {
 	n := copy(p, g.head[:g.ready])
 	g.consume(n)
 	return n
 }
 
-// deliverHead gives out the first bytes of a head. If they were asked for while a
-// request is worked on, which is how the server watches the connection, the request
-// is begun ahead of its turn.
+// deliverHead copies the first bytes of a head to p. If the server reads them while another request
+// is in progress, which is how it watches the connection, the new request is started before its
+// turn.
 func (g *guardedConn) deliverHead(p []byte) int {
 	number := g.pipeline.countHead()
 	if g.idle.Load() || g.violation() != ViolationNone || !g.body.ended() || g.pipeline.server == nil {
@@ -101,7 +100,7 @@
 	return n
 }
 
-// readHead reads until a whole head is there, then checks it.
+// readHead reads until the head is complete, then checks it.
 func (g *guardedConn) readHead() error {
 	for {
 		if end := g.headEnd(); end > 0 {
@@ -123,7 +122,7 @@
 	}
 }
 
-// beginHead notes that the caller has begun to send a head.
+// beginHead records that the caller has begun to send a head, and starts the deadline of the head.
 func (g *guardedConn) beginHead() {
 	g.headStarted.Store(true)
 	g.mu.Lock()
@@ -134,8 +133,8 @@
 	}
 }
 
-// fill reads more into the buffer. What it has read so far is kept when the read is
-// interrupted, which the server does to every request that ends.
+// fill reads more bytes into the buffer. The buffered bytes survive an interrupted read; the server
+// interrupts the pending read at the end of every request.
 func (g *guardedConn) fill() error {
 	if cap(g.head)-len(g.head) < headBufferSize/2 {
 		grown := make([]byte, len(g.head), max(headBufferSize, 2*cap(g.head)))
@@ -153,8 +152,8 @@
 	return err
 }
 
-// headEnd returns the length of the head if it is whole, else 0. Empty lines
-// before a request line are allowed by RFC 9112 and dropped.
+// headEnd returns the length of the head, or 0 if the head is incomplete. It drops empty lines
+// before the request line, which RFC 9112 allows.
 func (g *guardedConn) headEnd() int {
 	for bytes.HasPrefix(g.head, []byte("\r\n")) {
 		g.head = g.head[:copy(g.head, g.head[2:])]
@@ -166,8 +165,8 @@
 			return 0
 		}
 		end := g.scan + next + 1
-		// A bare line feed may end the head for a lenient reader; it is taken for
-		// the end here, and refused by the check.
+		// A bare line feed may end the head for a lenient reader. It counts as the end here, and
+		// checkHead refuses the head.
 		if next == 0 || next == 1 && g.head[g.scan] == '\r' {
 			g.scan = 0
 			return end
@@ -176,7 +175,7 @@
 	}
 }
 
-// acceptHead checks the head and makes it, or the stand-in for it, ready.
+// acceptHead checks the head and makes it ready for the server, or refuses it.
 func (g *guardedConn) acceptHead(end int) {
 	if end > g.cfg.limits().HeaderBytes {
 		g.refuseHead(ViolationTooLarge)
@@ -198,7 +197,8 @@
 	g.ready = len(g.head)
 }
 
-// violation returns the shape that was refused on this connection, if any.
+// violation returns the violation for which a head on this connection was refused, or
+// ViolationNone.
 func (g *guardedConn) violation() Violation { return Violation(g.refusedFor.Load()) }
 
 func (g *guardedConn) consume(n int) {
@@ -206,8 +206,8 @@
 	g.head = g.head[:copy(g.head, g.head[n:])]
 }
 
-// readBody gives out bytes of the body only. The lines of the chunked coding go
-// through the guard's own buffer, where the next head's first bytes may stay.
+// readBody returns bytes of the body only. The lines of the chunked coding are read through the
+// buffer of the connection, where the first bytes of the next head may stay.
 func (g *guardedConn) readBody(p []byte) (int, error) {
 	if g.malformed {
 		return 0, io.ErrUnexpectedEOF
@@ -230,15 +230,15 @@
 	return n, nil
 }
 
-// trackBody follows the body through b and returns how much of b belongs to it.
+// trackBody follows the body through b and returns how many bytes of b belong to it.
 func (g *guardedConn) trackBody(b []byte) int {
 	n, ok := g.body.advance(b)
 	g.malformed = !ok
 	return n
 }
 
-// discard reads and drops what follows a refused head, until the server closes
-// the connection.
+// discard reads and drops the bytes that follow a refused head, until the server closes the
+// connection.
 func (g *guardedConn) discard() (int, error) {
 	var scrap [headBufferSize]byte
 	for {
@@ -248,12 +248,11 @@
 	}
 }
 
-// SetReadDeadline sets the server's deadline, later where callers may be idle for longer than
-// the server knows. While the server waits for a
-// request under a deadline, a head in the making also has its own. Without the
-// latter a caller could take the whole idle time-out for each head, byte by
-// byte. While a request is worked on, the server reads without a deadline and
-// an expired one would cancel that request.
+// SetReadDeadline sets the server's deadline. While the server waits for a request, it adds the
+// time by which the limits in force now exceed those known to the server, and an incomplete head
+// also has a deadline of its own. Without that one, a caller that sends byte by byte could use the
+// whole idle timeout for each head. While a request is in progress, the server reads without a
+// deadline, and an expired deadline would cancel that request.
 func (g *guardedConn) SetReadDeadline(t time.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -264,7 +263,7 @@
 	return g.applyDeadline()
 }
 
-// endHead lifts the head's own deadline.
+// endHead removes the deadline of the head.
 func (g *guardedConn) endHead() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -283,7 +282,7 @@
 	return g.Conn.SetReadDeadline(effective)
 }
 
-// SetDeadline keeps the two deadlines of this type apart.
+// SetDeadline sets the server's read deadline and the write deadline.
 func (g *guardedConn) SetDeadline(t time.Time) error {
 	if err := g.SetReadDeadline(t); err != nil {
 		return err
@@ -291,8 +290,8 @@
 	return g.Conn.SetWriteDeadline(t)
 }
 
-// CloseWrite lets the server close in two steps, so that a caller that is still
-// sending reads the answer before it learns that nobody listens.
+// CloseWrite lets the server close the connection in two steps, so that a caller that is still
+// sending can read the answer before the connection is closed.
 func (g *guardedConn) CloseWrite() error {
 	if half, ok := g.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -300,9 +299,9 @@
 	return nil
 }
 
-// Close closes the connection; after a refusal it first reads on for a while,
-// since a close with unread bytes resets the connection and the caller might
-// never see why it was refused.
+// Close closes the connection. After a refusal it first discards input, up to lingerTime and
+// lingerBytes, because closing a connection with unread bytes resets it, and the caller might then
+// never read the refusal.
 func (g *guardedConn) Close() error {
 	if g.violation() != ViolationNone {
 		g.CloseWrite()
--- a/internal/front/headcheck.go
+++ b/internal/front/headcheck.go
@@ -9,40 +9,42 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Violation is a way in which a request's head can mislead about where the request
-// ends or whom it is for. Such requests are refused; two programs that read
-// them differently would take part of one caller's request for another's.
+// Violation is the reason for which a request head is refused. Most violations leave it ambiguous
+// where the request ends or for which host it is. If two programs read such a request differently,
+// they take part of one caller's request for another request.
 type Violation uint8
 
-// The refused shapes.
+// The violations.
 const (
-	// ViolationNone: nothing is wrong.
+	// ViolationNone: the head is accepted.
 	ViolationNone Violation = iota
-	// ViolationLineEnd: a line feed without carriage return or the reverse.
+	// ViolationLineEnd: a line feed without a carriage return, or the reverse.
 	ViolationLineEnd
-	// ViolationRequestLine: not "METHOD SP target SP HTTP/1.0 or 1.1".
+	// ViolationRequestLine: the request line is not "METHOD SP target SP HTTP/1.0 or 1.1".
 	ViolationRequestLine
-	// ViolationTarget: the target is not a path with an optional query, or has a
-	// percent sign in the path that no two hexadecimal digits follow.
+	// ViolationTarget: the target is not a path with an optional query, or a percent sign in the
+	// path is not followed by two hexadecimal digits.
 	ViolationTarget
-	// ViolationFolded: a header goes on in the next line (obs-fold).
+	// ViolationFolded: a header continues on the next line (obs-fold).
 	ViolationFolded
-	// ViolationHeader: a header line without a valid name directly before the colon,
-	// or with control characters in its value.
+	// ViolationHeader: a header line has no valid name directly before the colon, or control
+	// characters in its value.
 	ViolationHeader
-	// ViolationBothLengths: Content-Length together with Transfer-Encoding.
+	// ViolationBothLengths: the head has both Content-Length and Transfer-Encoding.
 	ViolationBothLengths
-	// ViolationLength: more than one Content-Length, or not a plain number.
+	// ViolationLength: the head has more than one Content-Length, or one that is not a plain
+	// number.
 	ViolationLength
-	// ViolationCoding: a transfer coding other than chunked alone, or one in HTTP/1.0.
+	// ViolationCoding: the transfer coding is not chunked alone, or the request is HTTP/1.0 and has
+	// one.
 	ViolationCoding
-	// ViolationTooLarge: the head is larger than allowed.
+	// ViolationTooLarge: the head exceeds the size limit.
 	ViolationTooLarge
-	// ViolationMethod: CONNECT, which asks for a tunnel.
+	// ViolationMethod: the method is CONNECT, which asks for a tunnel.
 	ViolationMethod
-	// ViolationHost: not exactly one valid Host; none is allowed in HTTP/1.0.
+	// ViolationHost: the head does not have exactly one valid Host. HTTP/1.0 allows none.
 	ViolationHost
-	// ViolationExpectation: an expectation other than 100-continue.
+	// ViolationExpectation: the expectation is not 100-continue.
 	ViolationExpectation
 )
 
@@ -65,7 +67,7 @@
 // String returns the remedy for the caller.
 func (v Violation) String() string { return violationTexts[v] }
 
-// Status returns the status code with which the shape is refused.
+// Status returns the status code of the refusal.
 func (v Violation) Status() int {
 	switch v {
 	case ViolationTooLarge:
@@ -80,7 +82,8 @@
 	return http.StatusBadRequest
 }
 
-// headInfo is what delimits the body that follows a head.
+// headInfo is the result of checking a head: the framing of the body, and the counts of headers
+// that may occur only once.
 type headInfo struct {
 	http10    bool
 	lengths   int
@@ -90,10 +93,10 @@
 	hosts     int
 }
 
-// maxLengthDigits keeps a Content-Length within an int64.
+// maxLengthDigits keeps a Content-Length within the range of an int64.
 const maxLengthDigits = 18
 
-// checkHead checks a whole head, up to and with its empty line.
+// checkHead checks a whole head, including its empty line.
 func checkHead(head []byte) (headInfo, Violation) {
 	var info headInfo
 	line, rest, violation := cutLine(head)
@@ -209,7 +212,8 @@
 			return ViolationHost
 		}
 	case equalFold(name, "Expect"):
-		// net/http refuses any other by itself, without saying that nothing ran.
+		// net/http refuses any other expectation itself, without stating that the request did not
+		// run.
 		if value = bytes.Trim(value, " \t"); len(value) > 0 && !equalFold(value, "100-continue") {
 			return ViolationExpectation
 		}
@@ -234,8 +238,8 @@
 	return ViolationNone
 }
 
-// checkWhole checks what takes all headers: that they name one host and delimit
-// the body in exactly one way.
+// checkWhole runs the checks that need all headers: the head names one host and delimits the body
+// in exactly one way.
 func (h *headInfo) checkWhole() Violation {
 	switch {
 	case h.hosts > 1, h.hosts == 0 && !h.http10:
@@ -260,7 +264,7 @@
 	return len(b) > 0
 }
 
-// equalFold compares without the allocation of a conversion.
+// equalFold compares without allocating a string.
 func equalFold(b []byte, s string) bool {
 	return len(b) == len(s) && strings.EqualFold(string(b), s)
 }
--- a/internal/front/headcheck_test.go
+++ b/internal/front/headcheck_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// One caller's body is read as another caller's request. Two programs on the
-// way read the end of a request differently, so the rest of the first is taken
-// for a second. Each shape that allows this is refused before any of it runs,
-// as not run, and the connection, whose next byte can't be placed, is closed.
+// Guards against request smuggling: two programs read the end of a request differently, and the
+// rest of one caller's body is taken for another request. Each head that allows this must be
+// refused as not run before any of it runs. The connection must then be closed, because it is
+// unclear where the next request begins.
 func TestHeadViolationsAreRefused(t *testing.T) {
 	tests := []struct {
 		name, request string
 		status        int
-		// plain is the status by which net/http alone refuses; 200 if it doesn't.
+		// plain is the status with which net/http alone refuses the request, or 200 if it doesn't.
 		plain int
 	}{
 		{"both lengths", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 5", "Transfer-Encoding: chunked", "", "0", "", "G"), 400, 200},
@@ -25,7 +25,7 @@
 		{"equal lengths twice", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 1", "Content-Length: 1", "", "a"), 400, 200},
 		{"list of lengths", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 1, 1", "", "a"), 400, 400},
 		{"signed length", lines("POST / HTTP/1.1", "Host: a", "Content-Length: +1", "", "a"), 400, 400},
-		{"length beyond reason", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 99999999999999999999", "", "a"), 400, 400},
+		{"length that overflows", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 99999999999999999999", "", "a"), 400, 400},
 		{"unknown coding", lines("POST / HTTP/1.1", "Host: a", "Transfer-Encoding: gzip, chunked", "", ""), 501, 501},
 		{"coding twice", lines("POST / HTTP/1.1", "Host: a", "Transfer-Encoding: chunked", "Transfer-Encoding: chunked", "", ""), 501, 501},
 		{"coding in HTTP/1.0", lines("POST / HTTP/1.0", "Host: a", "Transfer-Encoding: chunked", "", "0", "", ""), 501, 200},
@@ -52,9 +52,9 @@
 		{"endless line", strings.Repeat("x", 9000), 431, 400},
 	}
 	ran := make(chan string, 1)
-	cfg := ServerConfig{Limits: Limits{HeaderBytes: 4096}, Refuse: func(w http.ResponseWriter, _ *http.Request, shape Violation) {
-		w.Header().Set("Remedy", shape.String())
-		w.WriteHeader(shape.Status())
+	cfg := ServerConfig{Limits: Limits{HeaderBytes: 4096}, Refuse: func(w http.ResponseWriter, _ *http.Request, violation Violation) {
+		w.Header().Set("Remedy", violation.String())
+		w.WriteHeader(violation.Status())
 	}}
 	_, address := serve(t, cfg, func(_ http.ResponseWriter, r *http.Request) { ran <- r.RequestURI })
 	plain := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -71,10 +71,10 @@
 				t.Fatalf("got %+v, %v; want status %d", resp, err, test.status)
 			}
 			if resp.Header.Get("Remedy") == "" {
-				t.Error("refused by net/http, which does not say that nothing ran")
+				t.Error("net/http refused the request, without stating that it did not run")
 			}
 			if _, err := c.reader.ReadByte(); err == nil {
-				t.Error("the connection goes on")
+				t.Error("the connection stays open")
 			}
 		})
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Requests that follow each other without waiting keep their own bodies, in
-// pieces of any size, and a refused one takes its turn behind them.
+// Pipelined requests keep their own bodies in pieces of any size, and a refusal is sent after the
+// answers to the requests in front of it.
 func TestPipelinedRequestsKeepTheirBodies(t *testing.T) {
 	_, address := serve(t, ServerConfig{}, echo)
 	stream := lines("POST /1 HTTP/1.1", "Host: a", "Content-Length: 3", "", "one") +
@@ -110,28 +110,28 @@
 			t.Errorf("pieces of %d: got %+v, %v", size, resp, err)
 		}
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Errorf("pieces of %d: something follows the refusal", size)
+			t.Errorf("pieces of %d: the connection stays open after the refusal", size)
 		}
 	}
 }
 
-// Many callers each send a head byte by byte, or nothing, and hold an entry's
-// connections. They are closed in time, also behind an answered request.
+// Callers that send a head byte by byte, or stop in the middle of it, occupy connections of an
+// entry. The connections must be closed in time, also after an answered request.
 func TestSlowHeadIsNotAnswered(t *testing.T) {
 	_, address := serve(t, ServerConfig{Limits: Limits{HeaderTimeout: 30 * time.Millisecond, Idle: time.Hour}}, echo)
-	for _, begun := range []string{"", lines("GET / HTTP/1.1", "Host: a", "", "")} {
+	for _, earlier := range []string{"", lines("GET / HTTP/1.1", "Host: a", "", "")} {
 		c := dial(t, address)
-		c.send(begun + "GET /slow HTTP/1.1\r\n")
-		if begun != "" {
+		c.send(earlier + "GET /slow HTTP/1.1\r\n")
+		if earlier != "" {
 			c.answer(http.MethodGet)
 		}
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Errorf("after %q the slow head was answered", begun)
+			t.Errorf("after %q the slow head was answered", earlier)
 		}
 	}
 }
 
-// plainStatus returns the status with which a plain server answers.
+// plainStatus returns the status with which a plain net/http server answers.
 func plainStatus(t *testing.T, address, request string) int {
 	c := dial(t, address)
 	c.send(request)
--- a/internal/front/helpers_test.go
+++ b/internal/front/helpers_test.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// serve starts a server with handler on loopback and returns its address.
+// serve starts a server with handler on loopback and returns it with its address.
 func serve(t *testing.T, cfg ServerConfig, handler http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	listener, err := socket.Listen("127.0.0.1:0")
@@ -29,7 +29,7 @@
 	return s, listener.Addr().String()
 }
 
-// caller is a caller with a raw socket.
+// caller is a caller that uses a raw TCP connection.
 type caller struct {
 	*net.TCPConn
 	reader *bufio.Reader
@@ -47,7 +47,7 @@
 
 func (c *caller) send(text string) { io.WriteString(c, text) }
 
-// answer reads one answer whole.
+// answer reads one complete answer.
 func (c *caller) answer(method string) (*http.Response, string, error) {
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
@@ -57,7 +57,7 @@
 	return resp, string(text), err
 }
 
-// fakeAnswer is an endpoint's answer with the given body.
+// fakeAnswer returns an endpoint's answer with the given body, and with hop-by-hop headers.
 func fakeAnswer(body io.Reader, length int64) *http.Response {
 	return &http.Response{
 		StatusCode:    http.StatusOK,
@@ -67,11 +67,11 @@
 	}
 }
 
-// echo answers with the target and the body.
+// echo answers with the target and the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	io.WriteString(w, r.RequestURI+" "+string(body))
 }
 
-// lines joins lines of a message with CR LF.
+// lines joins the lines of a message with CR LF.
 func lines(parts ...string) string { return strings.Join(parts, "\r\n") }
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Limits are what one caller may take. Zero fields allow nothing more than others do.
+// Limits bounds the resources of one caller's connection. In the result of ServerConfig.Allowed, a
+// zero field adds nothing to the configured limit.
 type Limits struct {
-	// HeaderBytes bounds a head, HeaderTimeout the time from its first byte to its end, Idle the
-	// wait for a connection's next request.
+	// HeaderBytes bounds the size of a head, HeaderTimeout the time from the first byte of a head
+	// to its end, and Idle the wait for the next request on a connection.
 	HeaderBytes         int
 	HeaderTimeout, Idle time.Duration
 }
 
-// maxAllowed bounds what ServerConfig.Allowed may allow: a caller holds memory and a descriptor
-// meanwhile.
+// maxAllowed bounds the result of ServerConfig.Allowed, because a caller occupies memory and a file
+// descriptor for that long.
 var maxAllowed = Limits{HeaderBytes: 1 << 20, HeaderTimeout: time.Minute, Idle: 10 * time.Minute}
 
-// wider returns the larger ones of two limits.
+// wider returns the larger value of each field.
 func (l Limits) wider(other Limits) Limits {
 	return Limits{
 		HeaderBytes:   max(l.HeaderBytes, other.HeaderBytes),
@@ -26,7 +27,7 @@
 	}
 }
 
-// within returns the smaller ones.
+// within returns the smaller value of each field.
 func (l Limits) within(other Limits) Limits {
 	return Limits{
 		HeaderBytes:   min(l.HeaderBytes, other.HeaderBytes),
@@ -43,7 +44,7 @@
 	}
 }
 
-// limits returns what callers may take now.
+// limits returns the limits that are in force now.
 func (c *ServerConfig) limits() Limits {
 	if c.Allowed == nil {
 		return c.Limits
@@ -51,7 +52,7 @@
 	return c.Limits.wider(c.Allowed().within(maxAllowed))
 }
 
-// extraTime is how much longer than by Limits a caller may take now.
+// extraTime returns by how much the limits in force now exceed the times of Limits.
 func (c *ServerConfig) extraTime() time.Duration {
 	now := c.limits()
 	return max(now.Idle-c.Limits.Idle, now.HeaderTimeout-c.Limits.HeaderTimeout)
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -11,26 +11,25 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// drainTime is how long connections that the kernel has accepted, or is about
-// to, are still taken over before a listener closes. Closing it at once would
-// reset them, perhaps with a request sent already. It is several times the way to
-// a caller and back.
+// drainTime is how long a listener that closes still accepts connections that the kernel has
+// established or is about to establish. Closing at once would reset them, possibly after the caller
+// has sent a request. The time is several times the round trip to a caller.
 const drainTime = 30 * time.Millisecond
 
-// firstRequestWait is how long a new connection may wait for its first request until
-// a stop takes it for idle. Closing it at once would cut off a caller that has
-// just connected and whose request is on its way.
+// firstRequestWait is how long a stopping server waits for the first request on a new connection
+// before it treats the connection as idle. Closing it at once would cut off a caller that has just
+// connected and whose request is on its way.
 const firstRequestWait = time.Second
 
-// listener gives the server guarded connections.
+// listener accepts TCP connections and wraps them as guarded connections.
 type listener struct {
 	*net.TCPListener
 	server  *Server
 	leaving atomic.Bool
 }
 
-// Accept waits for a connection and sets its TCP options. After close it first
-// returns the connections that the kernel holds.
+// Accept waits for a connection and sets its TCP options. After leave it first returns the
+// connections that the kernel has established.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.TCPListener.AcceptTCP()
@@ -49,17 +48,17 @@
 	}
 }
 
-// leave makes Accept end once it has taken over the waiting connections.
+// leave makes Accept end once it has accepted the waiting connections.
 func (l *listener) leave() {
 	l.leaving.Store(true)
 	if raw, err := l.TCPListener.SyscallConn(); err == nil {
-		// Without it a connection that is opened in the last instant is reset.
+		// Without StopOpening, a connection that is opened just before the close is reset.
 		_ = socket.StopOpening(raw)
 	}
 	l.TCPListener.SetDeadline(time.Now().Add(drainTime))
 }
 
-// setOptions makes the kernel notice a caller that went away without a word.
+// setOptions makes the kernel detect a caller that disappears without closing its connection.
 func (s *Server) setOptions(tcp *net.TCPConn) error {
 	if err := tcp.SetKeepAliveConfig(socket.KeepAlive(s.cfg.KeepAlive)); err != nil {
 		return err
@@ -71,7 +70,7 @@
 	return socket.SetUserTimeout(raw, s.cfg.UserTimeout)
 }
 
-// guard wraps a new connection, inside TLS if that is set.
+// newGuardedConn wraps a new connection, and adds TLS if that is configured.
 func (s *Server) newGuardedConn(tcp *net.TCPConn) *guardedConn {
 	g := &guardedConn{Conn: tcp, tcp: tcp, cfg: &s.cfg, opened: time.Now()}
 	if s.cfg.MayPipeline != nil {
@@ -83,7 +82,8 @@
 	return g
 }
 
-// isIdle reports whether nothing of a request has arrived or is to be expected.
+// isIdle reports whether no request is in progress, has begun to arrive or is expected as the first
+// request of a new connection.
 func (g *guardedConn) isIdle() bool {
 	if !g.idle.Load() || g.headStarted.Load() {
 		return false
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -11,57 +11,58 @@
 	"time"
 )
 
-// A caller may send further requests on a connection before the first one is
-// answered. net/http reads the second one when it has answered the first, so that
-// three reads of 100 ms each take 300 ms for the third. Requests that may be
-// repeated are therefore begun ahead of their turn: while one is worked on, the
-// guard reads on, hands what follows to the handler at once, and keeps the answer
-// until the server comes to it. Answers go out in the order of the requests.
+// net/http reads the next request of a connection only after it has answered the previous one. When
+// a caller pipelines three reads of 100 ms each, the third therefore takes 300 ms. This file starts
+// requests that may run twice before the requests in front of them are answered: while one request
+// is in progress, the connection reads on, passes the following requests to the handler at once and
+// buffers their answers until the server reaches them. Answers are sent in the order of the
+// requests.
 //
-// The price of a connection that ends early is an answer that nobody gets, which
+// If the connection ends early, the answers to requests that were started this way are lost. That
 // is harmless only for requests that may run twice.
 
 const (
-	// maxPipelined bounds the requests of one connection that are begun ahead.
+	// maxPipelined bounds the pipelined requests of one connection that are started before their
+	// turn.
 	maxPipelined = 8
-	// maxReadAhead bounds the bytes that are read ahead on one connection.
+	// maxReadAhead bounds the bytes of request heads that are read ahead on one connection.
 	maxReadAhead = 64 << 10
-	// maxBufferedAnswer bounds an answer that is kept until its turn; a longer one
-	// waits with the rest.
+	// maxBufferedAnswer bounds the part of an answer that is buffered until its turn. The handler
+	// of a longer answer blocks until then.
 	maxBufferedAnswer = 256 << 10
 )
 
-// pipeline is the part of a guard that begins requests ahead of their turn.
+// pipeline starts the pipelined requests of one connection before their turn.
 type pipeline struct {
 	server *Server
 
 	mu sync.Mutex
-	// heads counts the heads given to the server, served those that its handler was
-	// called for, and begun is the number of the last one begun ahead.
+	// heads counts the heads passed to the server, served the requests for which the server has
+	// called its handler. lastStarted is the number of the last request started before its turn.
 	heads, served, lastStarted uint64
 	waiting                    []*pipelinedRequest
-	// cancels end the requests in work, by number, when the caller has gone.
+	// cancels holds the functions that cancel the requests in progress, by number.
 	cancels    map[uint64]context.CancelFunc
 	callerGone bool
-	// closing says that an answer on its way closes the connection.
+	// closing is set once an answer closes the connection.
 	closing bool
 
-	// stop is closed to end the reading ahead, done when it has ended; both are nil
+	// stop is closed to end reading ahead, and done when reading ahead has ended. Both are nil
 	// while nothing is read ahead. They belong to the reading goroutine.
 	stop chan struct{}
 	done chan struct{}
 }
 
-// pipelinedRequest is one request that was begun ahead.
+// pipelinedRequest is a request that was started before its turn.
 type pipelinedRequest struct {
 	number uint64
 	answer *pipelinedAnswer
-	// tracked is the writer that the handler got.
+	// tracked is the writer passed to the handler.
 	tracked *answerWriter
 	done    chan struct{}
 }
 
-// countHead numbers a head that is given to the server.
+// countHead returns the number of a head that is passed to the server.
 func (p *pipeline) countHead() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,9 +70,9 @@
 	return p.heads
 }
 
-// enter is called when the server's handler is called for the next request. It
-// returns what was begun ahead for it, if anything, and a context that ends when
-// the caller goes; leave must be called with the number at the end.
+// enter is called when the server calls its handler for the next request. It returns the request if
+// it was started before its turn, or else a context that is cancelled when the caller is gone. The
+// caller of enter must call leave with the number when the handler has ended.
 func (p *pipeline) enter(ctx context.Context) (number uint64, started *pipelinedRequest, inner context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +86,8 @@
 	return number, nil, p.withCancel(ctx, number)
 }
 
-// withCancel returns a context for the request of that number. mu is held.
+// withCancel returns a context that cancelAll cancels, for the request with the given number. The
+// lock mu must be held.
 func (p *pipeline) withCancel(ctx context.Context, number uint64) context.Context {
 	inner, cancel := context.WithCancel(ctx)
 	if p.callerGone {
@@ -98,7 +100,7 @@
 	return inner
 }
 
-// leave ends the context of a request.
+// leave cancels the context of the request with the given number.
 func (p *pipeline) leave(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,10 +110,11 @@
 	}
 }
 
-// mayCloseAfter reports whether the answer to the request of that number may close the
-// connection, which it may not while requests wait behind it. From then on none is begun
-// there: what is asked and what is begun change under one lock, so that no request is at work
-// whose answer has no connection to go to.
+// mayCloseAfter reports whether the answer to the request with the given number may close the
+// connection. It may not while later requests on the connection are in progress. After
+// mayCloseAfter has returned true, no further request is started on the connection. The check and
+// the start of a request use the same lock, so that no request runs whose answer can no longer be
+// sent.
 func (p *pipeline) mayCloseAfter(number uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +125,7 @@
 	return true
 }
 
-// cancelAll ends everything that is worked on for the connection.
+// cancelAll cancels all requests of the connection, because the caller is gone.
 func (p *pipeline) cancelAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,8 +135,9 @@
 	}
 }
 
-// startReadAhead begins the request whose head was read while another is worked on, and
-// those behind it. first is a copy of its head, number its number.
+// startReadAhead starts the request whose head was read while another request is in progress, and
+// then reads ahead for the requests behind it. first is a copy of the head and number the number of
+// the request.
 func (g *guardedConn) startReadAhead(first []byte, number uint64) {
 	p := &g.pipeline
 	if p.stop != nil || p.server == nil || !g.tryStart(first, number) {
@@ -143,14 +147,14 @@
 	go g.readAhead(number+1, g.ready)
 }
 
-// stopReadAhead ends the reading ahead before the server itself reads on.
+// stopReadAhead ends reading ahead, so that the server itself can read from the connection.
 func (g *guardedConn) stopReadAhead() {
 	p := &g.pipeline
 	if p.stop == nil {
 		return
 	}
 	close(p.stop)
-	g.Conn.SetReadDeadline(time.Unix(1, 0)) // any time in the past
+	g.Conn.SetReadDeadline(time.Unix(1, 0)) // any time in the past interrupts the read
 	<-p.done
 	p.stop, p.done = nil, nil
 	g.mu.Lock()
@@ -158,8 +162,9 @@
 	g.applyDeadline()
 }
 
-// readAhead reads on while a request is worked on. It owns the guard's buffer until it
-// ends. offset is where the head of the given number begins.
+// readAhead reads heads and starts their requests while another request is in progress. It owns the
+// buffer of the connection until it ends. The head of the request with the given number begins at
+// offset.
 func (g *guardedConn) readAhead(number uint64, offset int) {
 	p := &g.pipeline
 	defer close(p.done)
@@ -182,8 +187,8 @@
 	}
 }
 
-// headLength returns the length of the head at the start of b with its empty line,
-// or 0 if it is not whole. The search begins at from.
+// headLength returns the length of the head at the start of b, including its empty line, or 0 if
+// the head is incomplete. The search for the empty line begins at from.
 func headLength(b []byte, from int) int {
 	i := bytes.Index(b[max(0, from):], []byte("\r\n\r\n"))
 	if i < 0 {
@@ -192,7 +197,7 @@
 	return max(0, from) + i + len("\r\n\r\n")
 }
 
-// readMore reads more bytes. It returns false when the reading ahead ends.
+// readMore reads more bytes into the buffer. It returns false if reading ahead must end.
 func (g *guardedConn) readMore() bool {
 	err := g.fill()
 	select {
@@ -209,8 +214,8 @@
 	return false
 }
 
-// tryStart begins a request ahead unless that was done before, and reports whether
-// to read on behind it.
+// tryStart starts a request before its turn unless it was started already. It reports whether to
+// read on behind the request.
 func (g *guardedConn) tryStart(head []byte, number uint64) bool {
 	p := &g.pipeline
 	p.mu.Lock()
@@ -234,7 +239,8 @@
 	return g.startRequest(r, number)
 }
 
-// startRequest hands a request to the handler, unless its connection closes.
+// startRequest passes a request to the handler in a goroutine of its own. It returns false if an
+// answer in front of the request closes the connection.
 func (g *guardedConn) startRequest(r *http.Request, number uint64) bool {
 	p := &g.pipeline
 	answer := newPipelinedAnswer()
@@ -257,7 +263,7 @@
 		defer p.leave(number)
 		defer func() {
 			if recover() != nil {
-				a.tracked.cutOff = true // as net/http does for a handler that panics
+				a.tracked.cutOff = true // net/http also aborts the connection when a handler panics
 			}
 		}()
 		p.server.handler.ServeHTTP(a.tracked, r.WithContext(ctx))
@@ -265,16 +271,16 @@
 	return true
 }
 
-// deliver gives the answer to the server's writer, whose turn it is, and waits for its
-// end. It reports whether the answer was cut off.
+// deliver sends the answer to the server's writer w and waits until the handler has ended. It
+// reports whether the answer was cut off.
 func (a *pipelinedRequest) deliver(w http.ResponseWriter) (cutOff bool) {
 	a.answer.attach(w)
 	<-a.done
 	return a.tracked.cutOff
 }
 
-// pipelinedAnswer is the http.ResponseWriter of a request that was begun ahead. Until
-// its turn it keeps what is written.
+// pipelinedAnswer is the http.ResponseWriter of a request that was started before its turn. It
+// buffers the answer until attach is called.
 type pipelinedAnswer struct {
 	header      http.Header
 	stopAbandon func() bool
@@ -296,8 +302,8 @@
 // Header implements http.ResponseWriter.
 func (a *pipelinedAnswer) Header() http.Header { return a.header }
 
-// WriteHeader implements http.ResponseWriter. Informational answers are left out:
-// they would belong before an answer that is not due yet.
+// WriteHeader implements http.ResponseWriter. It drops informational answers: they can't be sent
+// while the answers to earlier requests are still outstanding.
 func (a *pipelinedAnswer) WriteHeader(status int) {
 	if status < http.StatusOK {
 		return
@@ -330,7 +336,7 @@
 	return a.buffered.Write(p)
 }
 
-// FlushError is for http.ResponseController.
+// FlushError implements the flushing of http.ResponseController.
 func (a *pipelinedAnswer) FlushError() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -340,8 +346,8 @@
 	return http.NewResponseController(a.target).Flush()
 }
 
-// attach gives out what was kept; what follows goes to w directly. An error of w
-// shows again at the next write.
+// attach sends the buffered part of the answer to w and makes later writes go to w directly. It
+// ignores an error of w, which the next write returns again.
 func (a *pipelinedAnswer) attach(w http.ResponseWriter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -354,7 +360,7 @@
 	a.attached.Broadcast()
 }
 
-// sendHead passes the head on. mu is held.
+// sendHead sends status and headers to the target. The lock mu must be held.
 func (a *pipelinedAnswer) sendHead() {
 	h := a.target.Header()
 	for name, values := range a.header {
@@ -363,7 +369,7 @@
 	a.target.WriteHeader(a.status)
 }
 
-// abandon frees a handler that waits for a turn that does not come.
+// abandon unblocks a handler that waits for attach after the request was cancelled.
 func (a *pipelinedAnswer) abandon() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// allowPipelining lets every request be begun ahead.
+// allowPipelining allows every request to be started before its turn.
 func allowPipelining(*http.Request) bool { return true }
 
-// get is a request for a target without a body.
+// get returns a GET request for target.
 func get(target string) string { return lines("GET "+target+" HTTP/1.1", "Host: a", "", "") }
 
-// A tablet sends three reads on one connection without waiting. The entry worked on
-// one after the other, so the third took three times as long and was late. All must
-// be under way at a time, and the answers come in the order of the requests.
+// Guards against pipelined reads that run one after the other: of three reads on one connection,
+// the third then takes three times as long. All three must run at the same time, and the answers
+// must arrive in the order of the requests.
 func TestPipelinedRequestsRunAtOnce(t *testing.T) {
 	const requests = 3
-	var all sync.WaitGroup
-	all.Add(requests)
+	var running sync.WaitGroup
+	running.Add(requests)
 	_, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(w http.ResponseWriter, r *http.Request) {
-		all.Done()
-		all.Wait() // ends only when all have been begun
+		running.Done()
+		running.Wait() // returns only when all requests have started
 		io.WriteString(w, r.URL.Path)
 	})
 	c := dial(t, address)
@@ -37,14 +37,14 @@
 		}
 	}
 	c.send(get("/4"))
-	all.Add(1)
+	running.Add(1)
 	if _, text, err := c.answer(http.MethodGet); err != nil || text != "/4" {
-		t.Errorf("after the others: %q, %v", text, err)
+		t.Errorf("answer after the pipelined ones: %q, %v", text, err)
 	}
 }
 
-// A booking follows a read on the same connection. It must not be begun before the
-// read is answered: if the connection ended there, the caller would send it again.
+// A request that must not run twice follows a read on the same connection. It must not start before
+// the read is answered: if the connection ended there, the caller would send the request again.
 func TestRequestThatMustNotRepeatIsNotStartedEarly(t *testing.T) {
 	first := make(chan struct{})
 	var mu sync.Mutex
@@ -78,57 +78,58 @@
 	}
 }
 
-// A tablet that has sent two reads loses its network. Endpoints must not work on
-// for nobody: both requests have to be cancelled, also the one in front, whose
-// connection the server itself no longer watches.
+// A caller disappears after it has sent two reads. Both requests must be cancelled, so that
+// endpoints don't work for a caller that is gone. This includes the first request, whose
+// connection net/http itself no longer watches.
 func TestCallerGoneCancelsPipelinedRequests(t *testing.T) {
-	var begun, ended sync.WaitGroup
-	begun.Add(2)
+	var started, ended sync.WaitGroup
+	started.Add(2)
 	ended.Add(2)
 	_, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(_ http.ResponseWriter, r *http.Request) {
-		begun.Done()
+		started.Done()
 		<-r.Context().Done()
 		ended.Done()
 	})
 	c := dial(t, address)
 	c.send(get("/1") + get("/2"))
-	begun.Wait()
+	started.Wait()
 	c.Close()
 	ended.Wait()
 }
 
-// A planned stop meets a connection with two reads at work. The first answer must
-// not close the connection, or the second, which an endpoint has run, is lost.
+// The server leaves while two reads of a connection are in progress. The first answer must not
+// close the connection, because the answer to the second request, which an endpoint has run, would
+// be lost.
 func TestLeaveDeliversPipelinedAnswersBeforeClosing(t *testing.T) {
-	var all sync.WaitGroup
-	all.Add(2)
-	left := make(chan struct{})
+	var started sync.WaitGroup
+	started.Add(2)
+	leaving := make(chan struct{})
 	s, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(w http.ResponseWriter, r *http.Request) {
-		all.Done()
-		<-left
+		started.Done()
+		<-leaving
 		io.WriteString(w, r.URL.Path)
 	})
 	c := dial(t, address)
 	c.send(get("/1") + get("/2"))
-	all.Wait()
+	started.Wait()
 	s.Leave()
-	close(left)
+	close(leaving)
 	for i, closes := range []bool{false, true} {
 		resp, _, err := c.answer(http.MethodGet)
 		if err != nil || resp.Close != closes {
-			t.Errorf("answer %d: closes %v, %v", i+1, resp != nil && resp.Close, err)
+			t.Errorf("answer %d: closes the connection = %v, %v", i+1, resp != nil && resp.Close, err)
 		}
 	}
 }
 
-// The endpoint breaks off an answer that was begun ahead. Its caller must see the
-// connection end there and not a whole answer, nor the answer of the next request.
+// An endpoint breaks off an answer to a pipelined request. The caller must see the connection end
+// there, rather than a complete answer or the answer to the next request.
 func TestCutOffPipelinedAnswerEndsConnection(t *testing.T) {
-	var all sync.WaitGroup
-	all.Add(2)
+	var started sync.WaitGroup
+	started.Add(2)
 	_, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(w http.ResponseWriter, r *http.Request) {
-		all.Done()
-		all.Wait()
+		started.Done()
+		started.Wait()
 		io.WriteString(w, r.URL.Path)
 		if r.URL.Path == "/2" {
 			CutOff(w)
@@ -137,9 +138,9 @@
 	c := dial(t, address)
 	c.send(get("/1") + get("/2"))
 	if _, text, err := c.answer(http.MethodGet); err != nil || text != "/1" {
-		t.Fatalf("first: %q, %v", text, err)
+		t.Fatalf("first answer: %q, %v", text, err)
 	}
 	if _, text, err := c.answer(http.MethodGet); err == nil {
-		t.Errorf("second: %q taken for whole", text)
+		t.Errorf("the second answer %q was read without an error", text)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,6 +1,6 @@
-// Package front is the side of an entry that faces callers: an HTTP/1.1 server
-// with bounds on time and size that refuses misleading requests, bodies that
-// can be read again for another attempt, and the copying of answers.
+// Package front implements the caller-facing side of an entry: an HTTP/1.1 server that limits the
+// time and size of requests and refuses ambiguous request heads, request bodies that can be sent
+// again by another attempt, and the copying of answers.
 package front
 
 import (
@@ -16,28 +16,28 @@
 	"time"
 )
 
-// ServerConfig bounds what callers may take. Zero values take the defaults
-// named at each field.
+// ServerConfig configures a Server. Zero values select the default given at each field.
 type ServerConfig struct {
-	// Limits bound what a caller may take; the defaults are 5 s for a head, 60 s idle and 32 KiB.
+	// Limits bounds callers' connections. The defaults are 5 s for a head, 60 s idle and 32 KiB.
 	Limits Limits
-	// Allowed, if not nil, returns what callers are allowed beyond Limits.
+	// Allowed, if not nil, returns limits that raise those of Limits.
 	Allowed func() Limits
-	// KeepAlive is the time between TCP keep-alive probes. Default 10 s.
+	// KeepAlive is the interval of TCP keep-alive probes. Default 10 s.
 	KeepAlive time.Duration
-	// UserTimeout is the TCP user time-out; it also ends a connection whose
-	// caller reads nothing of its answer for so long. Default 30 s.
+	// UserTimeout is the TCP user timeout. It also ends a connection whose caller does not read its
+	// answer for that long. Default 30 s.
 	UserTimeout time.Duration
-	// TLS, if not nil, is used for callers' connections.
+	// TLS, if not nil, enables TLS on callers' connections.
 	TLS *tls.Config
-	// Refuse answers a request whose head was refused. The connection is closed
-	// after that. The request that it gets stands in for the refused one and says
-	// nothing of it. Nil answers with the status alone.
-	Refuse func(w http.ResponseWriter, r *http.Request, shape Violation)
-	// MayPipeline reports whether a request may be begun before those in front of it on its
-	// connection are answered: one that may run twice. Nil begins none.
+	// Refuse answers a request whose head was refused; the connection is then closed. Its request
+	// is a placeholder with nothing of the refused request. If Refuse is nil, the answer is a
+	// status without a body.
+	Refuse func(w http.ResponseWriter, r *http.Request, violation Violation)
+	// MayPipeline reports whether a request may be started before the requests in front of it on
+	// its connection are answered, because it may run twice. If MayPipeline is nil, no request is
+	// started early.
 	MayPipeline func(r *http.Request) bool
-	// ErrorLog gets the server's errors; nil for the standard logger.
+	// ErrorLog gets the server's errors; nil selects the standard logger.
 	ErrorLog *log.Logger
 }
 
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Server serves callers. It is safe for concurrent use.
+// Server serves HTTP/1.1 to callers. It is safe for concurrent use.
 type Server struct {
 	cfg      ServerConfig
 	handler  http.Handler
@@ -69,11 +69,11 @@
 	listeners []*listener
 	conns     map[*guardedConn]struct{}
 	stopped   bool
-	// accepting counts the listeners that still take connections.
+	// accepting counts the listeners that still accept connections.
 	accepting int
 }
 
-// NewServer returns a server that passes requests of sound shape to handler.
+// NewServer returns a server that passes requests with an accepted head to handler.
 func NewServer(cfg ServerConfig, handler http.Handler) *Server {
 	cfg = cfg.withDefaults()
 	if cfg.TLS != nil {
@@ -82,7 +82,7 @@
 	s := &Server{cfg: cfg, handler: handler, conns: make(map[*guardedConn]struct{})}
 	s.http = &http.Server{
 		Handler: s,
-		// The guard applies the bounds; the server's must not be reached first.
+		// guardedConn applies the limits, so those of net/http must not be reached first.
 		ReadHeaderTimeout:            cfg.Limits.HeaderTimeout,
 		IdleTimeout:                  cfg.Limits.Idle,
 		MaxHeaderBytes:               2 * cfg.Limits.wider(maxAllowed).HeaderBytes,
@@ -94,9 +94,8 @@
 	return s
 }
 
-// http1Only returns a configuration that agrees on nothing but HTTP/1.1, which
-// is all that this server speaks. A caller that was let choose HTTP/2 would find
-// each of its connections broken.
+// http1Only returns a copy of c that negotiates only HTTP/1.1, the one protocol that this server
+// implements. If a caller could negotiate HTTP/2, each of its connections would fail.
 func http1Only(c *tls.Config) *tls.Config {
 	c = c.Clone()
 	c.NextProtos = []string{"http/1.1"}
@@ -114,7 +113,7 @@
 	return c
 }
 
-// connKey finds the connection of a request in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func connContext(ctx context.Context, c net.Conn) context.Context {
@@ -152,7 +151,7 @@
 	delete(s.conns, g)
 }
 
-// Serve accepts callers on l until Stop. It returns nil after a stop.
+// Serve accepts callers' connections on l until Stop. It returns nil after Stop.
 func (s *Server) Serve(l *net.TCPListener) error {
 	guarded := &listener{TCPListener: l, server: s}
 	s.mu.Lock()
@@ -173,17 +172,17 @@
 	return err
 }
 
-// Connections returns how many connections of callers are open.
+// Connections returns the number of open connections from callers.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// InFlight returns how many requests are being worked on.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// ServeHTTP is called by the http.Server for each request.
+// ServeHTTP implements http.Handler for the http.Server.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g, _ := r.Context().Value(connKey{}).(*guardedConn)
 	var number uint64
@@ -211,7 +210,7 @@
 	}
 }
 
-// servePipelined passes the answer of a request that was begun ahead.
+// servePipelined sends the answer of a request that was started before its turn.
 func (s *Server) servePipelined(w http.ResponseWriter, r *http.Request, g *guardedConn, started *pipelinedRequest) {
 	tracked := &answerWriter{ResponseWriter: w, server: s, conn: g, number: started.number}
 	if started.deliver(tracked) {
@@ -229,9 +228,9 @@
 	s.cfg.Refuse(w, r, violation)
 }
 
-// abort ends the caller's connection so that the answer can't pass as whole.
-// In HTTP/1.0 an answer without a length ends with the connection; only a reset
-// shows such a caller that it was cut off.
+// abort ends the caller's connection so that the caller can't mistake the answer for a complete
+// one. In HTTP/1.0 an answer without a length ends with the connection; only a reset shows such a
+// caller that the answer was cut off.
 func abort(g *guardedConn, r *http.Request) {
 	if g != nil && !r.ProtoAtLeast(1, 1) {
 		g.tcp.SetLinger(0)
@@ -239,27 +238,26 @@
 	panic(http.ErrAbortHandler)
 }
 
-// answerWriter is the http.ResponseWriter that handlers get.
+// answerWriter is the http.ResponseWriter passed to handlers.
 type answerWriter struct {
 	http.ResponseWriter
 	server      *Server
 	wroteHeader bool
-	// body is set while the request's body is streamed.
+	// body is set if the request's body is streamed.
 	body *ReplayBody
-	// cutOff is set when the answer that was begun can't be completed.
+	// cutOff is set if the answer was begun but can't be completed.
 	cutOff bool
-	// ahead is set for an answer that is kept until its turn. The writer that it goes
-	// to then decides on the connection.
+	// pipelined is set for an answer that is buffered until its turn. The writer to which it is
+	// then sent decides whether to close the connection.
 	pipelined bool
-	// guard is the connection, number that of the request on it.
+	// conn is the caller's connection, and number the number of the request on it.
 	conn   *guardedConn
 	number uint64
 }
 
-// WriteHeader asks the caller to go elsewhere while the server leaves. An
-// answer that begins before the body was read whole also ends the connection:
-// net/http panics if it reads the rest of such a body after the handler and
-// then waits for the next request.
+// WriteHeader asks the caller to close the connection if the server is leaving. It also closes the
+// connection if the answer begins before the whole body was read: net/http panics if it reads the
+// rest of such a body after the handler and then waits for the next request.
 func (w *answerWriter) WriteHeader(status int) {
 	if status >= http.StatusOK && !w.wroteHeader {
 		w.wroteHeader = true
@@ -270,9 +268,9 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// closesConnection reports whether the answer asks its caller to go elsewhere. One that has
-// others behind it does not: they may be at work at endpoints already, and their
-// answers would be lost.
+// closesConnection reports whether the answer asks the caller to close the connection because the
+// server is leaving. It does not if later requests on the connection are in progress: they may be
+// running at endpoints already, and their answers would be lost.
 func (w *answerWriter) closesConnection() bool {
 	if w.pipelined || !w.server.leaving.Load() {
 		return false
@@ -280,7 +278,7 @@
 	return w.conn == nil || w.conn.pipeline.mayCloseAfter(w.number)
 }
 
-// Write writes a part of the body, after the head if that is missing.
+// Write writes a part of the body, after the head if that was not written yet.
 func (w *answerWriter) Write(p []byte) (int, error) {
 	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
@@ -288,9 +286,9 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// finish is called when the handler returned. The server reads on for the rest of
-// a body, to end the connection gently; a caller that sends no more may not hold
-// it for long.
+// finish is called after the handler returned. The server reads the rest of the body to close the
+// connection without a reset; finish limits the time that a caller which sends nothing more can
+// take.
 func (w *answerWriter) finish() {
 	if w.body == nil || w.body.finished() {
 		return
@@ -301,10 +299,10 @@
 	w.body.controller.SetReadDeadline(time.Now().Add(lingerTime))
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// unwrapTo returns the first writer of type T below w.
+// unwrapTo returns the first writer of type T that w is or wraps.
 func unwrapTo[T http.ResponseWriter](w http.ResponseWriter) (T, bool) {
 	for {
 		if found, ok := w.(T); ok {
--- a/internal/front/stop.go
+++ b/internal/front/stop.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// stopPoll is how often Stop looks for connections that became quiet.
+// stopPoll is the interval at which Stop checks for connections that became idle.
 const stopPoll = 10 * time.Millisecond
 
-// Leave makes every answer from now on ask its caller to close the connection.
-// New connections are still accepted, so that callers have time to learn of
-// other entries. Call Stop later.
+// Leave makes every further answer ask its caller to close the connection. New connections are
+// still accepted, so that callers have time to learn about other entries. Call Stop afterwards.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
 // Leaving reports whether Leave or Stop was called.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// Stop refuses new connections, closes idle ones and waits until the requests
-// in flight are answered. A caller whose connection is refused knows that its
-// request did not run. If ctx ends first, beforeCut is told how many requests
-// will be cut off, then they are; their number is returned. beforeCut may be nil.
+// Stop refuses new connections, closes idle ones and waits until the requests in flight are
+// answered. A caller whose connection is refused knows that its request did not run. If ctx ends
+// first, Stop calls beforeCut, which may be nil, with the number of requests in flight, cuts them
+// off and returns their number.
 func (s *Server) Stop(ctx context.Context, beforeCut func(inFlight int)) (cut int) {
 	s.Leave()
 	s.closeListeners()
@@ -51,16 +50,15 @@
 	s.listeners = nil
 }
 
-// isAccepting reports whether a listener still takes over connections. Until it
-// has ended, having no connection does not mean that none has to be answered.
+// isAccepting reports whether a listener still accepts connections. While one does, a request may
+// still arrive although no connection is open.
 func (s *Server) isAccepting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepting > 0
 }
 
-// closeIdle closes the connections on which nothing of a request has arrived
-// and returns how many others there are.
+// closeIdle closes the idle connections and returns the number of the others.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	open := make([]*guardedConn, 0, len(s.conns))
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -24,9 +24,9 @@
 	return func() time.Duration { return time.Since(started) }
 }
 
-// An operator replaces an entry during a close. Requests in flight, and one
-// whose head is on its way, are answered and told to go elsewhere; idle
-// connections end; new ones are refused, which tells callers that nothing ran.
+// An entry stops. It must answer the requests in progress, and one whose head has partly arrived,
+// and ask their callers to close the connection. It must close idle connections and refuse new
+// ones, which tells callers that their request did not run.
 func TestStopWaitsForRequests(t *testing.T) {
 	entered, proceed := make(chan struct{}), make(chan struct{})
 	s, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +49,7 @@
 	stopped := make(chan int)
 	go func() { stopped <- s.Stop(context.Background(), nil) }()
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ended with %v", err)
+		t.Errorf("the idle connection ended with %v, want EOF", err)
 	}
 	if got := s.InFlight(); got != 1 {
 		t.Errorf("%d requests are in flight, want 1", got)
@@ -66,7 +66,7 @@
 		t.Errorf("%d requests were cut off", cut)
 	}
 	if _, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new connection got %v", err)
+		t.Errorf("a new connection got %v, want connection refused", err)
 	}
 }
 
@@ -95,7 +95,7 @@
 		name, body     string
 		length         int64
 		whole          bool
-		again, afterIt bool // readable again after the kept bytes, after all
+		again, afterIt bool // readable again after the buffered bytes, after the whole body
 	}{
 		{"empty", "", 0, true, true, true},
 		{"fits", "abcd", 4, true, true, true},
@@ -111,13 +111,13 @@
 			if err != nil || body.Whole() != test.whole {
 				t.Fatalf("whole %v, %v", body.Whole(), err)
 			}
-			// A first attempt ends before the rest is needed.
+			// A first attempt ends before it needs the rest of the body.
 			if reader, _ := body.Reader(); reader != nil {
 				io.ReadFull(reader, make([]byte, len(body.Bytes())))
 				if attempt, ok := reader.(forward.Interrupter); ok {
 					attempt.Interrupt()
 					if _, err := reader.Read(make([]byte, 1)); err == nil {
-						t.Error("the interrupted attempt read on")
+						t.Error("the interrupted attempt read more of the body")
 					}
 				}
 			}
@@ -131,13 +131,13 @@
 				}
 			}
 			if _, ok := body.Reader(); ok != test.afterIt || body.Streamed() == test.afterIt {
-				t.Errorf("readable after all of it: %v", ok)
+				t.Errorf("readable again after the whole body: %v", ok)
 			}
 		})
 	}
 }
 
-// A different request under the same key must not get the first one's answer.
+// A different request under the same idempotency key must not get the answer of the first one.
 func TestDigest(t *testing.T) {
 	seen := make(map[[32]byte]string)
 	for _, parts := range [][4]string{
@@ -157,8 +157,8 @@
 	}
 }
 
-// Guards against a request that is not known again: under another name for the attempt, or with
-// another time left; and against one that is taken for another.
+// Two attempts at one request must have the same content hash although their attempt headers
+// differ, and different requests must have different ones.
 func TestContentHash(t *testing.T) {
 	hash := func(attempt, method, url, body string) uint64 {
 		r, _ := http.NewRequest(method, url, strings.NewReader(body))
@@ -177,18 +177,18 @@
 	} {
 		once, again := hash("1", parts[0], parts[1], parts[2]), hash("2", parts[0], parts[1], parts[2])
 		if other, found := seen[once]; found || once != again {
-			t.Errorf("%v: %x and %x, and %x is that of %q", parts, once, again, once, other)
+			t.Errorf("%v: hashes %x and %x of two attempts; %x is also the hash of %q", parts, once, again, once, other)
 		}
 		seen[once] = strings.Join(parts[:], " ")
 	}
 }
 
-// A tablet sends its second read while the first answer, which bears the stop's word that the
-// connection closes, is on its way. The entry asked whether it leaves before it looked at the
-// second read, and whether a read is behind the first before it began that one: each was told no.
-// The second read ran at an endpoint and its answer had no connection to go to.
+// The server leaves between the start of two pipelined requests. Guards against two checks without
+// a common lock: the first answer saw no request behind it and closed the connection, while the
+// second request saw no leaving server and started. The second request then ran at an endpoint, and
+// its answer could not be sent.
 func TestNoRequestStartsBehindAnswerThatClosesConnection(t *testing.T) {
-	begun := make(chan string, 2)
+	started := make(chan string, 2)
 	proceed, answered := make(chan struct{}), make(chan struct{})
 	var s *Server
 	ahead := func(*http.Request) bool {
@@ -199,14 +199,14 @@
 	}
 	var address string
 	s, address = serve(t, ServerConfig{MayPipeline: ahead}, func(w http.ResponseWriter, r *http.Request) {
-		begun <- r.URL.Path
+		started <- r.URL.Path
 		<-proceed
 		io.WriteString(w, r.URL.Path)
 	})
 	c := dial(t, address)
 	c.send(get("/1"))
-	if first := <-begun; first != "/1" {
-		t.Fatalf("%s was begun first", first)
+	if first := <-started; first != "/1" {
+		t.Fatalf("%s was started first", first)
 	}
 	c.send(get("/2"))
 	resp, text, err := c.answer(http.MethodGet)
@@ -215,8 +215,8 @@
 	}
 	close(answered)
 	s.Stop(t.Context(), nil)
-	close(begun)
-	for path := range begun {
-		t.Errorf("%s was begun behind an answer that closes the connection", path)
+	close(started)
+	for path := range started {
+		t.Errorf("%s was started behind an answer that closes the connection", path)
 	}
 }
--- a/internal/front/stopmodel_test.go
+++ b/internal/front/stopmodel_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// Callers send reads behind one another while an entry is told to leave and to stop, and endpoints
-// answer in any order. Whatever the order of these, each request that was begun has its answer on
-// its connection, whole and in turn: the stop cuts off nothing, and no connection closes with a
-// request at work on it. A request that was not begun may be sent again elsewhere.
+// Callers pipeline reads while the server leaves and stops, and handlers end in any order. Each
+// request that was started must be answered on its connection, completely and in order: Stop cuts
+// off nothing, and no connection closes with a request in progress. A request that was not started
+// may be sent again to another entry.
 func TestStartedRequestsAreAnsweredDuringStop(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const connections = 3
 		var mu sync.Mutex
-		begun := make(map[string]bool)
+		started := make(map[string]bool)
 		gates := make(map[string]chan struct{})
 		gate := func(path string) chan struct{} {
 			mu.Lock()
@@ -30,7 +30,7 @@
 		}
 		s, address := serve(t, ServerConfig{MayPipeline: allowPipelining}, func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
-			begun[r.URL.Path] = true
+			started[r.URL.Path] = true
 			mu.Unlock()
 			<-gate(r.URL.Path)
 			io.WriteString(w, r.URL.Path)
@@ -47,7 +47,7 @@
 		}
 		for i := range callers {
 			callers[i] = dial(t, address)
-			// A connection that was used ends as soon as it is idle.
+			// A connection that was used before is closed as soon as it is idle.
 			release(path(i, 0))
 			callers[i].send(get(path(i, 0)))
 			if _, _, err := callers[i].answer(http.MethodGet); err != nil {
@@ -99,8 +99,8 @@
 				answered++
 			}
 			for n := range sent[i] {
-				if begun[path(i, n)] != (n < answered) {
-					rt.Errorf("connection %d: request %d begun %v, answered %v", i, n, begun[path(i, n)], n < answered)
+				if started[path(i, n)] != (n < answered) {
+					rt.Errorf("connection %d: request %d: started %v, answered %v", i, n, started[path(i, n)], n < answered)
 				}
 			}
 		}
