--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,9 +1,9 @@
-// Package contract names the HTTP headers and paths that callers, entries and
-// endpoints agree on, and reads and writes their values. docs/ENDPOINTS.md and
-// docs/CALLERS.md describe the same contract for people.
+// Package contract defines the HTTP headers and paths that callers, entries and endpoints agree on,
+// and formats and parses their values. docs/ENDPOINTS.md and docs/CALLERS.md describe the same
+// contract.
 //
-// The functions here run on the request path: they allocate at most the string
-// they return and report malformed input by a bool instead of an error.
+// The functions of this package run for every request: they allocate at most the string that they
+// return, and report malformed input by a bool instead of an error.
 package contract
 
 import (
@@ -19,31 +19,31 @@
 	HeaderDeadline = "Tealhall-Deadline-Ms"
 	// HeaderAttempt counts the attempts at a request; the first is 1.
 	HeaderAttempt = "Tealhall-Attempt"
-	// HeaderDepth says how deep the call is nested in other calls. A caller sends
-	// 0 (or nothing) to MaxDepth, the entry one more to the endpoint.
+	// HeaderDepth is the depth to which the call is nested in other calls. A caller sends 0 to
+	// MaxDepth, or omits the header for 0; the entry sends the endpoint one more.
 	HeaderDepth = "Tealhall-Depth"
-	// HeaderRequest identifies the caller's request; all its attempts carry the
-	// same value.
+	// HeaderRequest identifies the caller's request; all attempts at the request carry the same
+	// value.
 	HeaderRequest = "Tealhall-Request"
-	// HeaderIdempotencyKey is the caller's idempotency key, if it gave one.
+	// HeaderIdempotencyKey is the caller's idempotency key, if the request has one.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderService names the service that the request is for. Callers send it
-	// to the entry, the entry sends it on.
+	// HeaderService names the service that the request is for. Callers send it to the entry, and
+	// the entry sends it to the endpoint.
 	HeaderService = "Tealhall-Service"
 )
 
-// Headers that an endpoint answers with.
+// Headers of an endpoint's answer.
 const (
-	// HeaderLoad reports the endpoint's load, see Load. It is on every answer.
+	// HeaderLoad reports the endpoint's load, see Load. Every answer has it.
 	HeaderLoad = "Tealhall-Load"
 	// HeaderIncarnation is the endpoint's incarnation, a decimal uint64.
 	HeaderIncarnation = "Tealhall-Incarnation"
-	// HeaderDraining is DrainingValue on every answer of an endpoint that leaves.
+	// HeaderDraining is DrainingValue on every answer of an endpoint that is leaving.
 	HeaderDraining = "Tealhall-Draining"
-	// HeaderRateLimit is how many requests a second the endpoint takes from all entries together, a
-	// decimal number. It is on every answer for as long as the limit holds.
+	// HeaderRateLimit is the number of requests per second that the endpoint accepts from all
+	// entries together, a decimal number. Every answer has it while the limit applies.
 	HeaderRateLimit = "Tealhall-Rate-Limit"
-	// HeaderNotRun states that the endpoint did not run the request and why, see
+	// HeaderNotRun states that the endpoint did not run the request, and the reason, see
 	// NotRunReason. It counts only on an answer with status 503.
 	HeaderNotRun = "Tealhall-Not-Run"
 )
@@ -55,38 +55,39 @@
 	HeaderCaller = "Tealhall-Caller"
 	// HeaderOutcome is the typed outcome of an answer, see Outcome.
 	HeaderOutcome = "Tealhall-Outcome"
-	// HeaderReason says in a word or two why the outcome is what it is.
+	// HeaderReason gives the reason for the outcome in a word or two.
 	HeaderReason = "Tealhall-Reason"
-	// HeaderRevision is the latest profile revision that the sender has seen.
+	// HeaderRevision is the newest profile revision known to the sender.
 	HeaderRevision = "Tealhall-Revision"
 	// HeaderEntry names the entry that answered.
 	HeaderEntry = "Tealhall-Entry"
-	// HeaderForwarded marks a request that one entry passed to another.
+	// HeaderForwarded marks a request that one entry forwarded to another.
 	HeaderForwarded = "Tealhall-Forwarded"
 )
 
 // Reserved paths. Requests below ReservedPrefix are never passed to a service.
 const (
 	ReservedPrefix = "/.tealhall/"
-	// EntriesPath answers which entries a caller may use.
+	// EntriesPath returns the entries that a caller may use.
 	EntriesPath = "/.tealhall/entries"
-	// ProbePath is an endpoint's probe; each probe costs it a slot for about 6 ms.
+	// ProbePath is the path of load probes at an endpoint. Each probe occupies one of its slots for
+	// about 6 ms.
 	ProbePath = "/.tealhall/probe"
-	// HealthPath answers whether an entry is ready.
+	// HealthPath returns whether an entry is ready.
 	HealthPath = "/.tealhall/health"
 )
 
-// DrainingValue is the value of HeaderDraining at an endpoint that leaves.
+// DrainingValue is the value of HeaderDraining at an endpoint that is leaving.
 const DrainingValue = "1"
 
-// MaxDepth is the deepest nesting with which an entry accepts a call.
+// MaxDepth is the deepest nesting of calls that an entry accepts.
 const MaxDepth = 6
 
-// maxDeadline bounds what ParseDeadline accepts: no request may wait longer
-// than a day, and the product with a millisecond can't overflow.
+// maxDeadline is the largest deadline that ParseDeadline accepts: no request may wait longer than a
+// day, and a duration of so many milliseconds doesn't overflow.
 const maxDeadline = 24 * time.Hour
 
-// Outcome is what a caller is told about its request.
+// Outcome states to the caller whether its request ran.
 type Outcome string
 
 // The outcomes.
@@ -99,22 +100,22 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// NotRunReason is why an endpoint did not run a request.
+// NotRunReason is the reason for which an endpoint did not run a request.
 type NotRunReason string
 
-// The reasons that are accepted in HeaderNotRun.
+// The reasons accepted in HeaderNotRun.
 const (
-	// NotRunBusy: all slots are taken and the queue is full.
+	// NotRunBusy: all slots are in use and the queue is full.
 	NotRunBusy NotRunReason = "busy"
-	// NotRunDraining: the endpoint is leaving and takes no new work.
+	// NotRunDraining: the endpoint is leaving and accepts no new requests.
 	NotRunDraining NotRunReason = "draining"
 	// NotRunDeadline: the deadline passed before the request got a slot.
 	NotRunDeadline NotRunReason = "deadline"
-	// NotRunOverload: the endpoint sheds load for a reason of its own.
+	// NotRunOverload: the endpoint sheds load for another reason.
 	NotRunOverload NotRunReason = "overload"
 )
 
-// ParseNotRunReason returns the reason that value spells.
+// ParseNotRunReason parses the value of HeaderNotRun.
 func ParseNotRunReason(value string) (NotRunReason, bool) {
 	switch reason := NotRunReason(value); reason {
 	case NotRunBusy, NotRunDraining, NotRunDeadline, NotRunOverload:
@@ -123,9 +124,9 @@
 	return "", false
 }
 
-// ProvedNotRun reports whether an endpoint's answer proves that the endpoint
-// did not run the request: status 503 with exactly one HeaderNotRun that holds
-// a known reason. Any other answer, a plain 503 too, proves nothing.
+// ProvedNotRun reports whether an endpoint's answer proves that the endpoint did not run the
+// request: status 503 with exactly one HeaderNotRun and a known reason. Any other answer proves
+// nothing, including a 503 without the header.
 func ProvedNotRun(status int, header http.Header) (NotRunReason, bool) {
 	values := header[HeaderNotRun]
 	if status != http.StatusServiceUnavailable || len(values) != 1 {
@@ -134,25 +135,25 @@
 	return ParseNotRunReason(values[0])
 }
 
-// FormatDeadline returns left in whole milliseconds, rounded down so that an
-// endpoint never believes that it has more time than it has. Negative is "0".
+// FormatDeadline returns left in whole milliseconds, rounded down so that an endpoint never assumes
+// more time than is left. It returns "0" for a negative duration.
 func FormatDeadline(left time.Duration) string {
 	return strconv.FormatInt(max(0, left.Milliseconds()), 10)
 }
 
-// ParseDeadline reads the value of HeaderDeadline.
+// ParseDeadline parses the value of HeaderDeadline.
 func ParseDeadline(value string) (time.Duration, bool) {
 	millis, ok := parseUint(value, uint64(maxDeadline.Milliseconds()))
 	return time.Duration(millis) * time.Millisecond, ok
 }
 
-// ParseAttempt reads the value of HeaderAttempt, 1 or more.
+// ParseAttempt parses the value of HeaderAttempt, which is 1 or more.
 func ParseAttempt(value string) (int, bool) {
 	attempt, ok := parseUint(value, maxCount)
 	return int(attempt), ok && attempt > 0
 }
 
-// ParseDepth reads the value of HeaderDepth as a caller sends it, 0 to MaxDepth.
+// ParseDepth parses the value of HeaderDepth that a caller sends, 0 to MaxDepth.
 func ParseDepth(value string) (int, bool) {
 	depth, ok := parseUint(value, MaxDepth)
 	return int(depth), ok
@@ -163,14 +164,14 @@
 	return strconv.FormatUint(incarnation, 10)
 }
 
-// ParseIncarnation reads the value of HeaderIncarnation; zero is malformed.
+// ParseIncarnation parses the value of HeaderIncarnation; 0 is malformed.
 func ParseIncarnation(value string) (uint64, bool) {
 	incarnation, err := strconv.ParseUint(value, 10, 64)
 	return incarnation, err == nil && incarnation > 0
 }
 
-// parseUint reads a decimal number of digits only, at most limit. Unlike
-// strconv it makes no error value for malformed input.
+// parseUint parses a decimal number without a sign, at most limit. Unlike strconv it allocates no
+// error for malformed input.
 func parseUint(value string, limit uint64) (uint64, bool) {
 	if value == "" || len(value) > maxDigits {
 		return 0, false
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -28,18 +28,18 @@
 		want  Load
 		ok    bool
 	}{
-		"as written":        {"in-flight=3,queued=1,slots=2", complete, true},
-		"spaces and order":  {" slots=2, queued=1 , in-flight=3", complete, true},
-		"unknown field":     {"in-flight=3,cpu=0.7,queued=1,slots=2", complete, true},
-		"empty":             {"", Load{}, false},
-		"field missing":     {"in-flight=3,slots=2", Load{}, false},
-		"field twice":       {"in-flight=3,in-flight=3,queued=1,slots=2", Load{}, false},
-		"no slots":          {"in-flight=3,queued=1,slots=0", Load{}, false},
-		"negative":          {"in-flight=-1,queued=1,slots=2", Load{}, false},
-		"too large":         {"in-flight=65536,queued=1,slots=2", Load{}, false},
-		"overflow":          {"in-flight=18446744073709551617,queued=1,slots=2", Load{}, false},
-		"comma at the end":  {"in-flight=3,queued=1,slots=2,", Load{}, false},
-		"number left empty": {"in-flight=,queued=1,slots=2", Load{}, false},
+		"as written":       {"in-flight=3,queued=1,slots=2", complete, true},
+		"spaces and order": {" slots=2, queued=1 , in-flight=3", complete, true},
+		"unknown field":    {"in-flight=3,cpu=0.7,queued=1,slots=2", complete, true},
+		"empty":            {"", Load{}, false},
+		"field missing":    {"in-flight=3,slots=2", Load{}, false},
+		"field twice":      {"in-flight=3,in-flight=3,queued=1,slots=2", Load{}, false},
+		"no slots":         {"in-flight=3,queued=1,slots=0", Load{}, false},
+		"negative":         {"in-flight=-1,queued=1,slots=2", Load{}, false},
+		"too large":        {"in-flight=65536,queued=1,slots=2", Load{}, false},
+		"overflow":         {"in-flight=18446744073709551617,queued=1,slots=2", Load{}, false},
+		"comma at the end": {"in-flight=3,queued=1,slots=2,", Load{}, false},
+		"empty number":     {"in-flight=,queued=1,slots=2", Load{}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -54,9 +54,9 @@
 	}
 }
 
-// A caller is told that its booking was not run and books again. The endpoint
-// had run the first one: its 503 came from a handler that failed after its work,
-// or from a proxy on the way. Only the explicit statement may count as proof.
+// Guards against a request that runs twice because an entry reports it as not run although the
+// endpoint ran it: a 503 may come from a handler that failed after its work, or from a proxy in
+// between. Only the explicit statement counts as proof.
 func TestProvedNotRun(t *testing.T) {
 	cases := map[string]struct {
 		status int
@@ -85,10 +85,10 @@
 
 func TestParseNumbers(t *testing.T) {
 	if got := FormatDeadline(1999 * time.Microsecond); got != "1" {
-		t.Errorf("a deadline of 1.999 ms is sent as %q, not rounded down", got)
+		t.Errorf("a deadline of 1.999 ms is formatted as %q, not rounded down", got)
 	}
 	if got := FormatDeadline(-time.Second); got != "0" {
-		t.Errorf("a deadline that passed is sent as %q", got)
+		t.Errorf("a deadline that has passed is formatted as %q", got)
 	}
 	checks := map[string]struct{ got, want bool }{
 		"deadline":           {isOK(ParseDeadline("1500")), true},
--- a/internal/contract/entries.go
+++ b/internal/contract/entries.go
@@ -1,15 +1,15 @@
 package contract
 
-// EntriesAnswer is the JSON answer to GET EntriesPath: the entries that a
-// caller should use for a service.
+// EntriesAnswer is the JSON answer to GET EntriesPath: the entries that a caller should use for a
+// service.
 type EntriesAnswer struct {
 	// Service is the service that the answer is for.
 	Service string `json:"service"`
 	// Revision is the revision of the profiles in force at the entry that answered.
 	Revision uint64 `json:"revision"`
-	// TTLMillis is how long the caller may use the answer, in milliseconds.
+	// TTLMillis is the time for which the caller may use the answer, in milliseconds.
 	TTLMillis int64 `json:"ttl_ms"`
-	// Entries are in the order in which this caller should try them.
+	// Entries is in the order in which this caller should try the entries.
 	Entries []EntryAddress `json:"entries"`
 }
 
@@ -17,28 +17,28 @@
 type EntryAddress struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Incarnation in hexadecimal; it changes when the entry restarts.
+	// Incarnation is in hexadecimal; it changes when the entry restarts.
 	Incarnation string `json:"incarnation"`
 	Domain      string `json:"domain"`
-	// KeyPrefix is what 32 random hexadecimal digits are appended to to make an
-	// idempotency key whose home is this entry.
+	// KeyPrefix followed by 32 random hexadecimal digits is an idempotency key whose home is this
+	// entry.
 	KeyPrefix string `json:"key_prefix"`
-	// Weight is the share of requests that this entry should get among those
-	// of equal rank; 0 means only when the others fail.
+	// Weight is the share of requests that this entry should get among the entries of equal rank. 0
+	// means that the entry should be used only when the others fail.
 	Weight float64 `json:"weight"`
 }
 
-// ErrorAnswer is the JSON body of every answer that an entry makes itself.
+// ErrorAnswer is the JSON body of every answer that the entry itself generates.
 type ErrorAnswer struct {
 	Outcome Outcome `json:"outcome"`
 	Reason  string  `json:"reason"`
 	Remedy  string  `json:"remedy"`
-	// RetryAfterMillis is when to come back; 0 if waiting doesn't help.
+	// RetryAfterMillis is the retry delay in milliseconds; 0 if a retry doesn't help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// HeaderReplayed is ReplayedValue on the answer of a request that ran before
-// under the same idempotency key: the kept answer was given again.
+// HeaderReplayed is ReplayedValue on the stored answer to a request that ran before under the same
+// idempotency key.
 const HeaderReplayed = "Tealhall-Replayed"
 
 // ReplayedValue is the only value of HeaderReplayed.
--- a/internal/contract/idle.go
+++ b/internal/contract/idle.go
@@ -1,9 +1,8 @@
 package contract
 
-// HeaderIdleOnly is IdleOnlyValue on an attempt that the endpoint should refuse
-// at once, as not run (NotRunBusy), rather than queue when none of its slots is
-// idle: the entry then tries another endpoint. An endpoint that doesn't know
-// the header queues the request as usual.
+// HeaderIdleOnly is IdleOnlyValue on an attempt that the endpoint should refuse at once as not run
+// (NotRunBusy) if none of its slots is idle, instead of queueing it. The entry then tries another
+// endpoint. An endpoint that doesn't know the header queues the request as usual.
 const HeaderIdleOnly = "Tealhall-Idle-Only"
 
 // IdleOnlyValue is the only value of HeaderIdleOnly.
--- a/internal/contract/load.go
+++ b/internal/contract/load.go
@@ -5,19 +5,18 @@
 	"strings"
 )
 
-// maxCount is the largest count accepted in a header. It fits an uint16, the
-// size in which entries tell each other of load.
+// maxCount is the largest count accepted in a header. It fits the uint16 in which load reports
+// between entries store counts.
 const maxCount = 1<<16 - 1
 
-// Load is an endpoint's own report of its load when it wrote an answer. It may
-// lag and may be wrong.
+// Load is the load that an endpoint reported when it wrote an answer. It may be outdated or wrong.
 type Load struct {
-	// InFlight counts the requests that hold a slot, not counting the one that
-	// the report answers.
+	// InFlight is the number of requests that use a slot, without the request that this answer
+	// belongs to.
 	InFlight int
-	// Queued counts the requests that wait for a slot.
+	// Queued is the number of requests that wait for a slot.
 	Queued int
-	// Slots is how many requests the endpoint works on at a time.
+	// Slots is the number of requests that the endpoint runs at a time.
 	Slots int
 }
 
@@ -44,10 +43,9 @@
 	return string(l.AppendTo(buffer[:0]))
 }
 
-// ParseLoad reads the value of HeaderLoad without allocating. The three fields
-// may come in any order with spaces around them, each exactly once; fields that
-// this program doesn't know are skipped, so that later releases can add some.
-// Counts above 65535 and a report of no slots are malformed.
+// ParseLoad parses the value of HeaderLoad without allocating. The three fields may appear in any
+// order with spaces around them, each exactly once. Unknown fields are skipped, so that later
+// releases can add fields. Counts above 65535 and a load without slots are malformed.
 func ParseLoad(value string) (Load, bool) {
 	var load Load
 	var seen fieldSet
@@ -65,7 +63,7 @@
 	return load, true
 }
 
-// fieldSet remembers which fields of a load report were read.
+// fieldSet is the set of fields of a load that were parsed.
 type fieldSet uint8
 
 const (
@@ -75,7 +73,7 @@
 	allFields = sawInFlight | sawQueued | sawSlots
 )
 
-// set stores one field and reports whether it was well-formed and new.
+// set stores one field and reports whether it is well-formed and occurs for the first time.
 func (l *Load) set(seen *fieldSet, name, text string) bool {
 	var target *int
 	var bit fieldSet
--- a/internal/contract/ratelimit.go
+++ b/internal/contract/ratelimit.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// minRateLimit is a request an hour, as which lower limits are read: an endpoint that takes nothing
-// leaves.
+// minRateLimit is one request per hour. Lower limits are raised to it: an endpoint that accepts no
+// requests should leave instead.
 const minRateLimit = 1.0 / 3600
 
-// maxRateLimit is the highest limit in requests a second; higher ones bind nobody.
+// maxRateLimit is the highest limit in requests per second; higher limits have no effect.
 const maxRateLimit = 1e6
 
-// ParseRateLimit reads a limit of requests a second; 0 for none. What is no number, negative or too
-// large to bind is none.
+// ParseRateLimit parses a limit in requests per second. It returns 0, for no limit, if the value is
+// not a number, negative or above maxRateLimit.
 func ParseRateLimit(value string) float64 {
 	limit, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(limit) || limit < 0 || limit > maxRateLimit {
--- a/internal/contract/ratelimit_test.go
+++ b/internal/contract/ratelimit_test.go
@@ -11,7 +11,7 @@
 		{"", 0}, {"many", 0}, {"-1", 0}, {"NaN", 0}, {"Inf", 0}, {"1e9", 0}, {"1,5", 0}, {"1 per second", 0},
 	} {
 		if got := ParseRateLimit(c.value); got != c.want {
-			t.Errorf("%q: %v, want %v", c.value, got, c.want)
+			t.Errorf("ParseRateLimit(%q) = %v, want %v", c.value, got, c.want)
 		}
 	}
 }
