--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds waits that end with a context.
+// Package wait implements bounded waits.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends, whichever comes first.
+// For waits until d has passed or ctx ends, whichever comes first.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/wait/within.go
+++ b/internal/wait/within.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Within does work and reports whether it ended within limit. Work that did not goes on by itself.
+// Within runs work and reports whether it ended within limit. Work that did not end continues in
+// its own goroutine.
 func Within(limit time.Duration, work func()) bool {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/wait/within_test.go
+++ b/internal/wait/within_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// An entry was told to stop and waited for a call to a peer that nobody answered, until its process
-// was killed. What does not end in time is not waited for.
+// Guards against an entry that waits during its stop for a call that a peer never answers, until
+// its process is killed.
 func TestWithinReturnsBeforeUnfinishedWork(t *testing.T) {
 	unanswered := make(chan struct{})
 	defer close(unanswered)
 	if Within(time.Millisecond, func() { <-unanswered }) {
-		t.Error("it ended")
+		t.Error("work that never ends was reported as ended")
 	}
 	if !Within(time.Hour, func() {}) {
-		t.Error("it did not end")
+		t.Error("work that ended was reported as not ended")
 	}
 }
