--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault holds the typed errors of tealhall. Every error names what is
-// wrong and the remedy, so that a log line or a command's output is enough to
-// act on.
+// Package fault implements the typed errors of tealhall. Every error states the cause and the
+// remedy, so that a log line or the output of a command is enough to act on.
 package fault
 
 import (
@@ -20,17 +19,17 @@
 	BadProfile Kind = "bad-profile"
 	// PlatformDown: the configuration service did not answer.
 	PlatformDown Kind = "platform-down"
-	// PlatformAnswer: the configuration service answered with something unusable.
+	// PlatformAnswer: the answer of the configuration service is unusable.
 	PlatformAnswer Kind = "platform-answer"
-	// NotFound: the configuration service does not hold the value.
+	// NotFound: the configuration service does not have the value.
 	NotFound Kind = "not-found"
-	// StaleRevision: an older revision than the one in force was offered.
+	// StaleRevision: the offered revision is older than the one in force.
 	StaleRevision Kind = "stale-revision"
-	// RateLimited: a local bound on calls was reached.
+	// RateLimited: a local rate limit on calls was reached.
 	RateLimited Kind = "rate-limited"
 	// BadMessage: a peer's message is malformed or too large.
 	BadMessage Kind = "bad-message"
-	// VersionMismatch: a peer speaks no version that this program speaks.
+	// VersionMismatch: a peer supports no protocol version that this program supports.
 	VersionMismatch Kind = "version-mismatch"
 	// PeerDown: a peer could not be reached or did not answer in time.
 	PeerDown Kind = "peer-down"
@@ -38,14 +37,14 @@
 	BadRequest Kind = "bad-request"
 	// BadKey: an idempotency key is malformed.
 	BadKey Kind = "bad-key"
-	// Unavailable: nothing could serve the request.
+	// Unavailable: the request could not be served.
 	Unavailable Kind = "unavailable"
 	// Truncated: an answer ended before its announced length.
 	Truncated Kind = "truncated"
 )
 
-// New returns an error of the given kind. The remedy is an imperative sentence
-// that says what the reader can do; it becomes part of the message.
+// New returns an error of the given kind. The remedy is an imperative sentence that tells the
+// reader what to do; it becomes part of the message.
 func New(kind Kind, remedy, format string, args ...any) error {
 	return oops.Code(string(kind)).Hint(remedy).Errorf(format+"; "+remedy, args...)
 }
@@ -71,7 +70,7 @@
 	return Kind(code)
 }
 
-// Remedy returns the remedy named by the outermost typed error, or "".
+// Remedy returns the remedy of the outermost typed error in err's chain, or "".
 func Remedy(err error) string {
 	var typed oops.OopsError
 	if !errors.As(err, &typed) {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,4 +1,4 @@
-// Package program runs the command line of a program of tealhall's.
+// Package program runs the command line of a tealhall program.
 package program
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/spf13/cobra"
 )
 
-// Run executes the command with the process's arguments. SIGINT and SIGTERM end
-// its context. An error is printed to standard error; the result is the exit
-// code that code gives for it, 0 for nil.
+// Run executes the command with the process's arguments. SIGINT and SIGTERM cancel its context. Run
+// prints an error to standard error and returns the exit code that exitCode gives for it, or 0 for
+// no error.
 func Run(root *cobra.Command, exitCode func(error) int) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -27,5 +27,5 @@
 	return exitCode(err)
 }
 
-// Failure is the exit code of programs that don't tell errors apart.
+// Failure returns the exit code 1 for every error, for programs that don't distinguish errors.
 func Failure(error) int { return 1 }
