--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -98,7 +98,7 @@
 		total("peers.bytes_out", f.peerBytesOut),
 		total("peers.bytes_in", f.peerBytesIn),
 		gauge("peers.connections", float64(f.peerServer.Connections)),
-		total("peers.turned_away", f.peerServer.TurnedAway),
+		total("peers.turned_away", f.peerServer.Rejected),
 	}
 }
 
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -181,7 +181,7 @@
 	slices.Sort(wanted)
 	wanted = slices.Compact(wanted)
 	if set.addresses == nil || !slices.Equal(wanted, set.addresses) {
-		e.links.Set(wanted)
+		e.links.SetPeers(wanted)
 	}
 	set.addresses = wanted
 }
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -10,20 +10,20 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// stock serves updates as net/rpc and gob do by themselves.
-type stock struct{}
+// gobReceiver serves updates as net/rpc and gob do by themselves.
+type gobReceiver struct{}
 
-func (stock) Update(_ *message.Update, reply *message.Ack) error {
+func (gobReceiver) Update(_ *message.Update, reply *message.Ack) error {
 	reply.Accepted = true
 	return nil
 }
 
-func benchUpdate(sequence, sightings int) message.Update {
+func benchUpdate(sequence, loadReports int) message.Update {
 	u := message.Update{From: 0x9e3779b97f4a7c15, Sequence: uint64(sequence), State: message.EntryServing, Epoch: 40,
 		Profiles: message.Mark{Revision: 4000, Digest: 0x9e3779b97f4a7c15},
 		VMs:      message.Mark{Revision: 90_000, Digest: 0xc2b2ae3d27d4eb4f},
 		Rate:     2500 + uint32(sequence%100), EvidenceDigest: 0x165667b19e3779f9}
-	for i := range sightings {
+	for i := range loadReports {
 		u.LoadReports = append(u.LoadReports, message.LoadReport{
 			Endpoint:    fmt.Sprintf("endpoint-%03d", (sequence*7+i)%100),
 			Incarnation: 0x9e3779b97f4a7c15 + uint64((sequence*7+i)%100),
@@ -36,19 +36,19 @@
 // and IP headers not included: net/rpc's own codec against the packed form.
 // Connections are warm: types, marks and endpoints were sent before.
 func BenchmarkUpdateBytes(b *testing.B) {
-	for _, sightings := range []int{0, 20} {
-		b.Run(fmt.Sprintf("stock/sightings=%d", sightings), func(b *testing.B) {
-			client, used := stockClient(b)
-			measure(b, used, func(i int) error {
-				u := benchUpdate(i, sightings)
+	for _, loadReports := range []int{0, 20} {
+		b.Run(fmt.Sprintf("stock/sightings=%d", loadReports), func(b *testing.B) {
+			client, used := gobClient(b)
+			measureBytes(b, used, func(i int) error {
+				u := benchUpdate(i, loadReports)
 				return client.Call("Peer.Update", &u, new(message.Ack))
 			})
 		})
-		b.Run(fmt.Sprintf("packed/sightings=%d", sightings), func(b *testing.B) {
+		b.Run(fmt.Sprintf("packed/sightings=%d", loadReports), func(b *testing.B) {
 			client, used := packedClient(b)
 			var packer wire.Packer
-			measure(b, used, func(i int) error {
-				u := packer.Pack(benchUpdate(i, sightings))
+			measureBytes(b, used, func(i int) error {
+				u := packer.Pack(benchUpdate(i, loadReports))
 				return client.Call(wire.MethodUpdate.String(), u, new(wire.AckReply))
 			})
 		})
@@ -57,7 +57,7 @@
 
 const warmUpdates = 100
 
-func measure(b *testing.B, used *meter, call func(i int) error) {
+func measureBytes(b *testing.B, used *meter, call func(i int) error) {
 	for i := range warmUpdates {
 		if err := call(i); err != nil {
 			b.Fatal(err)
@@ -76,10 +76,10 @@
 	b.ReportMetric(float64(used.in.Load()-in)/float64(b.N), "in-bytes/op")
 }
 
-func stockClient(b *testing.B) (*rpc.Client, *meter) {
+func gobClient(b *testing.B) (*rpc.Client, *meter) {
 	near, far := net.Pipe()
 	server := rpc.NewServer()
-	if err := server.RegisterName("Peer", stock{}); err != nil {
+	if err := server.RegisterName("Peer", gobReceiver{}); err != nil {
 		b.Fatal(err)
 	}
 	go server.ServeConn(far)
@@ -91,7 +91,7 @@
 
 func packedClient(b *testing.B) (*rpc.Client, *meter) {
 	near, far := net.Pipe()
-	server := NewServer(Config{}, &discarding{})
+	server := NewServer(Config{}, &discardingHandler{})
 	server.start(far)
 	used := new(meter)
 	limits := Config{}.withDefaults().limits()
@@ -107,17 +107,17 @@
 	return client, used
 }
 
-// discarding keeps no updates.
-type discarding struct{ node }
+// discardingHandler keeps no updates.
+type discardingHandler struct{ recordingHandler }
 
-func (*discarding) Update(message.Update) (message.Ack, error) {
+func (*discardingHandler) Update(message.Update) (message.Ack, error) {
 	return message.Ack{Accepted: true}, nil
 }
 
-// BenchmarkGreeting opens a connection and greets: what a link costs both ends before it carries
+// BenchmarkOpenConnection opens a connection and greets: what a link costs both ends before it carries
 // anything, without the packets.
-func BenchmarkGreeting(b *testing.B) {
-	server := NewServer(Config{}, &discarding{})
+func BenchmarkOpenConnection(b *testing.B) {
+	server := NewServer(Config{}, &discardingHandler{})
 	limits := Config{}.withDefaults().limits()
 	hello := wire.Hello(helloOf("a", 1))
 	b.ReportAllocs()
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -24,8 +24,8 @@
 	"github.com/tealhall/tealhall/internal/settings/certs/certstest"
 )
 
-// strange opens a connection to the server without being a link.
-func (p *pair) strange(t *testing.T) net.Conn {
+// dialStranger opens a connection to the server without being a link.
+func (p *pair) dialStranger(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := p.net.Dial(context.Background(), peerAddress)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return conn
 }
 
-// ended waits for the server to close a connection and returns after how long.
-func ended(conn net.Conn) time.Duration {
+// awaitClose waits for the server to close a connection and returns after how long.
+func awaitClose(conn net.Conn) time.Duration {
 	started := time.Now()
 	_, _ = io.Copy(io.Discard, conn)
 	return time.Since(started)
@@ -43,7 +43,7 @@
 
 // Strangers reach the peer port: a browser, a port scanner, a broken peer. None
 // may hold memory or a connection for long, and the real link goes on.
-func TestStrangers(t *testing.T) {
+func TestStrangersAreDisconnected(t *testing.T) {
 	cases := []struct {
 		name   string
 		bytes  []byte
@@ -56,10 +56,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-				conn := p.strange(t)
+			withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+				conn := p.dialStranger(t)
 				go func() { _, _ = conn.Write(c.bytes) }()
-				if took := ended(conn); took > c.within {
+				if took := awaitClose(conn); took > c.within {
 					t.Errorf("closed after %s", took)
 				}
 				synctest.Wait()
@@ -72,7 +72,7 @@
 }
 
 // A program that speaks the protocol, but not in its order or within its bounds.
-func TestProtocolIsEnforced(t *testing.T) {
+func TestProtocolViolationsAreRefused(t *testing.T) {
 	hello := wire.Hello(helloOf("c", 3))
 	cases := []struct {
 		name   string
@@ -90,12 +90,12 @@
 		{"Hello twice", 1, "Peer.Hello", &hello, new(wire.HelloReply), "Hello came twice"},
 		{"method of a later release", 1, "Peer.Later", &wire.Ping{}, new(wire.PingReply), "can't find method"},
 		{"update that makes no sense", 1, "Peer.Update", &wire.Update{LoadReports: []byte{9, 9, 9, 9}}, new(wire.AckReply), ""},
-		{"update over its limit", 1, "Peer.Update", &wire.Update{LoadReports: make([]byte, regularBytes+headroom)}, new(wire.AckReply), "smaller parts"},
+		{"update over its limit", 1, "Peer.Update", &wire.Update{LoadReports: make([]byte, regularBytes+overLimitBytes)}, new(wire.AckReply), "smaller parts"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-				client := rpc.NewClientWithCodec(wire.NewClientCodec(p.strange(t), Config{}.withDefaults().limits()))
+			withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+				client := rpc.NewClientWithCodec(wire.NewClientCodec(p.dialStranger(t), Config{}.withDefaults().limits()))
 				defer client.Close()
 				for range c.hellos {
 					if err := client.Call("Peer.Hello", &hello, new(wire.HelloReply)); err != nil {
@@ -106,7 +106,7 @@
 				if text := fmt.Sprint(err) + " " + refusalOf(c.reply); (err == nil && refusalOf(c.reply) == "") || !strings.Contains(text, c.want) {
 					t.Errorf("answer %q lacks %q", text, c.want)
 				}
-				if len(p.node.received()) != 0 {
+				if len(p.handler.received()) != 0 {
 					t.Error("the handler was called")
 				}
 			})
@@ -114,7 +114,7 @@
 	}
 }
 
-const headroom = 4 << 10
+const overLimitBytes = 4 << 10
 
 func refusalOf(reply any) string {
 	var refusal *wire.Refusal
@@ -129,17 +129,17 @@
 	if refusal == nil {
 		return ""
 	}
-	return refusal.What
+	return refusal.Message
 }
 
 // Connections that a path has lost pile up at the answering end: a peer that
 // dials again replaces its own, others are turned away at the bound.
 func TestConnectionsAreBounded(t *testing.T) {
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{Connections: 3}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		again := rpc.NewClientWithCodec(wire.NewClientCodec(p.strange(t), Config{}.withDefaults().limits()))
-		defer again.Close()
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{Connections: 3}, helloOf("a", 1), func(t *testing.T, p *pair) {
+		redial := rpc.NewClientWithCodec(wire.NewClientCodec(p.dialStranger(t), Config{}.withDefaults().limits()))
+		defer redial.Close()
 		same := wire.Hello(helloOf("a", 1))
-		if err := again.Call("Peer.Hello", &same, new(wire.HelloReply)); err != nil {
+		if err := redial.Call("Peer.Hello", &same, new(wire.HelloReply)); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
@@ -147,29 +147,29 @@
 			t.Errorf("%d connections of one incarnation", open)
 		}
 		for range 2 {
-			defer p.strange(t).Close()
+			defer p.dialStranger(t).Close()
 		}
-		if took := ended(p.strange(t)); took != 0 {
+		if took := awaitClose(p.dialStranger(t)); took != 0 {
 			t.Errorf("the fourth connection lasted %s", took)
 		}
-		if turned := p.server.Stats().TurnedAway; turned != 1 {
-			t.Errorf("%d turned away", turned)
+		if rejected := p.server.Stats().Rejected; rejected != 1 {
+			t.Errorf("%d turned away", rejected)
 		}
 	})
 }
 
 // Pings of sixty idle links would cost more than everything else that a node
 // may spend on control; they grow rarer with the number of links.
-func TestPingsKeepToTheirShare(t *testing.T) {
+func TestPingsStayWithinByteShare(t *testing.T) {
 	cfg := Config{BytesPerSecond: 10_000}.withDefaults()
 	for links, want := range map[int]time.Duration{0: time.Second, 7: time.Second, 60: 7800 * time.Millisecond, 500: maxPingPeriod} {
 		if got := cfg.pingPeriod(links); got != want {
 			t.Errorf("%d links ping every %s, want %s", links, got, want)
 		}
 	}
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{BytesPerSecond: 260}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{BytesPerSecond: 260}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		before := p.links.Stats()[0].BytesOut
-		elapse(100 * time.Second)
+		advance(100 * time.Second)
 		stats := p.links.Stats()[0]
 		if used := stats.BytesOut - before + 20*2*52; used > 100*26 || used < 100*20 || stats.Opened != 1 {
 			t.Errorf("20 pings in 100 s took %d bytes, %+v", used, stats)
@@ -180,14 +180,14 @@
 func TestHandover(t *testing.T) {
 	part := message.Handover{Home: 4, Total: 1, OldestEpoch: 2, Records: []idem.Record{{Caller: 5, Result: idem.Done,
 		Answer: &idem.Answer{Status: 200, Header: [][2]string{{"Content-Type", "text/plain"}}, Body: []byte("booked")}}}}
-	n := &node{hello: helloOf("b", 2)}
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		ack, err := p.links.Handover(context.Background(), peerAddress, part)
 		if diff := cmp.Diff([]message.Handover{part}, n.handovers); err != nil || !ack.Accepted || diff != "" {
 			t.Errorf("%v, error %v, (-sent +received):\n%s", ack, err, diff)
 		}
 		large := part
-		large.Records = []idem.Record{{Answer: &idem.Answer{Body: make([]byte, defaultHandoverBytes+headroom)}}}
+		large.Records = []idem.Record{{Answer: &idem.Answer{Body: make([]byte, defaultHandoverBytes+overLimitBytes)}}}
 		if _, err := p.links.Handover(context.Background(), peerAddress, large); fault.KindOf(err) != fault.BadMessage {
 			t.Errorf("a part over the limit: %v", err)
 		}
@@ -195,23 +195,23 @@
 }
 
 func TestMutualTLS(t *testing.T) {
-	ours, foreign := certstest.NewAuthority(t), certstest.NewAuthority(t)
-	server := store(t, ours, ours)
+	own, foreign := certstest.NewAuthority(t), certstest.NewAuthority(t)
+	server := newCertStore(t, own, own)
 	cases := []struct {
 		name   string
 		client func() *tls.Config
 		open   bool
 	}{
-		{"same authority", func() *tls.Config { return store(t, ours, ours).Client("") }, true},
-		{"foreign authority", func() *tls.Config { return store(t, foreign, ours).Client("") }, false},
-		{"other name", func() *tls.Config { return store(t, ours, ours).Client("other") }, false},
+		{"same authority", func() *tls.Config { return newCertStore(t, own, own).Client("") }, true},
+		{"foreign authority", func() *tls.Config { return newCertStore(t, foreign, own).Client("") }, false},
+		{"other name", func() *tls.Config { return newCertStore(t, own, own).Client("other") }, false},
 		{"plain", nil, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := Config{ServerTLS: server.Server(), ClientTLS: c.client}
-			withPair(t, &node{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
-				elapse(time.Second)
+			withPair(t, &recordingHandler{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
+				advance(time.Second)
 				if stats := p.links.Stats()[0]; (stats.State == LinkOpen) != c.open {
 					t.Errorf("stats %+v", stats)
 				}
@@ -220,8 +220,8 @@
 	}
 }
 
-// store holds a certificate for the address of the tests' peer.
-func store(t *testing.T, authority, trusted *certstest.Authority) *certs.Store {
+// newCertStore holds a certificate for the address of the tests' peer.
+func newCertStore(t *testing.T, authority, trusted *certstest.Authority) *certs.Store {
 	dir := t.TempDir()
 	certificate, key := authority.Issue(t, "peer", "10.0.0.2")
 	files := certs.Files{Certificate: filepath.Join(dir, "a.pem"), Key: filepath.Join(dir, "a.key"), Authorities: filepath.Join(dir, "ca.pem")}
--- a/internal/peer/helper_test.go
+++ b/internal/peer/helper_test.go
@@ -12,28 +12,28 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// pipes is a network of in-memory connections. Its time-outs run on the clock
+// pipeNetwork is a network of in-memory connections. Its time-outs run on the clock
 // of the test's bubble.
-type pipes struct {
+type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 
-	mu    sync.Mutex
-	down  bool
-	dark  bool
-	slow  time.Duration
-	dials []time.Time
-	conns []*pipeConn // the dialling ends
+	mu        sync.Mutex
+	down      bool
+	unpowered bool
+	dialDelay time.Duration
+	dials     []time.Time
+	conns     []*pipeConn // the dialling ends
 }
 
-func newPipes() *pipes {
-	return &pipes{accepted: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeNetwork() *pipeNetwork {
+	return &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (p *pipeNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	p.mu.Lock()
-	down, dark, slow := p.down, p.dark, p.slow
+	down, unpowered, dialDelay := p.down, p.unpowered, p.dialDelay
 	p.dials = append(p.dials, time.Now())
 	near, far := net.Pipe()
 	conn := &pipeConn{Conn: near}
@@ -42,14 +42,14 @@
 	if down {
 		return nil, net.ErrClosed
 	}
-	if dark {
+	if unpowered {
 		select {
-		case <-time.After(repeatedAfter):
+		case <-time.After(synRetransmitDelay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	<-time.After(slow)
+	<-time.After(dialDelay)
 	select {
 	case p.accepted <- far:
 		return conn, nil
@@ -58,38 +58,38 @@
 	}
 }
 
-func (p *pipes) setDown(down bool) {
+func (p *pipeNetwork) setDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// repeatedAfter is when a kernel repeats an opening packet that was lost.
-const repeatedAfter = time.Second
+// synRetransmitDelay is when a kernel repeats an opening packet that was lost.
+const synRetransmitDelay = time.Second
 
-// setDark makes the peer a VM without power: opening packets are lost.
-func (p *pipes) setDark(dark bool) {
+// setUnpowered makes the peer a VM without power: opening packets are lost.
+func (p *pipeNetwork) setUnpowered(unpowered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dark = dark
+	p.unpowered = unpowered
 }
 
-func (p *pipes) setSlow(dial time.Duration) {
+func (p *pipeNetwork) setDialDelay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slow = dial
+	p.dialDelay = delay
 }
 
-// loseAll makes every open connection silent, as a path that lost track of it.
-func (p *pipes) loseAll() {
+// silenceAll makes every open connection silent, as a path that lost track of it.
+func (p *pipeNetwork) silenceAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		c.lose()
+		c.silence()
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.accepted:
 		return c, nil
@@ -98,38 +98,38 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeNetwork) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7070} }
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7070} }
 
 // pipeConn swallows what is written once it is lost.
 type pipeConn struct {
 	net.Conn
-	mu   sync.Mutex
-	lost bool
+	mu     sync.Mutex
+	silent bool
 }
 
-func (c *pipeConn) lose() {
+func (c *pipeConn) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost = true
+	c.silent = true
 }
 
 func (c *pipeConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	lost := c.lost
+	silent := c.silent
 	c.mu.Unlock()
-	if lost {
+	if silent {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 // node is a Handler that records what it was told.
-type node struct {
+type recordingHandler struct {
 	hello  message.Hello
 	refuse error
 	// refuseUpdates makes the node answer as one that does not know the sender.
@@ -141,30 +141,30 @@
 	handovers []message.Handover
 }
 
-func (n *node) Hello(message.Hello) (message.Hello, error) { return n.hello, n.refuse }
+func (n *recordingHandler) Hello(message.Hello) (message.Hello, error) { return n.hello, n.refuse }
 
-func (n *node) Update(u message.Update) (message.Ack, error) {
+func (n *recordingHandler) Update(u message.Update) (message.Ack, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updates = append(n.updates, u)
 	return message.Ack{Accepted: !n.refuseUpdates}, nil
 }
 
-func (n *node) Fetch(f message.Fetch) (message.Document, error) {
+func (n *recordingHandler) Fetch(f message.Fetch) (message.Document, error) {
 	if n.fetch == nil {
 		return message.Document{}, fault.New(fault.NotFound, "publish 100% of it", "no value %s", f.Name)
 	}
 	return n.fetch(f)
 }
 
-func (n *node) Handover(h message.Handover) (message.Ack, error) {
+func (n *recordingHandler) Handover(h message.Handover) (message.Ack, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handovers = append(n.handovers, h)
 	return message.Ack{Accepted: true}, nil
 }
 
-func (n *node) received() []message.Update {
+func (n *recordingHandler) received() []message.Update {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]message.Update(nil), n.updates...)
@@ -178,18 +178,18 @@
 
 // pair is one entry's links to one other entry.
 type pair struct {
-	net    *pipes
-	node   *node
-	server *Server
-	links  *Links
-	hellos []message.Hello // read it after synctest.Wait only
+	net     *pipeNetwork
+	handler *recordingHandler
+	server  *Server
+	links   *Links
+	hellos  []message.Hello // read it after synctest.Wait only
 }
 
 // withPair runs a test on a pair whose link was asked for, in a bubble with a
 // clock of its own.
-func withPair(t *testing.T, n *node, cfg Config, self message.Hello, test func(t *testing.T, p *pair)) {
+func withPair(t *testing.T, n *recordingHandler, cfg Config, self message.Hello, test func(t *testing.T, p *pair)) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pair{net: newPipes(), node: n}
+		p := &pair{net: newPipeNetwork(), handler: n}
 		cfg.Dial = p.net.Dial
 		cfg.Jitter = func() float64 { return 0.5 }
 		p.server = NewServer(cfg, n)
@@ -197,7 +197,7 @@
 		go func() { served <- p.server.Serve(p.net) }()
 		p.links = NewLinks(cfg, func() message.Hello { return self },
 			func(_ string, h message.Hello) { p.hellos = append(p.hellos, h) })
-		p.links.Set([]string{peerAddress})
+		p.links.SetPeers([]string{peerAddress})
 		synctest.Wait()
 		test(t, p)
 		p.links.Close()
@@ -208,8 +208,8 @@
 	})
 }
 
-// elapse lets the bubble's clock advance.
-func elapse(d time.Duration) {
+// advance lets the bubble's clock advance.
+func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -26,7 +26,7 @@
 
 	mu     sync.Mutex
 	outbox outbox
-	open   *connection // nil unless open
+	conn   *connection // nil unless open
 	stats  LinkStats
 }
 
@@ -69,28 +69,28 @@
 	failures := 0
 	for ctx.Err() == nil {
 		before := l.snapshot().Messages
-		l.note(func(s *LinkStats) { s.State = LinkDialing })
-		err := l.session(ctx, failures == 0)
-		l.note(func(s *LinkStats) { s.State, s.LastError = LinkWaiting, err.Error() })
-		l.giveUp()
+		l.updateStats(func(s *LinkStats) { s.State = LinkDialing })
+		err := l.runConnection(ctx, failures == 0)
+		l.updateStats(func(s *LinkStats) { s.State, s.LastError = LinkWaiting, err.Error() })
+		l.failWaiting()
 		if l.snapshot().Messages > before {
 			failures = 0 // the peer took something, so this is a new failure
 		}
 		pause(ctx, l.backoff(failures))
 		failures++
 	}
-	l.note(func(s *LinkStats) { s.State = linkStopped })
-	l.giveUp()
+	l.updateStats(func(s *LinkStats) { s.State = linkStopped })
+	l.failWaiting()
 }
 
 // After a failure the first dials follow each other quickly, and the very first one is
 // repeated beside itself. Guards against entries that lose power together: the opening
 // packet to one that starts a little later is lost, and the kernel repeats it after a whole
-// second, for which callers are told of one entry only. repeatDial is far above a round
+// second, for which callers are told of one entry only. repeatDialInterval is far above a round
 // trip between regions.
 const (
-	quickDials = 6
-	repeatDial = 150 * time.Millisecond
+	maxQuickDials      = 6
+	repeatDialInterval = 150 * time.Millisecond
 )
 
 // maxDoublings keeps the shift below from overflowing.
@@ -99,7 +99,7 @@
 // backoff doubles with each failure after the quick dials up to its bound. Half of it is
 // random, so that the peers of a restarted entry don't come back in step.
 func (l *link) backoff(failures int) time.Duration {
-	doublings := min(max(failures-quickDials, 0), maxDoublings)
+	doublings := min(max(failures-maxQuickDials, 0), maxDoublings)
 	most := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
 	return most/2 + time.Duration(l.cfg.Jitter()*float64(most/2))
 }
@@ -113,35 +113,35 @@
 	}
 }
 
-// session opens a connection, with repeated dials if asked for, and uses it until it
+// runConnection opens a connection, with repeated dials if asked for, and uses it until it
 // breaks.
-func (l *link) session(ctx context.Context, repeat bool) error {
+func (l *link) runConnection(ctx context.Context, repeat bool) error {
 	c, peer, err := l.connect(ctx, repeat)
 	if err != nil {
 		return err
 	}
 	defer c.end()
-	l.note(func(s *LinkStats) {
+	l.updateStats(func(s *LinkStats) {
 		s.State, s.Peer = LinkOpen, peer
 		s.Opened++
 	})
 	l.owner.onHello(l.address, peer)
-	l.use(c)
-	defer l.use(nil)
-	return l.pump(ctx, c)
+	l.setConnection(c)
+	defer l.setConnection(nil)
+	return l.sendLoop(ctx, c)
 }
 
 // connect dials, and says Hello within the dial time-out.
 func (l *link) connect(ctx context.Context, repeat bool) (*connection, message.Hello, error) {
-	dialing, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout)
 	defer cancel()
-	conn, err := l.dial(dialing, repeat)
+	conn, err := l.dial(dialCtx, repeat)
 	if err != nil {
-		return nil, message.Hello{}, l.down(err)
+		return nil, message.Hello{}, l.peerDown(err)
 	}
 	codec := wire.NewClientCodec(conn, l.cfg.limits())
 	c := &connection{client: rpc.NewClientWithCodec(codec), broken: make(chan struct{})}
-	peer, err := l.greet(dialing, c)
+	peer, err := l.exchangeHello(dialCtx, c)
 	if err != nil {
 		c.end()
 		return nil, message.Hello{}, err
@@ -150,11 +150,11 @@
 }
 
 func (l *link) dial(ctx context.Context, repeat bool) (net.Conn, error) {
-	open := l.cfg.Dial
+	dial := l.cfg.Dial
 	if repeat {
-		open = l.dialRepeated
+		dial = l.dialWithRepeats
 	}
-	conn, err := open(ctx, l.address)
+	conn, err := dial(ctx, l.address)
 	if err != nil {
 		return nil, err
 	}
@@ -170,45 +170,45 @@
 	return secure, nil
 }
 
-// dialled is how one dial ended.
-type dialled struct {
+// dialResult is how one dial ended.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialRepeated dials again every repeatDial until one of the dials ends, and returns how
+// dialWithRepeats dials again every repeatDialInterval until one of the dials ends, and returns how
 // that one ended. A refusal ends all: the VM is there, and its process is not.
-func (l *link) dialRepeated(ctx context.Context, address string) (net.Conn, error) {
+func (l *link) dialWithRepeats(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan dialled, quickDials)
-	begin := func() {
+	results := make(chan dialResult, maxQuickDials)
+	startDial := func() {
 		conn, err := l.cfg.Dial(ctx, address)
-		ended <- dialled{conn, err}
+		results <- dialResult{conn, err}
 	}
-	timer := time.NewTimer(repeatDial)
+	timer := time.NewTimer(repeatDialInterval)
 	defer timer.Stop()
-	go begin()
-	for under := 1; ; {
+	go startDial()
+	for running := 1; ; {
 		select {
-		case d := <-ended:
-			go closeDialled(ended, under-1)
-			return d.conn, d.err
+		case result := <-results:
+			go closeLateDials(results, running-1)
+			return result.conn, result.err
 		case <-timer.C:
-			if under < quickDials {
-				under++
-				go begin()
-				timer.Reset(repeatDial)
+			if running < maxQuickDials {
+				running++
+				go startDial()
+				timer.Reset(repeatDialInterval)
 			}
 		}
 	}
 }
 
-// closeDialled closes what so many more dials bring.
-func closeDialled(ended <-chan dialled, dials int) {
+// closeLateDials closes what so many more dials bring.
+func closeLateDials(results <-chan dialResult, dials int) {
 	for range dials {
-		if d := <-ended; d.conn != nil {
-			d.conn.Close()
+		if result := <-results; result.conn != nil {
+			result.conn.Close()
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	return config
 }
 
-func (l *link) greet(ctx context.Context, c *connection) (message.Hello, error) {
+func (l *link) exchangeHello(ctx context.Context, c *connection) (message.Hello, error) {
 	self := wire.Hello(l.owner.self())
 	reply := new(wire.HelloReply)
 	if err := l.exchange(ctx, c, wire.MethodHello, &self, reply); err != nil {
@@ -235,9 +235,9 @@
 	return peer, checkVersion(peer)
 }
 
-// pump sends what waits, and pings when nothing does, until the connection
+// sendLoop sends what waits, and pings when nothing does, until the connection
 // breaks.
-func (l *link) pump(ctx context.Context, c *connection) error {
+func (l *link) sendLoop(ctx context.Context, c *connection) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	last := time.Now()
@@ -248,7 +248,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-c.broken:
-			return l.down(net.ErrClosed)
+			return l.peerDown(net.ErrClosed)
 		case <-l.ready:
 			err = l.sendWaiting(ctx, c)
 		case <-timer.C:
@@ -269,7 +269,7 @@
 		return nil
 	}
 	ack, err := l.sendUpdate(ctx, c, u)
-	l.settle(done, message.Receipt{Acked: err == nil, EvidenceDigest: ack.EvidenceDigest, RecordDigest: ack.RecordDigest})
+	l.completeUpdate(done, message.Receipt{Acked: err == nil, EvidenceDigest: ack.EvidenceDigest, RecordDigest: ack.RecordDigest})
 	return err
 }
 
@@ -288,9 +288,9 @@
 	return reply.Ack, nil
 }
 
-// settle counts an update and tells its sender how it ended.
-func (l *link) settle(done func(message.Receipt), r message.Receipt) {
-	l.note(func(s *LinkStats) {
+// completeUpdate counts an update and tells its sender how it ended.
+func (l *link) completeUpdate(done func(message.Receipt), r message.Receipt) {
+	l.updateStats(func(s *LinkStats) {
 		if r.Acked {
 			s.Messages++
 		} else {
@@ -300,19 +300,19 @@
 	done(r)
 }
 
-// giveUp fails the update that waits, if there is one.
-func (l *link) giveUp() {
+// failWaiting fails the update that waits, if there is one.
+func (l *link) failWaiting() {
 	l.mu.Lock()
 	_, done, ok := l.outbox.take(time.Now())
 	l.mu.Unlock()
 	if ok {
-		l.settle(done, message.Receipt{})
+		l.completeUpdate(done, message.Receipt{})
 	}
 }
 
-// send puts an update into the outbox unless the link is down. An update waits
+// enqueue puts an update into the outbox unless the link is down. An update waits
 // for a link that is being dialled.
-func (l *link) send(u message.Update, done func(message.Receipt)) bool {
+func (l *link) enqueue(u message.Update, done func(message.Receipt)) bool {
 	l.mu.Lock()
 	if l.stats.State == LinkWaiting || l.stats.State == linkStopped {
 		l.stats.Dropped++
@@ -322,7 +322,7 @@
 	replaced := l.outbox.put(time.Now(), u, done)
 	l.mu.Unlock()
 	if replaced != nil {
-		l.settle(replaced, message.Receipt{})
+		l.completeUpdate(replaced, message.Receipt{})
 	}
 	select {
 	case l.ready <- struct{}{}:
@@ -331,16 +331,16 @@
 	return true
 }
 
-func (l *link) use(c *connection) {
+func (l *link) setConnection(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = c
+	l.conn = c
 }
 
 // call makes a call for a caller outside of the link's goroutine.
 func (l *link) call(ctx context.Context, m wire.Method, args, reply any) error {
 	l.mu.Lock()
-	c, reason := l.open, l.stats.LastError
+	c, reason := l.conn, l.stats.LastError
 	l.mu.Unlock()
 	if c == nil {
 		return fault.New(fault.PeerDown, "ask another peer", "the link to %s is not open (last error: %s)", l.address, reason)
@@ -360,7 +360,7 @@
 	go func() { done <- c.client.Call(m.String(), args, reply) }()
 	select {
 	case err := <-done:
-		return l.finish(c, started, err)
+		return l.finishCall(c, started, err)
 	case <-timer.C:
 		c.end()
 		return fault.New(fault.PeerDown, "nothing: the link is opened again; look at the network if it goes on",
@@ -370,20 +370,20 @@
 	}
 }
 
-func (l *link) finish(c *connection, started time.Time, err error) error {
+func (l *link) finishCall(c *connection, started time.Time, err error) error {
 	if refusal, ok := err.(rpc.ServerError); ok {
 		return fault.New(fault.BadMessage, "upgrade the older of the two entries", "%s refused the call: %s", l.address, string(refusal))
 	}
 	if err != nil {
 		c.end()
-		return l.down(err)
+		return l.peerDown(err)
 	}
 	now := time.Now()
-	l.note(func(s *LinkStats) { s.Heard, s.RTT = now, now.Sub(started) })
+	l.updateStats(func(s *LinkStats) { s.Heard, s.RTT = now, now.Sub(started) })
 	return nil
 }
 
-func (l *link) down(err error) error {
+func (l *link) peerDown(err error) error {
 	if fault.KindOf(err) != "" {
 		return err
 	}
@@ -391,7 +391,7 @@
 		"the link to %s failed", l.address)
 }
 
-func (l *link) note(change func(*LinkStats)) {
+func (l *link) updateStats(change func(*LinkStats)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.stats)
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -25,8 +25,8 @@
 	mu     sync.Mutex
 	closed bool
 	links  map[string]*link
-	// pastIn and pastOut are the bytes of links that are no longer wanted.
-	pastIn, pastOut uint64
+	// removedBytesIn and removedBytesOut are the bytes of links that are no longer wanted.
+	removedBytesIn, removedBytesOut uint64
 }
 
 // NewLinks returns links to nobody yet. Self describes this entry in each
@@ -36,20 +36,20 @@
 	return &Links{cfg: cfg.withDefaults(), self: self, onHello: onHello, links: make(map[string]*link)}
 }
 
-// Set names the peers that are wanted. New ones are dialled and kept open until
+// SetPeers names the peers that are wanted. New ones are dialled and kept open until
 // a later Set leaves them out.
-func (l *Links) Set(addresses []string) {
+func (l *Links) SetPeers(addresses []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return
 	}
-	for address, open := range l.links {
+	for address, lk := range l.links {
 		if !slices.Contains(addresses, address) {
-			open.stop()
+			lk.stop()
 			delete(l.links, address)
-			l.pastIn += open.meter.in.Load()
-			l.pastOut += open.meter.out.Load()
+			l.removedBytesIn += lk.meter.in.Load()
+			l.removedBytesOut += lk.meter.out.Load()
 		}
 	}
 	for _, address := range addresses {
@@ -67,8 +67,8 @@
 // returns if the link is known to be down, else on the link's goroutine, which
 // waits for it. The update's slices must not change before done is called.
 func (l *Links) Deliver(address string, u message.Update, done func(message.Receipt)) {
-	open := l.find(address)
-	if open == nil || !open.send(u, done) {
+	lk := l.find(address)
+	if lk == nil || !lk.enqueue(u, done) {
 		done(message.Receipt{})
 	}
 }
@@ -92,11 +92,11 @@
 }
 
 func (l *Links) call(ctx context.Context, address string, m wire.Method, args, reply any) error {
-	open := l.find(address)
-	if open == nil {
+	lk := l.find(address)
+	if lk == nil {
 		return fault.New(fault.PeerDown, "name the peer in Set first", "there is no link to %s", address)
 	}
-	return open.call(ctx, m, args, reply)
+	return lk.call(ctx, m, args, reply)
 }
 
 func (l *Links) find(address string) *link {
@@ -112,11 +112,11 @@
 	links := l.links
 	l.links = make(map[string]*link)
 	l.mu.Unlock()
-	for _, open := range links {
-		open.stop()
+	for _, lk := range links {
+		lk.stop()
 	}
-	for _, open := range links {
-		<-open.done
+	for _, lk := range links {
+		<-lk.done
 	}
 }
 
@@ -125,10 +125,10 @@
 func (l *Links) Traffic() (in, out uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	in, out = l.pastIn, l.pastOut
-	for _, open := range l.links {
-		in += open.meter.in.Load()
-		out += open.meter.out.Load()
+	in, out = l.removedBytesIn, l.removedBytesOut
+	for _, lk := range l.links {
+		in += lk.meter.in.Load()
+		out += lk.meter.out.Load()
 	}
 	return in, out
 }
@@ -167,14 +167,14 @@
 func (l *Links) Stats() []LinkStats {
 	l.mu.Lock()
 	links := make([]*link, 0, len(l.links))
-	for _, open := range l.links {
-		links = append(links, open)
+	for _, lk := range l.links {
+		links = append(links, lk)
 	}
 	l.mu.Unlock()
 	slices.SortFunc(links, func(a, b *link) int { return strings.Compare(a.address, b.address) })
 	stats := make([]LinkStats, len(links))
-	for i, open := range links {
-		stats[i] = open.snapshot()
+	for i, lk := range links {
+		stats[i] = lk.snapshot()
 	}
 	return stats
 }
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -34,16 +34,16 @@
 	*o = outbox{}
 	u.Evidence = slices.Clone(u.Evidence)
 	for i := range u.Evidence {
-		u.Evidence[i].AgeMillis = uint32(aged(uint64(u.Evidence[i].AgeMillis), waited, math.MaxUint32))
+		u.Evidence[i].AgeMillis = uint32(addAge(uint64(u.Evidence[i].AgeMillis), waited, math.MaxUint32))
 	}
 	u.LoadReports = slices.Clone(u.LoadReports)
 	for i := range u.LoadReports {
-		u.LoadReports[i].AgeMillis = uint16(aged(uint64(u.LoadReports[i].AgeMillis), waited, math.MaxUint16))
+		u.LoadReports[i].AgeMillis = uint16(addAge(uint64(u.LoadReports[i].AgeMillis), waited, math.MaxUint16))
 	}
 	return u, done, ok
 }
 
-// aged adds the time that a value waited to its age, up to most.
-func aged(millis uint64, waited time.Duration, most uint64) uint64 {
+// addAge adds the time that a value waited to its age, up to most.
+func addAge(millis uint64, waited time.Duration, most uint64) uint64 {
 	return min(millis+uint64(max(waited, 0).Milliseconds()), most)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -87,36 +87,36 @@
 const (
 	helloBytes   = 16 << 10
 	regularBytes = 16 << 10
-	// replyBytes is what a reply holds beside a document's text.
-	replyBytes = 4 << 10
-	// requestsInFlight bounds the requests of one connection in work.
-	requestsInFlight = 4
-	// lostHeartbeats is for how many heartbeats sent bytes may stay
+	// replyOverheadBytes is what a reply holds beside a document's text.
+	replyOverheadBytes = 4 << 10
+	// maxRequestsInFlight bounds the requests of one connection in work.
+	maxRequestsInFlight = 4
+	// maxUnackedHeartbeats is for how many heartbeats sent bytes may stay
 	// unacknowledged before the kernel ends a connection.
-	lostHeartbeats = 4
+	maxUnackedHeartbeats = 4
 	// pingBytes is what a ping and its acknowledgement cost the sender, packet
 	// headers included, and pingShare what pings may take of the byte bound.
 	pingBytes = 130
 	pingShare = 0.1
-	// maxPingPeriod bounds the silence on a link, and serverSilence is after
+	// maxPingPeriod bounds the silence on a link, and serverIdleTimeout is after
 	// which silence a server closes a connection: it only clears away what a
 	// lost peer left behind, so it is far longer.
-	maxPingPeriod = 15 * time.Second
-	serverSilence = 60 * time.Second
+	maxPingPeriod     = 15 * time.Second
+	serverIdleTimeout = 60 * time.Second
 )
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.Heartbeat, defaultHeartbeat)
-	orDefault(&c.CallTimeout, defaultCallTimeout)
-	orDefault(&c.DialTimeout, defaultDialTimeout)
-	orDefault(&c.BackoffMin, defaultBackoffMin)
-	orDefault(&c.BackoffMax, defaultBackoffMax)
-	orDefault(&c.HandoverBytes, defaultHandoverBytes)
-	orDefault(&c.DocumentBytes, defaultDocumentBytes)
-	orDefault(&c.Connections, defaultConnections)
-	orDefault(&c.BytesPerSecond, defaultBytes)
+	setDefault(&c.Heartbeat, defaultHeartbeat)
+	setDefault(&c.CallTimeout, defaultCallTimeout)
+	setDefault(&c.DialTimeout, defaultDialTimeout)
+	setDefault(&c.BackoffMin, defaultBackoffMin)
+	setDefault(&c.BackoffMax, defaultBackoffMax)
+	setDefault(&c.HandoverBytes, defaultHandoverBytes)
+	setDefault(&c.DocumentBytes, defaultDocumentBytes)
+	setDefault(&c.Connections, defaultConnections)
+	setDefault(&c.BytesPerSecond, defaultBytes)
 	if c.Dial == nil {
-		c.Dial = dialTCP(c.unacked())
+		c.Dial = dialTCP(c.unackedTimeout())
 	}
 	if c.Jitter == nil {
 		c.Jitter = rand.Float64
@@ -124,14 +124,14 @@
 	return c
 }
 
-func orDefault[T int | time.Duration](field *T, value T) {
+func setDefault[T int | time.Duration](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
-// unacked is how long sent bytes may stay unacknowledged.
-func (c Config) unacked() time.Duration { return lostHeartbeats * c.Heartbeat }
+// unackedTimeout is how long sent bytes may stay unacknowledged.
+func (c Config) unackedTimeout() time.Duration { return maxUnackedHeartbeats * c.Heartbeat }
 
 // pingPeriod returns after which silence each of so many links pings.
 func (c Config) pingPeriod(links int) time.Duration {
@@ -144,9 +144,9 @@
 		Hello:    helloBytes,
 		Regular:  regularBytes,
 		Handover: c.HandoverBytes,
-		Document: c.DocumentBytes + replyBytes,
+		Document: c.DocumentBytes + replyOverheadBytes,
 		Write:    c.CallTimeout,
 		Read:     c.CallTimeout,
-		InFlight: requestsInFlight,
+		InFlight: maxRequestsInFlight,
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,8 +15,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-func TestUpdatesArriveWhole(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+func TestUpdatesArriveUnchanged(t *testing.T) {
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		first := message.Update{From: 1, Sequence: 1, State: message.EntryServing, Epoch: 3,
 			Profiles: message.Mark{Revision: 4, Digest: 5}, VMs: message.Mark{Revision: 6, Digest: 7}, Reader: true, Rate: 8,
@@ -27,7 +27,7 @@
 		for _, u := range []message.Update{first, second} {
 			var acked atomic.Bool
 			p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked.Store(r.Acked) })
-			elapse(time.Second)
+			advance(time.Second)
 			if !acked.Load() {
 				t.Errorf("update %d: not accepted", u.Sequence)
 			}
@@ -60,7 +60,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: c.theirs, refuse: c.refuse}, Config{}, c.mine, func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: c.theirs, refuse: c.refuse}, Config{}, c.mine, func(t *testing.T, p *pair) {
 				stats := p.links.Stats()[0]
 				if open := stats.State == LinkOpen; open != c.open || len(p.hellos) > 0 != c.open {
 					t.Errorf("stats %+v, hellos %v", stats, p.hellos)
@@ -95,7 +95,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2), fetch: c.fetch}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: helloOf("b", 2), fetch: c.fetch}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 				document, err := p.links.Fetch(context.Background(), c.address, message.Fetch{Name: "profiles", After: 3})
 				if fault.KindOf(err) != c.kind || fault.Remedy(err) != c.remedy || len(document.Data) != c.bytes {
 					t.Errorf("%d bytes, error %v", len(document.Data), err)
@@ -113,11 +113,11 @@
 // forgot it, so nothing is refused and nothing arrives. A new connection works.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	cfg := Config{Heartbeat: time.Second, CallTimeout: 3 * time.Second}
-	n := &node{hello: helloOf("b", 2)}
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.loseAll()
+		p.net.silenceAll()
 		// Noticed by the ping's time-out; opened again after the back-off.
-		elapse(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
+		advance(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
 		stats := p.links.Stats()[0]
 		if stats.State != LinkOpen || stats.Opened != 2 {
 			t.Fatalf("after the silence: %+v", stats)
@@ -135,7 +135,7 @@
 func (p *pair) deliver(u message.Update) bool {
 	acked := make(chan bool, 1)
 	p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked <- r.Acked })
-	elapse(defaultCallTimeout)
+	advance(defaultCallTimeout)
 	select {
 	case ok := <-acked:
 		return ok
@@ -146,7 +146,7 @@
 
 // A sender counts what it told as known to the peer. If it were told so too
 // early, a leaving VM would never be told again and go on getting work.
-func TestDeliverSaysWhetherThePeerAccepted(t *testing.T) {
+func TestDeliverReportsWhetherPeerAccepted(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(p *pair)
@@ -154,18 +154,18 @@
 		state LinkState
 	}{
 		{"accepted", func(*pair) {}, true, LinkOpen},
-		{"refused by the handler", func(p *pair) { p.node.refuseUpdates = true }, false, LinkOpen},
-		{"connection lost", func(p *pair) { p.net.loseAll() }, false, LinkWaiting},
+		{"refused by the handler", func(p *pair) { p.handler.refuseUpdates = true }, false, LinkOpen},
+		{"connection lost", func(p *pair) { p.net.silenceAll() }, false, LinkWaiting},
 		{"peer down", func(p *pair) {
 			p.net.setDown(true)
-			p.net.loseAll()
-			elapse(10 * time.Second)
+			p.net.silenceAll()
+			advance(10 * time.Second)
 		}, false, LinkWaiting},
-		{"not wanted", func(p *pair) { p.links.Set(nil) }, false, ""},
+		{"not wanted", func(p *pair) { p.links.SetPeers(nil) }, false, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 				c.fault(p)
 				if acked := p.deliver(message.Update{Sequence: 1}); acked != c.acked {
 					t.Errorf("acked %v", acked)
@@ -180,19 +180,19 @@
 
 // An update waits while the link is dialled. A newer one takes its place, and
 // its sender learns that; the newer one arrives with its true age.
-func TestUpdateWaitsForADial(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+func TestUpdateWaitsWhileLinkDials(t *testing.T) {
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{BackoffMax: defaultBackoffMin}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.setSlow(2 * time.Second)
-		p.net.loseAll()
-		elapse(5 * time.Second) // found by the ping; the next dial has begun
+		p.net.setDialDelay(2 * time.Second)
+		p.net.silenceAll()
+		advance(5 * time.Second) // found by the ping; the next dial has begun
 		var first, second []bool
 		p.links.Deliver(peerAddress, message.Update{Sequence: 1}, func(r message.Receipt) { first = append(first, r.Acked) })
 		p.links.Deliver(peerAddress, message.Update{Sequence: 2,
 			Evidence:    []message.Evidence{{VM: "vm-1", AgeMillis: 70_000}},
 			LoadReports: []message.LoadReport{{Endpoint: "live-1", AgeMillis: 65_000}},
 		}, func(r message.Receipt) { second = append(second, r.Acked) })
-		elapse(2 * time.Second)
+		advance(2 * time.Second)
 		if !cmp.Equal(first, []bool{false}) || !cmp.Equal(second, []bool{true}) {
 			t.Fatalf("acked: first %v, second %v", first, second)
 		}
@@ -205,10 +205,10 @@
 
 // A peer is away for a minute: dials are spaced by a growing, bounded back-off.
 func TestBackoff(t *testing.T) {
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.setDown(true)
-		p.net.loseAll()
-		elapse(time.Minute)
+		p.net.silenceAll()
+		advance(time.Minute)
 		if dials := len(p.net.dials); dials < 12 || dials > 25 {
 			t.Errorf("%d dials in a minute", dials)
 		}
@@ -217,7 +217,7 @@
 			t.Errorf("the last dials are %s apart", last)
 		}
 		p.net.setDown(false)
-		elapse(defaultBackoffMax)
+		advance(defaultBackoffMax)
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen {
 			t.Errorf("stats %+v", stats)
 		}
@@ -230,48 +230,48 @@
 // dialled rarely in the end.
 func TestQuickDialsAfterPowerLoss(t *testing.T) {
 	cfg := Config{BackoffMin: 100 * time.Millisecond}
-	withPair(t, &node{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.setDark(true)
-		p.links.Set(nil)
-		p.links.Set([]string{peerAddress})
-		elapse(310 * time.Millisecond)
-		p.net.setDark(false)
-		elapse(repeatDial)
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
+		p.net.setUnpowered(true)
+		p.links.SetPeers(nil)
+		p.links.SetPeers([]string{peerAddress})
+		advance(310 * time.Millisecond)
+		p.net.setUnpowered(false)
+		advance(repeatDialInterval)
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen {
-			t.Errorf("%v after the peer was back: %+v", repeatDial, stats)
+			t.Errorf("%v after the peer was back: %+v", repeatDialInterval, stats)
 		}
-		before := len(p.net.dials)
-		p.net.setDark(true)
-		p.links.Set(nil)
-		p.links.Set([]string{peerAddress})
-		elapse(time.Minute)
-		if dials := len(p.net.dials) - before; dials > 25 {
+		dialsBefore := len(p.net.dials)
+		p.net.setUnpowered(true)
+		p.links.SetPeers(nil)
+		p.links.SetPeers([]string{peerAddress})
+		advance(time.Minute)
+		if dials := len(p.net.dials) - dialsBefore; dials > 25 {
 			t.Errorf("%d dials in a minute", dials)
 		}
 	})
 }
 
-func TestSetAndCloseEndLinks(t *testing.T) {
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.links.Set(nil)
-		elapse(time.Second)
+func TestUnwantedLinkIsClosed(t *testing.T) {
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+		p.links.SetPeers(nil)
+		advance(time.Second)
 		if open := p.server.Stats().Connections; open != 0 || len(p.links.Stats()) != 0 {
 			t.Errorf("%d connections, %d links", open, len(p.links.Stats()))
 		}
-		var told []bool // before Deliver returns
-		p.links.Deliver(peerAddress, message.Update{}, func(r message.Receipt) { told = append(told, r.Acked) })
-		if len(told) != 1 || told[0] {
-			t.Errorf("an update for an address that is not wanted: told %v", told)
+		var receipts []bool // before Deliver returns
+		p.links.Deliver(peerAddress, message.Update{}, func(r message.Receipt) { receipts = append(receipts, r.Acked) })
+		if len(receipts) != 1 || receipts[0] {
+			t.Errorf("an update for an address that is not wanted: told %v", receipts)
 		}
 	})
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		hold := make(chan struct{})
+		release := make(chan struct{})
 		n.fetch = func(message.Fetch) (message.Document, error) {
-			<-hold
+			<-release
 			return message.Document{}, nil
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -284,6 +284,6 @@
 		if fault.KindOf(err) != fault.PeerDown {
 			t.Errorf("no answer: %v", err)
 		}
-		close(hold)
+		close(release)
 	})
 }
--- a/internal/peer/receiver.go
+++ b/internal/peer/receiver.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return message.Hello{}, err
 	}
-	r.session.server.replace(r.session, peer)
+	r.session.server.closeOlder(r.session, peer)
 	return answer, nil
 }
 
@@ -47,8 +47,8 @@
 		peer.Name, peer.MinVersion, peer.Version, message.MinVersion, message.Version)
 }
 
-// known returns the peer, or an error before its Hello.
-func (r *receiver) known() (*message.Hello, error) {
+// requireHello returns the peer, or an error before its Hello.
+func (r *receiver) requireHello() (*message.Hello, error) {
 	peer := r.session.peer.Load()
 	if peer == nil {
 		return nil, fault.New(fault.BadMessage, "send Hello first on each connection", "a call came before Hello")
@@ -58,7 +58,7 @@
 
 // Ping keeps the link alive.
 func (r *receiver) Ping(args *wire.Ping, reply *wire.PingReply) error {
-	if _, err := r.known(); err != nil {
+	if _, err := r.requireHello(); err != nil {
 		return err
 	}
 	reply.Count = args.Count
@@ -73,7 +73,7 @@
 }
 
 func (r *receiver) update(args *wire.Update) (message.Ack, error) {
-	peer, err := r.known()
+	peer, err := r.requireHello()
 	if err != nil {
 		return message.Ack{}, err
 	}
@@ -100,7 +100,7 @@
 }
 
 func (r *receiver) fetch(args message.Fetch) (message.Document, error) {
-	if _, err := r.known(); err != nil {
+	if _, err := r.requireHello(); err != nil {
 		return message.Document{}, err
 	}
 	document, err := r.session.server.handler.Fetch(args)
@@ -117,7 +117,7 @@
 // Handover takes a part of a sealed idempotency table.
 func (r *receiver) Handover(args *message.Handover, reply *wire.AckReply) error {
 	var ack message.Ack
-	_, err := r.known()
+	_, err := r.requireHello()
 	if err == nil {
 		ack, err = r.session.server.handler.Handover(*args)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,10 +17,10 @@
 
 // Server answers peers. It is safe for concurrent use.
 type Server struct {
-	cfg     Config
-	handler Handler
-	meter   meter
-	turned  atomic.Uint64 // connections turned away
+	cfg      Config
+	handler  Handler
+	meter    meter
+	rejected atomic.Uint64 // connections turned away
 
 	mu        sync.Mutex
 	closed    bool
@@ -33,8 +33,8 @@
 type ServerStats struct {
 	// Connections is the number of open connections.
 	Connections int
-	// TurnedAway counts connections over the bound.
-	TurnedAway uint64
+	// Rejected counts connections over the bound.
+	Rejected uint64
 	// BytesIn and BytesOut count the bytes of the TCP streams.
 	BytesIn, BytesOut uint64
 }
@@ -51,7 +51,7 @@
 
 // Serve accepts connections from l until Close, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
-	if !s.listen(l) {
+	if !s.addListener(l) {
 		return l.Close()
 	}
 	if s.cfg.ServerTLS == nil {
@@ -64,7 +64,7 @@
 			return nil
 		}
 		if isTemporary(err) {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err != nil {
@@ -74,16 +74,16 @@
 	}
 }
 
-// acceptPause is the wait after an error of Accept that may pass, such as too
+// acceptRetryDelay is the wait after an error of Accept that may pass, such as too
 // many open files, so that the loop doesn't spin.
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
 func isTemporary(err error) bool {
 	var temporary interface{ Temporary() bool }
 	return errors.As(err, &temporary) && temporary.Temporary()
 }
 
-func (s *Server) listen(l net.Listener) bool {
+func (s *Server) addListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners[l] = true
@@ -103,8 +103,8 @@
 	for l := range s.listeners {
 		l.Close()
 	}
-	for open := range s.sessions {
-		open.codec.Close()
+	for sess := range s.sessions {
+		sess.codec.Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
@@ -116,7 +116,7 @@
 	defer s.mu.Unlock()
 	return ServerStats{
 		Connections: len(s.sessions),
-		TurnedAway:  s.turned.Load(),
+		Rejected:    s.rejected.Load(),
 		BytesIn:     s.meter.in.Load(),
 		BytesOut:    s.meter.out.Load(),
 	}
@@ -125,55 +125,55 @@
 // start serves a connection on its own goroutine, or closes it when there are
 // too many.
 func (s *Server) start(conn net.Conn) {
-	tune(conn, s.cfg.unacked())
+	configureTCP(conn, s.cfg.unackedTimeout())
 	conn = meteredConn{Conn: conn, meter: &s.meter}
 	if s.cfg.ServerTLS != nil {
 		conn = tls.Server(conn, s.cfg.ServerTLS)
 	}
-	open := newSession(s, conn)
-	if !s.admit(open) {
+	sess := newSession(s, conn)
+	if !s.addSession(sess) {
 		conn.Close()
 		return
 	}
 	go func() {
 		defer s.running.Done()
-		defer s.forget(open)
-		open.serve()
+		defer s.removeSession(sess)
+		sess.serve()
 	}()
 }
 
-func (s *Server) admit(open *session) bool {
+func (s *Server) addSession(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
 	if len(s.sessions) >= s.cfg.Connections {
-		s.turned.Add(1)
+		s.rejected.Add(1)
 		return false
 	}
-	s.sessions[open] = true
+	s.sessions[sess] = true
 	s.running.Add(1)
 	return true
 }
 
-func (s *Server) forget(open *session) {
+func (s *Server) removeSession(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, open)
+	delete(s.sessions, sess)
 }
 
-// replace closes older connections of the peer that opened this one. A peer
+// closeOlder closes older connections of the peer that opened this one. A peer
 // that dials again has given the older ones up, but a path that lost them may
 // never tell this end, where they would fill the table until their silence ends.
-func (s *Server) replace(newest *session, peer message.Hello) {
+func (s *Server) closeOlder(newest *session, peer message.Hello) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest.peer.Store(&peer)
-	for open := range s.sessions {
-		other := open.peer.Load()
-		if open != newest && other != nil && other.Incarnation == peer.Incarnation {
-			open.codec.Close()
+	for sess := range s.sessions {
+		other := sess.peer.Load()
+		if sess != newest && other != nil && other.Incarnation == peer.Incarnation {
+			sess.codec.Close()
 		}
 	}
 }
@@ -191,21 +191,21 @@
 }
 
 func newSession(s *Server, conn net.Conn) *session {
-	open := &session{server: s, conn: conn, opened: time.Now()}
-	open.codec = wire.NewServerCodec(conn, s.cfg.limits(), open)
-	return open
+	sess := &session{server: s, conn: conn, opened: time.Now()}
+	sess.codec = wire.NewServerCodec(conn, s.cfg.limits(), sess)
+	return sess
 }
 
-// Known implements wire.Remote.
-func (c *session) Known() bool { return c.peer.Load() != nil }
+// HelloAccepted implements wire.Remote.
+func (c *session) HelloAccepted() bool { return c.peer.Load() != nil }
 
-// Silence implements wire.Remote: a stranger has to say Hello soon, whatever
+// IdleTimeout implements wire.Remote: a stranger has to say Hello soon, whatever
 // else it sends, and a peer has to send heartbeats.
-func (c *session) Silence() time.Duration {
-	if !c.Known() {
+func (c *session) IdleTimeout() time.Duration {
+	if !c.HelloAccepted() {
 		return c.server.cfg.DialTimeout - time.Since(c.opened)
 	}
-	return serverSilence
+	return serverIdleTimeout
 }
 
 // serve answers calls until the connection ends. Each connection has a net/rpc
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -9,14 +9,14 @@
 
 // dialTCP returns the default dialer for connections that count as dead after
 // the given silence.
-func dialTCP(silence time.Duration) func(context.Context, string) (net.Conn, error) {
-	dialer := net.Dialer{KeepAliveConfig: keepAlive(silence)}
+func dialTCP(timeout time.Duration) func(context.Context, string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAliveConfig: keepAlive(timeout)}
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err != nil {
 			return nil, err
 		}
-		tune(conn, silence)
+		configureTCP(conn, timeout)
 		return conn, nil
 	}
 }
@@ -31,22 +31,22 @@
 	keepAliveIdle = time.Minute
 )
 
-func keepAlive(silence time.Duration) net.KeepAliveConfig {
-	step := max(silence/(keepAliveProbes+1), time.Second)
-	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: step, Count: keepAliveProbes}
+func keepAlive(timeout time.Duration) net.KeepAliveConfig {
+	interval := max(timeout/(keepAliveProbes+1), time.Second)
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: interval, Count: keepAliveProbes}
 }
 
-// tune makes the kernel end a TCP connection on which sent bytes stay
+// configureTCP makes the kernel end a TCP connection on which sent bytes stay
 // unacknowledged. It backs the heartbeats up: a path that lost track of the
 // connection otherwise shows as retransmissions for many minutes.
-func tune(conn net.Conn, silence time.Duration) {
+func configureTCP(conn net.Conn, timeout time.Duration) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
 	// A failure leaves the heartbeats in charge, which need no help.
-	_ = tcp.SetKeepAliveConfig(keepAlive(silence))
-	setUserTimeout(tcp, silence)
+	_ = tcp.SetKeepAliveConfig(keepAlive(timeout))
+	setUserTimeout(tcp, timeout)
 }
 
 // meter counts the bytes of a connection.
--- a/internal/peer/tcp_linux.go
+++ b/internal/peer/tcp_linux.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-func setUserTimeout(conn *net.TCPConn, silence time.Duration) {
+func setUserTimeout(conn *net.TCPConn, timeout time.Duration) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
--- a/internal/peer/wire/codec.go
+++ b/internal/peer/wire/codec.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// headerBytes bounds a header with its type definition.
-const headerBytes = 1 << 10
+// maxHeaderBytes bounds a header with its type definition.
+const maxHeaderBytes = 1 << 10
 
 // Limits bounds what one connection may carry.
 type Limits struct {
@@ -28,8 +28,8 @@
 	InFlight int
 }
 
-// request returns the bound on the body of a request.
-func (l Limits) request(m Method) int {
+// requestBytes returns the bound on the body of a request.
+func (l Limits) requestBytes(m Method) int {
 	switch m {
 	case MethodUpdate, MethodFetch:
 		return l.Regular
@@ -50,13 +50,13 @@
 	out bytes.Buffer
 	enc *gob.Encoder
 
-	closing sync.Once
-	closed  error
+	closeOnce sync.Once
+	closeErr  error
 }
 
 func (s *stream) init(conn net.Conn, limits Limits) {
 	s.conn, s.limits = conn, limits
-	s.frames = NewFrameReader(conn, headerBytes)
+	s.frames = NewFrameReader(conn, maxHeaderBytes)
 	s.dec = gob.NewDecoder(s.frames)
 	s.enc = gob.NewEncoder(&s.out)
 }
@@ -70,7 +70,7 @@
 	if err == nil {
 		err = s.encode(body)
 	}
-	if err == nil && s.out.Len() > limit+headerBytes {
+	if err == nil && s.out.Len() > limit+maxHeaderBytes {
 		err = fault.New(fault.BadMessage, "send it in smaller parts",
 			"a message of %d bytes exceeds the limit of %d", s.out.Len(), limit)
 	}
@@ -87,11 +87,11 @@
 // before the first one, also where the struct codes itself; given its bytes, it describes
 // nothing.
 func (s *stream) encode(value any) error {
-	coded, ok := value.(encoding.BinaryMarshaler)
+	marshaler, ok := value.(encoding.BinaryMarshaler)
 	if !ok {
 		return s.enc.Encode(value)
 	}
-	data, err := coded.MarshalBinary()
+	data, err := marshaler.MarshalBinary()
 	if err != nil {
 		return err
 	}
@@ -105,19 +105,19 @@
 		return err
 	}
 	_, err := s.conn.Write(s.out.Bytes())
-	if s.out.Cap() > maxKeptBuffer {
+	if s.out.Cap() > maxKeptBufferBytes {
 		s.out = bytes.Buffer{}
 	}
 	return err
 }
 
-// maxKeptBuffer is the largest buffer that a connection keeps between messages.
-const maxKeptBuffer = 64 << 10
+// maxKeptBufferBytes is the largest buffer that a connection keeps between messages.
+const maxKeptBufferBytes = 64 << 10
 
 // read decodes one value, with its type definitions, of at most limit bytes each.
 func (s *stream) read(value any, limit int) error {
 	s.frames.SetLimit(limit)
-	coded, ok := value.(encoding.BinaryUnmarshaler)
+	unmarshaler, ok := value.(encoding.BinaryUnmarshaler)
 	if !ok {
 		return s.dec.Decode(value)
 	}
@@ -125,13 +125,13 @@
 	if err := s.dec.Decode(&data); err != nil {
 		return err
 	}
-	return coded.UnmarshalBinary(data)
+	return unmarshaler.UnmarshalBinary(data)
 }
 
 // Close closes the connection; it may be called more than once.
 func (s *stream) Close() error {
-	s.closing.Do(func() { s.closed = s.conn.Close() })
-	return s.closed
+	s.closeOnce.Do(func() { s.closeErr = s.conn.Close() })
+	return s.closeErr
 }
 
 // ClientCodec is the calling end of a connection.
@@ -149,17 +149,17 @@
 // WriteRequest implements rpc.ClientCodec.
 func (c *ClientCodec) WriteRequest(r *rpc.Request, body any) error {
 	method := MethodOf(r.ServiceMethod)
-	return c.write(RequestHeader{Method: method, Seq: r.Seq}, body, c.limits.request(method))
+	return c.write(RequestHeader{Method: method, Seq: r.Seq}, body, c.limits.requestBytes(method))
 }
 
 // ReadResponseHeader implements rpc.ClientCodec. It waits without a deadline:
 // each call has its own time-out, and the link closes the connection after it.
 func (c *ClientCodec) ReadResponseHeader(r *rpc.Response) error {
 	var header ResponseHeader
-	if err := c.read(&header, headerBytes); err != nil {
+	if err := c.read(&header, maxHeaderBytes); err != nil {
 		return err
 	}
-	r.Seq, r.Error = header.Seq, clip(header.Fault)
+	r.Seq, r.Error = header.Seq, truncate(header.Fault)
 	return nil
 }
 
@@ -170,11 +170,11 @@
 
 // Remote is what a ServerCodec has to know of the other end.
 type Remote interface {
-	// Known reports whether the other end's Hello was accepted. Before that it
+	// HelloAccepted reports whether the other end's Hello was accepted. Before that it
 	// may send nothing larger than a Hello.
-	Known() bool
-	// Silence returns how long the next request may take to come.
-	Silence() time.Duration
+	HelloAccepted() bool
+	// IdleTimeout returns how long the next request may take to come.
+	IdleTimeout() time.Duration
 }
 
 // ServerCodec is the answering end of a connection.
@@ -223,11 +223,11 @@
 }
 
 func (c *ServerCodec) readHeader(r *rpc.Request) error {
-	if err := c.conn.SetReadDeadline(time.Now().Add(c.remote.Silence())); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(c.remote.IdleTimeout())); err != nil {
 		return err
 	}
 	var header RequestHeader
-	if err := c.read(&header, headerBytes); err != nil {
+	if err := c.read(&header, maxHeaderBytes); err != nil {
 		return err
 	}
 	c.method = header.Method
@@ -241,8 +241,8 @@
 		return err
 	}
 	limit := c.limits.Hello
-	if c.remote.Known() {
-		limit = c.limits.request(c.method)
+	if c.remote.HelloAccepted() {
+		limit = c.limits.requestBytes(c.method)
 	}
 	err := c.read(body, limit)
 	if err != nil {
@@ -256,5 +256,5 @@
 // request header that was read, and never concurrently.
 func (c *ServerCodec) WriteResponse(r *rpc.Response, body any) error {
 	defer func() { <-c.slots }()
-	return c.write(ResponseHeader{Seq: r.Seq, Fault: clip(r.Error)}, body, c.limits.Document)
+	return c.write(ResponseHeader{Seq: r.Seq, Fault: truncate(r.Error)}, body, c.limits.Document)
 }
--- a/internal/peer/wire/frame.go
+++ b/internal/peer/wire/frame.go
@@ -26,13 +26,13 @@
 	err         error
 }
 
-// frameBuffer is the size of the buffer of each peer connection, of which an entry holds
+// frameBufferBytes is the size of the buffer of each peer connection, of which an entry holds
 // two to each other one. Most messages are shorter.
-const frameBuffer = 1 << 10
+const frameBufferBytes = 1 << 10
 
 // NewFrameReader returns a reader of r that lets messages up to limit bytes pass.
 func NewFrameReader(r io.Reader, limit int) *FrameReader {
-	return &FrameReader{in: bufio.NewReaderSize(r, frameBuffer), limit: limit}
+	return &FrameReader{in: bufio.NewReaderSize(r, frameBufferBytes), limit: limit}
 }
 
 // SetLimit changes the limit for the messages that were not started yet.
@@ -40,7 +40,7 @@
 
 // Read reads at most to the end of the current message.
 func (f *FrameReader) Read(p []byte) (int, error) {
-	if err := f.begin(); err != nil {
+	if err := f.beginMessage(); err != nil {
 		return 0, err
 	}
 	if len(p) > f.remaining {
@@ -48,7 +48,7 @@
 	}
 	n, err := f.in.Read(p)
 	f.remaining -= n
-	return n, f.keep(err)
+	return n, f.keepError(err)
 }
 
 // ReadByte reads one byte. Its presence keeps the gob decoder from putting a
@@ -59,36 +59,36 @@
 	return one[0], err
 }
 
-func (f *FrameReader) keep(err error) error {
+func (f *FrameReader) keepError(err error) error {
 	if err != nil {
 		f.err = err
 	}
 	return err
 }
 
-// begin checks the next message when the one before is used up.
-func (f *FrameReader) begin() error {
+// beginMessage checks the next message when the one before is used up.
+func (f *FrameReader) beginMessage() error {
 	if f.err != nil || f.remaining > 0 {
 		return f.err
 	}
 	length, lengthBytes, err := f.peekUint(0)
 	if err != nil {
-		return f.keep(err)
+		return f.keepError(err)
 	}
 	if length == 0 || length > uint64(f.limit) {
-		return f.keep(fault.New(fault.BadMessage,
+		return f.keepError(fault.New(fault.BadMessage,
 			"check that both ends run releases of tealhall that may run side by side, and that nothing else dials the peer port",
 			"a message of %d bytes came where at most %d are allowed", length, f.limit))
 	}
 	id, _, err := f.peekUint(lengthBytes)
 	if err != nil {
-		return f.keep(err)
+		return f.keepError(err)
 	}
 	if isDefinition := id&1 == 1; isDefinition {
 		f.definitions++
 	}
 	if f.definitions > maxTypeDefinitions {
-		return f.keep(fault.New(fault.BadMessage, "replace the program at the other end",
+		return f.keepError(fault.New(fault.BadMessage, "replace the program at the other end",
 			"more than %d type definitions came on one connection", maxTypeDefinitions))
 	}
 	f.remaining = lengthBytes + int(length)
@@ -115,8 +115,8 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	for _, digit := range b[offset+1:] {
-		value = value<<8 | uint64(digit)
+	for _, octet := range b[offset+1:] {
+		value = value<<8 | uint64(octet)
 	}
 	return value, 1 + count, nil
 }
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -8,9 +8,9 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// maxNames bounds the endpoints that one connection has numbered. A full table
+// maxEndpoints bounds the endpoints that one connection has numbered. A full table
 // is started anew, so that replaced endpoints don't fill it for good.
-const maxNames = 4096
+const maxEndpoints = 4096
 
 // Update is a message.Update packed against what the connection carried
 // before: a Mark that did not change is left out, and an endpoint is named
@@ -31,8 +31,8 @@
 	Evidence       []message.Evidence `cbor:"9,keyasint,omitempty"`
 	// Restart tells the receiver to forget all names before it adds Names.
 	Restart bool `cbor:"10,keyasint,omitempty"`
-	// Names are numbered in order of their appearance on the connection.
-	Names []Name `cbor:"11,keyasint,omitempty"`
+	// Endpoints are numbered in order of their appearance on the connection.
+	Endpoints []EndpointID `cbor:"11,keyasint,omitempty"`
 	// LoadReports holds four unsigned varints for each load report: the endpoint's
 	// number, InFlight, Own and AgeMillis.
 	LoadReports []byte           `cbor:"12,keyasint,omitempty"`
@@ -42,8 +42,8 @@
 	RecordDigest uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// Name identifies one incarnation of an endpoint.
-type Name struct {
+// EndpointID identifies one incarnation of an endpoint.
+type EndpointID struct {
 	Endpoint    string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -53,7 +53,7 @@
 type Packer struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
-	numbers                      map[Name]uint64
+	numbers                      map[EndpointID]uint64
 }
 
 // Pack returns the packed form. The update's From is left out; the receiver
@@ -63,8 +63,8 @@
 		Sequence:       u.Sequence,
 		State:          u.State,
 		Epoch:          u.Epoch,
-		Profiles:       changed(&p.profiles, u.Profiles),
-		VMs:            changed(&p.vms, u.VMs),
+		Profiles:       packMark(&p.profiles, u.Profiles),
+		VMs:            packMark(&p.vms, u.VMs),
 		Reader:         u.Reader,
 		Rate:           u.Rate,
 		EvidenceDigest: u.EvidenceDigest ^ p.evidenceDigest,
@@ -74,17 +74,17 @@
 		RecordDigest:   u.RecordDigest ^ p.recordDigest,
 	}
 	p.evidenceDigest, p.recordDigest = u.EvidenceDigest, u.RecordDigest
-	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxNames {
+	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxEndpoints {
 		packed.Restart = p.numbers != nil
-		p.numbers = make(map[Name]uint64)
+		p.numbers = make(map[EndpointID]uint64)
 	}
-	for _, s := range u.LoadReports {
-		p.pack(packed, s)
+	for _, report := range u.LoadReports {
+		p.packLoadReport(packed, report)
 	}
 	return packed
 }
 
-func changed(last *message.Mark, now message.Mark) message.Mark {
+func packMark(last *message.Mark, now message.Mark) message.Mark {
 	if *last == now {
 		return message.Mark{}
 	}
@@ -92,18 +92,18 @@
 	return now
 }
 
-func (p *Packer) pack(packed *Update, s message.LoadReport) {
-	name := Name{Endpoint: s.Endpoint, Incarnation: s.Incarnation}
-	number, known := p.numbers[name]
+func (p *Packer) packLoadReport(packed *Update, report message.LoadReport) {
+	id := EndpointID{Endpoint: report.Endpoint, Incarnation: report.Incarnation}
+	number, known := p.numbers[id]
 	if !known {
 		number = uint64(len(p.numbers))
-		p.numbers[name] = number
-		packed.Names = append(packed.Names, name)
+		p.numbers[id] = number
+		packed.Endpoints = append(packed.Endpoints, id)
 	}
 	b := binary.AppendUvarint(packed.LoadReports, number)
-	b = binary.AppendUvarint(b, uint64(s.InFlight))
-	b = binary.AppendUvarint(b, uint64(s.Own))
-	packed.LoadReports = binary.AppendUvarint(b, uint64(s.AgeMillis))
+	b = binary.AppendUvarint(b, uint64(report.InFlight))
+	b = binary.AppendUvarint(b, uint64(report.Own))
+	packed.LoadReports = binary.AppendUvarint(b, uint64(report.AgeMillis))
 }
 
 // Unpacker restores the updates that come in on one connection. It is not safe
@@ -111,20 +111,20 @@
 type Unpacker struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
-	names                        []Name
+	endpoints                    []EndpointID
 }
 
 // Unpack restores an update of the given sender. An error means that the two
 // ends disagree about the connection, which must then be closed.
 func (p *Unpacker) Unpack(from uint64, packed *Update) (message.Update, error) {
 	if packed.Restart {
-		p.names = nil
+		p.endpoints = nil
 	}
-	p.names = append(p.names, packed.Names...)
-	if len(p.names) > maxNames {
-		return message.Update{}, badUpdate("names more than %d endpoints", maxNames)
+	p.endpoints = append(p.endpoints, packed.Endpoints...)
+	if len(p.endpoints) > maxEndpoints {
+		return message.Update{}, badUpdate("names more than %d endpoints", maxEndpoints)
 	}
-	sightings, err := p.loadReports(packed.LoadReports)
+	loadReports, err := p.unpackLoadReports(packed.LoadReports)
 	if err != nil {
 		return message.Update{}, err
 	}
@@ -135,8 +135,8 @@
 		Sequence:       packed.Sequence,
 		State:          packed.State,
 		Epoch:          packed.Epoch,
-		Profiles:       latest(&p.profiles, packed.Profiles),
-		VMs:            latest(&p.vms, packed.VMs),
+		Profiles:       unpackMark(&p.profiles, packed.Profiles),
+		VMs:            unpackMark(&p.vms, packed.VMs),
 		Reader:         packed.Reader,
 		Rate:           packed.Rate,
 		EvidenceDigest: p.evidenceDigest,
@@ -144,18 +144,18 @@
 		Version:        packed.Version,
 		Records:        packed.Records,
 		RecordDigest:   p.recordDigest,
-		LoadReports:    sightings,
+		LoadReports:    loadReports,
 	}, nil
 }
 
-func latest(last *message.Mark, now message.Mark) message.Mark {
+func unpackMark(last *message.Mark, now message.Mark) message.Mark {
 	if now != (message.Mark{}) {
 		*last = now
 	}
 	return *last
 }
 
-func (p *Unpacker) loadReports(b []byte) ([]message.LoadReport, error) {
+func (p *Unpacker) unpackLoadReports(b []byte) ([]message.LoadReport, error) {
 	var out []message.LoadReport
 	for len(b) > 0 {
 		var fields [4]uint64
@@ -166,16 +166,16 @@
 			}
 			fields[i], b = value, b[size:]
 		}
-		if fields[0] >= uint64(len(p.names)) {
-			return nil, badUpdate("refers to endpoint %d of %d", fields[0], len(p.names))
+		if fields[0] >= uint64(len(p.endpoints)) {
+			return nil, badUpdate("refers to endpoint %d of %d", fields[0], len(p.endpoints))
 		}
 		if max(fields[1], fields[2], fields[3]) > math.MaxUint16 {
 			return nil, badUpdate("holds a number beyond its range")
 		}
-		name := p.names[fields[0]]
+		id := p.endpoints[fields[0]]
 		out = append(out, message.LoadReport{
-			Endpoint:    name.Endpoint,
-			Incarnation: name.Incarnation,
+			Endpoint:    id.Endpoint,
+			Incarnation: id.Incarnation,
 			InFlight:    uint16(fields[1]),
 			Own:         uint16(fields[2]),
 			AgeMillis:   uint16(fields[3]),
--- a/internal/peer/wire/wire.go
+++ b/internal/peer/wire/wire.go
@@ -101,9 +101,9 @@
 
 // Refusal is a typed error on the wire.
 type Refusal struct {
-	Kind   string `cbor:"1,keyasint"`
-	Remedy string `cbor:"2,keyasint,omitempty"`
-	What   string `cbor:"3,keyasint,omitempty"`
+	Kind    string `cbor:"1,keyasint"`
+	Remedy  string `cbor:"2,keyasint,omitempty"`
+	Message string `cbor:"3,keyasint,omitempty"`
 }
 
 // Refuse returns the wire form of err, or nil for nil.
@@ -113,9 +113,9 @@
 	}
 	remedy := fault.Remedy(err)
 	return &Refusal{
-		Kind:   string(fault.KindOf(err)),
-		Remedy: clip(remedy),
-		What:   clip(strings.TrimSuffix(err.Error(), "; "+remedy)),
+		Kind:    string(fault.KindOf(err)),
+		Remedy:  truncate(remedy),
+		Message: truncate(strings.TrimSuffix(err.Error(), "; "+remedy)),
 	}
 }
 
@@ -125,11 +125,11 @@
 		return nil
 	}
 	// The remedy becomes part of a format.
-	remedy := strings.ReplaceAll(clip(r.Remedy), "%", " percent")
-	return fault.New(fault.Kind(clip(r.Kind)), remedy, "%s", clip(r.What))
+	remedy := strings.ReplaceAll(truncate(r.Remedy), "%", " percent")
+	return fault.New(fault.Kind(truncate(r.Kind)), remedy, "%s", truncate(r.Message))
 }
 
-func clip(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxRefusalBytes {
 		return text
 	}
--- a/internal/peer/wire/wire_test.go
+++ b/internal/peer/wire/wire_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFrameReaderPassesWhatFits(t *testing.T) {
+func TestFrameReaderPassesAllowedMessages(t *testing.T) {
 	var stream bytes.Buffer
 	enc := gob.NewEncoder(&stream)
 	sent := []RequestHeader{{Method: MethodHello, Seq: 1}, {Method: MethodPing, Seq: 1 << 40}}
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 	}
-	dec := gob.NewDecoder(NewFrameReader(iotestOneByte{&stream}, 64))
+	dec := gob.NewDecoder(NewFrameReader(oneByteReader{&stream}, 64))
 	for _, want := range sent {
 		var got RequestHeader
 		if err := dec.Decode(&got); err != nil || got != want {
@@ -66,13 +66,13 @@
 	}
 }
 
-// iotestOneByte returns one byte at a time, as a slow network may.
-type iotestOneByte struct{ r io.Reader }
+// oneByteReader returns one byte at a time, as a slow network may.
+type oneByteReader struct{ r io.Reader }
 
-func (o iotestOneByte) Read(p []byte) (int, error) { return o.r.Read(p[:1]) }
+func (o oneByteReader) Read(p []byte) (int, error) { return o.r.Read(p[:1]) }
 
-// TestNoFieldIsLost fails when message.Update gets a field that is not packed.
-func TestNoFieldIsLost(t *testing.T) {
+// TestPackingKeepsEveryField fails when message.Update gets a field that is not packed.
+func TestPackingKeepsEveryField(t *testing.T) {
 	var u message.Update
 	fill(t, reflect.ValueOf(&u).Elem())
 	got, err := new(Unpacker).Unpack(u.From, new(Packer).Pack(u))
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestNoFieldIsLostInItsForm fails when a field of message.Update has no number in its form on a connection.
-func TestNoFieldIsLostInItsForm(t *testing.T) {
+// TestEncodedUpdateKeepsEveryField fails when a field of message.Update has no number in its form on a connection.
+func TestEncodedUpdateKeepsEveryField(t *testing.T) {
 	var u message.Update
 	fill(t, reflect.ValueOf(&u).Elem())
 	data, err := new(Packer).Pack(u).MarshalBinary()
@@ -124,11 +124,11 @@
 
 // Any sequence of updates on a connection arrives as it was sent, through the
 // tables that both ends keep.
-func TestPackedSequencesArrive(t *testing.T) {
+func TestPackedSequencesUnpackUnchanged(t *testing.T) {
 	mark := rapid.Custom(func(t *rapid.T) message.Mark {
 		return message.Mark{Revision: rapid.Uint64Range(1, 3).Draw(t, "revision"), Digest: 7}
 	})
-	sighting := rapid.Custom(func(t *rapid.T) message.LoadReport {
+	loadReport := rapid.Custom(func(t *rapid.T) message.LoadReport {
 		return message.LoadReport{
 			Endpoint:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "endpoint"),
 			Incarnation: rapid.Uint64Range(0, 2).Draw(t, "incarnation"),
@@ -142,8 +142,8 @@
 		for range rapid.IntRange(1, 5).Draw(t, "updates") {
 			u := message.Update{From: 5, Profiles: mark.Draw(t, "profiles"), VMs: mark.Draw(t, "VMs"),
 				EvidenceDigest: rapid.Uint64Range(0, 2).Draw(t, "known")}
-			if sightings := rapid.SliceOfN(sighting, 0, 4).Draw(t, "sightings"); len(sightings) > 0 {
-				u.LoadReports = sightings
+			if loadReports := rapid.SliceOfN(loadReport, 0, 4).Draw(t, "sightings"); len(loadReports) > 0 {
+				u.LoadReports = loadReports
 			}
 			got, err := unpacker.Unpack(5, packer.Pack(u))
 			if diff := cmp.Diff(u, got); err != nil || diff != "" {
@@ -155,7 +155,7 @@
 
 // Endpoints are replaced for weeks on one connection: the table of names fills
 // and is started anew at both ends, and no sighting is put to a wrong endpoint.
-func TestFullTableOfNamesStartsAnew(t *testing.T) {
+func TestFullEndpointTableRestarts(t *testing.T) {
 	var packer Packer
 	var unpacker Unpacker
 	restarts := 0
@@ -179,17 +179,17 @@
 }
 
 func TestUnpackRefuses(t *testing.T) {
-	names := []Name{{Endpoint: "a"}}
+	endpoints := []EndpointID{{Endpoint: "a"}}
 	cases := []struct {
 		name   string
 		packed Update
 		want   string
 	}{
-		{"cut sighting", Update{Names: names, LoadReports: []byte{0, 1}}, "ends within a sighting"},
-		{"endless number", Update{Names: names, LoadReports: bytes.Repeat([]byte{0xff}, 20)}, "ends within a sighting"},
-		{"unknown endpoint", Update{Names: names, LoadReports: []byte{1, 0, 0, 0}}, "refers to endpoint 1 of 1"},
-		{"number out of range", Update{Names: names, LoadReports: []byte{0, 0xff, 0xff, 0x7f, 0, 0}}, "beyond its range"},
-		{"too many names", Update{Names: make([]Name, maxNames+1)}, "names more than"},
+		{"cut sighting", Update{Endpoints: endpoints, LoadReports: []byte{0, 1}}, "ends within a sighting"},
+		{"endless number", Update{Endpoints: endpoints, LoadReports: bytes.Repeat([]byte{0xff}, 20)}, "ends within a sighting"},
+		{"unknown endpoint", Update{Endpoints: endpoints, LoadReports: []byte{1, 0, 0, 0}}, "refers to endpoint 1 of 1"},
+		{"number out of range", Update{Endpoints: endpoints, LoadReports: []byte{0, 0xff, 0xff, 0x7f, 0, 0}}, "beyond its range"},
+		{"too many names", Update{Endpoints: make([]EndpointID, maxEndpoints+1)}, "names more than"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestNoFieldOfHelloIsLost fails when message.Hello gets a field that its form lacks.
-func TestNoFieldOfHelloIsLost(t *testing.T) {
+// TestEncodedHelloKeepsEveryField fails when message.Hello gets a field that its form lacks.
+func TestEncodedHelloKeepsEveryField(t *testing.T) {
 	var h message.Hello
 	fill(t, reflect.ValueOf(&h).Elem())
 	h.Status.From = h.Incarnation
@@ -237,7 +237,7 @@
 
 // Every entry opens a link to each other one, and most links carry few messages. The first
 // ones described the types of all messages: 2.8 KB on each link, 44 MB in a fleet of 126.
-func TestFirstMessagesAreSmall(t *testing.T) {
+func TestFirstMessagesOfLinkAreSmall(t *testing.T) {
 	h := Hello{Version: 2, MinVersion: 2, Name: "front-south-a-1", Incarnation: 1 << 60, Region: "south", Domain: "south-a",
 		CallerAddress: "10.1.0.35:8144", PeerAddress: "10.1.0.35:8146", Records: message.RecordSet{Count: 126, Digest: 1 << 60}}
 	h.Status = message.Update{From: h.Incarnation, Epoch: 30, VMs: message.Mark{Revision: 100, Digest: 1 << 60}, EvidenceDigest: 1 << 60}
