--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -186,10 +186,10 @@
 	defer cancel()
 	e.run(func() { e.endFollowing(ctx, cancel) })
 	options := published.FollowOptions{
-		Gap:     e.settings.Platform.ChangeGap.Duration,
-		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Backoff: published.NewBackoff(0, assign.CheckPeriod(e.KnownEntries(), readRetry)),
-		OnError: func(err error) { e.platformFailed(name, err) },
+		ChangeGap: e.settings.Platform.ChangeGap.Duration,
+		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Backoff:   published.NewBackoff(0, assign.CheckPeriod(e.KnownEntries(), readRetry)),
+		OnError:   func(err error) { e.platformFailed(name, err) },
 	}
 	if e.resumes(name) {
 		published.Follow(ctx, e.platform, name, e.documents.get(name).Revision, options, e.platformAnswered)
--- a/internal/published/answer.go
+++ b/internal/published/answer.go
@@ -17,8 +17,8 @@
 	remedySmaller = "publish a smaller value"
 )
 
-// value turns an answer into a Value, or says why it can't.
-func (c *Client) value(name string, response *http.Response) (Value, error) {
+// parseValue turns an answer into a Value, or says why it can't.
+func (c *Client) parseValue(name string, response *http.Response) (Value, error) {
 	if err := checkStatus(name, response.StatusCode); err != nil {
 		return Value{}, err
 	}
@@ -71,7 +71,7 @@
 // end are read: by a length, in chunks or by frames of HTTP/2. Reading stops at
 // the size limit, so a runaway answer costs no more memory than the largest value.
 func (c *Client) readData(name string, response *http.Response) ([]byte, error) {
-	if !announcesEnd(response) {
+	if !hasDetectableEnd(response) {
 		return nil, fault.New(fault.PlatformAnswer, remedyService,
 			"answer for %q announces no length, so a cut can't be noticed", name)
 	}
@@ -87,15 +87,15 @@
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return nil, fault.Wrap(err, fault.PlatformAnswer, remedyService, "answer for %q was cut off", name)
 	case err != nil:
-		return nil, c.unreachable(err, name)
+		return nil, c.connectionError(err, name)
 	case len(data) > MaxValueBytes:
 		return nil, tooLarge(name)
 	}
 	return data, nil
 }
 
-// announcesEnd reports whether the end of a complete body can be told from a cut.
-func announcesEnd(response *http.Response) bool {
+// hasDetectableEnd reports whether the end of a complete body can be told from a cut.
+func hasDetectableEnd(response *http.Response) bool {
 	return response.ContentLength >= 0 ||
 		response.ProtoMajor >= 2 ||
 		slices.Contains(response.TransferEncoding, "chunked")
--- a/internal/published/client.go
+++ b/internal/published/client.go
@@ -148,7 +148,7 @@
 		return Value{}, err
 	}
 	defer response.Body.Close()
-	return c.value(name, response)
+	return c.parseValue(name, response)
 }
 
 // Watch implements Service. The service answers at the latest after WatchWait;
@@ -169,7 +169,7 @@
 	if response.StatusCode == http.StatusNotModified {
 		return unchanged, nil
 	}
-	value, err := c.value(name, response)
+	value, err := c.parseValue(name, response)
 	if err == nil && value.Revision == after {
 		return unchanged, nil
 	}
@@ -189,15 +189,15 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, c.unreachable(err, name)
+		return nil, c.connectionError(err, name)
 	}
 	return response, nil
 }
 
-// unreachable types an error of the connection. What breaks one connection has
+// connectionError types an error of the connection. What breaks one connection has
 // often broken its neighbours in the pool too, and each would cost another
 // time-out to find out, so the idle ones are closed.
-func (c *Client) unreachable(err error, name string) error {
+func (c *Client) connectionError(err error, name string) error {
 	c.http.CloseIdleConnections()
 	return fault.Wrap(err, fault.PlatformDown, "check that the configuration service runs and can be reached",
 		"reading %q failed", name)
--- a/internal/published/client_test.go
+++ b/internal/published/client_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// soon ends waits that must end without an answer.
-	soon = 50 * time.Millisecond
-	// patient bounds waits that end by an event.
-	patient = 20 * time.Second
+	// shortWait ends waits that must end without an answer.
+	shortWait = 50 * time.Millisecond
+	// longWait bounds waits that end by an event.
+	longWait = 20 * time.Second
 )
 
 // fixture is a stand-in for the service behind a server. Its clock stands still
@@ -57,12 +57,12 @@
 
 func newClient(server *standin.Server, timeout time.Duration) *published.Client {
 	return published.NewClient(published.ClientConfig{
-		BaseURL: server.URL(), Timeout: timeout, WatchWait: patient, CallsPerSecond: 1e6, Burst: 1e6,
+		BaseURL: server.URL(), Timeout: timeout, WatchWait: longWait, CallsPerSecond: 1e6, Burst: 1e6,
 	})
 }
 
-// TestRead is the contract of Service.Read under every fault of the service.
-func TestRead(t *testing.T) {
+// TestReadUnderServiceFaults is the contract of Service.Read under every fault of the service.
+func TestReadUnderServiceFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults   standin.PlatformFaults
 		prepare  func(fixture)
@@ -76,7 +76,7 @@
 		"no such value":    {name: "tealhall/none", kind: fault.NotFound},
 		"answers 503":      {faults: standin.PlatformFaults{Down: true}, kind: fault.PlatformDown},
 		"refuses":          {prepare: func(f fixture) { f.server.Kill() }, kind: fault.PlatformDown},
-		"slow":             {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: soon, kind: fault.PlatformDown},
+		"slow":             {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: shortWait, kind: fault.PlatformDown},
 		"cut, with length": {faults: standin.PlatformFaults{Cut: standin.CutSized}, kind: fault.PlatformAnswer},
 		"cut, in chunks":   {faults: standin.PlatformFaults{Cut: standin.CutChunked}, kind: fault.PlatformAnswer},
 		"stale": {
@@ -108,7 +108,7 @@
 				c.name = published.ProfilesValue
 			}
 			if c.timeout == 0 {
-				c.timeout = patient
+				c.timeout = longWait
 			}
 			value, err := newClient(f.server, c.timeout).Read(context.Background(), c.name)
 			if fault.KindOf(err) != c.kind || value.Revision != c.revision || string(value.Data) != c.data {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestWatch is the contract of Service.Watch: what ends the wait.
-func TestWatch(t *testing.T) {
+// TestWatchEndsWithChangeTimeoutOrFailure is the contract of Service.Watch: what ends the wait.
+func TestWatchEndsWithChangeTimeoutOrFailure(t *testing.T) {
 	cases := map[string]struct {
 		during   func(fixture) // once the watch waits
 		revision uint64
@@ -135,7 +135,7 @@
 			revision: 3, data: "third",
 		},
 		"nothing new": {
-			during:   func(f fixture) { f.clock.Advance(patient) },
+			during:   func(f fixture) { f.clock.Advance(longWait) },
 			revision: 2,
 		},
 		"goes down": {
@@ -150,7 +150,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := startService(t)
-			client := newClient(f.server, patient)
+			client := newClient(f.server, longWait)
 			type result struct {
 				value published.Value
 				err   error
@@ -170,13 +170,13 @@
 	}
 }
 
-// TestWatchAtLaggingReplica: a reader that asks for what is later than revision 2
+// TestWatchReturnsOlderRevisionOfLaggingReplica: a reader that asks for what is later than revision 2
 // reaches a replica that has only revision 1. The answer must come through as it
 // is: the decision that 1 is older than what is in force is made elsewhere.
-func TestWatchAtLaggingReplica(t *testing.T) {
+func TestWatchReturnsOlderRevisionOfLaggingReplica(t *testing.T) {
 	f := startService(t)
 	f.service.SetFaults(standin.PlatformFaults{OlderReplica: true})
-	client := newClient(f.server, patient)
+	client := newClient(f.server, longWait)
 	value, err := client.Watch(context.Background(), published.ProfilesValue, 2)
 	if err != nil || value.Revision != 1 || string(value.Data) != "first" {
 		t.Errorf("got %+v, error %v", value, err)
@@ -186,16 +186,16 @@
 	}
 }
 
-// TestWatchGivenUp: the reader stops a watch, as when its duty moves to another
+// TestCancelledWatchNoLongerCountsAsWaiting: the reader stops a watch, as when its duty moves to another
 // entry. The service must not count it as waiting any longer.
-func TestWatchGivenUp(t *testing.T) {
+func TestCancelledWatchNoLongerCountsAsWaiting(t *testing.T) {
 	f := startService(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		f.clock.AwaitTimers(1)
 		cancel()
 	}()
-	_, err := newClient(f.server, patient).Watch(ctx, published.ProfilesValue, 2)
+	_, err := newClient(f.server, longWait).Watch(ctx, published.ProfilesValue, 2)
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
@@ -205,16 +205,16 @@
 // A profile is published but some entries don't take it for minutes. Their open
 // connections had gone silent: something on the way forgot them. The failed call
 // must take its connection out of use, so that the next goes over a new one.
-func TestReadAfterConnectionWentSilent(t *testing.T) {
+func TestReadAfterSilentConnectionUsesNewOne(t *testing.T) {
 	server := startService(t).server
-	client := newClient(server, patient)
+	client := newClient(server, longWait)
 	if _, err := client.Read(context.Background(), published.ProfilesValue); err != nil {
 		t.Fatal(err)
 	}
 	if silenced := server.BlackHole(); silenced != 1 {
 		t.Fatalf("%d open connections instead of one", silenced)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), shortWait)
 	defer cancel()
 	if _, err := client.Read(ctx, published.ProfilesValue); fault.KindOf(err) != fault.PlatformDown {
 		t.Fatalf("error on the silent connection: %v", err)
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestUnusableAnswers feeds the client answers that the stand-in never gives.
-func TestUnusableAnswers(t *testing.T) {
+// TestUnusableAnswersAreRefused feeds the client answers that the stand-in never gives.
+func TestUnusableAnswersAreRefused(t *testing.T) {
 	ok := func(header ...string) string {
 		return "HTTP/1.1 200 OK\r\n" + strings.Join(header, "\r\n") + "\r\n\r\nbody"
 	}
@@ -257,7 +257,7 @@
 				}
 			}))
 			defer server.Close()
-			client := published.NewClient(published.ClientConfig{BaseURL: server.URL, Timeout: patient})
+			client := published.NewClient(published.ClientConfig{BaseURL: server.URL, Timeout: longWait})
 			value, err := client.Read(context.Background(), published.ProfilesValue)
 			if fault.KindOf(err) != c.kind {
 				t.Fatalf("got %+v, error %v; want kind %q", value, err, c.kind)
@@ -266,18 +266,18 @@
 	}
 }
 
-// endless is a chunked body without end that counts what is read of it.
-type endless struct{ read int }
+// endlessBody is a chunked body without end that counts what is read of it.
+type endlessBody struct{ read int }
 
-func (e *endless) Read(p []byte) (int, error) { e.read += len(p); return len(p), nil }
-func (e *endless) Close() error               { return nil }
+func (e *endlessBody) Read(p []byte) (int, error) { e.read += len(p); return len(p), nil }
+func (e *endlessBody) Close() error               { return nil }
 
 type transportFunc func(*http.Request) (*http.Response, error)
 
 func (f transportFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func TestReadStopsAtTheLargestValue(t *testing.T) {
-	body := &endless{}
+func TestReadStopsAtSizeLimit(t *testing.T) {
+	body := &endlessBody{}
 	client := published.NewClient(published.ClientConfig{
 		BaseURL: "http://127.0.0.1:1",
 		Transport: transportFunc(func(*http.Request) (*http.Response, error) {
@@ -293,7 +293,7 @@
 	}
 }
 
-func TestCallsAreBounded(t *testing.T) {
+func TestCallRateIsBounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	calls := 0
 	client := published.NewClient(published.ClientConfig{
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestUnusableAddress(t *testing.T) {
+func TestUnusableBaseURL(t *testing.T) {
 	client := published.NewClient(published.ClientConfig{BaseURL: "http://[::1"})
 	if _, err := client.Read(context.Background(), "name"); fault.KindOf(err) != fault.BadSettings {
 		t.Errorf("error %v", err)
--- a/internal/published/follow.go
+++ b/internal/published/follow.go
@@ -8,16 +8,16 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// minWatchWait is how long an unchanged watch lasts at least at a service that holds
+// minUnchangedWait is how long an unchanged watch lasts at least at a service that holds
 // it. A shorter one means that the service answers at once without news.
-const minWatchWait = time.Second
+const minUnchangedWait = time.Second
 
 // FollowOptions are the hooks and limits of Follow.
 type FollowOptions struct {
 	// Backoff spaces the tries after a failure; zero fields stand for defaults.
 	Backoff Backoff
-	// Gap is the shortest time between two watches that bring news.
-	Gap time.Duration
+	// ChangeGap is the shortest time between two watches that bring news.
+	ChangeGap time.Duration
 	// Rand is used by the loop alone.
 	Rand *rand.Rand
 	// Now is a monotonic clock; nil stands for the process's own.
@@ -58,7 +58,7 @@
 func Follow(ctx context.Context, service Service, name string, after uint64, opts FollowOptions, deliver func(Value)) {
 	opts = opts.withDefaults()
 	for ctx.Err() == nil {
-		asked := opts.Now()
+		started := opts.Now()
 		value, err := service.Watch(ctx, name, after)
 		if ctx.Err() != nil {
 			return
@@ -69,11 +69,11 @@
 			continue
 		}
 		deliver(value)
-		held := opts.Now()-asked >= minWatchWait
-		if value.Revision > after || held {
+		waited := opts.Now()-started >= minUnchangedWait
+		if value.Revision > after || waited {
 			opts.Backoff.Reset()
-			if rest := opts.Gap - (opts.Now() - asked); value.Revision > after && rest > 0 {
-				opts.Sleep(ctx, rest)
+			if remaining := opts.ChangeGap - (opts.Now() - started); value.Revision > after && remaining > 0 {
+				opts.Sleep(ctx, remaining)
 			}
 		} else {
 			opts.Sleep(ctx, opts.Backoff.Next(opts.Rand))
--- a/internal/published/follow_test.go
+++ b/internal/published/follow_test.go
@@ -13,49 +13,49 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// scripted answers watches from a list and records from where each one asked.
-type scripted struct {
-	now   time.Duration
-	steps []step
-	asked []uint64
-	stop  context.CancelFunc
+// scriptedService answers watches from a list and records from where each one asked.
+type scriptedService struct {
+	now       time.Duration
+	steps     []step
+	askedFrom []uint64
+	stop      context.CancelFunc
 }
 
 type step struct {
 	revision uint64
-	held     time.Duration
+	waited   time.Duration
 	err      error
 }
 
-func (s *scripted) Read(context.Context, string) (published.Value, error) {
+func (s *scriptedService) Read(context.Context, string) (published.Value, error) {
 	return published.Value{}, errors.New("not read")
 }
 
-func (s *scripted) Watch(_ context.Context, name string, after uint64) (published.Value, error) {
+func (s *scriptedService) Watch(_ context.Context, name string, after uint64) (published.Value, error) {
 	if len(s.steps) == 0 {
 		s.stop()
 		return published.Value{}, context.Canceled
 	}
 	next := s.steps[0]
 	s.steps = s.steps[1:]
-	s.asked = append(s.asked, after)
-	s.now += next.held
+	s.askedFrom = append(s.askedFrom, after)
+	s.now += next.waited
 	return published.Value{Name: name, Revision: next.revision}, next.err
 }
 
 // Through a close, the service fails, comes back on a replica that lags and
 // answers it without holding the watch. The reader must pass on what it hears,
 // never ask from a lower revision than it saw, and not call in a tight loop.
-func TestFollow(t *testing.T) {
+func TestFollowAcrossFailuresAndLaggingReplicas(t *testing.T) {
 	down := errors.New("down")
 	ctx, cancel := context.WithCancel(context.Background())
-	service := &scripted{stop: cancel, steps: []step{
+	service := &scriptedService{stop: cancel, steps: []step{
 		{revision: 5},
 		{err: down},
 		{err: down},
-		{revision: 3},                         // lags, not held
-		{revision: 5},                         // unchanged, not held
-		{revision: 5, held: 25 * time.Second}, // unchanged, held
+		{revision: 3},                           // lags, not held
+		{revision: 5},                           // unchanged, not held
+		{revision: 5, waited: 25 * time.Second}, // unchanged, held
 		{revision: 6},
 		{err: down},
 	}}
@@ -71,7 +71,7 @@
 	if diff := cmp.Diff([]uint64{5, 3, 5, 5, 6}, delivered); diff != "" {
 		t.Errorf("delivered (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]uint64{4, 5, 5, 5, 5, 5, 5, 6}, service.asked); diff != "" {
+	if diff := cmp.Diff([]uint64{4, 5, 5, 5, 5, 5, 5, 6}, service.askedFrom); diff != "" {
 		t.Errorf("asked from (-want +got):\n%s", diff)
 	}
 	if pauses != 5 || failures != 3 {
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestBackoff: every delay is above zero and within a ceiling that doubles up to
+// TestBackoffStaysWithinCeiling: every delay is above zero and within a ceiling that doubles up to
 // Max and never wraps around, however long the service is down.
-func TestBackoff(t *testing.T) {
+func TestBackoffStaysWithinCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		low := time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "min"))
 		high := low + time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "more"))
@@ -102,7 +102,7 @@
 
 // Readers that lost the service together must not come back together: the
 // delays after the same number of failures spread over the whole range.
-func TestBackoffSpreads(t *testing.T) {
+func TestFirstBackoffDelaysSpreadEvenly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var quarters [4]int
 	for range 400 {
--- a/internal/published/generation.go
+++ b/internal/published/generation.go
@@ -9,7 +9,7 @@
 const generationShift = 44
 
 // InGeneration returns a revision of the service in an era. Era 0 is that of a service that tells none.
-func InGeneration(era, revision uint64) uint64 { return 2*era<<generationShift | revision }
+func InGeneration(gen, revision uint64) uint64 { return 2*gen<<generationShift | revision }
 
 // Unsettled returns the revision of a list that was made while the service may still lack
 // what it lost: later than all of the era before, and earlier than all settled ones of its own.
@@ -21,14 +21,14 @@
 // GenerationOf returns the era of a revision.
 func GenerationOf(revision uint64) uint64 { return (revision>>generationShift + 1) / 2 }
 
-// InService returns a revision as the service itself counts it.
-func InService(revision uint64) uint64 { return revision & (1<<generationShift - 1) }
+// ServiceRevision returns a revision as the service itself counts it.
+func ServiceRevision(revision uint64) uint64 { return revision & (1<<generationShift - 1) }
 
 // RevisionText returns a revision as people read it.
 func RevisionText(revision uint64) string {
-	text := strconv.FormatUint(InService(revision), 10)
-	if era := GenerationOf(revision); era > 0 {
-		text += " of era " + strconv.FormatUint(era, 10)
+	text := strconv.FormatUint(ServiceRevision(revision), 10)
+	if gen := GenerationOf(revision); gen > 0 {
+		text += " of era " + strconv.FormatUint(gen, 10)
 	}
 	if !Settled(revision) {
 		text += ", unsettled"
--- a/internal/published/generation_test.go
+++ b/internal/published/generation_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a list of a restored service that entries take for older than the one that they
 // hold.
-func TestLaterErasAreLater(t *testing.T) {
+func TestRevisionsOfLaterGenerationsAreLater(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		era := rapid.Uint64Range(1, 1<<18)
 		count := rapid.Uint64Range(0, 1<<44-1)
@@ -20,8 +20,8 @@
 			rt.Fatalf("%d, %d, %d are not in order", old, unsettled, settled)
 		}
 		for _, r := range []uint64{unsettled, settled} {
-			if published.GenerationOf(r) != e || published.InService(r) != after {
-				rt.Fatalf("%d is revision %d of era %d", r, published.InService(r), published.GenerationOf(r))
+			if published.GenerationOf(r) != e || published.ServiceRevision(r) != after {
+				rt.Fatalf("%d is revision %d of era %d", r, published.ServiceRevision(r), published.GenerationOf(r))
 			}
 		}
 	})
--- a/internal/published/patch.go
+++ b/internal/published/patch.go
@@ -62,7 +62,7 @@
 	if h.rows == nil {
 		h.base = list.Revision
 	} else {
-		h.steps = append(h.steps, step{list.Revision, changed(h.rows, rows)})
+		h.steps = append(h.steps, step{list.Revision, changedNames(h.rows, rows)})
 	}
 	if len(h.steps) > maxSteps {
 		h.base = h.steps[0].revision
@@ -80,15 +80,15 @@
 	return rows
 }
 
-// changed returns the names of the rows in which two lists differ.
-func changed(before, after map[string]VM) (names []string) {
+// changedNames returns the names of the rows in which two lists differ.
+func changedNames(before, after map[string]VM) (names []string) {
 	for name, vm := range after {
-		if old, there := before[name]; !there || old != vm {
+		if old, found := before[name]; !found || old != vm {
 			names = append(names, name)
 		}
 	}
 	for name := range before {
-		if _, there := after[name]; !there {
+		if _, found := after[name]; !found {
 			names = append(names, name)
 		}
 	}
@@ -105,17 +105,17 @@
 		return nil, false
 	}
 	p := patch{Digest: xxhash.Sum64(h.text), Evacuated: h.evacuated}
-	touched := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, s := range h.steps {
 		if s.revision <= revision {
 			continue
 		}
 		for _, name := range s.names {
-			if touched[name] {
+			if seen[name] {
 				continue
 			}
-			touched[name] = true
-			if vm, there := h.rows[name]; there {
+			seen[name] = true
+			if vm, found := h.rows[name]; found {
 				p.Rows = append(p.Rows, vm)
 			} else {
 				p.Gone = append(p.Gone, name)
--- a/internal/published/patch_test.go
+++ b/internal/published/patch_test.go
@@ -20,7 +20,7 @@
 // a difference that was made for one of its own revisions, an entry would be left with a
 // row that nobody has, or without one that is there. Whatever the two have seen, a
 // difference gives exactly the newer list, or says that the whole one is needed.
-func TestDifferenceLeadsToTheSameList(t *testing.T) {
+func TestDifferenceGivesNewerListOrIsRefused(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rows := map[string]VM{}
 		var evacuated []string
@@ -79,13 +79,13 @@
 
 // One endpoint of 228 leaves: the difference is a row, not 34 KB. Texts of other makers and
 // lists from before the history are given whole.
-func TestDifferenceIsSmall(t *testing.T) {
+func TestDifferenceOfOneRowIsSmall(t *testing.T) {
 	rows := map[string]VM{}
 	for n := range 228 {
 		rows[rowOf(n, 0).Name] = rowOf(n, 0)
 	}
 	var h History
-	add := func(revision uint64) {
+	addList := func(revision uint64) {
 		text := EncodeVMs(listOf(rows, nil))
 		list, err := ParseVMs(Value{Revision: revision, Data: text})
 		if err != nil {
@@ -93,11 +93,11 @@
 		}
 		h.Add(list, text)
 	}
-	add(10)
+	addList(10)
 	vm := rowOf(7, 0)
 	vm.State = Leaving
 	rows[vm.Name] = vm
-	add(12)
+	addList(12)
 	data, ok := h.Since(10)
 	if !ok || len(data) > 300 {
 		t.Errorf("%v, %d bytes: %s", ok, len(data), data)
@@ -110,7 +110,7 @@
 	}
 	for n := range 2 * maxSteps {
 		rows[rowOf(n, 1).Name] = rowOf(n, 1)
-		add(uint64(13 + n))
+		addList(uint64(13 + n))
 	}
 	if len(h.steps) > maxSteps {
 		t.Errorf("%d steps", len(h.steps))
--- a/internal/published/roster.go
+++ b/internal/published/roster.go
@@ -46,10 +46,10 @@
 // Put takes in what the service says of a VM, and how many reports the VM has made. It reports
 // whether that is new.
 func (r *Roster) Put(vm VM, reports int64) bool {
-	known, there := r.vms[vm.Name]
+	known, found := r.vms[vm.Name]
 	r.vms[vm.Name], r.reports[vm.Name] = vm, reports
 	delete(r.carriedVMs, vm.Name)
-	return !there || known != vm
+	return !found || known != vm
 }
 
 // Remove takes out a VM.
@@ -60,23 +60,23 @@
 }
 
 // Evacuate takes in whether a failure domain is evacuated, and reports whether that is new.
-func (r *Roster) Evacuate(domain string, on bool) bool {
+func (r *Roster) Evacuate(domain string, evacuated bool) bool {
 	was := r.evacuated[domain]
 	delete(r.evacuated, domain)
-	if on {
+	if evacuated {
 		r.evacuated[domain] = true
 	}
 	delete(r.carriedDomains, domain)
-	return was != on
+	return was != evacuated
 }
 
 // List returns the list of VMs in the order of their names.
 func (r *Roster) List() VMList { return listOf(r.vms, slices.Sorted(maps.Keys(r.evacuated))) }
 
-// Remember notes which VMs of the roster before are there no more.
-func (r *Roster) Remember(before *Roster) {
+// RememberRemoved notes which VMs of the roster before are there no more.
+func (r *Roster) RememberRemoved(before *Roster) {
 	for name := range before.vms {
-		if _, there := r.vms[name]; !there {
+		if _, found := r.vms[name]; !found {
 			r.removed = append(r.removed, removal{name, before.reports[name]})
 		}
 	}
@@ -85,23 +85,23 @@
 	}
 }
 
-// CarryOn completes what was read from a service that was restored from a copy with what was known
+// CarryOver completes what was read from a service that was restored from a copy with what was known
 // before. The copy is older: who had left has left, and what it lacks is kept until it
 // is written again, or Settle gives it up.
-func (r *Roster) CarryOn(before *Roster) {
+func (r *Roster) CarryOver(before *Roster) {
 	r.removed = slices.Clone(before.removed)
-	for _, gone := range before.removed {
-		if reports, there := r.reports[gone.name]; there && reports <= gone.reports {
-			r.Remove(gone.name)
+	for _, removed := range before.removed {
+		if reports, found := r.reports[removed.name]; found && reports <= removed.reports {
+			r.Remove(removed.name)
 		}
 	}
 	for name, vm := range before.vms {
-		copied, there := r.vms[name]
+		restored, found := r.vms[name]
 		switch {
-		case !there:
+		case !found:
 			r.vms[name], r.reports[name] = vm, before.reports[name]
 			r.carriedVMs[name] = true
-		case vm.State == Leaving && copied.Incarnation == vm.Incarnation:
+		case vm.State == Leaving && restored.Incarnation == vm.Incarnation:
 			r.vms[name] = vm
 		}
 	}
--- a/internal/published/vms.go
+++ b/internal/published/vms.go
@@ -35,7 +35,7 @@
 // get DefaultSlots.
 func ParseVMs(value Value) (VMList, error) {
 	list := VMList{Revision: value.Revision}
-	if err := decodeOne(value.Data, &list); err != nil {
+	if err := decodeSingle(value.Data, &list); err != nil {
 		return VMList{}, fault.Wrap(err, fault.PlatformAnswer, remedyVMs,
 			"VM list of revision %d is not readable", value.Revision)
 	}
@@ -95,8 +95,8 @@
 	return data
 }
 
-// decodeOne reads exactly one JSON value.
-func decodeOne(data []byte, into any) error {
+// decodeSingle reads exactly one JSON value.
+func decodeSingle(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(into); err != nil {
 		return err
@@ -175,13 +175,13 @@
 // checkName accepts printable names without spaces, which fit log lines, tables
 // and headers unquoted.
 func checkName(vm *VM, field, name string, found *problems) {
-	unfit := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
+	invalid := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
 	switch {
 	case name == "":
 		found.add(vm, "%s is empty", field)
 	case len(name) > maxNameBytes:
 		found.add(vm, "%s is longer than %d bytes", field, maxNameBytes)
-	case strings.ContainsFunc(name, unfit):
+	case strings.ContainsFunc(name, invalid):
 		found.add(vm, "%s %q holds a space or an unprintable character", field, name)
 	}
 }
--- a/internal/published/vms_test.go
+++ b/internal/published/vms_test.go
@@ -18,13 +18,13 @@
 const endpointJSON = `{"name":"live-1","incarnation":18446744073709551615,"role":"endpoint","state":"leaving",` +
 	`"region":"mx","domain":"b","address":"[::1]:9000","pool":"live"}`
 
-func parse(vms ...string) (published.VMList, error) {
+func parseRows(vms ...string) (published.VMList, error) {
 	text := `{"vms":[` + strings.Join(vms, ",") + `]}`
 	return published.ParseVMs(published.Value{Name: published.VMsValue, Revision: 9, Data: []byte(text)})
 }
 
 func TestParseVMs(t *testing.T) {
-	list, err := parse(entryJSON, strings.Replace(endpointJSON, `"pool"`, `"rack":12,"pool"`, 1))
+	list, err := parseRows(entryJSON, strings.Replace(endpointJSON, `"pool"`, `"rack":12,"pool"`, 1))
 	want := published.VMList{Revision: 9, VMs: []published.VM{
 		{
 			Name: "entry-a1", Incarnation: 4, Role: published.EntryRole, State: published.Live, Region: "mx",
@@ -77,7 +77,7 @@
 			if broken == c.vm {
 				t.Fatal("the case changes nothing")
 			}
-			list, err := parse(broken)
+			list, err := parseRows(broken)
 			if fault.KindOf(err) != fault.PlatformAnswer || !strings.Contains(err.Error(), c.says) || list.VMs != nil {
 				t.Fatalf("error %v, list %+v; want one that says %q", err, list, c.says)
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestEncodedVMsAreParsed(t *testing.T) {
+func TestEncodedVMsParseUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := published.VMList{Revision: 3, VMs: []published.VM{}}
 		for i := range rapid.IntRange(0, 20).Draw(t, "count") {
