--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// gobReceiver serves updates as net/rpc and gob do by themselves.
+// gobReceiver serves updates with the default gob codec of net/rpc.
 type gobReceiver struct{}
 
 func (gobReceiver) Update(_ *message.Update, reply *message.Ack) error {
@@ -32,19 +32,19 @@
 	return u
 }
 
-// BenchmarkUpdateBytes reports the bytes of an update and of its answer, TCP
-// and IP headers not included: net/rpc's own codec against the packed form.
-// Connections are warm: types, marks and endpoints were sent before.
+// BenchmarkUpdateBytes reports the bytes of an update and of its reply without TCP and IP headers,
+// for the default codec of net/rpc and for the packed form. The connections are warm: types, marks
+// and endpoints were sent before the measurement.
 func BenchmarkUpdateBytes(b *testing.B) {
 	for _, loadReports := range []int{0, 20} {
-		b.Run(fmt.Sprintf("stock/sightings=%d", loadReports), func(b *testing.B) {
+		b.Run(fmt.Sprintf("gob/load-reports=%d", loadReports), func(b *testing.B) {
 			client, used := gobClient(b)
 			measureBytes(b, used, func(i int) error {
 				u := benchUpdate(i, loadReports)
 				return client.Call("Peer.Update", &u, new(message.Ack))
 			})
 		})
-		b.Run(fmt.Sprintf("packed/sightings=%d", loadReports), func(b *testing.B) {
+		b.Run(fmt.Sprintf("packed/load-reports=%d", loadReports), func(b *testing.B) {
 			client, used := packedClient(b)
 			var packer wire.Packer
 			measureBytes(b, used, func(i int) error {
@@ -107,15 +107,15 @@
 	return client, used
 }
 
-// discardingHandler keeps no updates.
+// discardingHandler accepts updates without storing them.
 type discardingHandler struct{ recordingHandler }
 
 func (*discardingHandler) Update(message.Update) (message.Ack, error) {
 	return message.Ack{Accepted: true}, nil
 }
 
-// BenchmarkOpenConnection opens a connection and greets: what a link costs both ends before it carries
-// anything, without the packets.
+// BenchmarkOpenConnection opens a connection and exchanges Hello. It measures the cost of a link
+// for both ends before its first update, without the packets.
 func BenchmarkOpenConnection(b *testing.B) {
 	server := NewServer(Config{}, &discardingHandler{})
 	limits := Config{}.withDefaults().limits()
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -24,7 +24,7 @@
 	"github.com/tealhall/tealhall/internal/settings/certs/certstest"
 )
 
-// dialStranger opens a connection to the server without being a link.
+// dialStranger opens a connection to the server without a link.
 func (p *pair) dialStranger(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := p.net.Dial(context.Background(), peerAddress)
@@ -34,15 +34,15 @@
 	return conn
 }
 
-// awaitClose waits for the server to close a connection and returns after how long.
+// awaitClose waits until the server closes a connection, and returns how long that took.
 func awaitClose(conn net.Conn) time.Duration {
 	started := time.Now()
 	_, _ = io.Copy(io.Discard, conn)
 	return time.Since(started)
 }
 
-// Strangers reach the peer port: a browser, a port scanner, a broken peer. None
-// may hold memory or a connection for long, and the real link goes on.
+// Browsers, port scanners and broken peers can reach the peer port. Guards against strangers that
+// occupy memory or a connection for long, and against effects on the link of a real peer.
 func TestStrangersAreDisconnected(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -50,9 +50,9 @@
 		within time.Duration
 	}{
 		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: 10.0.0.2:7070\r\nUser-Agent: browser\r\nAccept: text/html\r\n\r\n"), 0},
-		{"gigabytes announced", []byte{0xfc, 0x40, 0, 0, 0, 1}, 0},
-		{"says nothing", nil, defaultDialTimeout},
-		{"cut in a message", []byte{20, 1}, defaultDialTimeout},
+		{"length of gigabytes", []byte{0xfc, 0x40, 0, 0, 0, 1}, 0},
+		{"no bytes", nil, defaultDialTimeout},
+		{"truncated message", []byte{20, 1}, defaultDialTimeout},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +71,8 @@
 	}
 }
 
-// A program that speaks the protocol, but not in its order or within its bounds.
+// A client that violates the order of calls or the size limits of the protocol is refused, and the
+// handler is not called.
 func TestProtocolViolationsAreRefused(t *testing.T) {
 	hello := wire.Hello(helloOf("c", 3))
 	cases := []struct {
@@ -89,7 +90,7 @@
 		{"large handover before Hello", 0, "Peer.Handover", &message.Handover{Records: make([]idem.Record, 100)}, new(wire.AckReply), ""},
 		{"Hello twice", 1, "Peer.Hello", &hello, new(wire.HelloReply), "Hello came twice"},
 		{"method of a later release", 1, "Peer.Later", &wire.Ping{}, new(wire.PingReply), "can't find method"},
-		{"update that makes no sense", 1, "Peer.Update", &wire.Update{LoadReports: []byte{9, 9, 9, 9}}, new(wire.AckReply), ""},
+		{"malformed load reports", 1, "Peer.Update", &wire.Update{LoadReports: []byte{9, 9, 9, 9}}, new(wire.AckReply), ""},
 		{"update over its limit", 1, "Peer.Update", &wire.Update{LoadReports: make([]byte, regularBytes+overLimitBytes)}, new(wire.AckReply), "smaller parts"},
 	}
 	for _, c := range cases {
@@ -104,7 +105,7 @@
 				}
 				err := client.Call(c.method, c.args, c.reply)
 				if text := fmt.Sprint(err) + " " + refusalOf(c.reply); (err == nil && refusalOf(c.reply) == "") || !strings.Contains(text, c.want) {
-					t.Errorf("answer %q lacks %q", text, c.want)
+					t.Errorf("answer %q does not contain %q", text, c.want)
 				}
 				if len(p.handler.received()) != 0 {
 					t.Error("the handler was called")
@@ -132,8 +133,8 @@
 	return refusal.Message
 }
 
-// Connections that a path has lost pile up at the answering end: a peer that
-// dials again replaces its own, others are turned away at the bound.
+// Guards against connections that the network lost and that pile up at the server: a new
+// connection replaces those of the same peer, and connections above the bound are rejected.
 func TestConnectionsAreBounded(t *testing.T) {
 	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{Connections: 3}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		redial := rpc.NewClientWithCodec(wire.NewClientCodec(p.dialStranger(t), Config{}.withDefaults().limits()))
@@ -144,22 +145,22 @@
 		}
 		synctest.Wait()
 		if open := p.server.Stats().Connections; open != 1 {
-			t.Errorf("%d connections of one incarnation", open)
+			t.Errorf("%d connections of one incarnation, want 1", open)
 		}
 		for range 2 {
 			defer p.dialStranger(t).Close()
 		}
 		if took := awaitClose(p.dialStranger(t)); took != 0 {
-			t.Errorf("the fourth connection lasted %s", took)
+			t.Errorf("the connection above the bound was closed after %s", took)
 		}
 		if rejected := p.server.Stats().Rejected; rejected != 1 {
-			t.Errorf("%d turned away", rejected)
+			t.Errorf("%d rejected connections, want 1", rejected)
 		}
 	})
 }
 
-// Pings of sixty idle links would cost more than everything else that a node
-// may spend on control; they grow rarer with the number of links.
+// Pings of sixty idle links would use more bandwidth than everything else that an entry may spend
+// on control traffic. They must become rarer as the number of links grows.
 func TestPingsStayWithinByteShare(t *testing.T) {
 	cfg := Config{BytesPerSecond: 10_000}.withDefaults()
 	for links, want := range map[int]time.Duration{0: time.Second, 7: time.Second, 60: 7800 * time.Millisecond, 500: maxPingPeriod} {
@@ -189,7 +190,7 @@
 		large := part
 		large.Records = []idem.Record{{Answer: &idem.Answer{Body: make([]byte, defaultHandoverBytes+overLimitBytes)}}}
 		if _, err := p.links.Handover(context.Background(), peerAddress, large); fault.KindOf(err) != fault.BadMessage {
-			t.Errorf("a part over the limit: %v", err)
+			t.Errorf("error for a part above the limit: %v", err)
 		}
 	})
 }
@@ -220,7 +221,7 @@
 	}
 }
 
-// newCertStore holds a certificate for the address of the tests' peer.
+// newCertStore returns a store with a certificate for the peer address of the tests.
 func newCertStore(t *testing.T, authority, trusted *certstest.Authority) *certs.Store {
 	dir := t.TempDir()
 	certificate, key := authority.Issue(t, "peer", "10.0.0.2")
--- a/internal/peer/helper_test.go
+++ b/internal/peer/helper_test.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// pipeNetwork is a network of in-memory connections. Its time-outs run on the clock
-// of the test's bubble.
+// pipeNetwork is a network of in-memory connections. Its timeouts run on the clock of the test's
+// synctest bubble.
 type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -24,7 +24,7 @@
 	unpowered bool
 	dialDelay time.Duration
 	dials     []time.Time
-	conns     []*pipeConn // the dialling ends
+	conns     []*pipeConn // the client ends
 }
 
 func newPipeNetwork() *pipeNetwork {
@@ -64,10 +64,10 @@
 	p.down = down
 }
 
-// synRetransmitDelay is when a kernel repeats an opening packet that was lost.
+// synRetransmitDelay is the delay after which a kernel retransmits a lost SYN.
 const synRetransmitDelay = time.Second
 
-// setUnpowered makes the peer a VM without power: opening packets are lost.
+// setUnpowered simulates a peer VM without power: SYNs to it are lost.
 func (p *pipeNetwork) setUnpowered(unpowered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	p.dialDelay = delay
 }
 
-// silenceAll makes every open connection silent, as a path that lost track of it.
+// silenceAll makes all open connections silent, as when a network device lost their state.
 func (p *pipeNetwork) silenceAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +105,7 @@
 
 func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7070} }
 
-// pipeConn swallows what is written once it is lost.
+// pipeConn discards written bytes once it is silent.
 type pipeConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -128,11 +128,11 @@
 	return c.Conn.Write(b)
 }
 
-// node is a Handler that records what it was told.
+// recordingHandler is a Handler that records the calls that it receives.
 type recordingHandler struct {
 	hello  message.Hello
 	refuse error
-	// refuseUpdates makes the node answer as one that does not know the sender.
+	// refuseUpdates makes Update answer like an entry that does not know the sender.
 	refuseUpdates bool
 	fetch         func(message.Fetch) (message.Document, error)
 
@@ -176,17 +176,16 @@
 	return message.Hello{Version: message.Version, MinVersion: message.MinVersion, Name: name, Incarnation: incarnation}
 }
 
-// pair is one entry's links to one other entry.
+// pair is a client with links to one server.
 type pair struct {
 	net     *pipeNetwork
 	handler *recordingHandler
 	server  *Server
 	links   *Links
-	hellos  []message.Hello // read it after synctest.Wait only
+	hellos  []message.Hello // read only after synctest.Wait
 }
 
-// withPair runs a test on a pair whose link was asked for, in a bubble with a
-// clock of its own.
+// withPair runs a test in a synctest bubble on a pair whose link was requested.
 func withPair(t *testing.T, n *recordingHandler, cfg Config, self message.Hello, test func(t *testing.T, p *pair)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pair{net: newPipeNetwork(), handler: n}
@@ -208,7 +207,7 @@
 	})
 }
 
-// advance lets the bubble's clock advance.
+// advance lets the clock of the bubble advance by d.
 func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,8 +13,8 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// link keeps one outgoing connection open. Its goroutine dials, sends updates
-// one at a time, and pings when there are none.
+// link keeps one outgoing connection open. Its goroutine dials, sends updates one at a time, and
+// pings when there is no update to send.
 type link struct {
 	owner   *Links
 	cfg     Config
@@ -22,11 +22,11 @@
 	meter   meter
 	cancel  context.CancelFunc
 	done    chan struct{}
-	ready   chan struct{} // signals that the outbox got something
+	ready   chan struct{} // signals that the outbox has an update
 
 	mu     sync.Mutex
 	outbox outbox
-	conn   *connection // nil unless open
+	conn   *connection // nil unless the link is open
 	stats  LinkStats
 }
 
@@ -74,7 +74,7 @@
 		l.updateStats(func(s *LinkStats) { s.State, s.LastError = LinkWaiting, err.Error() })
 		l.failWaiting()
 		if l.snapshot().Messages > before {
-			failures = 0 // the peer took something, so this is a new failure
+			failures = 0 // the peer accepted an update, so this is a new failure
 		}
 		pause(ctx, l.backoff(failures))
 		failures++
@@ -83,21 +83,22 @@
 	l.failWaiting()
 }
 
-// After a failure the first dials follow each other quickly, and the very first one is
-// repeated beside itself. Guards against entries that lose power together: the opening
-// packet to one that starts a little later is lost, and the kernel repeats it after a whole
-// second, for which callers are told of one entry only. repeatDialInterval is far above a round
+// The first dials after a failure follow each other quickly, and the very first one is repeated in
+// parallel until one of them ends. This guards against entries that lose power together: the SYN
+// to an entry that starts a little later is lost, and the kernel retransmits it after a whole
+// second, during which callers learn of one entry only. repeatDialInterval is far above a round
 // trip between regions.
 const (
 	maxQuickDials      = 6
 	repeatDialInterval = 150 * time.Millisecond
 )
 
-// maxDoublings keeps the shift below from overflowing.
+// maxDoublings keeps the shift in backoff from overflowing.
 const maxDoublings = 16
 
-// backoff doubles with each failure after the quick dials up to its bound. Half of it is
-// random, so that the peers of a restarted entry don't come back in step.
+// backoff returns the delay before the next dial. After the quick dials, it doubles with each
+// failure up to its bound. Half of it is random, so that the peers of a restarted entry do not
+// reconnect at the same time.
 func (l *link) backoff(failures int) time.Duration {
 	doublings := min(max(failures-maxQuickDials, 0), maxDoublings)
 	most := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
@@ -113,7 +114,7 @@
 	}
 }
 
-// runConnection opens a connection, with repeated dials if asked for, and uses it until it
+// runConnection opens a connection, with repeated dials if repeat is set, and uses it until it
 // breaks.
 func (l *link) runConnection(ctx context.Context, repeat bool) error {
 	c, peer, err := l.connect(ctx, repeat)
@@ -131,7 +132,7 @@
 	return l.sendLoop(ctx, c)
 }
 
-// connect dials, and says Hello within the dial time-out.
+// connect dials and exchanges Hello within the dial timeout.
 func (l *link) connect(ctx context.Context, repeat bool) (*connection, message.Hello, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout)
 	defer cancel()
@@ -170,14 +171,15 @@
 	return secure, nil
 }
 
-// dialResult is how one dial ended.
+// dialResult is the result of one dial.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialWithRepeats dials again every repeatDialInterval until one of the dials ends, and returns how
-// that one ended. A refusal ends all: the VM is there, and its process is not.
+// dialWithRepeats starts another dial every repeatDialInterval until one of the dials ends, and
+// returns the result of that one. A refused connection ends all dials, because the VM is up and
+// its process is not.
 func (l *link) dialWithRepeats(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -204,7 +206,7 @@
 	}
 }
 
-// closeLateDials closes what so many more dials bring.
+// closeLateDials waits for the given number of dials and closes their connections.
 func closeLateDials(results <-chan dialResult, dials int) {
 	for range dials {
 		if result := <-results; result.conn != nil {
@@ -213,7 +215,7 @@
 	}
 }
 
-// tlsConfig names the peer by its IP number where the settings give no name.
+// tlsConfig uses the peer's IP address as the server name if the settings give no name.
 func (l *link) tlsConfig() *tls.Config {
 	config := l.cfg.ClientTLS().Clone()
 	if host, _, err := net.SplitHostPort(l.address); err == nil && config.ServerName == "" {
@@ -235,8 +237,7 @@
 	return peer, checkVersion(peer)
 }
 
-// sendLoop sends what waits, and pings when nothing does, until the connection
-// breaks.
+// sendLoop sends waiting updates, and pings when there are none, until the connection breaks.
 func (l *link) sendLoop(ctx context.Context, c *connection) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -282,13 +283,14 @@
 		return message.Ack{}, err
 	}
 	if !reply.Ack.Accepted {
-		// Its reasons end with a new Hello, which a new connection begins with.
+		// A new connection begins with a new Hello, which removes the reasons for not accepting an
+		// update.
 		return message.Ack{}, fault.New(fault.PeerDown, "nothing: the link is opened again", "%s did not accept an update: %s", l.address, reply.Ack.Reason)
 	}
 	return reply.Ack, nil
 }
 
-// completeUpdate counts an update and tells its sender how it ended.
+// completeUpdate counts an update and passes the receipt to its sender.
 func (l *link) completeUpdate(done func(message.Receipt), r message.Receipt) {
 	l.updateStats(func(s *LinkStats) {
 		if r.Acked {
@@ -300,7 +302,7 @@
 	done(r)
 }
 
-// failWaiting fails the update that waits, if there is one.
+// failWaiting fails the waiting update, if there is one.
 func (l *link) failWaiting() {
 	l.mu.Lock()
 	_, done, ok := l.outbox.take(time.Now())
@@ -310,8 +312,8 @@
 	}
 }
 
-// enqueue puts an update into the outbox unless the link is down. An update waits
-// for a link that is being dialled.
+// enqueue puts an update into the outbox, and returns false if the link is down. An update waits
+// while the link is dialling.
 func (l *link) enqueue(u message.Update, done func(message.Receipt)) bool {
 	l.mu.Lock()
 	if l.stats.State == LinkWaiting || l.stats.State == linkStopped {
@@ -337,7 +339,7 @@
 	l.conn = c
 }
 
-// call makes a call for a caller outside of the link's goroutine.
+// call makes a call on behalf of a goroutine other than the link's own.
 func (l *link) call(ctx context.Context, m wire.Method, args, reply any) error {
 	l.mu.Lock()
 	c, reason := l.conn, l.stats.LastError
@@ -348,14 +350,14 @@
 	return l.exchange(ctx, c, m, args, reply)
 }
 
-// exchange makes one call. A call that the peer does not answer within the call
-// time-out breaks the connection: an open connection can be dead while new
-// ones work, which shows as silence, and a new connection is cheap.
+// exchange makes one call. A call that the peer does not answer within the call timeout closes the
+// connection: an established connection can be silently dead while new ones work, and a new
+// connection is cheap.
 func (l *link) exchange(ctx context.Context, c *connection, m wire.Method, args, reply any) error {
 	started := time.Now()
 	timer := time.NewTimer(l.cfg.CallTimeout)
 	defer timer.Stop()
-	// Writing may block until its own deadline, so it has its own goroutine.
+	// The call runs on its own goroutine because writing may block until the write deadline.
 	done := make(chan error, 1)
 	go func() { done <- c.client.Call(m.String(), args, reply) }()
 	select {
@@ -363,7 +365,7 @@
 		return l.finishCall(c, started, err)
 	case <-timer.C:
 		c.end()
-		return fault.New(fault.PeerDown, "nothing: the link is opened again; look at the network if it goes on",
+		return fault.New(fault.PeerDown, "nothing: the link is opened again; check the network if this continues",
 			"%s did not answer for %s", l.address, l.cfg.CallTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
@@ -387,7 +389,7 @@
 	if fault.KindOf(err) != "" {
 		return err
 	}
-	return fault.Wrap(err, fault.PeerDown, "nothing: the link is opened again; look at the peer or the network if it goes on",
+	return fault.Wrap(err, fault.PeerDown, "nothing: the link is opened again; check the peer or the network if this continues",
 		"the link to %s failed", l.address)
 }
 
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -13,31 +13,30 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// Links are an entry's outgoing connections. They are safe for concurrent use.
+// Links manages the outgoing connections of an entry. It is safe for concurrent use.
 type Links struct {
 	cfg     Config
 	self    func() message.Hello
 	onHello func(address string, h message.Hello)
 
-	// pingPeriod is after which silence a link pings, in nanoseconds.
+	// pingPeriod is the silence after which a link pings, in nanoseconds.
 	pingPeriod atomic.Int64
 
 	mu     sync.Mutex
 	closed bool
 	links  map[string]*link
-	// removedBytesIn and removedBytesOut are the bytes of links that are no longer wanted.
+	// removedBytesIn and removedBytesOut count the bytes of links that were removed.
 	removedBytesIn, removedBytesOut uint64
 }
 
-// NewLinks returns links to nobody yet. Self describes this entry in each
-// Hello; onHello is told who answered, on the goroutine of the link, each time
-// that a link opens.
+// NewLinks returns Links without any peer. The function self describes this entry in each Hello.
+// Each time a link opens, its goroutine calls onHello with the peer's answer.
 func NewLinks(cfg Config, self func() message.Hello, onHello func(address string, h message.Hello)) *Links {
 	return &Links{cfg: cfg.withDefaults(), self: self, onHello: onHello, links: make(map[string]*link)}
 }
 
-// SetPeers names the peers that are wanted. New ones are dialled and kept open until
-// a later Set leaves them out.
+// SetPeers sets the addresses of the wanted peers. Links to new addresses are dialled and kept
+// open until a later SetPeers omits them.
 func (l *Links) SetPeers(addresses []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,12 +59,15 @@
 	l.pingPeriod.Store(int64(l.cfg.pingPeriod(len(l.links))))
 }
 
-// Deliver hands an update to a link and never blocks. One update waits for each
-// peer, and a newer one takes its place. Done is called exactly once: the update counts as
-// acked when the peer has accepted it, and not when it was replaced, or when the link is
-// down or broke before the answer. It is called before Deliver
-// returns if the link is known to be down, else on the link's goroutine, which
-// waits for it. The update's slices must not change before done is called.
+// Deliver hands an update to a link and never blocks. At most one update waits for each peer, and
+// a newer one replaces it. Done is called exactly once. The receipt is acked if the peer accepted
+// the update, and not if the update was replaced, the link was down, or the link broke before the
+// answer.
+//
+// If the link is known to be down, done is called before Deliver returns. If a newer update
+// replaces this one, done is called during the newer call of Deliver. Otherwise it is called on
+// the link's goroutine, which waits for it. The update's slices must not change before done is
+// called.
 func (l *Links) Deliver(address string, u message.Update, done func(message.Receipt)) {
 	lk := l.find(address)
 	if lk == nil || !lk.enqueue(u, done) {
@@ -73,7 +75,7 @@
 	}
 }
 
-// Fetch asks a peer for a published value.
+// Fetch requests a published value from a peer.
 func (l *Links) Fetch(ctx context.Context, address string, f message.Fetch) (message.Document, error) {
 	reply := new(wire.FetchReply)
 	if err := l.call(ctx, address, wire.MethodFetch, &f, reply); err != nil {
@@ -82,7 +84,7 @@
 	return reply.Document, reply.Refusal.Err()
 }
 
-// Handover gives a peer a part of a sealed idempotency table.
+// Handover sends a part of a sealed idempotency table to a peer.
 func (l *Links) Handover(ctx context.Context, address string, h message.Handover) (message.Ack, error) {
 	reply := new(wire.AckReply)
 	if err := l.call(ctx, address, wire.MethodHandover, &h, reply); err != nil {
@@ -105,7 +107,7 @@
 	return l.links[address]
 }
 
-// Close ends all links and waits for their goroutines.
+// Close closes all links and waits for their goroutines.
 func (l *Links) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -120,8 +122,7 @@
 	}
 }
 
-// Traffic returns the bytes of the TCP streams of all links so far, those that
-// are no longer wanted included.
+// Traffic returns the bytes of the TCP streams of all links so far, removed links included.
 func (l *Links) Traffic() (in, out uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +141,7 @@
 const (
 	LinkDialing LinkState = "dialing"
 	LinkOpen    LinkState = "open"
-	LinkWaiting LinkState = "waiting" // for the back-off after a failure
+	LinkWaiting LinkState = "waiting" // waits for the back-off after a failure
 	linkStopped LinkState = "stopped" // no longer wanted
 )
 
@@ -148,22 +149,22 @@
 type LinkStats struct {
 	Address string
 	State   LinkState
-	// Peer is who answered last; zero before the first Hello.
+	// Peer is the last answer to a Hello; zero before the first one.
 	Peer message.Hello
 	// BytesIn and BytesOut count the bytes of the TCP streams.
 	BytesIn, BytesOut uint64
-	// Messages counts updates that the peer accepted, Dropped those that it
-	// did not get, Opened how often the link was opened.
+	// Messages counts updates that the peer accepted, Dropped those that it did not accept, and
+	// Opened how often the link was opened.
 	Messages, Dropped, Opened uint64
-	// Heard is when the peer last answered; zero before that.
+	// Heard is the time of the last answer of the peer; zero before the first one.
 	Heard time.Time
-	// RTT is the time of the last heartbeat or update with its answer.
+	// RTT is the round-trip time of the last successful call.
 	RTT time.Duration
-	// LastError is the reason of the last failure, "" when there was none.
+	// LastError describes the last failure; empty if there was none.
 	LastError string
 }
 
-// Stats describes all links in the order of their addresses.
+// Stats describes all links, sorted by address.
 func (l *Links) Stats() []LinkStats {
 	l.mu.Lock()
 	links := make([]*link, 0, len(l.links))
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -8,9 +8,8 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// outbox holds the one update that waits for a peer. A newer one takes the
-// place of an older one, so that a slow link has no backlog. It is not safe for
-// concurrent use.
+// outbox stores the one update that waits for a peer. A newer update replaces an older one, so a
+// slow link builds up no backlog. It is not safe for concurrent use.
 type outbox struct {
 	waiting bool
 	update  message.Update
@@ -18,16 +17,16 @@
 	done    func(message.Receipt)
 }
 
-// put makes u the update that waits and returns what to call for the one that
-// it replaced, or nil.
+// put stores u as the waiting update and returns the done function of the update that it replaced,
+// or nil.
 func (o *outbox) put(now time.Time, u message.Update, done func(message.Receipt)) (replaced func(message.Receipt)) {
 	replaced = o.done
 	*o = outbox{waiting: true, update: u, at: now, done: done}
 	return replaced
 }
 
-// take empties the box. Ages are those at now: an update that waited while its
-// link was opened must not pass old knowledge off as new.
+// take empties the outbox. It adds the waiting time to the ages in the update, because an update
+// that waited for its link to open must not present old load reports and evidence as new.
 func (o *outbox) take(now time.Time) (u message.Update, done func(message.Receipt), ok bool) {
 	waited := now.Sub(o.at)
 	u, done, ok = o.update, o.done, o.waiting
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,10 @@
-// Package peer keeps the links between entries: net/rpc over TCP, one
-// connection from each entry to each peer that it sends to. A Server answers
-// what comes in, Links sends what goes out.
+// Package peer implements the links between entries: net/rpc over TCP, with one connection from
+// each entry to each peer that it sends to. A Server answers incoming calls; Links sends outgoing
+// ones.
 //
-// Every call has a time-out, every message a size limit, every table a bound.
-// A link that went silent is found by the next message or ping and opened again
-// with jittered back-off. What is sent may be lost; senders are told so.
+// Every call has a timeout, every message a size limit and every table a bound. The next message
+// or ping detects a silent link, which is then opened again after a jittered back-off. Updates may
+// be lost; the sender is notified when that happens.
 package peer
 
 import (
@@ -18,55 +18,52 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// Handler answers peers. Its methods are called concurrently, Hello first on
-// each connection. The remote end gets the errors with kind and remedy.
+// Handler answers calls of peers. Its methods are called concurrently, Hello first on each
+// connection. Errors reach the peer with their kind and remedy.
 type Handler interface {
-	// Hello is told who opened a link and returns who answers. An error
-	// refuses the peer and closes the connection.
+	// Hello receives the description of the peer that opened a link and returns that of this
+	// entry. An error refuses the peer, whose link then closes the connection.
 	Hello(message.Hello) (message.Hello, error)
-	// Update takes a regular message; the handler owns its slices.
+	// Update processes a regular message. The handler owns its slices.
 	Update(message.Update) (message.Ack, error)
-	// Fetch returns a published value that is later than asked for.
+	// Fetch returns a published value of a later revision than the one in the request.
 	Fetch(message.Fetch) (message.Document, error)
-	// Handover takes a part of a sealed idempotency table.
+	// Handover receives a part of a sealed idempotency table.
 	Handover(message.Handover) (message.Ack, error)
 }
 
-// Config bounds links and servers. The zero value of a field means its
-// default; both ends of a link should use the same Heartbeat.
+// Config bounds links and servers. A field that is zero has its default. Both ends of a link
+// should use the same Heartbeat.
 type Config struct {
-	// Heartbeat is the shortest silence after which a sender pings; default 1 s.
+	// Heartbeat is the shortest silence after which a sender pings; the default is 1 s.
 	Heartbeat time.Duration
-	// CallTimeout bounds one call; default 3 s. A Fetch or Handover may be
-	// bounded further by its context.
+	// CallTimeout bounds one call; the default is 3 s. The context of a Fetch or Handover may end
+	// it earlier.
 	CallTimeout time.Duration
-	// DialTimeout bounds connecting, TLS and Hello together; default 3 s.
+	// DialTimeout bounds connecting, the TLS handshake and Hello together; the default is 3 s.
 	DialTimeout time.Duration
-	// BackoffMin and BackoffMax bound the wait before a dial is tried again. The first
-	// dials after a failure follow after BackoffMin each;
-	// defaults 200 ms and 5 s.
+	// BackoffMin and BackoffMax bound the delay before the next dial. The first dials after a
+	// failure use BackoffMin. The defaults are 200 ms and 5 s.
 	BackoffMin, BackoffMax time.Duration
-	// HandoverBytes bounds one Handover message; default 256 KiB. It must
-	// exceed the largest answer that is kept with a key.
+	// HandoverBytes bounds one Handover message; the default is 256 KiB. It must exceed the
+	// largest answer that is stored with a key.
 	HandoverBytes int
-	// DocumentBytes bounds the text of one fetched value; default 1 MiB.
+	// DocumentBytes bounds the text of one fetched value; the default is 1 MiB.
 	DocumentBytes int
-	// Connections bounds the connections that a server holds; default 256.
+	// Connections bounds the open connections of a server; the default is 256.
 	Connections int
-	// BytesPerSecond is the bound within which updates are composed; default
-	// 9,000. Pings to all peers together take at most a tenth of it, packet
-	// headers included, so that they grow rarer in a large fleet.
+	// BytesPerSecond is the bandwidth bound for updates; the default is 9,000. Pings to all peers
+	// together use at most a tenth of it, packet headers included, so they become rarer in a large
+	// fleet.
 	BytesPerSecond int
-	// ServerTLS encrypts accepted connections; nil for plain TCP.
+	// ServerTLS encrypts accepted connections; nil means plain TCP.
 	ServerTLS *tls.Config
-	// ClientTLS returns the configuration for one dial, so that changed
-	// certificates are used; nil for plain TCP. Without a server name, the
-	// peer's certificate must bear its IP number.
+	// ClientTLS returns the configuration for one dial, so that new certificates take effect; nil
+	// means plain TCP. Without a server name, the peer's certificate must contain its IP address.
 	ClientTLS func() *tls.Config
-	// Dial opens a connection; the default dials TCP with keep-alive and a
-	// user time-out.
+	// Dial opens a connection. The default dials TCP with keep-alive and a user timeout.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Jitter returns a number in [0, 1) for back-off; the default is random.
+	// Jitter returns a number in [0, 1) for the back-off; the default is random.
 	Jitter func() float64
 }
 
@@ -87,20 +84,19 @@
 const (
 	helloBytes   = 16 << 10
 	regularBytes = 16 << 10
-	// replyOverheadBytes is what a reply holds beside a document's text.
+	// replyOverheadBytes is the size allowed for a reply beside the text of its document.
 	replyOverheadBytes = 4 << 10
-	// maxRequestsInFlight bounds the requests of one connection in work.
+	// maxRequestsInFlight bounds the concurrent requests of one connection.
 	maxRequestsInFlight = 4
-	// maxUnackedHeartbeats is for how many heartbeats sent bytes may stay
-	// unacknowledged before the kernel ends a connection.
+	// maxUnackedHeartbeats is the number of heartbeat intervals for which sent bytes may stay
+	// unacknowledged before the kernel closes a connection.
 	maxUnackedHeartbeats = 4
-	// pingBytes is what a ping and its acknowledgement cost the sender, packet
-	// headers included, and pingShare what pings may take of the byte bound.
+	// pingBytes is the cost of a ping and its acknowledgement for the sender, packet headers
+	// included. pingShare is the share of BytesPerSecond that pings may use.
 	pingBytes = 130
 	pingShare = 0.1
-	// maxPingPeriod bounds the silence on a link, and serverIdleTimeout is after
-	// which silence a server closes a connection: it only clears away what a
-	// lost peer left behind, so it is far longer.
+	// maxPingPeriod bounds the time between pings. serverIdleTimeout is the silence after which a
+	// server closes a connection. It only removes connections of lost peers, so it is far longer.
 	maxPingPeriod     = 15 * time.Second
 	serverIdleTimeout = 60 * time.Second
 )
@@ -133,7 +129,7 @@
 // unackedTimeout is how long sent bytes may stay unacknowledged.
 func (c Config) unackedTimeout() time.Duration { return maxUnackedHeartbeats * c.Heartbeat }
 
-// pingPeriod returns after which silence each of so many links pings.
+// pingPeriod returns the silence after which each of the given number of links pings.
 func (c Config) pingPeriod(links int) time.Duration {
 	seconds := float64(links*pingBytes) / (pingShare * float64(c.BytesPerSecond))
 	return min(max(time.Duration(seconds*float64(time.Second)), c.Heartbeat), maxPingPeriod)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,14 +22,14 @@
 			Profiles: message.Mark{Revision: 4, Digest: 5}, VMs: message.Mark{Revision: 6, Digest: 7}, Reader: true, Rate: 8,
 			Evidence:    []message.Evidence{{VM: "vm-1", Incarnation: 9, Kind: message.EvidenceLeaving, AgeMillis: 10}},
 			LoadReports: []message.LoadReport{{Endpoint: "live-1", Incarnation: 11, InFlight: 2, Own: 1, AgeMillis: 12}}}
-		second := first // the same marks and endpoint again, which are not repeated on the wire
+		second := first // the same marks and endpoint, which the packed update omits
 		second.Sequence, second.Evidence = 2, nil
 		for _, u := range []message.Update{first, second} {
 			var acked atomic.Bool
 			p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked.Store(r.Acked) })
 			advance(time.Second)
 			if !acked.Load() {
-				t.Errorf("update %d: not accepted", u.Sequence)
+				t.Errorf("update %d was not acked", u.Sequence)
 			}
 		}
 		if diff := cmp.Diff([]message.Update{first, second}, n.received()); diff != "" {
@@ -51,10 +51,10 @@
 		reason string
 	}{
 		{"same release", helloOf("a", 1), helloOf("b", 2), nil, true, ""},
-		{"newer caller that speaks the old version", message.Hello{Name: "a", Version: 9, MinVersion: 1}, helloOf("b", 2), nil, true, ""},
-		{"newer caller that does not", message.Hello{Name: "a", Version: 9, MinVersion: 8}, helloOf("b", 2), nil, false, "upgrade this entry"},
-		{"older caller", message.Hello{Name: "a"}, helloOf("b", 2), nil, false, "upgrade entry a"},
-		{"newer answerer", helloOf("a", 1), message.Hello{Name: "b", Version: 9, MinVersion: 8}, nil, false, "upgrade this entry"},
+		{"newer client that supports the old version", message.Hello{Name: "a", Version: 9, MinVersion: 1}, helloOf("b", 2), nil, true, ""},
+		{"newer client without the old version", message.Hello{Name: "a", Version: 9, MinVersion: 8}, helloOf("b", 2), nil, false, "upgrade this entry"},
+		{"older client", message.Hello{Name: "a"}, helloOf("b", 2), nil, false, "upgrade entry a"},
+		{"newer server", helloOf("a", 1), message.Hello{Name: "b", Version: 9, MinVersion: 8}, nil, false, "upgrade this entry"},
 		{"refused by the handler", helloOf("a", 1), helloOf("b", 2),
 			fault.New(fault.BadMessage, "publish it in the list of VMs", "entry a is not known"), false, "publish it in the list of VMs"},
 	}
@@ -66,7 +66,7 @@
 					t.Errorf("stats %+v, hellos %v", stats, p.hellos)
 				}
 				if !strings.Contains(stats.LastError, c.reason) {
-					t.Errorf("error %q lacks %q", stats.LastError, c.reason)
+					t.Errorf("error %q does not contain %q", stats.LastError, c.reason)
 				}
 			})
 		})
@@ -108,30 +108,30 @@
 	}
 }
 
-// A user would see an entry that goes on choosing by figures of a peer that it
-// no longer hears. The open connection goes silent: a device between the two
-// forgot it, so nothing is refused and nothing arrives. A new connection works.
+// Guards against an entry that keeps using load reports of a peer that it can no longer reach. A
+// network device has lost the state of the open connection, so nothing is refused and nothing
+// arrives, while a new connection works.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	cfg := Config{Heartbeat: time.Second, CallTimeout: 3 * time.Second}
 	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.silenceAll()
-		// Noticed by the ping's time-out; opened again after the back-off.
+		// The ping times out, and the link opens again after the back-off.
 		advance(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
 		stats := p.links.Stats()[0]
 		if stats.State != LinkOpen || stats.Opened != 2 {
-			t.Fatalf("after the silence: %+v", stats)
+			t.Fatalf("stats after the connection went silent: %+v", stats)
 		}
 		if acked := p.deliver(message.Update{Sequence: 7}); !acked || n.received()[0].Sequence != 7 {
 			t.Errorf("acked %v, received %v", acked, n.received())
 		}
 		if open := p.server.Stats().Connections; open != 1 {
-			t.Errorf("the server holds %d connections", open)
+			t.Errorf("the server has %d connections, want 1", open)
 		}
 	})
 }
 
-// deliver returns whether the update was acked, or that nobody said so.
+// deliver returns whether the update was acked; false if done was not called in time.
 func (p *pair) deliver(u message.Update) bool {
 	acked := make(chan bool, 1)
 	p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked <- r.Acked })
@@ -144,8 +144,9 @@
 	}
 }
 
-// A sender counts what it told as known to the peer. If it were told so too
-// early, a leaving VM would never be told again and go on getting work.
+// A sender regards evidence in an acked update as known to the peer. Guards against acks that are
+// reported too early: the evidence that a VM is leaving would never be sent again, and the VM
+// would keep getting requests.
 func TestDeliverReportsWhetherPeerAccepted(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -178,14 +179,14 @@
 	}
 }
 
-// An update waits while the link is dialled. A newer one takes its place, and
-// its sender learns that; the newer one arrives with its true age.
+// An update waits while the link is dialling. If a newer update replaces it, its sender is
+// notified, and the newer one arrives with ages that include the waiting time.
 func TestUpdateWaitsWhileLinkDials(t *testing.T) {
 	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{BackoffMax: defaultBackoffMin}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.setDialDelay(2 * time.Second)
 		p.net.silenceAll()
-		advance(5 * time.Second) // found by the ping; the next dial has begun
+		advance(5 * time.Second) // the ping has timed out and the next dial has begun
 		var first, second []bool
 		p.links.Deliver(peerAddress, message.Update{Sequence: 1}, func(r message.Receipt) { first = append(first, r.Acked) })
 		p.links.Deliver(peerAddress, message.Update{Sequence: 2,
@@ -203,7 +204,7 @@
 	})
 }
 
-// A peer is away for a minute: dials are spaced by a growing, bounded back-off.
+// A peer is down for a minute. The delays between dials must grow and stay bounded.
 func TestBackoff(t *testing.T) {
 	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.setDown(true)
@@ -214,7 +215,7 @@
 		}
 		last := p.net.dials[len(p.net.dials)-1].Sub(p.net.dials[len(p.net.dials)-2])
 		if last > defaultBackoffMax || last < defaultBackoffMax/2 {
-			t.Errorf("the last dials are %s apart", last)
+			t.Errorf("the delay between the last dials is %s", last)
 		}
 		p.net.setDown(false)
 		advance(defaultBackoffMax)
@@ -224,10 +225,9 @@
 	})
 }
 
-// All entries lose power together, and the one that the others look for is back a little
-// later than they are. Dials to it are lost until then. They are repeated soon, not left
-// to the kernel, which repeats a packet after a whole second; a peer that stays away is
-// dialled rarely in the end.
+// All entries lose power together, and one of them starts a little later than the others. SYNs to
+// it are lost until then. Guards against dials that wait for the kernel to retransmit a SYN after
+// a whole second, and against frequent dials to a peer that stays down.
 func TestQuickDialsAfterPowerLoss(t *testing.T) {
 	cfg := Config{BackoffMin: 100 * time.Millisecond}
 	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
@@ -238,7 +238,7 @@
 		p.net.setUnpowered(false)
 		advance(repeatDialInterval)
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen {
-			t.Errorf("%v after the peer was back: %+v", repeatDialInterval, stats)
+			t.Errorf("%v after the peer started: %+v", repeatDialInterval, stats)
 		}
 		dialsBefore := len(p.net.dials)
 		p.net.setUnpowered(true)
@@ -258,10 +258,10 @@
 		if open := p.server.Stats().Connections; open != 0 || len(p.links.Stats()) != 0 {
 			t.Errorf("%d connections, %d links", open, len(p.links.Stats()))
 		}
-		var receipts []bool // before Deliver returns
+		var receipts []bool // complete when Deliver returns
 		p.links.Deliver(peerAddress, message.Update{}, func(r message.Receipt) { receipts = append(receipts, r.Acked) })
 		if len(receipts) != 1 || receipts[0] {
-			t.Errorf("an update for an address that is not wanted: told %v", receipts)
+			t.Errorf("receipts of an update for an unwanted address: %v", receipts)
 		}
 	})
 }
@@ -278,11 +278,11 @@
 		defer cancel()
 		_, err := p.links.Fetch(ctx, peerAddress, message.Fetch{})
 		if !errors.Is(err, context.DeadlineExceeded) || p.links.Stats()[0].State != LinkOpen {
-			t.Errorf("short context: %v, %+v", err, p.links.Stats()[0])
+			t.Errorf("call with a short context: %v, %+v", err, p.links.Stats()[0])
 		}
 		_, err = p.links.Fetch(context.Background(), peerAddress, message.Fetch{})
 		if fault.KindOf(err) != fault.PeerDown {
-			t.Errorf("no answer: %v", err)
+			t.Errorf("call without an answer: %v", err)
 		}
 		close(release)
 	})
--- a/internal/peer/receiver.go
+++ b/internal/peer/receiver.go
@@ -6,11 +6,11 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// receiver holds the methods that net/rpc calls for one connection. Refusals
-// travel in the replies, because net/rpc's own errors are bare texts.
+// receiver has the methods that net/rpc calls for one connection. Refusals are part of the
+// replies, because errors of net/rpc itself are plain strings.
 type receiver struct{ session *session }
 
-// Hello opens the connection.
+// Hello processes the first call on the connection.
 func (r *receiver) Hello(args *wire.Hello, reply *wire.HelloReply) error {
 	answer, err := r.hello(message.Hello(*args))
 	reply.Hello, reply.Refusal = wire.Hello(answer), wire.Refuse(err)
@@ -32,8 +32,8 @@
 	return answer, nil
 }
 
-// checkVersion refuses a peer that has no protocol version in common with this
-// program. Two releases run side by side while their ranges overlap.
+// checkVersion refuses a peer that has no protocol version in common with this program. Two
+// releases can run side by side while their version ranges overlap.
 func checkVersion(peer message.Hello) error {
 	if peer.Version >= message.MinVersion && peer.MinVersion <= message.Version {
 		return nil
@@ -47,7 +47,7 @@
 		peer.Name, peer.MinVersion, peer.Version, message.MinVersion, message.Version)
 }
 
-// requireHello returns the peer, or an error before its Hello.
+// requireHello returns the peer, or an error if its Hello was not accepted yet.
 func (r *receiver) requireHello() (*message.Hello, error) {
 	peer := r.session.peer.Load()
 	if peer == nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Update takes a regular message.
+// Update processes a regular message.
 func (r *receiver) Update(args *wire.Update, reply *wire.AckReply) error {
 	ack, err := r.update(args)
 	reply.Ack, reply.Refusal = ack, wire.Refuse(err)
@@ -79,7 +79,7 @@
 	}
 	update, err := r.unpack(peer.Incarnation, args)
 	if err != nil {
-		// What both ends remember of the connection differs.
+		// The state of the two ends differs, so later updates could be unpacked wrongly.
 		r.session.codec.Close()
 		return message.Ack{}, err
 	}
@@ -114,7 +114,7 @@
 	return document, nil
 }
 
-// Handover takes a part of a sealed idempotency table.
+// Handover receives a part of a sealed idempotency table.
 func (r *receiver) Handover(args *message.Handover, reply *wire.AckReply) error {
 	var ack message.Ack
 	_, err := r.requireHello()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,12 +15,12 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// Server answers peers. It is safe for concurrent use.
+// Server answers calls of peers. It is safe for concurrent use.
 type Server struct {
 	cfg      Config
 	handler  Handler
 	meter    meter
-	rejected atomic.Uint64 // connections turned away
+	rejected atomic.Uint64 // connections above the bound
 
 	mu        sync.Mutex
 	closed    bool
@@ -29,17 +29,17 @@
 	running   sync.WaitGroup
 }
 
-// ServerStats counts what a server did since its start.
+// ServerStats describes a server since its start.
 type ServerStats struct {
 	// Connections is the number of open connections.
 	Connections int
-	// Rejected counts connections over the bound.
+	// Rejected counts connections that were closed because of the bound on connections.
 	Rejected uint64
 	// BytesIn and BytesOut count the bytes of the TCP streams.
 	BytesIn, BytesOut uint64
 }
 
-// NewServer returns a server that passes what peers say to h.
+// NewServer returns a server that passes calls of peers to h.
 func NewServer(cfg Config, h Handler) *Server {
 	return &Server{
 		cfg:       cfg.withDefaults(),
@@ -49,7 +49,7 @@
 	}
 }
 
-// Serve accepts connections from l until Close, and then returns nil.
+// Serve accepts connections from l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.addListener(l) {
 		return l.Close()
@@ -74,8 +74,8 @@
 	}
 }
 
-// acceptRetryDelay is the wait after an error of Accept that may pass, such as too
-// many open files, so that the loop doesn't spin.
+// acceptRetryDelay is the delay after a temporary error of Accept, such as too many open files, so
+// that the loop does not spin.
 const acceptRetryDelay = 50 * time.Millisecond
 
 func isTemporary(err error) bool {
@@ -110,7 +110,7 @@
 	s.running.Wait()
 }
 
-// Stats returns what the server counted so far.
+// Stats returns the counters of the server.
 func (s *Server) Stats() ServerStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +122,8 @@
 	}
 }
 
-// start serves a connection on its own goroutine, or closes it when there are
-// too many.
+// start serves a connection on its own goroutine, or closes the connection if there are too many
+// or the server is closed.
 func (s *Server) start(conn net.Conn) {
 	configureTCP(conn, s.cfg.unackedTimeout())
 	conn = meteredConn{Conn: conn, meter: &s.meter}
@@ -163,9 +163,9 @@
 	delete(s.sessions, sess)
 }
 
-// closeOlder closes older connections of the peer that opened this one. A peer
-// that dials again has given the older ones up, but a path that lost them may
-// never tell this end, where they would fill the table until their silence ends.
+// closeOlder records the peer of the newest session and closes older connections of the same peer.
+// A peer that dials again has abandoned the older ones. This end may never learn that if the
+// network lost them, and they would take up the bound on connections until their idle timeout.
 func (s *Server) closeOlder(newest *session, peer message.Hello) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +178,7 @@
 	}
 }
 
-// session is one accepted connection and the receiver of its calls.
+// session is one accepted connection with the state that its receiver uses.
 type session struct {
 	server *Server
 	conn   net.Conn
@@ -199,8 +199,8 @@
 // HelloAccepted implements wire.Remote.
 func (c *session) HelloAccepted() bool { return c.peer.Load() != nil }
 
-// IdleTimeout implements wire.Remote: a stranger has to say Hello soon, whatever
-// else it sends, and a peer has to send heartbeats.
+// IdleTimeout implements wire.Remote. A connection without an accepted Hello has a fixed time to
+// send one, regardless of other traffic; afterwards the peer has to send pings or updates.
 func (c *session) IdleTimeout() time.Duration {
 	if !c.HelloAccepted() {
 		return c.server.cfg.DialTimeout - time.Since(c.opened)
@@ -208,8 +208,8 @@
 	return serverIdleTimeout
 }
 
-// serve answers calls until the connection ends. Each connection has a net/rpc
-// server of its own, so that its receiver knows whose calls it gets.
+// serve answers calls until the connection ends. Each connection has its own net/rpc server, so
+// that its receiver knows which peer calls it.
 func (c *session) serve() {
 	server := rpc.NewServer()
 	if err := server.RegisterName(wire.ServiceName, &receiver{c}); err != nil {
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// dialTCP returns the default dialer for connections that count as dead after
-// the given silence.
+// dialTCP returns the default dialer. The kernel closes its connections when sent bytes stay
+// unacknowledged for the timeout.
 func dialTCP(timeout time.Duration) func(context.Context, string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive(timeout)}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -22,12 +22,12 @@
 }
 
 const (
-	// keepAliveProbes is how many unanswered probes end an idle connection.
+	// keepAliveProbes is the number of unanswered probes that ends an idle connection.
 	keepAliveProbes = 3
-	// keepAliveIdle is the silence before the first probe. Pings and the
-	// server's limit of silence find a dead connection long before; the kernel's
-	// probes only end what both have missed. Probes after each second of silence
-	// were two thirds of all packets between 60 entries.
+	// keepAliveIdle is the silence before the first probe. Pings and the server's idle timeout
+	// detect a dead connection much earlier, so the kernel's probes are only a fallback. With a
+	// probe after each second of silence, probes were two thirds of all packets between 60
+	// entries.
 	keepAliveIdle = time.Minute
 )
 
@@ -36,15 +36,15 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: interval, Count: keepAliveProbes}
 }
 
-// configureTCP makes the kernel end a TCP connection on which sent bytes stay
-// unacknowledged. It backs the heartbeats up: a path that lost track of the
-// connection otherwise shows as retransmissions for many minutes.
+// configureTCP makes the kernel close a TCP connection on which sent bytes stay unacknowledged. It
+// backs up the heartbeats: when a network device has lost the connection's state, TCP would
+// otherwise retransmit for many minutes.
 func configureTCP(conn net.Conn, timeout time.Duration) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	// A failure leaves the heartbeats in charge, which need no help.
+	// Errors are ignored because the heartbeats detect a dead connection without the kernel.
 	_ = tcp.SetKeepAliveConfig(keepAlive(timeout))
 	setUserTimeout(tcp, timeout)
 }
@@ -54,7 +54,7 @@
 	in, out atomic.Uint64
 }
 
-// meteredConn adds what passes through a connection to a meter.
+// meteredConn adds the bytes that pass through a connection to a meter.
 type meteredConn struct {
 	net.Conn
 	meter *meter
--- a/internal/peer/tcp_linux.go
+++ b/internal/peer/tcp_linux.go
@@ -7,6 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// setUserTimeout limits how long sent bytes may stay unacknowledged before the kernel closes conn.
 func setUserTimeout(conn *net.TCPConn, timeout time.Duration) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/peer/wire/codec.go
+++ b/internal/peer/wire/codec.go
@@ -12,19 +12,19 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// maxHeaderBytes bounds a header with its type definition.
+// maxHeaderBytes bounds a header, and each type definition that precedes it.
 const maxHeaderBytes = 1 << 10
 
 // Limits bounds what one connection may carry.
 type Limits struct {
-	// Hello, Regular, Handover and Document bound the bytes of one Hello or
-	// Ping, of one Update or Fetch, of one Handover, and of a reply.
+	// Hello bounds the bytes of a Hello or Ping, Regular those of an Update or Fetch, Handover
+	// those of a Handover, and Document those of a reply.
 	Hello, Regular, Handover, Document int
 	// Write bounds the time to write one message.
 	Write time.Duration
 	// Read bounds the time to read the rest of a message that has begun.
 	Read time.Duration
-	// InFlight bounds the requests of one connection that a server works on.
+	// InFlight bounds the requests of one connection that a server processes concurrently.
 	InFlight int
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// stream is what both codecs share: one gob stream in each direction.
+// stream is the common part of both codecs: one gob stream in each direction.
 type stream struct {
 	conn   net.Conn
 	limits Limits
@@ -61,9 +61,9 @@
 	s.enc = gob.NewEncoder(&s.out)
 }
 
-// write sends header and body in one segment, so that a small message costs
-// one packet. After an error the gob streams of the two ends may disagree
-// about the types that were defined: the connection is closed.
+// write sends a header and a body in one call, so that a small message takes one packet. It closes
+// the connection after an error, because the gob streams of the two ends may then disagree about
+// the types that were defined.
 func (s *stream) write(header, body any, limit int) error {
 	s.out.Reset()
 	err := s.encode(header)
@@ -83,9 +83,9 @@
 	return err
 }
 
-// encode appends a value to the buffer. Gob describes a struct with all that it holds
-// before the first one, also where the struct codes itself; given its bytes, it describes
-// nothing.
+// encode appends a value to the buffer. Gob sends the description of a struct and of all its
+// fields before the first value, even if the struct implements BinaryMarshaler. encode therefore
+// gives gob the encoded bytes of such a value, which need no description.
 func (s *stream) encode(value any) error {
 	marshaler, ok := value.(encoding.BinaryMarshaler)
 	if !ok {
@@ -98,8 +98,8 @@
 	return s.enc.Encode(data)
 }
 
-// flush writes the buffer. The deadline guards against a connection that died
-// silently with a full send buffer, on which a write would block for good.
+// flush writes the buffer. The deadline guards against a connection that died silently with a full
+// send buffer, on which a write would block forever.
 func (s *stream) flush() error {
 	if err := s.conn.SetWriteDeadline(time.Now().Add(s.limits.Write)); err != nil {
 		return err
@@ -114,7 +114,7 @@
 // maxKeptBufferBytes is the largest buffer that a connection keeps between messages.
 const maxKeptBufferBytes = 64 << 10
 
-// read decodes one value, with its type definitions, of at most limit bytes each.
+// read decodes one value. The limit applies to the value and to each of its type definitions.
 func (s *stream) read(value any, limit int) error {
 	s.frames.SetLimit(limit)
 	unmarshaler, ok := value.(encoding.BinaryUnmarshaler)
@@ -134,7 +134,7 @@
 	return s.closeErr
 }
 
-// ClientCodec is the calling end of a connection.
+// ClientCodec is the client end of a connection.
 type ClientCodec struct{ stream }
 
 var _ rpc.ClientCodec = (*ClientCodec)(nil)
@@ -152,8 +152,8 @@
 	return c.write(RequestHeader{Method: method, Seq: r.Seq}, body, c.limits.requestBytes(method))
 }
 
-// ReadResponseHeader implements rpc.ClientCodec. It waits without a deadline:
-// each call has its own time-out, and the link closes the connection after it.
+// ReadResponseHeader implements rpc.ClientCodec. It waits without a deadline, because each call
+// has its own timeout, after which the link closes the connection.
 func (c *ClientCodec) ReadResponseHeader(r *rpc.Response) error {
 	var header ResponseHeader
 	if err := c.read(&header, maxHeaderBytes); err != nil {
@@ -168,16 +168,16 @@
 	return c.read(body, c.limits.Document)
 }
 
-// Remote is what a ServerCodec has to know of the other end.
+// Remote tells a ServerCodec about the other end of the connection.
 type Remote interface {
-	// HelloAccepted reports whether the other end's Hello was accepted. Before that it
-	// may send nothing larger than a Hello.
+	// HelloAccepted reports whether the Hello of the other end was accepted. Before that, the
+	// codec accepts no request that is larger than a Hello.
 	HelloAccepted() bool
-	// IdleTimeout returns how long the next request may take to come.
+	// IdleTimeout returns how long the codec waits for the next request.
 	IdleTimeout() time.Duration
 }
 
-// ServerCodec is the answering end of a connection.
+// ServerCodec is the server end of a connection.
 type ServerCodec struct {
 	stream
 	remote Remote
@@ -194,10 +194,10 @@
 	return c
 }
 
-// ReadRequestHeader implements rpc.ServerCodec. It waits while the server works
-// on as many requests of this connection as are allowed: net/rpc starts a
-// goroutine for each, and a peer that sends without waiting would otherwise
-// show as memory that grows without bound.
+// ReadRequestHeader implements rpc.ServerCodec. It blocks while the server processes the allowed
+// number of requests of this connection. Net/rpc starts a goroutine for each request, so the
+// memory of the server would otherwise grow without bound if a peer sent requests without waiting
+// for the answers.
 func (c *ServerCodec) ReadRequestHeader(r *rpc.Request) error {
 	if c.method == MethodHello {
 		c.awaitAnswers()
@@ -210,9 +210,9 @@
 	return nil
 }
 
-// awaitAnswers waits until no request is in work. After a Hello it keeps the
-// codec from setting the short time-out of strangers for a peer whose Hello is
-// still being looked at, which would show as links that end after seconds.
+// awaitAnswers waits until no request is in progress. After a Hello, this keeps the codec from
+// applying the short timeout of unknown peers to a peer whose Hello is still being processed; such
+// links would end after a few seconds.
 func (c *ServerCodec) awaitAnswers() {
 	for range cap(c.slots) {
 		c.slots <- struct{}{}
@@ -246,14 +246,14 @@
 	}
 	err := c.read(body, limit)
 	if err != nil {
-		// The stream can't be followed past a message that was not decoded.
+		// The gob stream cannot be decoded past a message that failed to decode.
 		c.Close()
 	}
 	return err
 }
 
-// WriteResponse implements rpc.ServerCodec. Net/rpc calls it once for each
-// request header that was read, and never concurrently.
+// WriteResponse implements rpc.ServerCodec. Net/rpc calls it once for each request header that was
+// read, and never concurrently.
 func (c *ServerCodec) WriteResponse(r *rpc.Response, body any) error {
 	defer func() { <-c.slots }()
 	return c.write(ResponseHeader{Seq: r.Seq, Fault: truncate(r.Error)}, body, c.limits.Document)
--- a/internal/peer/wire/forms.go
+++ b/internal/peer/wire/forms.go
@@ -6,16 +6,16 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// A gob stream describes each type before its first value. On the links of a fleet, most of
-// which carry few messages, the descriptions were more than half of all bytes: 2.8 KB a link
-// before its first update. The types below that every link carries are coded as CBOR maps
-// with numbers for keys, and gob carries the bytes, which need no description. A release
-// may add numbers; it must not change the meaning or type of one.
+// A gob stream describes each type before its first value. On the links of a fleet, most of which
+// carry few messages, the descriptions were more than half of all bytes: 2.8 KB per link before its
+// first update. The types below are carried by every link. They are encoded as CBOR maps with
+// integer keys, and gob carries the resulting bytes, which need no description. A release may add
+// keys; it must not change the meaning or type of an existing one.
 
-// Hello is the form of a message.Hello on a connection.
+// Hello is a message.Hello that encodes itself for a connection.
 type Hello message.Hello
 
-// helloForm is what MarshalBinary makes of a Hello.
+// helloForm is the CBOR form of a Hello.
 type helloForm struct {
 	Version       uint16            `cbor:"1,keyasint"`
 	MinVersion    uint16            `cbor:"2,keyasint"`
@@ -26,7 +26,7 @@
 	CallerAddress string            `cbor:"7,keyasint,omitempty"`
 	PeerAddress   string            `cbor:"8,keyasint,omitempty"`
 	Records       message.RecordSet `cbor:"9,keyasint"`
-	// Status is nil if the sender tells nothing of itself.
+	// Status is nil if the sender reports no status of its own.
 	Status   *Update `cbor:"12,keyasint,omitempty"`
 	Capacity uint32  `cbor:"13,keyasint,omitempty"`
 }
@@ -61,10 +61,10 @@
 	return err
 }
 
-// MarshalRecords is the form of records in a document.
+// MarshalRecords encodes the records of a document.
 func MarshalRecords(records []message.Record) ([]byte, error) { return cbor.Marshal(records) }
 
-// UnmarshalRecords reads what MarshalRecords made.
+// UnmarshalRecords decodes the output of MarshalRecords.
 func UnmarshalRecords(data []byte) (records []message.Record, err error) {
 	err = cbor.Unmarshal(data, &records)
 	return records, err
--- a/internal/peer/wire/frame.go
+++ b/internal/peer/wire/frame.go
@@ -7,38 +7,37 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// maxTypeDefinitions bounds the gob type definitions on one connection. The
-// protocol needs about twenty; the decoder would keep any number of them.
+// maxTypeDefinitions bounds the gob type definitions on one connection. The protocol needs about
+// twenty; the decoder would store any number of them.
 const maxTypeDefinitions = 64
 
-// FrameReader passes a gob stream on and ends it at the first message that is
-// longer than the limit, before the decoder allocates memory for it. Without
-// it, a peer that sends a hostile or garbled length shows as a process that
-// grows until it is killed. It does not read ahead of the decoder past the
-// message, so that the limit may change between messages.
+// FrameReader passes on a gob stream and ends it at the first message that is longer than the
+// limit, before the decoder allocates memory for the message. Otherwise a hostile or corrupt
+// length could make the process grow until it is killed. FrameReader does not read past the
+// current message on behalf of the decoder, so that the limit may change between messages.
 //
 // A FrameReader is not safe for concurrent use.
 type FrameReader struct {
 	in          *bufio.Reader
 	limit       int
-	remaining   int // bytes left of the current message, its length included
+	remaining   int // unread bytes of the current message, its length prefix included
 	definitions int
 	err         error
 }
 
-// frameBufferBytes is the size of the buffer of each peer connection, of which an entry holds
-// two to each other one. Most messages are shorter.
+// frameBufferBytes is the size of the read buffer of each peer connection. An entry has two
+// connections to each other entry. Most messages are shorter.
 const frameBufferBytes = 1 << 10
 
-// NewFrameReader returns a reader of r that lets messages up to limit bytes pass.
+// NewFrameReader returns a reader of r that passes on messages of up to limit bytes.
 func NewFrameReader(r io.Reader, limit int) *FrameReader {
 	return &FrameReader{in: bufio.NewReaderSize(r, frameBufferBytes), limit: limit}
 }
 
-// SetLimit changes the limit for the messages that were not started yet.
+// SetLimit changes the limit for messages that the decoder has not begun to read.
 func (f *FrameReader) SetLimit(limit int) { f.limit = limit }
 
-// Read reads at most to the end of the current message.
+// Read reads at most up to the end of the current message.
 func (f *FrameReader) Read(p []byte) (int, error) {
 	if err := f.beginMessage(); err != nil {
 		return 0, err
@@ -51,8 +50,8 @@
 	return n, f.keepError(err)
 }
 
-// ReadByte reads one byte. Its presence keeps the gob decoder from putting a
-// buffer of its own, which would read ahead, before this reader.
+// ReadByte reads one byte. Because this method exists, the gob decoder does not wrap the reader in
+// a buffer of its own, which would read ahead.
 func (f *FrameReader) ReadByte() (byte, error) {
 	var one [1]byte
 	_, err := io.ReadFull(f, one[:])
@@ -66,7 +65,7 @@
 	return err
 }
 
-// beginMessage checks the next message when the one before is used up.
+// beginMessage checks the next message when the current one is read completely.
 func (f *FrameReader) beginMessage() error {
 	if f.err != nil || f.remaining > 0 {
 		return f.err
@@ -95,8 +94,8 @@
 	return nil
 }
 
-// peekUint decodes the gob unsigned integer at an offset without consuming it:
-// one byte below 128, or the negated count of the big-endian bytes that follow.
+// peekUint decodes the gob unsigned integer at an offset without consuming it: a value below 128
+// is one byte; otherwise the first byte is the negated count of the big-endian bytes that follow.
 func (f *FrameReader) peekUint(offset int) (value uint64, size int, err error) {
 	b, err := f.in.Peek(offset + 1)
 	if err != nil {
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -8,15 +8,14 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// maxEndpoints bounds the endpoints that one connection has numbered. A full table
-// is started anew, so that replaced endpoints don't fill it for good.
+// maxEndpoints bounds the endpoint table of one connection. A full table is restarted, because it
+// would otherwise fill up with endpoints that were replaced.
 const maxEndpoints = 4096
 
-// Update is a message.Update packed against what the connection carried
-// before: a Mark that did not change is left out, and an endpoint is named
-// once, then referred to by its number. A connection delivers updates in order
-// or ends, and both ends start anew with each connection, so the two tables
-// can't differ.
+// Update is a message.Update packed relative to the earlier updates on the connection. An
+// unchanged Mark is omitted, and an endpoint is identified in full once and by its number
+// afterwards. The tables at both ends always agree, because a connection delivers updates in order
+// or ends, and both ends start with empty tables on a new connection.
 type Update struct {
 	Sequence uint64             `cbor:"1,keyasint,omitempty"`
 	State    message.EntryState `cbor:"2,keyasint,omitempty"`
@@ -26,19 +25,19 @@
 	VMs      message.Mark `cbor:"5,keyasint,omitzero"`
 	Reader   bool         `cbor:"6,keyasint,omitempty"`
 	Rate     uint32       `cbor:"7,keyasint,omitempty"`
-	// EvidenceDigest is the exclusive or with its last value: 0 when unchanged.
+	// EvidenceDigest is the exclusive or of the digest and its previous value; 0 means unchanged.
 	EvidenceDigest uint64             `cbor:"8,keyasint,omitempty"`
 	Evidence       []message.Evidence `cbor:"9,keyasint,omitempty"`
-	// Restart tells the receiver to forget all names before it adds Names.
+	// Restart tells the receiver to clear its endpoint table before it adds Endpoints.
 	Restart bool `cbor:"10,keyasint,omitempty"`
-	// Endpoints are numbered in order of their appearance on the connection.
+	// Endpoints are the new rows of the endpoint table, numbered in order of appearance.
 	Endpoints []EndpointID `cbor:"11,keyasint,omitempty"`
-	// LoadReports holds four unsigned varints for each load report: the endpoint's
-	// number, InFlight, Own and AgeMillis.
+	// LoadReports has four unsigned varints for each load report: the endpoint's number, InFlight,
+	// Own and AgeMillis.
 	LoadReports []byte           `cbor:"12,keyasint,omitempty"`
 	Version     uint32           `cbor:"13,keyasint,omitempty"`
 	Records     []message.Record `cbor:"14,keyasint,omitempty"`
-	// RecordDigest is packed as EvidenceDigest is.
+	// RecordDigest is packed in the same way as EvidenceDigest.
 	RecordDigest uint64 `cbor:"15,keyasint,omitempty"`
 }
 
@@ -56,8 +55,7 @@
 	numbers                      map[EndpointID]uint64
 }
 
-// Pack returns the packed form. The update's From is left out; the receiver
-// knows it from the Hello.
+// Pack returns the packed form of u. It omits From, which the receiver knows from the Hello.
 func (p *Packer) Pack(u message.Update) *Update {
 	packed := &Update{
 		Sequence:       u.Sequence,
@@ -84,6 +82,7 @@
 	return packed
 }
 
+// packMark returns the zero Mark if now equals the last one, and otherwise stores and returns now.
 func packMark(last *message.Mark, now message.Mark) message.Mark {
 	if *last == now {
 		return message.Mark{}
@@ -106,16 +105,15 @@
 	packed.LoadReports = binary.AppendUvarint(b, uint64(report.AgeMillis))
 }
 
-// Unpacker restores the updates that come in on one connection. It is not safe
-// for concurrent use.
+// Unpacker restores the updates that arrive on one connection. It is not safe for concurrent use.
 type Unpacker struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
 	endpoints                    []EndpointID
 }
 
-// Unpack restores an update of the given sender. An error means that the two
-// ends disagree about the connection, which must then be closed.
+// Unpack restores an update of the given sender. An error means that the tables of the two ends
+// differ; the caller must then close the connection.
 func (p *Unpacker) Unpack(from uint64, packed *Update) (message.Update, error) {
 	if packed.Restart {
 		p.endpoints = nil
@@ -148,6 +146,7 @@
 	}, nil
 }
 
+// unpackMark returns the Mark that packMark packed.
 func unpackMark(last *message.Mark, now message.Mark) message.Mark {
 	if now != (message.Mark{}) {
 		*last = now
--- a/internal/peer/wire/wire.go
+++ b/internal/peer/wire/wire.go
@@ -1,12 +1,10 @@
-// Package wire holds the form of the messages between entries on a connection:
-// gob messages under net/rpc, with a short header of its own, replies that
-// carry typed errors, and regular updates packed against what the connection
-// already carried.
+// Package wire encodes the messages between entries: gob messages under net/rpc with a compact
+// header, replies that carry typed errors, and regular updates packed relative to what the
+// connection already carried.
 //
-// Compatibility: gob, and CBOR for the forms that every link carries, ignore fields
-// that the receiver does not know and leave absent ones zero. So a release may add
-// fields and methods within a protocol version; it must not change the meaning or
-// type of a field.
+// Compatibility: gob, and CBOR for the types that every link carries, ignore fields that the
+// receiver does not know and leave absent ones zero. A release may therefore add fields and
+// methods within a protocol version. It must not change the meaning or type of a field.
 package wire
 
 import (
@@ -16,11 +14,11 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Method numbers a method on the wire, where its name would cost more bytes
-// than many messages.
+// Method identifies a method by a number, because its name would take more bytes than many
+// messages.
 type Method uint8
 
-// The methods. Numbers are never used again for something else.
+// The methods. The number of a removed method is never reused.
 const (
 	MethodHello Method = iota + 1
 	MethodPing
@@ -29,7 +27,7 @@
 	MethodHandover
 )
 
-// ServiceName is the name of the receiver at the net/rpc server.
+// ServiceName is the name under which the receiver is registered with net/rpc.
 const ServiceName = "Peer"
 
 var methodNames = map[Method]string{
@@ -40,8 +38,8 @@
 	MethodHandover: ServiceName + ".Handover",
 }
 
-// String returns the name under which net/rpc knows the method. A number of a
-// later release gives a name that the server answers as unknown.
+// String returns the name under which net/rpc knows the method. For a number of a later release it
+// returns a name that the server refuses as unknown.
 func (m Method) String() string {
 	if name, ok := methodNames[m]; ok {
 		return name
@@ -49,7 +47,7 @@
 	return ServiceName + ".Unknown"
 }
 
-// MethodOf returns the number of a method's name, or 0.
+// MethodOf returns the number of the method with a name, or 0.
 func MethodOf(name string) Method {
 	for m, n := range methodNames {
 		if n == name {
@@ -65,8 +63,8 @@
 	Seq    uint64 `cbor:"2,keyasint"`
 }
 
-// ResponseHeader precedes each response. Fault is set when net/rpc itself
-// refused the request; the receivers' own refusals are in the replies.
+// ResponseHeader precedes each response. Fault is set when net/rpc itself refused the request;
+// refusals by the receiver's methods are part of the replies.
 type ResponseHeader struct {
 	Seq   uint64 `cbor:"1,keyasint"`
 	Fault string `cbor:"2,keyasint,omitempty"`
@@ -99,14 +97,14 @@
 // maxRefusalBytes bounds each text of a refusal.
 const maxRefusalBytes = 512
 
-// Refusal is a typed error on the wire.
+// Refusal is the encoded form of a typed error.
 type Refusal struct {
 	Kind    string `cbor:"1,keyasint"`
 	Remedy  string `cbor:"2,keyasint,omitempty"`
 	Message string `cbor:"3,keyasint,omitempty"`
 }
 
-// Refuse returns the wire form of err, or nil for nil.
+// Refuse returns the encoded form of err, or nil if err is nil.
 func Refuse(err error) *Refusal {
 	if err == nil {
 		return nil
@@ -119,12 +117,12 @@
 	}
 }
 
-// Err returns the typed error that a refusal stands for, or nil for nil.
+// Err returns the typed error that a refusal represents, or nil if r is nil.
 func (r *Refusal) Err() error {
 	if r == nil {
 		return nil
 	}
-	// The remedy becomes part of a format.
+	// fault.New uses the remedy as a part of a format string.
 	remedy := strings.ReplaceAll(truncate(r.Remedy), "%", " percent")
 	return fault.New(fault.Kind(truncate(r.Kind)), remedy, "%s", truncate(r.Message))
 }
--- a/internal/peer/wire/wire_test.go
+++ b/internal/peer/wire/wire_test.go
@@ -16,11 +16,10 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// A stranger, or a peer with a fault, sends a length that would make the
-// decoder allocate gigabytes. The entry must end the connection instead, and
-// must not even wait for the bytes.
+// Guards against a length, from a stranger or a faulty peer, that would make the decoder allocate
+// gigabytes. The reader ends the connection without waiting for the announced bytes.
 func TestFrameReaderRefuses(t *testing.T) {
-	endless := bytes.Repeat([]byte{3, 0xff, 0x83, 0}, 1000) // type definitions without end
+	endless := bytes.Repeat([]byte{3, 0xff, 0x83, 0}, 1000) // an endless series of type definitions
 	cases := []struct {
 		name  string
 		bytes []byte
@@ -39,7 +38,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := io.ReadAll(NewFrameReader(bytes.NewReader(c.bytes), 64))
 			if err == nil {
-				err = io.ErrUnexpectedEOF // a cut message ends the stream
+				err = io.ErrUnexpectedEOF // a truncated message ends the stream
 			}
 			if !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v lacks %q", err, c.want)
@@ -66,7 +65,7 @@
 	}
 }
 
-// oneByteReader returns one byte at a time, as a slow network may.
+// oneByteReader returns one byte at a time, as a slow network may do.
 type oneByteReader struct{ r io.Reader }
 
 func (o oneByteReader) Read(p []byte) (int, error) { return o.r.Read(p[:1]) }
@@ -81,7 +80,8 @@
 	}
 }
 
-// TestEncodedUpdateKeepsEveryField fails when a field of message.Update has no number in its form on a connection.
+// TestEncodedUpdateKeepsEveryField fails when a field of message.Update has no CBOR key in
+// wire.Update.
 func TestEncodedUpdateKeepsEveryField(t *testing.T) {
 	var u message.Update
 	fill(t, reflect.ValueOf(&u).Elem())
@@ -99,7 +99,7 @@
 	}
 }
 
-// fill sets every field to something other than zero.
+// fill sets every field to a value other than zero.
 func fill(t *testing.T, v reflect.Value) {
 	switch {
 	case v.CanUint():
@@ -118,12 +118,12 @@
 			fill(t, v.Field(i))
 		}
 	default:
-		t.Fatalf("teach fill and the packer about %s", v.Type())
+		t.Fatalf("fill and Packer do not support type %s", v.Type())
 	}
 }
 
-// Any sequence of updates on a connection arrives as it was sent, through the
-// tables that both ends keep.
+// Any sequence of updates on a connection must unpack unchanged, with the tables that both ends
+// maintain.
 func TestPackedSequencesUnpackUnchanged(t *testing.T) {
 	mark := rapid.Custom(func(t *rapid.T) message.Mark {
 		return message.Mark{Revision: rapid.Uint64Range(1, 3).Draw(t, "revision"), Digest: 7}
@@ -141,8 +141,8 @@
 		var unpacker Unpacker
 		for range rapid.IntRange(1, 5).Draw(t, "updates") {
 			u := message.Update{From: 5, Profiles: mark.Draw(t, "profiles"), VMs: mark.Draw(t, "VMs"),
-				EvidenceDigest: rapid.Uint64Range(0, 2).Draw(t, "known")}
-			if loadReports := rapid.SliceOfN(loadReport, 0, 4).Draw(t, "sightings"); len(loadReports) > 0 {
+				EvidenceDigest: rapid.Uint64Range(0, 2).Draw(t, "evidence digest")}
+			if loadReports := rapid.SliceOfN(loadReport, 0, 4).Draw(t, "load reports"); len(loadReports) > 0 {
 				u.LoadReports = loadReports
 			}
 			got, err := unpacker.Unpack(5, packer.Pack(u))
@@ -153,8 +153,9 @@
 	})
 }
 
-// Endpoints are replaced for weeks on one connection: the table of names fills
-// and is started anew at both ends, and no sighting is put to a wrong endpoint.
+// Guards against a table that fills up because endpoints are replaced during a long-lived
+// connection, and against load reports that are attributed to a wrong endpoint after both ends
+// restart the table.
 func TestFullEndpointTableRestarts(t *testing.T) {
 	var packer Packer
 	var unpacker Unpacker
@@ -185,7 +186,7 @@
 		packed Update
 		want   string
 	}{
-		{"cut sighting", Update{Endpoints: endpoints, LoadReports: []byte{0, 1}}, "ends within a sighting"},
+		{"truncated load report", Update{Endpoints: endpoints, LoadReports: []byte{0, 1}}, "ends within a sighting"},
 		{"endless number", Update{Endpoints: endpoints, LoadReports: bytes.Repeat([]byte{0xff}, 20)}, "ends within a sighting"},
 		{"unknown endpoint", Update{Endpoints: endpoints, LoadReports: []byte{1, 0, 0, 0}}, "refers to endpoint 1 of 1"},
 		{"number out of range", Update{Endpoints: endpoints, LoadReports: []byte{0, 0xff, 0xff, 0x7f, 0, 0}}, "beyond its range"},
@@ -203,7 +204,7 @@
 
 func TestRefusalKeepsKindAndRemedy(t *testing.T) {
 	if Refuse(nil) != nil || (*Refusal)(nil).Err() != nil {
-		t.Error("nil is not kept")
+		t.Error("nil does not stay nil")
 	}
 	long := fault.New(fault.BadMessage, strings.Repeat("é", 600), "%s", strings.Repeat("x", 600))
 	for _, err := range []error{fault.New(fault.NotFound, "publish it", "no value %d%%", 7), errors.New("plain"), long} {
@@ -217,7 +218,7 @@
 	}
 }
 
-// TestEncodedHelloKeepsEveryField fails when message.Hello gets a field that its form lacks.
+// TestEncodedHelloKeepsEveryField fails when message.Hello gets a field that helloForm lacks.
 func TestEncodedHelloKeepsEveryField(t *testing.T) {
 	var h message.Hello
 	fill(t, reflect.ValueOf(&h).Elem())
@@ -235,15 +236,16 @@
 	}
 }
 
-// Every entry opens a link to each other one, and most links carry few messages. The first
-// ones described the types of all messages: 2.8 KB on each link, 44 MB in a fleet of 126.
+// Every entry opens a link to each other entry, and most links carry few messages. Guards against
+// first messages that describe the types of all messages: that took 2.8 KB on each link, and 44 MB
+// in a fleet of 126 entries.
 func TestFirstMessagesOfLinkAreSmall(t *testing.T) {
 	h := Hello{Version: 2, MinVersion: 2, Name: "front-south-a-1", Incarnation: 1 << 60, Region: "south", Domain: "south-a",
 		CallerAddress: "10.1.0.35:8144", PeerAddress: "10.1.0.35:8146", Records: message.RecordSet{Count: 126, Digest: 1 << 60}}
 	h.Status = message.Update{From: h.Incarnation, Epoch: 30, VMs: message.Mark{Revision: 100, Digest: 1 << 60}, EvidenceDigest: 1 << 60}
 	for name, messages := range map[string][]any{
-		"asked":    {RequestHeader{Method: MethodHello, Seq: 1}, h, Update{Sequence: 1, Rate: 7}},
-		"answered": {ResponseHeader{Seq: 1}, HelloReply{Hello: h}, AckReply{Ack: message.Ack{Accepted: true}}},
+		"requests": {RequestHeader{Method: MethodHello, Seq: 1}, h, Update{Sequence: 1, Rate: 7}},
+		"replies":  {ResponseHeader{Seq: 1}, HelloReply{Hello: h}, AckReply{Ack: message.Ack{Accepted: true}}},
 	} {
 		var s stream
 		s.enc = gob.NewEncoder(&s.out)
@@ -258,7 +260,7 @@
 	}
 }
 
-// Whatever comes as a greeting gives a typed error or a greeting, and no panic.
+// Any bytes must decode to a Hello or an Update or give an error, without a panic.
 func FuzzHello(f *testing.F) {
 	data, _ := Hello{Name: "a", Incarnation: 1, Status: message.Update{From: 1}}.MarshalBinary()
 	f.Add(data)
