--- a/internal/published/answer.go
+++ b/internal/published/answer.go
@@ -10,14 +10,14 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Remedies of answers that can't be used.
+// Remedies for unusable answers.
 const (
 	remedyService = "check the configuration service or what stands between it and this VM"
 	remedyPublish = "publish the value before starting the fleet"
 	remedySmaller = "publish a smaller value"
 )
 
-// parseValue turns an answer into a Value, or says why it can't.
+// parseValue converts an answer to a Value.
 func (c *Client) parseValue(name string, response *http.Response) (Value, error) {
 	if err := checkStatus(name, response.StatusCode); err != nil {
 		return Value{}, err
@@ -33,13 +33,13 @@
 	return Value{Name: name, Revision: revision, Data: data}, nil
 }
 
-// checkStatus types every status but 200.
+// checkStatus returns a typed error for every status but 200.
 func checkStatus(name string, status int) error {
 	switch {
 	case status == http.StatusOK:
 		return nil
 	case status == http.StatusNotFound:
-		return fault.New(fault.NotFound, remedyPublish, "the service does not hold %q", name)
+		return fault.New(fault.NotFound, remedyPublish, "the service has no value %q", name)
 	case status >= http.StatusInternalServerError,
 		status == http.StatusTooManyRequests,
 		status == http.StatusRequestTimeout:
@@ -49,9 +49,9 @@
 	}
 }
 
-// readRevision returns the revision of an answer. Without exactly one that is a
-// number above zero, it can't be told whether the data is newer than what is in
-// force, so it must not be used.
+// readRevision returns the revision of an answer. The header must occur exactly once with a number
+// above zero. Otherwise the reader cannot compare the data with the revision in force, so it must
+// not use the data.
 func readRevision(name string, header http.Header) (uint64, error) {
 	values := header[RevisionHeader]
 	if len(values) != 1 {
@@ -66,18 +66,18 @@
 	return revision, nil
 }
 
-// readData reads the body of an answer whole, or fails. A body that is cut off
-// shows as an unexpected end of file, because only answers that announce their
-// end are read: by a length, in chunks or by frames of HTTP/2. Reading stops at
-// the size limit, so a runaway answer costs no more memory than the largest value.
+// readData reads the complete body of an answer, or fails. It accepts only answers whose end is
+// marked by a length, by chunks or by HTTP/2 frames, so that a truncated body gives an unexpected
+// EOF. Reading stops at the size limit, so a runaway answer takes no more memory than the largest
+// value.
 func (c *Client) readData(name string, response *http.Response) ([]byte, error) {
 	if !hasDetectableEnd(response) {
 		return nil, fault.New(fault.PlatformAnswer, remedyService,
-			"answer for %q announces no length, so a cut can't be noticed", name)
+			"answer for %q announces no length, so truncation can't be detected", name)
 	}
 	if encoding := response.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
 		return nil, fault.New(fault.PlatformAnswer, remedyService,
-			"answer for %q has the content encoding %q that was not asked for", name, encoding)
+			"answer for %q has the content encoding %q that was not requested", name, encoding)
 	}
 	if response.ContentLength > MaxValueBytes {
 		return nil, tooLarge(name)
@@ -94,7 +94,7 @@
 	return data, nil
 }
 
-// hasDetectableEnd reports whether the end of a complete body can be told from a cut.
+// hasDetectableEnd reports whether a complete body can be distinguished from a truncated one.
 func hasDetectableEnd(response *http.Response) bool {
 	return response.ContentLength >= 0 ||
 		response.ProtoMajor >= 2 ||
--- a/internal/published/client.go
+++ b/internal/published/client.go
@@ -14,15 +14,15 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// The wire form of the service. docs/design/platform.md describes it.
+// The HTTP interface of the service, described in docs/design/platform.md.
 const (
-	// ValuesPath is the path below which values are read.
+	// ValuesPath is the path prefix of values.
 	ValuesPath = "/v1/values/"
-	// RevisionHeader carries the revision of the value in an answer.
+	// RevisionHeader is the header with the revision of the value in an answer.
 	RevisionHeader = "Platform-Revision"
-	// AfterParameter asks for a revision later than its value.
+	// AfterParameter requests a later revision than its value.
 	AfterParameter = "after"
-	// WaitParameter says how long the service may hold the call, as a Go duration.
+	// WaitParameter is how long the service may delay its answer, as a Go duration.
 	WaitParameter = "wait"
 )
 
@@ -34,26 +34,26 @@
 	DefaultBurst          = 6
 )
 
-// ClientConfig says how to reach the service. Zero values stand for defaults,
-// but for BaseURL, which is needed.
+// ClientConfig configures the connection to the service. Fields that are zero have their defaults,
+// except BaseURL, which is required.
 type ClientConfig struct {
-	// BaseURL is scheme, IP number and port, as in http://10.0.0.1:8500.
+	// BaseURL is the scheme, IP address and port, as in http://10.0.0.1:8500.
 	BaseURL string
-	// Timeout bounds a Read as a whole, and what a Watch takes beyond WatchWait.
+	// Timeout bounds a Read as a whole, and the time that a Watch takes beyond WatchWait.
 	Timeout time.Duration
-	// WatchWait is how long the service may hold a Watch.
+	// WatchWait is how long the service may delay the answer to a Watch.
 	WatchWait time.Duration
-	// CallsPerSecond bounds the calls of this client in the long run; Burst is
-	// how many may come at once.
+	// CallsPerSecond bounds the average rate of calls of this client; Burst is the number of calls
+	// that may follow each other at once.
 	CallsPerSecond float64
 	Burst          int
 	// Transport replaces the client's own connections, for tests.
 	Transport http.RoundTripper
-	// Now replaces the clock of the bound on calls, for tests.
+	// Now replaces the clock of the rate limit, for tests.
 	Now func() time.Time
 }
 
-// withDefaults fills in what was left zero.
+// withDefaults sets the fields that are zero to their defaults.
 func (c ClientConfig) withDefaults() ClientConfig {
 	if c.Timeout <= 0 {
 		c.Timeout = DefaultTimeout
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Client reads the service over HTTP. It never retries by itself: the loops
-// above it own the back-off. It is safe for concurrent use.
+// Client reads the service over HTTP. It never retries; its callers apply the back-off. It is safe
+// for concurrent use.
 type Client struct {
 	cfg     ClientConfig
 	base    string
@@ -87,8 +87,8 @@
 
 var _ Service = (*Client)(nil)
 
-// NewClient returns a client; it makes no call yet. A BaseURL that can't be
-// used makes every call fail with fault.BadSettings.
+// NewClient returns a client without making a call. An unusable BaseURL makes every call fail with
+// fault.BadSettings.
 func NewClient(cfg ClientConfig) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{
@@ -96,7 +96,7 @@
 		base: strings.TrimRight(cfg.BaseURL, "/") + ValuesPath,
 		http: &http.Client{
 			Transport: cfg.Transport,
-			// A redirect would lead to an address that no setting names.
+			// A redirect would lead to an address that is not in the settings.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		limiter: rate.NewLimiter(rate.Limit(cfg.CallsPerSecond), cfg.Burst),
@@ -105,7 +105,7 @@
 
 // Connection settings of the client's own transport.
 const (
-	maxConnections  = 4 // one watch per value, and a read beside each
+	maxConnections  = 4 // a watch and a concurrent read for each value
 	maxHeaderBytes  = 16 << 10
 	idleTimeout     = 60 * time.Second
 	keepAliveIdle   = 2 * time.Second
@@ -113,11 +113,10 @@
 	keepAliveCount  = 3
 )
 
-// newTransport returns connections of the client's own. A watch is silent for
-// WatchWait, so a connection that the network has lost track of looks just like
-// one on which nothing changed; the keep-alive probes find it out in about five
-// seconds. The environment's proxy settings are ignored: the service is reached
-// by IP number.
+// newTransport returns a transport with connections of its own. A watch is silent for WatchWait,
+// so a connection that a network device has lost looks like one without changes. The keep-alive
+// probes detect this in about five seconds. The proxy settings of the environment are ignored,
+// because the service is reached by IP address.
 func newTransport(timeout time.Duration) *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -151,8 +150,8 @@
 	return c.parseValue(name, response)
 }
 
-// Watch implements Service. The service answers at the latest after WatchWait;
-// when it does not, the call ends Timeout later.
+// Watch implements Service. The service answers after WatchWait at the latest; otherwise the call
+// ends when Timeout has passed in addition.
 func (c *Client) Watch(ctx context.Context, name string, after uint64) (Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.WatchWait+c.cfg.Timeout)
 	defer cancel()
@@ -176,7 +175,7 @@
 	return value, err
 }
 
-// get makes one call within the bound on calls.
+// get makes one call within the rate limit.
 func (c *Client) get(ctx context.Context, name, query string) (*http.Response, error) {
 	if !c.limiter.AllowN(c.cfg.Now(), 1) {
 		return nil, fault.New(fault.RateLimited, "wait before the next call or raise the bound",
@@ -194,9 +193,8 @@
 	return response, nil
 }
 
-// connectionError types an error of the connection. What breaks one connection has
-// often broken its neighbours in the pool too, and each would cost another
-// time-out to find out, so the idle ones are closed.
+// connectionError wraps an error of the connection. The cause has often broken other connections
+// of the pool too, and each of them would cost a further timeout, so the idle ones are closed.
 func (c *Client) connectionError(err error, name string) error {
 	c.http.CloseIdleConnections()
 	return fault.Wrap(err, fault.PlatformDown, "check that the configuration service runs and can be reached",
--- a/internal/published/client_test.go
+++ b/internal/published/client_test.go
@@ -23,8 +23,8 @@
 	longWait = 20 * time.Second
 )
 
-// fixture is a stand-in for the service behind a server. Its clock stands still
-// unless a test moves it, so that what is slow never answers.
+// fixture is a simulated service behind a server. Its clock advances only when a test advances it,
+// so that a delayed answer never arrives.
 type fixture struct {
 	clock   *standin.ManualClock
 	service *standin.Platform
@@ -61,7 +61,7 @@
 	})
 }
 
-// TestReadUnderServiceFaults is the contract of Service.Read under every fault of the service.
+// TestReadUnderServiceFaults checks the contract of Service.Read under every fault of the service.
 func TestReadUnderServiceFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults   standin.PlatformFaults
@@ -72,17 +72,17 @@
 		data     string
 		kind     fault.Kind
 	}{
-		"healthy":          {revision: 2, data: "second"},
-		"no such value":    {name: "tealhall/none", kind: fault.NotFound},
-		"answers 503":      {faults: standin.PlatformFaults{Down: true}, kind: fault.PlatformDown},
-		"refuses":          {prepare: func(f fixture) { f.server.Kill() }, kind: fault.PlatformDown},
-		"slow":             {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: shortWait, kind: fault.PlatformDown},
-		"cut, with length": {faults: standin.PlatformFaults{Cut: standin.CutSized}, kind: fault.PlatformAnswer},
-		"cut, in chunks":   {faults: standin.PlatformFaults{Cut: standin.CutChunked}, kind: fault.PlatformAnswer},
+		"healthy":                {revision: 2, data: "second"},
+		"no such value":          {name: "tealhall/none", kind: fault.NotFound},
+		"answers 503":            {faults: standin.PlatformFaults{Down: true}, kind: fault.PlatformDown},
+		"refuses connections":    {prepare: func(f fixture) { f.server.Kill() }, kind: fault.PlatformDown},
+		"slow":                   {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: shortWait, kind: fault.PlatformDown},
+		"truncated, with length": {faults: standin.PlatformFaults{Cut: standin.CutSized}, kind: fault.PlatformAnswer},
+		"truncated, in chunks":   {faults: standin.PlatformFaults{Cut: standin.CutChunked}, kind: fault.PlatformAnswer},
 		"stale": {
 			faults:  standin.PlatformFaults{Stale: true},
 			prepare: func(f fixture) { f.service.Put(published.ProfilesValue, []byte("third")) },
-			// The reader can't tell; that the answer is old shows in its revision.
+			// The reader can't detect this; only the revision shows that the answer is old.
 			revision: 2, data: "second",
 		},
 		"older replica": {faults: standin.PlatformFaults{OlderReplica: true}, revision: 1, data: "first"},
@@ -116,16 +116,17 @@
 					value.Revision, len(value.Data), err, c.revision, len(c.data), c.kind)
 			}
 			if err != nil && fault.Remedy(err) == "" {
-				t.Errorf("error names no remedy: %v", err)
+				t.Errorf("error has no remedy: %v", err)
 			}
 		})
 	}
 }
 
-// TestWatchEndsWithChangeTimeoutOrFailure is the contract of Service.Watch: what ends the wait.
+// TestWatchEndsWithChangeTimeoutOrFailure checks the contract of Service.Watch: which events end
+// the wait.
 func TestWatchEndsWithChangeTimeoutOrFailure(t *testing.T) {
 	cases := map[string]struct {
-		during   func(fixture) // once the watch waits
+		during   func(fixture) // called while the watch waits
 		revision uint64
 		data     string
 		kind     fault.Kind
@@ -134,7 +135,7 @@
 			during:   func(f fixture) { f.service.Put(published.ProfilesValue, []byte("third")) },
 			revision: 3, data: "third",
 		},
-		"nothing new": {
+		"no change": {
 			during:   func(f fixture) { f.clock.Advance(longWait) },
 			revision: 2,
 		},
@@ -160,7 +161,7 @@
 				value, err := client.Watch(context.Background(), published.ProfilesValue, 2)
 				results <- result{value, err}
 			}()
-			f.clock.AwaitTimers(1) // the service holds the watch
+			f.clock.AwaitTimers(1) // the watch waits at the service
 			c.during(f)
 			got := <-results
 			if fault.KindOf(got.err) != c.kind || got.value.Revision != c.revision || string(got.value.Data) != c.data {
@@ -170,9 +171,8 @@
 	}
 }
 
-// TestWatchReturnsOlderRevisionOfLaggingReplica: a reader that asks for what is later than revision 2
-// reaches a replica that has only revision 1. The answer must come through as it
-// is: the decision that 1 is older than what is in force is made elsewhere.
+// A reader that asks for a revision later than 2 reaches a replica that has only revision 1. Watch
+// must return that answer unchanged, because its caller decides which revision is in force.
 func TestWatchReturnsOlderRevisionOfLaggingReplica(t *testing.T) {
 	f := startService(t)
 	f.service.SetFaults(standin.PlatformFaults{OlderReplica: true})
@@ -182,12 +182,12 @@
 		t.Errorf("got %+v, error %v", value, err)
 	}
 	if stats := f.service.Stats(); stats.Calls != 1 || stats.PeakWatches != 1 {
-		t.Errorf("the service counted %+v; want one call that is one watch", stats)
+		t.Errorf("stats of the service: %+v; want one call, which is one watch", stats)
 	}
 }
 
-// TestCancelledWatchNoLongerCountsAsWaiting: the reader stops a watch, as when its duty moves to another
-// entry. The service must not count it as waiting any longer.
+// The reader cancels a watch, as when the assignment moves to another entry. Guards against a
+// service that still counts the watch as waiting.
 func TestCancelledWatchNoLongerCountsAsWaiting(t *testing.T) {
 	f := startService(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -202,9 +202,9 @@
 	f.clock.AwaitTimers(0)
 }
 
-// A profile is published but some entries don't take it for minutes. Their open
-// connections had gone silent: something on the way forgot them. The failed call
-// must take its connection out of use, so that the next goes over a new one.
+// Guards against a profile that some entries do not apply for minutes after it was published,
+// because a network device lost the state of their open connections. A failed call must take its
+// connection out of use, so that the next call opens a new one.
 func TestReadAfterSilentConnectionUsesNewOne(t *testing.T) {
 	server := startService(t).server
 	client := newClient(server, longWait)
@@ -212,12 +212,12 @@
 		t.Fatal(err)
 	}
 	if silenced := server.BlackHole(); silenced != 1 {
-		t.Fatalf("%d open connections instead of one", silenced)
+		t.Fatalf("%d open connections, want 1", silenced)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shortWait)
 	defer cancel()
 	if _, err := client.Read(ctx, published.ProfilesValue); fault.KindOf(err) != fault.PlatformDown {
-		t.Fatalf("error on the silent connection: %v", err)
+		t.Fatalf("call on the silent connection: %v", err)
 	}
 	value, err := client.Read(context.Background(), published.ProfilesValue)
 	if err != nil || value.Revision != 2 || server.AcceptedConnections() != 2 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// TestUnusableAnswersAreRefused feeds the client answers that the stand-in never gives.
+// TestUnusableAnswersAreRefused gives the client answers that the simulated service never gives.
 func TestUnusableAnswersAreRefused(t *testing.T) {
 	ok := func(header ...string) string {
 		return "HTTP/1.1 200 OK\r\n" + strings.Join(header, "\r\n") + "\r\n\r\nbody"
@@ -234,18 +234,18 @@
 		answer string
 		kind   fault.Kind
 	}{
-		"usable":             {ok("Content-Length: 4", "Platform-Revision: 3"), ""},
-		"no revision":        {ok("Content-Length: 4"), fault.PlatformAnswer},
-		"revision zero":      {ok("Content-Length: 4", "Platform-Revision: 0"), fault.PlatformAnswer},
-		"malformed revision": {ok("Content-Length: 4", "Platform-Revision: 3a"), fault.PlatformAnswer},
-		"two revisions":      {ok("Content-Length: 4", "Platform-Revision: 3", "Platform-Revision: 4"), fault.PlatformAnswer},
-		"no length":          {ok("Connection: close", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"shorter than said":  {ok("Content-Length: 5", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"compressed":         {ok("Content-Length: 4", "Content-Encoding: gzip", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"redirect":           {"HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n", fault.PlatformAnswer},
-		"unasked 304":        {"HTTP/1.1 304 Not Modified\r\n\r\n", fault.PlatformAnswer},
-		"too many calls":     {"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n", fault.PlatformDown},
-		"not HTTP":           {"SSH-2.0-OpenSSH\r\n\r\n", fault.PlatformDown},
+		"usable":                  {ok("Content-Length: 4", "Platform-Revision: 3"), ""},
+		"no revision":             {ok("Content-Length: 4"), fault.PlatformAnswer},
+		"revision zero":           {ok("Content-Length: 4", "Platform-Revision: 0"), fault.PlatformAnswer},
+		"malformed revision":      {ok("Content-Length: 4", "Platform-Revision: 3a"), fault.PlatformAnswer},
+		"two revisions":           {ok("Content-Length: 4", "Platform-Revision: 3", "Platform-Revision: 4"), fault.PlatformAnswer},
+		"no length":               {ok("Connection: close", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"shorter than its length": {ok("Content-Length: 5", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"compressed":              {ok("Content-Length: 4", "Content-Encoding: gzip", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"redirect":                {"HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n", fault.PlatformAnswer},
+		"unrequested 304":         {"HTTP/1.1 304 Not Modified\r\n\r\n", fault.PlatformAnswer},
+		"too many calls":          {"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n", fault.PlatformDown},
+		"not HTTP":                {"SSH-2.0-OpenSSH\r\n\r\n", fault.PlatformDown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -266,7 +266,7 @@
 	}
 }
 
-// endlessBody is a chunked body without end that counts what is read of it.
+// endlessBody is a chunked body without an end. It counts the bytes that are read from it.
 type endlessBody struct{ read int }
 
 func (e *endlessBody) Read(p []byte) (int, error) { e.read += len(p); return len(p), nil }
@@ -304,7 +304,7 @@
 			return nil, fmt.Errorf("call %d", calls)
 		}),
 	})
-	for range 100 { // a hundred tries in ten seconds
+	for range 100 { // 100 calls in 10 s
 		_, err := client.Read(context.Background(), published.ProfilesValue)
 		if kind := fault.KindOf(err); kind != fault.RateLimited && kind != fault.PlatformDown {
 			t.Fatalf("error %v", err)
@@ -312,7 +312,7 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if most := 3 + 2*10; calls > most || calls < most-2 {
-		t.Errorf("%d calls went out; want about %d", calls, most)
+		t.Errorf("%d calls were sent; want about %d", calls, most)
 	}
 }
 
--- a/internal/published/follow.go
+++ b/internal/published/follow.go
@@ -8,23 +8,23 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// minUnchangedWait is how long an unchanged watch lasts at least at a service that holds
-// it. A shorter one means that the service answers at once without news.
+// minUnchangedWait is the shortest time after which a service that delays its answers ends a watch
+// without a change. A shorter time means that the service answers at once without a change.
 const minUnchangedWait = time.Second
 
 // FollowOptions are the hooks and limits of Follow.
 type FollowOptions struct {
-	// Backoff spaces the tries after a failure; zero fields stand for defaults.
+	// Backoff spaces the attempts after a failure; fields that are zero have their defaults.
 	Backoff Backoff
-	// ChangeGap is the shortest time between two watches that bring news.
+	// ChangeGap is the shortest time between two watches that deliver a change.
 	ChangeGap time.Duration
-	// Rand is used by the loop alone.
+	// Rand is used by the loop only.
 	Rand *rand.Rand
-	// Now is a monotonic clock; nil stands for the process's own.
+	// Now is a monotonic clock; nil means the clock of the process.
 	Now func() time.Duration
-	// Sleep waits for d or until ctx ends; nil stands for a timer.
+	// Sleep waits for d or until ctx ends; nil means a timer.
 	Sleep func(ctx context.Context, d time.Duration)
-	// OnError is told of every failed call before the loop waits; may be nil.
+	// OnError is called with the error of every failed call before the loop waits; may be nil.
 	OnError func(error)
 }
 
@@ -46,15 +46,14 @@
 	return o
 }
 
-// Follow watches name until ctx ends and passes every answer to deliver: later
-// revisions, lower ones (from a replica that lags) and unchanged ones, which
-// show that the service still answers. Which revision is in force is decided by
-// the receiver; Follow itself never watches from a lower revision than it has
-// seen. deliver runs on the loop's goroutine.
+// Follow watches name until ctx ends and passes every answer to deliver: later revisions, earlier
+// ones (from a lagging replica) and unchanged ones, which show that the service still answers. The
+// receiver decides which revision is in force. Follow itself never watches from an earlier
+// revision than the latest that it received. Deliver runs on the goroutine of the loop.
 //
-// After a failure, and after an answer that brought nothing and was not held,
-// the loop waits its back-off. The latter keeps a service that ignores the wait,
-// or a replica that lags, from being called in a tight loop.
+// After a failure, and after an immediate answer without a later revision, the loop waits for the
+// back-off. The latter prevents a tight loop of calls to a lagging replica or to a service that
+// ignores the wait parameter.
 func Follow(ctx context.Context, service Service, name string, after uint64, opts FollowOptions, deliver func(Value)) {
 	opts = opts.withDefaults()
 	for ctx.Err() == nil {
--- a/internal/published/follow_test.go
+++ b/internal/published/follow_test.go
@@ -13,7 +13,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// scriptedService answers watches from a list and records from where each one asked.
+// scriptedService answers watches from a list of steps and records the revision from which each
+// one started.
 type scriptedService struct {
 	now       time.Duration
 	steps     []step
@@ -28,7 +29,7 @@
 }
 
 func (s *scriptedService) Read(context.Context, string) (published.Value, error) {
-	return published.Value{}, errors.New("not read")
+	return published.Value{}, errors.New("Read is not scripted")
 }
 
 func (s *scriptedService) Watch(_ context.Context, name string, after uint64) (published.Value, error) {
@@ -43,9 +44,9 @@
 	return published.Value{Name: name, Revision: next.revision}, next.err
 }
 
-// Through a close, the service fails, comes back on a replica that lags and
-// answers it without holding the watch. The reader must pass on what it hears,
-// never ask from a lower revision than it saw, and not call in a tight loop.
+// The service fails, then recovers with a lagging replica that answers at once. Guards against a
+// reader that drops answers, watches from an earlier revision than it received, or calls in a
+// tight loop.
 func TestFollowAcrossFailuresAndLaggingReplicas(t *testing.T) {
 	down := errors.New("down")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,9 +54,9 @@
 		{revision: 5},
 		{err: down},
 		{err: down},
-		{revision: 3},                           // lags, not held
-		{revision: 5},                           // unchanged, not held
-		{revision: 5, waited: 25 * time.Second}, // unchanged, held
+		{revision: 3},                           // lagging replica, immediate answer
+		{revision: 5},                           // unchanged, immediate answer
+		{revision: 5, waited: 25 * time.Second}, // unchanged, delayed answer
 		{revision: 6},
 		{err: down},
 	}}
@@ -72,15 +73,15 @@
 		t.Errorf("delivered (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]uint64{4, 5, 5, 5, 5, 5, 5, 6}, service.askedFrom); diff != "" {
-		t.Errorf("asked from (-want +got):\n%s", diff)
+		t.Errorf("revisions watched from (-want +got):\n%s", diff)
 	}
 	if pauses != 5 || failures != 3 {
-		t.Errorf("%d pauses and %d failures; want 5 (three failures, two answers not held) and 3", pauses, failures)
+		t.Errorf("%d pauses and %d failures; want 5 (three failures, two immediate answers) and 3", pauses, failures)
 	}
 }
 
-// TestBackoffStaysWithinCeiling: every delay is above zero and within a ceiling that doubles up to
-// Max and never wraps around, however long the service is down.
+// Guards against delays of zero, and against a ceiling that exceeds Max or overflows while the
+// service is down for long.
 func TestBackoffStaysWithinCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		low := time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "min"))
@@ -100,8 +101,8 @@
 	})
 }
 
-// Readers that lost the service together must not come back together: the
-// delays after the same number of failures spread over the whole range.
+// Guards against readers that lost the service together and retry together: first delays spread
+// over the whole range.
 func TestFirstBackoffDelaysSpreadEvenly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var quarters [4]int
@@ -111,7 +112,7 @@
 	}
 	for i, count := range quarters {
 		if count < 70 || count > 130 {
-			t.Errorf("quarter %d holds %d of 400 first delays", i, count)
+			t.Errorf("quarter %d has %d of 400 first delays", i, count)
 		}
 	}
 }
--- a/internal/published/generation_test.go
+++ b/internal/published/generation_test.go
@@ -8,20 +8,20 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Guards against a list of a restored service that entries take for older than the one that they
-// hold.
+// Guards against entries that regard a list of a restored service as older than the list that they
+// have.
 func TestRevisionsOfLaterGenerationsAreLater(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		era := rapid.Uint64Range(1, 1<<18)
+		generations := rapid.Uint64Range(1, 1<<18)
 		count := rapid.Uint64Range(0, 1<<44-1)
-		e, before, after := era.Draw(rt, "era"), count.Draw(rt, "before"), count.Draw(rt, "after")
+		e, before, after := generations.Draw(rt, "generation"), count.Draw(rt, "before"), count.Draw(rt, "after")
 		old, unsettled, settled := published.InGeneration(e-1, before), published.Unsettled(published.InGeneration(e, after)), published.InGeneration(e, after)
 		if old >= unsettled || unsettled >= published.InGeneration(e, 0) || published.Settled(unsettled) || !published.Settled(settled) {
 			rt.Fatalf("%d, %d, %d are not in order", old, unsettled, settled)
 		}
 		for _, r := range []uint64{unsettled, settled} {
 			if published.GenerationOf(r) != e || published.ServiceRevision(r) != after {
-				rt.Fatalf("%d is revision %d of era %d", r, published.ServiceRevision(r), published.GenerationOf(r))
+				rt.Fatalf("%d is revision %d of generation %d", r, published.ServiceRevision(r), published.GenerationOf(r))
 			}
 		}
 	})
--- a/internal/published/patch.go
+++ b/internal/published/patch.go
@@ -11,43 +11,43 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// patch is what changed between two lists of VMs. The list of a fleet with 228 endpoints
-// has 34 KB, and each endpoint that comes or goes makes a new one: given whole to each
-// entry, lists were most of what entries told each other.
+// patch is the difference between two lists of VMs. The list of a fleet with 228 endpoints has 34
+// KB, and each endpoint that is added or removed makes a new list. If each entry got whole lists,
+// they would be most of the traffic between entries.
 type patch struct {
-	// Rows are those that are new or differ, Gone the names of those that are there no more.
+	// Rows are the new and changed rows, Gone the names of the removed ones.
 	Rows []VM     `json:"rows,omitempty"`
 	Gone []string `json:"gone,omitempty"`
-	// Evacuated are the failure domains that are evacuated in the list that results.
+	// Evacuated are the evacuated failure domains of the resulting list.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Digest is that of the text of the list that results.
+	// Digest is the digest of the text of the resulting list.
 	Digest uint64 `json:"digest"`
 }
 
-// History remembers what changed from list to list, so that a peer with an earlier one can
-// be given the difference. The zero value is empty. It is not safe for concurrent use.
+// History records the changes between successive lists, so that a peer with an earlier list can
+// get the difference. The zero value is empty. It is not safe for concurrent use.
 type History struct {
 	text      []byte
 	rows      map[string]VM
 	evacuated []string
-	// steps are the latest changes, oldest first. base is the revision before the first of
-	// them, latest that of the list held.
+	// steps are the latest changes, oldest first. base is the revision before the first of them,
+	// latest the revision of the current list.
 	steps        []step
 	base, latest uint64
 }
 
-// step is the names of the rows that a revision changed.
+// step is a revision with the names of the rows that it changed.
 type step struct {
 	revision uint64
 	names    []string
 }
 
-// maxSteps bounds the steps that are remembered. A peer that is farther behind is given the
-// whole list.
+// maxSteps bounds the recorded steps. A peer that is further behind gets the whole list.
 const maxSteps = 64
 
-// Add takes in a list with its text. Only a text as EncodeVMs makes it from rows in the
-// order of their names can be made from a difference; others are given whole.
+// Add records a list with its text. Only a text that EncodeVMs makes from rows sorted by name can
+// be rebuilt from a difference. Any other text clears the history, so that peers get the whole
+// list.
 func (h *History) Add(list VMList, text []byte) {
 	if !bytes.Equal(EncodeVMs(listOf(rowsOf(list), list.Evacuated)), text) {
 		*h = History{}
@@ -56,7 +56,7 @@
 	h.AddPatched(list, text)
 }
 
-// AddPatched takes in a list that Patched made.
+// AddPatched records a list that Patched returned.
 func (h *History) AddPatched(list VMList, text []byte) {
 	rows := rowsOf(list)
 	if h.rows == nil {
@@ -80,7 +80,7 @@
 	return rows
 }
 
-// changedNames returns the names of the rows in which two lists differ.
+// changedNames returns the names of the rows that differ between two lists.
 func changedNames(before, after map[string]VM) (names []string) {
 	for name, vm := range after {
 		if old, found := before[name]; !found || old != vm {
@@ -95,11 +95,12 @@
 	return names
 }
 
-// Since returns the difference between the list of an earlier revision and the one held,
-// and whether there is one that is smaller than the list.
+// Since returns the difference between the list of an earlier revision and the current one, and
+// whether that difference exists and is smaller than the list.
 //
-// Another entry may hold a revision between two of those that this one saw. The rows of a
-// difference say how they are in the end, so that it also leads from there to the list held.
+// Another entry may have a revision between two revisions of this history. Because a difference
+// contains the final state of each changed row, it also leads from such a revision to the current
+// list.
 func (h *History) Since(revision uint64) ([]byte, bool) {
 	if h.rows == nil || revision < h.base || revision >= h.latest {
 		return nil, false
@@ -122,18 +123,18 @@
 			}
 		}
 	}
-	data, _ := json.Marshal(p) // strings and numbers only, which always encode
+	data, _ := json.Marshal(p) // strings, numbers and booleans only, which always encode
 	return data, len(data) < len(h.text)
 }
 
-// Patched returns the list, with its text, that a difference makes of the list held. An error
-// says that the difference is from another list, or brings a row that can't be used; then the
-// whole one is needed. Only the rows of the difference are checked: to read the text of a list
-// of 421 endpoints takes 2 ms, and each entry of a fleet does so at each change.
+// Patched applies a difference to the current list, and returns the resulting list with its text.
+// An error means that the difference belongs to another list or has an invalid row; the caller
+// then needs the whole list. Only the rows of the difference are validated: parsing the text of a
+// list of 421 endpoints takes 2 ms, and each entry of a fleet would do so at each change.
 func (h *History) Patched(revision uint64, data []byte) (VMList, []byte, error) {
 	var p patch
 	if err := json.Unmarshal(data, &p); err != nil {
-		return VMList{}, nil, fault.Wrap(err, fault.BadMessage, remedyPatch, "the difference of two VM lists is not readable")
+		return VMList{}, nil, fault.Wrap(err, fault.BadMessage, remedyPatch, "the difference between two VM lists is not readable")
 	}
 	rows := make(map[string]VM, len(h.rows)+len(p.Rows))
 	for name, vm := range h.rows {
@@ -141,7 +142,7 @@
 	}
 	for _, vm := range p.Rows {
 		if err := CheckVM(vm); err != nil {
-			return VMList{}, nil, fault.Wrap(err, fault.BadMessage, remedyPatch, "the difference brings a row that can't be used")
+			return VMList{}, nil, fault.Wrap(err, fault.BadMessage, remedyPatch, "the difference has an unusable row")
 		}
 		rows[vm.Name] = vm
 	}
@@ -155,7 +156,7 @@
 	list := listOf(rows, p.Evacuated)
 	text := EncodeVMs(list)
 	if xxhash.Sum64(text) != p.Digest {
-		return VMList{}, nil, fault.New(fault.BadMessage, remedyPatch, "the difference is to another VM list than revision %d", h.latest)
+		return VMList{}, nil, fault.New(fault.BadMessage, remedyPatch, "the difference does not apply to the VM list of revision %d", h.latest)
 	}
 	list.Revision = revision
 	return list, text, nil
@@ -163,7 +164,7 @@
 
 const remedyPatch = "ask for the whole list"
 
-// listOf returns a list of the given rows in the order of their names.
+// listOf returns a list of the given rows, sorted by name.
 func listOf(rows map[string]VM, evacuated []string) VMList {
 	list := VMList{VMs: make([]VM, 0, len(rows)), Evacuated: evacuated}
 	for _, vm := range rows {
--- a/internal/published/patch_test.go
+++ b/internal/published/patch_test.go
@@ -16,10 +16,10 @@
 		Address: fmt.Sprintf("10.0.0.%d:%d", n%200+1, 1000+version), Pool: "p", Slots: 2}
 }
 
-// Entries adopt lists at revisions of their own: one saw 4, 7 and 9, another 5 and 9. Given
-// a difference that was made for one of its own revisions, an entry would be left with a
-// row that nobody has, or without one that is there. Whatever the two have seen, a
-// difference gives exactly the newer list, or says that the whole one is needed.
+// Entries apply lists at different revisions: one has seen 4, 7 and 9, another 5 and 9. Guards
+// against an entry that applies a difference made for another revision and then has a row that no
+// other entry has, or lacks an existing row. Whichever revisions the two have seen, a difference
+// gives exactly the newer list, or an error that makes the entry request the whole list.
 func TestDifferenceGivesNewerListOrIsRefused(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rows := map[string]VM{}
@@ -43,10 +43,10 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if rapid.Bool().Draw(rt, "ahead sees it") {
+			if rapid.Bool().Draw(rt, "ahead gets list") {
 				ahead.Add(list, text)
 			}
-			if rapid.IntRange(0, 4).Draw(rt, "behind sees it") == 0 {
+			if rapid.IntRange(0, 4).Draw(rt, "behind gets list") == 0 {
 				behind.Add(list, text)
 				behindAt = revision
 			}
@@ -65,20 +65,20 @@
 			}
 			fitting++
 			if !bytes.Equal(got, ahead.text) {
-				rt.Fatalf("at %d from %d:\n%s\n%s", revision, behindAt, got, ahead.text)
+				rt.Fatalf("difference to revision %d from %d:\n%s\n%s", revision, behindAt, got, ahead.text)
 			}
 			if read, err := ParseVMs(Value{Revision: revision, Data: got}); err != nil || !reflect.DeepEqual(read, made) {
-				rt.Fatalf("the list is not what its text says: %v", err)
+				rt.Fatalf("the list differs from its text: %v", err)
 			}
 		}
 		if len(ahead.steps) > 0 && behindAt > 0 && fitting == 0 && whole == 0 {
-			rt.Fatal("nothing was tried")
+			rt.Fatal("no difference was made or refused")
 		}
 	})
 }
 
-// One endpoint of 228 leaves: the difference is a row, not 34 KB. Texts of other makers and
-// lists from before the history are given whole.
+// One endpoint of 228 leaves: the difference is a single row instead of 34 KB. No difference
+// exists for texts in another format and for lists from before the history.
 func TestDifferenceOfOneRowIsSmall(t *testing.T) {
 	rows := map[string]VM{}
 	for n := range 228 {
@@ -103,21 +103,21 @@
 		t.Errorf("%v, %d bytes: %s", ok, len(data), data)
 	}
 	if _, ok := h.Since(9); ok {
-		t.Error("a difference to a list that was never held")
+		t.Error("a difference from a list that was never added")
 	}
 	if _, ok := h.Since(12); ok {
-		t.Error("a difference to the same list")
+		t.Error("a difference from the current list")
 	}
 	for n := range 2 * maxSteps {
 		rows[rowOf(n, 1).Name] = rowOf(n, 1)
 		addList(uint64(13 + n))
 	}
 	if len(h.steps) > maxSteps {
-		t.Errorf("%d steps", len(h.steps))
+		t.Errorf("%d steps are recorded", len(h.steps))
 	}
 	h.Add(VMList{Revision: 999}, []byte(`{ "vms": [] }`))
 	if _, ok := h.Since(998); ok {
-		t.Error("a difference to a text of another form")
+		t.Error("a difference to a text in another format")
 	}
 }
 
@@ -129,7 +129,7 @@
 	f.Add([]byte(`{"rows":[],"gone":["i-001"],"digest":1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, _, err := h.Patched(2, data); err != nil && fault.KindOf(err) != fault.BadMessage {
-			t.Errorf("untyped: %v", err)
+			t.Errorf("error is not of kind BadMessage: %v", err)
 		}
 	})
 }
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -1,72 +1,73 @@
-// Package published reads the platform's configuration service: published
-// values with a revision, and the list of live and leaving VMs. The service is
-// only ever read and watched; nothing here writes to it.
+// Package published reads the platform's configuration service: published values with a revision,
+// and the list of live and leaving VMs. It only reads and watches the service and never writes to
+// it.
 package published
 
 import "context"
 
 // Names of the values that tealhall reads.
 const (
-	// ProfilesValue holds the profile document (TOML).
+	// ProfilesValue is the profile document (TOML).
 	ProfilesValue = "tealhall/profiles"
-	// VMsValue holds the list of VMs (JSON, see VMList).
+	// VMsValue is the list of VMs (JSON, see VMList).
 	VMsValue = "tealhall/vms"
 )
 
-// MaxValueBytes is the largest value that the service holds.
+// MaxValueBytes is the size of the largest value that the service stores.
 const MaxValueBytes = 1 << 20
 
-// Value is one published value at one revision. Revisions of a name only grow at the service;
-// a lagging replica, or one that was restored from a copy, may still answer with an older one. Those
-// of the list of VMs bear the service's era (InGeneration), and grow through restorations as well.
+// Value is one published value at one revision. At the service, revisions of a name only grow. A
+// lagging replica, or a service that was restored from a copy, may still answer with an older one.
+// Revisions of the list of VMs contain the generation of the service (see InGeneration), so they
+// grow across restorations too.
 type Value struct {
 	Name     string
 	Revision uint64
 	Data     []byte
-	// Problem says that what the service holds can't be read, and why. Revision and Data are those
-	// of what was read before.
+	// Problem is the reason why the current value of the service is unreadable, nil if it is
+	// readable. With a Problem, Revision and Data are those of the value that was read before.
 	Problem error
 }
 
-// Service is the platform's configuration service as a reader sees it.
-// Implementations are safe for concurrent use.
+// Service is the platform's configuration service from the view of a reader. Implementations are
+// safe for concurrent use.
 type Service interface {
 	// Read returns the current value of name.
 	Read(ctx context.Context, name string) (Value, error)
-	// Watch returns once the value of name has a revision later than after, or
-	// with an error of kind fault.PlatformDown when the service ended the wait.
-	// A wait that ends without a change returns a Value with Revision == after
-	// and no data, which confirms that revision. A service that holds an older one, or that had
-	// to be read anew, returns what it holds. One waiting Watch counts as one call at the service.
+	// Watch returns when the value of name has a later revision than after, or with an error of
+	// kind fault.PlatformDown when the service ended the wait. A wait that ends without a change
+	// returns a Value with Revision == after and no data, which confirms that revision. If the
+	// service has an older revision, or had to be read anew, Watch returns its current value. One
+	// waiting Watch counts as one call to the service.
 	Watch(ctx context.Context, name string, after uint64) (Value, error)
 }
 
-// LivenessChecker is a service that can be asked cheaply whether it answers at all, and how far it is. A
-// watch that waits is silent, and so is a service that has stopped answering, or one that has
-// forgotten the watch.
+// LivenessChecker is a service that can be asked cheaply whether it answers and which revision it
+// has. A watch without changes is silent, and so is a service that stopped answering or that lost
+// the watch.
 type LivenessChecker interface {
 	// Liveness makes one cheap call.
 	Liveness(ctx context.Context) (Liveness, error)
-	// RenewWatch ends the call of a watch that waits, if there is one, and makes it anew from the
-	// same place. Whoever waits for the watch waits on.
+	// RenewWatch ends the call of a waiting watch, if there is one, and makes it again from the
+	// same revision. The caller of the watch keeps waiting.
 	RenewWatch()
 }
 
-// Liveness is how far a service is, in revisions of its own that count all changes.
+// Liveness is the progress of a service in revisions of its own, which count all changes.
 type Liveness struct {
-	// Latest is the latest that it holds, or was a moment ago; Delivered is up to where watches have
-	// brought what changed, 0 if there is none.
+	// Latest is the newest revision that the service has, or had a moment ago. Delivered is the
+	// revision up to which watches have delivered changes, 0 if there is no watch.
 	Latest, Delivered uint64
 }
 
-// Resumer is a service that can go on from a list of VMs that is held already, without reading
-// it.
+// Resumer is a service that can continue from a known list of VMs without reading it.
 type Resumer interface {
-	// Resume gives a list that was in force. An older one than the service knows changes nothing.
+	// Resume passes on a list that was in force. It has no effect if the service already has a
+	// newer one.
 	Resume(list Value)
 }
 
-// State is what the platform says of a VM.
+// State is the state of a VM in the platform's list.
 type State string
 
 // The states of a VM in the platform's list.
@@ -75,7 +76,7 @@
 	Leaving State = "leaving"
 )
 
-// Role says what runs on a VM.
+// Role is the kind of process on a VM.
 type Role string
 
 // The roles of a VM in the platform's list.
@@ -84,34 +85,34 @@
 	EndpointRole Role = "endpoint"
 )
 
-// VM is one machine in the platform's list.
+// VM is one row of the platform's list.
 type VM struct {
 	// Name is unique among the VMs that are live or leaving.
 	Name string `json:"name"`
-	// Incarnation distinguishes a replaced VM from the one before it under the
-	// same name or address. Never zero.
+	// Incarnation distinguishes a VM from an earlier one with the same name or address. It is
+	// never zero.
 	Incarnation uint64 `json:"incarnation"`
 	Role        Role   `json:"role"`
 	State       State  `json:"state"`
-	// Region and Domain place the VM; Domain is its failure domain.
+	// Region and Domain are the location of the VM; Domain is its failure domain.
 	Region string `json:"region"`
 	Domain string `json:"domain"`
-	// Address is where requests are served, IP:port.
+	// Address is the IP:port at which the VM serves requests.
 	Address string `json:"address"`
-	// PeerAddress is where an entry serves its peers, IP:port; empty for endpoints.
+	// PeerAddress is the IP:port at which an entry serves its peers; empty for endpoints.
 	PeerAddress string `json:"peer_address,omitempty"`
-	// Pool names the group of endpoints that share their work; empty for entries.
+	// Pool is the name of the group of endpoints that share their work; empty for entries.
 	Pool string `json:"pool,omitempty"`
-	// Slots is how many requests an endpoint works on at a time; default 2.
+	// Slots is the number of requests that an endpoint processes at a time; the default is 2.
 	Slots int `json:"slots,omitempty"`
-	// Cold: an endpoint that was started or emptied a moment ago and bears few requests.
+	// Cold marks an endpoint that was started or emptied a moment ago and can take few requests.
 	Cold bool `json:"cold,omitempty"`
 }
 
-// VMList is the platform's list at one revision. It lags behind reality.
+// VMList is the platform's list at one revision. It lags behind the actual state of the VMs.
 type VMList struct {
 	Revision uint64 `json:"-"`
 	VMs      []VM   `json:"vms"`
-	// Evacuated are the failure domains, in order, whose endpoints are to get nothing.
+	// Evacuated are the failure domains, sorted, whose endpoints must get no requests.
 	Evacuated []string `json:"evacuated,omitempty"`
 }
--- a/internal/published/roster.go
+++ b/internal/published/roster.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// maxRemoved bounds how many VMs that went away a Roster remembers.
+// maxRemoved bounds how many removed VMs a Roster remembers.
 const maxRemoved = 4096
 
-// Roster is the VMs and the evacuated failure domains that a service holds, as single changes
-// bring them. It outlives a restoration of the service from a copy: what it knew is later than the
-// copy. It is a plain value without lock or clock; NewRoster makes an empty one.
+// Roster is the set of VMs and evacuated failure domains of a service, maintained by single
+// changes. It is kept when the service is restored from a copy, because its content is newer than
+// the copy. It has no lock or clock. NewRoster returns an empty one.
 type Roster struct {
 	vms       map[string]VM
 	evacuated map[string]bool
-	// reports is how many reports each VM had made at its latest change.
+	// reports is the number of reports that each VM had made at its latest change.
 	reports map[string]int64
-	// removed are the VMs that went away lately, the oldest first.
+	// removed are the VMs that were removed most recently, the oldest first.
 	removed []removal
-	// carriedVMs and carriedDomains are what the service lacks since it was restored.
+	// carriedVMs and carriedDomains are those VMs and evacuated failure domains of the roster that
+	// the service lacks since its restoration.
 	carriedVMs, carriedDomains map[string]bool
 }
 
-// removal is a VM that went away, and how many reports it had made.
+// removal is a removed VM with the number of reports that it had made.
 type removal struct {
 	name    string
 	reports int64
 }
 
-// NewRoster returns an empty roster with room for some VMs.
+// NewRoster returns an empty roster with capacity for size VMs.
 func NewRoster(size int) Roster {
 	return Roster{
 		vms: make(map[string]VM, size), reports: make(map[string]int64, size), evacuated: make(map[string]bool),
@@ -36,15 +37,15 @@
 	}
 }
 
-// Clone returns a copy that changes by itself.
+// Clone returns an independent copy.
 func (r Roster) Clone() Roster {
 	r.vms, r.reports, r.evacuated = maps.Clone(r.vms), maps.Clone(r.reports), maps.Clone(r.evacuated)
 	r.carriedVMs, r.carriedDomains = maps.Clone(r.carriedVMs), maps.Clone(r.carriedDomains)
 	return r
 }
 
-// Put takes in what the service says of a VM, and how many reports the VM has made. It reports
-// whether that is new.
+// Put records a VM of the service and the number of reports that the VM has made. It returns
+// whether the VM is new or changed.
 func (r *Roster) Put(vm VM, reports int64) bool {
 	known, found := r.vms[vm.Name]
 	r.vms[vm.Name], r.reports[vm.Name] = vm, reports
@@ -52,14 +53,14 @@
 	return !found || known != vm
 }
 
-// Remove takes out a VM.
+// Remove removes a VM.
 func (r *Roster) Remove(name string) {
 	delete(r.vms, name)
 	delete(r.reports, name)
 	delete(r.carriedVMs, name)
 }
 
-// Evacuate takes in whether a failure domain is evacuated, and reports whether that is new.
+// Evacuate records whether a failure domain is evacuated, and returns whether that is a change.
 func (r *Roster) Evacuate(domain string, evacuated bool) bool {
 	was := r.evacuated[domain]
 	delete(r.evacuated, domain)
@@ -70,10 +71,10 @@
 	return was != evacuated
 }
 
-// List returns the list of VMs in the order of their names.
+// List returns the list of VMs, sorted by name.
 func (r *Roster) List() VMList { return listOf(r.vms, slices.Sorted(maps.Keys(r.evacuated))) }
 
-// RememberRemoved notes which VMs of the roster before are there no more.
+// RememberRemoved remembers the VMs of the earlier roster that are no longer in r.
 func (r *Roster) RememberRemoved(before *Roster) {
 	for name := range before.vms {
 		if _, found := r.vms[name]; !found {
@@ -85,9 +86,10 @@
 	}
 }
 
-// CarryOver completes what was read from a service that was restored from a copy with what was known
-// before. The copy is older: who had left has left, and what it lacks is kept until it
-// is written again, or Settle gives it up.
+// CarryOver completes r, which was read from a service that was restored from a copy, with the
+// earlier roster. The copy is older, so VMs that were leaving or removed before stay so. VMs and
+// evacuated domains that the copy lacks are kept until the service has them again or Settle
+// removes them.
 func (r *Roster) CarryOver(before *Roster) {
 	r.removed = slices.Clone(before.removed)
 	for _, removed := range before.removed {
@@ -112,10 +114,10 @@
 	}
 }
 
-// Settled reports whether the service holds all that is in the roster.
+// Settled reports whether the service has everything that is in the roster.
 func (r *Roster) Settled() bool { return len(r.carriedVMs)+len(r.carriedDomains) == 0 }
 
-// Settle gives up what the service lacks.
+// Settle removes the VMs and evacuated failure domains that the service still lacks.
 func (r *Roster) Settle() {
 	for name := range r.carriedVMs {
 		r.Remove(name)
--- a/internal/published/vms.go
+++ b/internal/published/vms.go
@@ -15,24 +15,24 @@
 
 // Limits of the VM list.
 const (
-	// DefaultSlots is how many requests an endpoint works on at a time when the
-	// list does not say.
+	// DefaultSlots is the number of requests that an endpoint processes at a time if the list
+	// gives no number of slots.
 	DefaultSlots = 2
 	// MaxSlots is the largest number of slots that the list may give.
 	MaxSlots = 1024
-	// maxNameBytes bounds every name in the list; the longest keys of users' stores have 200.
+	// maxNameBytes bounds every name in the list; the longest keys in stores of users have 200
+	// bytes.
 	maxNameBytes = 200
-	// maxProblems bounds how many problems an error names.
+	// maxProblems bounds the number of problems that an error lists.
 	maxProblems = 8
 )
 
 const remedyVMs = "correct the VM list at the platform"
 
-// ParseVMs reads the list of VMs from a published value and validates it as a
-// whole: one bad VM refuses the list, since acting on a part of it would look
-// like VMs that went away. Fields that this program doesn't know are ignored;
-// the list belongs to the platform, which may add some. Endpoints without slots
-// get DefaultSlots.
+// ParseVMs parses the list of VMs of a published value and validates it as a whole. One invalid VM
+// refuses the list, because applying only a part of the list would look as if VMs had been
+// removed. Unknown fields are ignored, because the platform owns the list and may add fields.
+// Endpoints without slots get DefaultSlots.
 func ParseVMs(value Value) (VMList, error) {
 	list := VMList{Revision: value.Revision}
 	if err := decodeSingle(value.Data, &list); err != nil {
@@ -64,7 +64,7 @@
 	return list, nil
 }
 
-// CheckVM returns what is wrong with one VM by itself, nil if it can be used.
+// CheckVM validates a single VM, and returns nil if it can be used.
 func CheckVM(vm VM) error {
 	var found problems
 	checkVM(&vm, &found)
@@ -74,7 +74,7 @@
 	return fault.New(fault.PlatformAnswer, remedyVMs, "%s", strings.Join(found.texts, "; "))
 }
 
-// CheckDomain returns what is wrong with the name of an evacuated failure domain, nil if it can be
+// CheckDomain validates the name of an evacuated failure domain, and returns nil if it can be
 // used.
 func CheckDomain(name string) error {
 	var found problems
@@ -85,17 +85,17 @@
 	return fault.New(fault.PlatformAnswer, remedyVMs, "%s", found.texts[0])
 }
 
-// EncodeVMs returns list in the form that ParseVMs reads, in the order given.
+// EncodeVMs returns list in the format that ParseVMs reads, in the given order.
 func EncodeVMs(list VMList) []byte {
 	if list.VMs == nil {
 		list.VMs = []VM{}
 	}
-	// The types hold strings and numbers only, which always encode.
+	// The types have only strings, numbers and booleans, which always encode.
 	data, _ := json.Marshal(list)
 	return data
 }
 
-// decodeSingle reads exactly one JSON value.
+// decodeSingle decodes exactly one JSON value.
 func decodeSingle(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(into); err != nil {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// problems collects what is wrong with a list.
+// problems collects the validation errors of a list.
 type problems struct {
 	count int
 	texts []string
@@ -120,7 +120,7 @@
 	}
 }
 
-// checkVM checks what one VM must hold whatever its role.
+// checkVM validates the fields of a VM, those that depend on its role included.
 func checkVM(vm *VM, found *problems) {
 	checkName(vm, "name", vm.Name, found)
 	checkName(vm, "region", vm.Region, found)
@@ -165,15 +165,15 @@
 	}
 }
 
-// checkEvacuated checks the names of evacuated failure domains.
+// checkEvacuated validates the names of evacuated failure domains.
 func checkEvacuated(domains []string, found *problems) {
 	for _, domain := range domains {
 		checkName(&VM{}, "evacuated domain", domain, found)
 	}
 }
 
-// checkName accepts printable names without spaces, which fit log lines, tables
-// and headers unquoted.
+// checkName accepts printable names without spaces, which need no quotes in log lines, tables and
+// headers.
 func checkName(vm *VM, field, name string, found *problems) {
 	invalid := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
 	switch {
@@ -182,12 +182,12 @@
 	case len(name) > maxNameBytes:
 		found.add(vm, "%s is longer than %d bytes", field, maxNameBytes)
 	case strings.ContainsFunc(name, invalid):
-		found.add(vm, "%s %q holds a space or an unprintable character", field, name)
+		found.add(vm, "%s %q contains a space or an unprintable character", field, name)
 	}
 }
 
-// checkAddress accepts an IP number with a port; host names would make every
-// request depend on a name service.
+// checkAddress accepts an IP address with a port. Host names would make every request depend on a
+// name service.
 func checkAddress(vm *VM, field, address string, found *problems) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
--- a/internal/published/vms_test.go
+++ b/internal/published/vms_test.go
@@ -40,46 +40,46 @@
 	}
 }
 
-// An operator's or the platform's mistake in one VM must not look like VMs that
-// went away: the list is refused whole, and the error names VM and field.
+// Guards against a mistake in one VM that looks as if VMs had been removed: the whole list is
+// refused, and the error names the VM and the field.
 func TestParseVMsRefuses(t *testing.T) {
 	cases := map[string]struct {
 		vm, old, new string
-		says         string
+		want         string
 	}{
-		"name empty":           {endpointJSON, `"live-1"`, `""`, "name is empty"},
-		"name with space":      {endpointJSON, `live-1`, `live 1`, "space"},
-		"name too long":        {endpointJSON, `live-1`, strings.Repeat("x", 201), "longer"},
-		"incarnation zero":     {entryJSON, `"incarnation":4`, `"incarnation":0`, "incarnation is zero"},
-		"incarnation missing":  {entryJSON, `"incarnation":4,`, ``, "incarnation is zero"},
-		"incarnation negative": {entryJSON, `"incarnation":4`, `"incarnation":-4`, "not readable"},
-		"state unknown":        {endpointJSON, `leaving`, `left`, `state "left"`},
-		"role unknown":         {endpointJSON, `"role":"endpoint"`, `"role":"proxy"`, `role "proxy"`},
-		"region missing":       {endpointJSON, `"region":"mx",`, ``, "region is empty"},
-		"domain missing":       {endpointJSON, `"domain":"b",`, ``, "domain is empty"},
-		"host name":            {endpointJSON, `[::1]:9000`, `live-1:9000`, "not an IP:port"},
-		"port missing":         {endpointJSON, `[::1]:9000`, `127.0.0.1`, "not an IP:port"},
-		"port zero":            {endpointJSON, `[::1]:9000`, `127.0.0.1:0`, "not an IP:port"},
-		"any address":          {endpointJSON, `[::1]:9000`, `0.0.0.0:9000`, "not an IP:port"},
-		"pool missing":         {endpointJSON, `,"pool":"live"`, ``, "pool is empty"},
-		"too many slots":       {endpointJSON, `"pool"`, `"slots":1025,"pool"`, "slots 1025"},
-		"negative slots":       {endpointJSON, `"pool"`, `"slots":-1,"pool"`, "slots -1"},
-		"endpoint with peers":  {endpointJSON, `"pool"`, `"peer_address":"127.0.0.1:1","pool"`, "no peer_address"},
-		"entry without peers":  {entryJSON, `,"peer_address":"127.0.0.1:8081"`, ``, "peer_address"},
-		"entry with pool":      {entryJSON, `"peer_address"`, `"pool":"live","peer_address"`, "no pool"},
-		"entry with slots":     {entryJSON, `"peer_address"`, `"slots":2,"peer_address"`, "no slots"},
-		"twice":                {endpointJSON, `}`, `},` + endpointJSON, "not unique"},
-		"cut":                  {endpointJSON, `"pool":"live"}`, ``, "not readable"},
+		"name empty":                 {endpointJSON, `"live-1"`, `""`, "name is empty"},
+		"name with space":            {endpointJSON, `live-1`, `live 1`, "space"},
+		"name too long":              {endpointJSON, `live-1`, strings.Repeat("x", 201), "longer"},
+		"incarnation zero":           {entryJSON, `"incarnation":4`, `"incarnation":0`, "incarnation is zero"},
+		"incarnation missing":        {entryJSON, `"incarnation":4,`, ``, "incarnation is zero"},
+		"incarnation negative":       {entryJSON, `"incarnation":4`, `"incarnation":-4`, "not readable"},
+		"state unknown":              {endpointJSON, `leaving`, `left`, `state "left"`},
+		"role unknown":               {endpointJSON, `"role":"endpoint"`, `"role":"proxy"`, `role "proxy"`},
+		"region missing":             {endpointJSON, `"region":"mx",`, ``, "region is empty"},
+		"domain missing":             {endpointJSON, `"domain":"b",`, ``, "domain is empty"},
+		"host name":                  {endpointJSON, `[::1]:9000`, `live-1:9000`, "not an IP:port"},
+		"port missing":               {endpointJSON, `[::1]:9000`, `127.0.0.1`, "not an IP:port"},
+		"port zero":                  {endpointJSON, `[::1]:9000`, `127.0.0.1:0`, "not an IP:port"},
+		"any address":                {endpointJSON, `[::1]:9000`, `0.0.0.0:9000`, "not an IP:port"},
+		"pool missing":               {endpointJSON, `,"pool":"live"`, ``, "pool is empty"},
+		"too many slots":             {endpointJSON, `"pool"`, `"slots":1025,"pool"`, "slots 1025"},
+		"negative slots":             {endpointJSON, `"pool"`, `"slots":-1,"pool"`, "slots -1"},
+		"endpoint with peer address": {endpointJSON, `"pool"`, `"peer_address":"127.0.0.1:1","pool"`, "no peer_address"},
+		"entry without peer address": {entryJSON, `,"peer_address":"127.0.0.1:8081"`, ``, "peer_address"},
+		"entry with pool":            {entryJSON, `"peer_address"`, `"pool":"live","peer_address"`, "no pool"},
+		"entry with slots":           {entryJSON, `"peer_address"`, `"slots":2,"peer_address"`, "no slots"},
+		"duplicate name":             {endpointJSON, `}`, `},` + endpointJSON, "not unique"},
+		"truncated":                  {endpointJSON, `"pool":"live"}`, ``, "not readable"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			broken := strings.Replace(c.vm, c.old, c.new, 1)
 			if broken == c.vm {
-				t.Fatal("the case changes nothing")
+				t.Fatal("the case does not change the JSON")
 			}
 			list, err := parseRows(broken)
-			if fault.KindOf(err) != fault.PlatformAnswer || !strings.Contains(err.Error(), c.says) || list.VMs != nil {
-				t.Fatalf("error %v, list %+v; want one that says %q", err, list, c.says)
+			if fault.KindOf(err) != fault.PlatformAnswer || !strings.Contains(err.Error(), c.want) || list.VMs != nil {
+				t.Fatalf("error %v, list %+v; want an error that contains %q", err, list, c.want)
 			}
 		})
 	}
