--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -90,9 +90,9 @@
 	options.RouteProfiles = profiles
 	options.Dialect = users.Dialect{}
 	options.Platform = users.NewService(users.ServiceConfig{
-		BaseURL: s.Platform.URL,
-		Timeout: s.Platform.Timeout.Duration,
-		Watch:   s.Platform.Watch.Duration,
+		BaseURL:   s.Platform.URL,
+		Timeout:   s.Platform.Timeout.Duration,
+		WatchWait: s.Platform.Watch.Duration,
 	})
 	return options, nil
 }
