--- a/internal/audit/sink_test.go
+++ b/internal/audit/sink_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	var out strings.Builder
 	w := logging.NewWriter(&out, logging.Config{})
-	logging.Use(w, "entry", "front-bajio-a-1")
+	logging.RedirectKlog(w, "entry", "front-bajio-a-1")
 	defer klog.ClearLogger()
 	LogSink(r)
 	w.Close()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 	defer klog.Flush()
 	if s.Log.Format == settings.JSONLog {
 		w := logging.NewWriter(command.OutOrStdout(), logging.Config{LinesPerSecond: s.Log.LinesPerSecond, BytesPerSecond: s.Log.BytesPerSecond})
-		logging.Use(w, "entry", s.Name)
+		logging.RedirectKlog(w, "entry", s.Name)
 		defer klog.ClearLogger()
 		defer w.Close()
 	}
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -33,7 +33,7 @@
 		pairs = append(pairs, traceFields[i], value)
 	}
 	if s.Sampled {
-		pairs = append(pairs, logging.Ordinary, true)
+		pairs = append(pairs, logging.LowPriority, true)
 	}
 	klog.InfoS("request", pairs...)
 }
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -33,7 +33,7 @@
 	}
 	var out strings.Builder
 	w := logging.NewWriter(&out, logging.Config{})
-	logging.Use(w)
+	logging.RedirectKlog(w)
 	defer klog.ClearLogger()
 	logTrace(&core.RequestTrace{Name: "9c41", Attempts: []core.AttemptTrace{{Endpoint: "i-1", End: "lost"}}})
 	w.Close()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -9,9 +9,9 @@
 	"k8s.io/klog/v2"
 )
 
-// Ordinary is the key of an attribute that marks a line as one of many alike, such as
+// LowPriority is the key of an attribute that marks a line as one of many alike, such as
 // that of a request that went well. It is not written.
-const Ordinary = "ordinary"
+const LowPriority = "ordinary"
 
 // handler encodes records as JSON and gives the lines to a Writer.
 type handler struct {
@@ -35,7 +35,7 @@
 	options := &slog.HandlerOptions{
 		Level: slog.Level(-100), // klog decides what is logged
 		ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
-			if a.Key == Ordinary {
+			if a.Key == LowPriority {
 				return slog.Attr{}
 			}
 			return a
@@ -51,10 +51,10 @@
 
 // Handle implements slog.Handler.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	ordinary := false
+	lowPriority := false
 	r.Attrs(func(a slog.Attr) bool {
-		ordinary = ordinary || a.Key == Ordinary
-		return !ordinary
+		lowPriority = lowPriority || a.Key == LowPriority
+		return !lowPriority
 	})
 	h.line.mu.Lock()
 	defer h.line.mu.Unlock()
@@ -62,7 +62,7 @@
 	if err := h.inner.Handle(ctx, r); err != nil {
 		return err
 	}
-	h.out.put(h.line.data.Bytes(), ordinary)
+	h.out.enqueue(h.line.data.Bytes(), lowPriority)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 	return &handler{inner: h.inner.WithGroup(name), line: h.line, out: h.out}
 }
 
-// Use makes klog write to w, every line as JSON. fields go with each line.
-func Use(w *Writer, fields ...any) {
+// RedirectKlog makes klog write to w, every line as JSON. fields go with each line.
+func RedirectKlog(w *Writer, fields ...any) {
 	klog.SetSlogLogger(slog.New(NewHandler(w)).With(fields...))
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// manual is a clock that a test sets.
-type manual struct{ nanos atomic.Int64 }
+// manualClock is a clock that a test sets.
+type manualClock struct{ nanos atomic.Int64 }
 
-func (m *manual) now() time.Time          { return time.Unix(0, m.nanos.Load()) }
-func (m *manual) advance(d time.Duration) { m.nanos.Add(int64(d)) }
+func (m *manualClock) now() time.Time          { return time.Unix(0, m.nanos.Load()) }
+func (m *manualClock) advance(d time.Duration) { m.nanos.Add(int64(d)) }
 
 // The collector of logs hangs and reads nothing. Requests must go on as if there were no
 // log: no line may wait, and what is lost must be counted and told once it reads again.
-func TestReaderThatNeverReads(t *testing.T) {
-	clock := &manual{}
+func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
+	clock := &manualClock{}
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe, Config{Queue: 4, Now: clock.now, LinesPerSecond: 1000})
 	log := slog.New(NewHandler(w))
@@ -34,7 +34,7 @@
 	}
 	// The writer may have begun to tell of the first ones before the last were written,
 	// so several lines may tell of them; together they account for every line.
-	told, written := make(chan uint64), 0
+	reported, written := make(chan uint64), 0
 	go func() {
 		var sum uint64
 		for scan := bufio.NewScanner(reader); scan.Scan(); {
@@ -50,26 +50,26 @@
 			}
 			sum += line.Lines
 		}
-		told <- sum
+		reported <- sum
 	}()
 	w.Close()
 	<-w.done
 	pipe.Close()
-	if sum := <-told; sum != w.Dropped() || int(sum)+written != lines {
+	if sum := <-reported; sum != w.Dropped() || int(sum)+written != lines {
 		t.Errorf("told of %d lines left out, counted %d, written %d of %d", sum, w.Dropped(), written, lines)
 	}
 }
 
 // Endpoints fail and every request writes a line. The volume stays within the bound, and
 // what tells of failures is not pushed out by ordinary successes.
-func TestVolumeUnderABurst(t *testing.T) {
-	clock := &manual{}
+func TestVolumeBoundKeepsFailureLines(t *testing.T) {
+	clock := &manualClock{}
 	var out bytes.Buffer
 	const perSecond, seconds = 50, 10
 	w := NewWriter(&out, Config{LinesPerSecond: perSecond, Queue: 10_000, Now: clock.now})
 	log := slog.New(NewHandler(w))
 	for range seconds * 1000 {
-		log.Info("request", "status", 200, Ordinary, true)
+		log.Info("request", "status", 200, LowPriority, true)
 		if clock.nanos.Load()%int64(50*time.Millisecond) == 0 {
 			log.Error("request", "status", 502)
 		}
@@ -86,13 +86,13 @@
 	}
 	for line := range strings.Lines(out.String()) {
 		var fields map[string]any
-		if err := json.Unmarshal([]byte(line), &fields); err != nil || fields["msg"] == nil || fields[Ordinary] != nil {
+		if err := json.Unmarshal([]byte(line), &fields); err != nil || fields["msg"] == nil || fields[LowPriority] != nil {
 			t.Fatalf("not one object: %q, %v", line, err)
 		}
 	}
 }
 
-func BenchmarkLine(b *testing.B) {
+func BenchmarkLogLine(b *testing.B) {
 	w := NewWriter(io.Discard, Config{LinesPerSecond: 1 << 30, BytesPerSecond: 1 << 30})
 	defer w.Close()
 	log := slog.New(NewHandler(w))
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -31,14 +31,14 @@
 	defaultQueue = 256
 	// burst is how many seconds' worth may be written at once.
 	burst = 2
-	// ordinaryShare is the part of the bound that ordinary lines leave for failures
+	// reservedShare is the part of the bound that ordinary lines leave for failures
 	// and for changes of what the process believes.
-	ordinaryShare = 0.5
-	// tellEvery is the shortest time between two lines that tell how many were left
+	reservedShare = 0.5
+	// dropReportInterval is the shortest time between two lines that tell how many were left
 	// out, which the bound does not count.
-	tellEvery = time.Second
-	// closeWait bounds the wait for a reader at the end of the process.
-	closeWait = 200 * time.Millisecond
+	dropReportInterval = time.Second
+	// closeTimeout bounds the wait for a reader at the end of the process.
+	closeTimeout = 200 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -66,9 +66,9 @@
 	queue chan []byte
 	done  chan struct{}
 
-	closing sync.Once
-	dropped atomic.Uint64
-	untold  atomic.Uint64
+	closing    sync.Once
+	dropped    atomic.Uint64
+	unreported atomic.Uint64
 }
 
 // NewWriter returns a writer to out. Close it to write what waits.
@@ -88,19 +88,19 @@
 // run is the only one who waits for the reader.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
-	var next time.Time
+	var nextReport time.Time
 	for line := range w.queue {
-		if now := w.cfg.Now(); !now.Before(next) && w.tellDropped(out) {
-			next = now.Add(tellEvery)
+		if now := w.cfg.Now(); !now.Before(nextReport) && w.reportDropped(out) {
+			nextReport = now.Add(dropReportInterval)
 		}
 		_, _ = out.Write(line) // nobody is left to be told
 	}
-	w.tellDropped(out)
+	w.reportDropped(out)
 }
 
-// tellDropped writes how many lines were left out since it last did, if any were.
-func (w *Writer) tellDropped(out io.Writer) bool {
-	n := w.untold.Swap(0)
+// reportDropped writes how many lines were left out since it last did, if any were.
+func (w *Writer) reportDropped(out io.Writer) bool {
+	n := w.unreported.Swap(0)
 	if n > 0 {
 		fmt.Fprintf(out, `{"time":%q,"level":"WARN","msg":"log lines left out","lines":%d}`+"\n", w.cfg.Now().Format(time.RFC3339Nano), n)
 	}
@@ -110,14 +110,14 @@
 // Write takes one line and never waits. It returns no error: a line that does not fit
 // is counted.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.put(line, false)
+	w.enqueue(line, false)
 	return len(line), nil
 }
 
-// put queues a line; ordinary ones leave room for others.
-func (w *Writer) put(line []byte, ordinary bool) {
+// enqueue queues a line; ordinary ones leave room for others.
+func (w *Writer) enqueue(line []byte, lowPriority bool) {
 	now := w.cfg.Now()
-	if ordinary && w.lines.TokensAt(now) < ordinaryShare*float64(w.lines.Burst()) ||
+	if lowPriority && w.lines.TokensAt(now) < reservedShare*float64(w.lines.Burst()) ||
 		!w.lines.AllowN(now, 1) || !w.bytes.AllowN(now, len(line)) {
 		w.drop()
 		return
@@ -131,7 +131,7 @@
 
 func (w *Writer) drop() {
 	w.dropped.Add(1)
-	w.untold.Add(1)
+	w.unreported.Add(1)
 }
 
 // Dropped returns how many lines were left out since the start.
@@ -143,6 +143,6 @@
 	w.closing.Do(func() { close(w.queue) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/profile/calendar.go
+++ b/internal/profile/calendar.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// localLayout is how the calendar writes a local time.
-	localLayout = "2006-01-02 15:04"
-	localRemedy = `write a local time such as "2026-12-31 18:00"`
-	zoneRemedy  = `set it to an IANA name such as "America/Mexico_City"`
+	// localTimeLayout is how the calendar writes a local time.
+	localTimeLayout = "2006-01-02 15:04"
+	localTimeRemedy = `write a local time such as "2026-12-31 18:00"`
+	timeZoneRemedy  = `set it to an IANA name such as "America/Mexico_City"`
 	// maxCloses bounds what CloseAt searches: more than eighty years of
 	// monthly closes.
 	maxCloses = 1000
@@ -27,32 +27,32 @@
 }
 
 func (c *checker) readCalendar(root section, s *Snapshot) {
-	calendar, ok := c.table(root, "calendar")
+	calendar, ok := c.readTable(root, "calendar")
 	if !ok {
 		return
 	}
-	c.unknown(calendar, []string{"time_zone", "close"})
-	zone := c.readZone(calendar)
+	c.reportUnknownKeys(calendar, []string{"time_zone", "close"})
+	zone := c.readTimeZone(calendar)
 	s.zone = zone.String()
 	var closes []calendarClose
 	for _, table := range c.closeTables(calendar) {
-		if one, ok := c.readClose(table, zone); ok {
-			closes = append(closes, one)
+		if parsed, ok := c.readClose(table, zone); ok {
+			closes = append(closes, parsed)
 		}
 	}
 	slices.SortStableFunc(closes, func(a, b calendarClose) int {
 		return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.Name, b.Name))
 	})
 	c.checkOverlaps(closes)
-	for _, one := range closes {
-		s.closes = append(s.closes, one.Close)
+	for _, parsed := range closes {
+		s.closes = append(s.closes, parsed.Close)
 	}
 }
 
-// readZone returns UTC for a zone that is not usable, so that the rest of the
+// readTimeZone returns UTC for a zone that is not usable, so that the rest of the
 // calendar can still be checked.
-func (c *checker) readZone(calendar section) *time.Location {
-	name, ok := c.text(calendar, "time_zone", zoneRemedy)
+func (c *checker) readTimeZone(calendar section) *time.Location {
+	name, ok := c.readString(calendar, "time_zone", timeZoneRemedy)
 	if !ok {
 		return time.UTC
 	}
@@ -60,7 +60,7 @@
 	// may differ between entries.
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "" || name == "Local" {
-		c.report(calendar.child("time_zone"), fmt.Sprintf("there is no time zone %.*q", maxPrintedValue, name), zoneRemedy)
+		c.report(calendar.child("time_zone"), fmt.Sprintf("there is no time zone %.*q", maxPrintedValue, name), timeZoneRemedy)
 		return time.UTC
 	}
 	return zone
@@ -83,7 +83,7 @@
 	}
 	var tables []section
 	for i, value := range list {
-		table := section{path: element(path, i+1)}
+		table := section{path: elementPath(path, i+1)}
 		if table.values, ok = value.(map[string]any); !ok {
 			c.report(table.path, "this is not a table", "write each close as [[calendar.close]]")
 			continue
@@ -93,35 +93,35 @@
 	return tables
 }
 
-func (c *checker) readClose(table section, zone *time.Location) (one calendarClose, ok bool) {
-	c.unknown(table, []string{"name", "start", "end"})
-	one.path = table.path
-	name, named := c.text(table, "name", "name the close")
+func (c *checker) readClose(table section, zone *time.Location) (parsed calendarClose, ok bool) {
+	c.reportUnknownKeys(table, []string{"name", "start", "end"})
+	parsed.path = table.path
+	name, named := c.readString(table, "name", "name the close")
 	if named {
-		named = c.name(table.child("name"), name)
+		named = c.checkName(table.child("name"), name)
 	}
-	start, started := c.readLocal(table, "start")
-	end, ended := c.readLocal(table, "end")
+	start, started := c.readLocalTime(table, "start")
+	end, ended := c.readLocalTime(table, "end")
 	if !named || !started || !ended {
-		return one, false
+		return parsed, false
 	}
-	one.Close = Close{Name: name, Start: firstInstant(start, zone), End: lastInstant(end, zone)}
-	if !one.End.After(one.Start) {
+	parsed.Close = Close{Name: name, Start: firstInstant(start, zone), End: lastInstant(end, zone)}
+	if !parsed.End.After(parsed.Start) {
 		c.report(table.child("end"), "the close does not end after it starts", "set end to a time after start")
-		return one, false
+		return parsed, false
 	}
-	return one, true
+	return parsed, true
 }
 
-// readLocal returns a local time as if it were in UTC.
-func (c *checker) readLocal(table section, key string) (local time.Time, ok bool) {
-	text, ok := c.text(table, key, localRemedy)
+// readLocalTime returns a local time as if it were in UTC.
+func (c *checker) readLocalTime(table section, key string) (local time.Time, ok bool) {
+	text, ok := c.readString(table, key, localTimeRemedy)
 	if !ok {
 		return local, false
 	}
-	local, err := time.Parse(localLayout, text)
+	local, err := time.Parse(localTimeLayout, text)
 	if err != nil {
-		c.report(table.child(key), fmt.Sprintf("%.*q is not a local time", maxPrintedValue, text), localRemedy)
+		c.report(table.child(key), fmt.Sprintf("%.*q is not a local time", maxPrintedValue, text), localTimeRemedy)
 	}
 	return local, err == nil
 }
@@ -130,14 +130,14 @@
 // by start, so each is compared with the one of its name that ends last.
 func (c *checker) checkOverlaps(closes []calendarClose) {
 	latest := map[string]calendarClose{}
-	for _, one := range closes {
-		before, seen := latest[one.Name]
-		if seen && one.Start.Before(before.End) {
-			c.report(one.path, fmt.Sprintf("the close overlaps %s of the same name", before.path),
+	for _, current := range closes {
+		previous, seen := latest[current.Name]
+		if seen && current.Start.Before(previous.End) {
+			c.report(current.path, fmt.Sprintf("the close overlaps %s of the same name", previous.path),
 				"make it one close, or rename one")
 		}
-		if !seen || one.End.After(before.End) {
-			latest[one.Name] = one
+		if !seen || current.End.After(previous.End) {
+			latest[current.Name] = current
 		}
 	}
 }
--- a/internal/profile/calendar_test.go
+++ b/internal/profile/calendar_test.go
@@ -20,7 +20,7 @@
 // Auditors pull while the clocks change. Were a local time read differently by
 // two entries, or an hour left out, one of them would treat the close's
 // traffic as that of an ordinary day.
-func TestCloseAcrossDaylightSaving(t *testing.T) {
+func TestCloseAcrossClockChange(t *testing.T) {
 	cases := []struct {
 		name, zone, start, end string
 		wantStart, wantEnd     string
@@ -68,7 +68,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			at, err := time.Parse(localLayout, tc.at)
+			at, err := time.Parse(localTimeLayout, tc.at)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/profile/checker.go
+++ b/internal/profile/checker.go
@@ -20,7 +20,7 @@
 	values map[string]any
 }
 
-func (s section) child(key string) string { return join(s.path, key) }
+func (s section) child(key string) string { return joinPath(s.path, key) }
 
 // keys returns the section's keys, sorted, so that nothing depends on the
 // order of a map.
@@ -41,14 +41,14 @@
 }
 
 func (c *checker) report(path, problem, remedy string) {
-	c.problems = append(c.problems, c.problem(path, problem, remedy))
+	c.problems = append(c.problems, c.newProblem(path, problem, remedy))
 }
 
 func (c *checker) warn(path, problem, remedy string) {
-	c.warnings = append(c.warnings, c.problem(path, problem, remedy))
+	c.warnings = append(c.warnings, c.newProblem(path, problem, remedy))
 }
 
-func (c *checker) problem(path, problem, remedy string) Problem {
+func (c *checker) newProblem(path, problem, remedy string) Problem {
 	return Problem{Line: c.lines.line(path), Path: path, Problem: problem, Remedy: remedy}
 }
 
@@ -61,9 +61,9 @@
 	return slices.Compact(problems)
 }
 
-// table returns the table under key. A missing one is empty; ok is false if
+// readTable returns the table under key. A missing one is empty; ok is false if
 // there is none or something else stands there.
-func (c *checker) table(parent section, key string) (child section, ok bool) {
+func (c *checker) readTable(parent section, key string) (child section, ok bool) {
 	child = section{path: parent.child(key)}
 	value, present := parent.values[key]
 	if !present {
@@ -76,22 +76,22 @@
 	return child, ok
 }
 
-// unknown reports the keys of s that are not among those known.
-func (c *checker) unknown(s section, known []string) {
+// reportUnknownKeys reports the keys of s that are not among those known.
+func (c *checker) reportUnknownKeys(s section, known []string) {
 	for _, key := range s.keys() {
 		if slices.Contains(known, key) {
 			continue
 		}
 		remedy := "remove it, or see docs/PROFILES.md for the fields that exist"
-		if near, ok := nearest(key, known); ok {
+		if near, ok := nearestName(key, known); ok {
 			remedy = fmt.Sprintf("did you mean %s?", near)
 		}
 		c.report(s.child(key), "unknown field", remedy)
 	}
 }
 
-// name checks the name that a table is given by its key.
-func (c *checker) name(path, name string) bool {
+// checkName checks the name that a table is given by its key.
+func (c *checker) checkName(path, name string) bool {
 	if namePattern.MatchString(name) {
 		return true
 	}
@@ -99,9 +99,9 @@
 	return false
 }
 
-// text returns the string under key; ok is false, and the problem reported, if
+// readString returns the string under key; ok is false, and the problem reported, if
 // it is missing or no string.
-func (c *checker) text(s section, key, remedy string) (text string, ok bool) {
+func (c *checker) readString(s section, key, remedy string) (text string, ok bool) {
 	value, present := s.values[key]
 	if !present {
 		c.report(s.child(key), "the field is missing", remedy)
@@ -117,22 +117,22 @@
 // maxNameDistance is how many letters a mistyped field may differ by.
 const maxNameDistance = 2
 
-// nearest returns the known name that was probably meant.
-func nearest(name string, known []string) (string, bool) {
+// nearestName returns the known name that was probably meant.
+func nearestName(name string, known []string) (string, bool) {
 	best, found := maxNameDistance+1, ""
 	for _, k := range known {
 		if len(name) > len(k)+maxNameDistance {
 			continue
 		}
-		if d := distance(strings.ToLower(name), k); d < best {
+		if d := editDistance(strings.ToLower(name), k); d < best {
 			best, found = d, k
 		}
 	}
 	return found, found != ""
 }
 
-// distance is the Levenshtein distance between two short names.
-func distance(a, b string) int {
+// editDistance is the Levenshtein distance between two short names.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/profile/diff.go
+++ b/internal/profile/diff.go
@@ -41,7 +41,7 @@
 	subject := strings.Join(words, " ")
 	switch {
 	case c.Field != "":
-		return subject + ": " + c.Field + " " + orNone(c.From) + " -> " + orNone(c.To)
+		return subject + ": " + c.Field + " " + textOrNone(c.From) + " -> " + textOrNone(c.To)
 	case c.From == "":
 		return subject + ": added, " + c.To
 	default:
@@ -49,7 +49,7 @@
 	}
 }
 
-func orNone(text string) string {
+func textOrNone(text string) string {
 	if text == "" {
 		return "none"
 	}
@@ -97,11 +97,11 @@
 	for i := range fields {
 		f := &fields[i]
 		if f.fixed {
-			add("", f.name, f.text(&prev.Ordinary), f.text(&next.Ordinary))
+			add("", f.name, f.format(&prev.Ordinary), f.format(&next.Ordinary))
 			continue
 		}
-		add(Ordinary, f.name, f.text(&prev.Ordinary), f.text(&next.Ordinary))
-		add(Closing, f.name, f.text(&prev.Close), f.text(&next.Close))
+		add(Ordinary, f.name, f.format(&prev.Ordinary), f.format(&next.Ordinary))
+		add(Closing, f.name, f.format(&prev.Close), f.format(&next.Close))
 	}
 	return changes
 }
--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -17,96 +17,96 @@
 	// min and max bound the value, in nanoseconds, bytes, or as a plain
 	// number. They have no meaning for text and for true or false.
 	min, max float64
-	// orZero admits 0 although it is below min.
-	orZero bool
+	// allowZero admits 0 although it is below min.
+	allowZero bool
 	// fixed settings are a contract with callers and can't differ in a close.
 	fixed bool
-	// effect is the setting's line in the reference.
-	effect string
+	// description is the setting's line in the reference.
+	description string
 }
 
 // fields holds every setting; kind comes first since it decides the defaults.
 var fields = []field{
 	{
 		name: "kind", ref: func(p *Policy) any { return &p.Kind }, fixed: true,
-		effect: "What the requests are. `read`: idempotent, callers wait. `once`: must not run twice. `bulk`: large, may be slow. `urgent`: idempotent, few, before all others.",
+		description: "What the requests are. `read`: idempotent, callers wait. `once`: must not run twice. `bulk`: large, may be slow. `urgent`: idempotent, few, before all others.",
 	},
 	{
 		name: "deadline", ref: func(p *Policy) any { return &p.Deadline },
 		min: float64(10 * time.Millisecond), max: float64(time.Hour),
-		effect: "Longest time from a request's arrival at an entry to its answer. A request that cannot meet it is refused early as not run. A caller may ask for less, never for more.",
+		description: "Longest time from a request's arrival at an entry to its answer. A request that cannot meet it is refused early as not run. A caller may ask for less, never for more.",
 	},
 	{
 		name: "objective", ref: func(p *Policy) any { return &p.Objective },
-		min: float64(time.Millisecond), max: float64(time.Hour), orZero: true,
-		effect: "Latency within which an answer has its full value; hedges and early refusals go by it. `0s`: none. A route's own takes its place.",
+		min: float64(time.Millisecond), max: float64(time.Hour), allowZero: true,
+		description: "Latency within which an answer has its full value; hedges and early refusals go by it. `0s`: none. A route's own takes its place.",
 	},
 	{
 		name: "looks", ref: func(p *Policy) any { return &p.LoadProbes }, max: 32,
-		effect: "Endpoints that may be asked for their load right before a request is sent, within `watch_budget`. `0`: none, the choice goes by what answers and peers told.",
+		description: "Endpoints that may be asked for their load right before a request is sent, within `watch_budget`. `0`: none, the choice goes by what answers and peers told.",
 	},
 	{
 		name: "queue_limit", ref: func(p *Policy) any { return &p.QueueLimit }, max: 10000,
-		effect: "Requests of the service that may wait at one entry. `0`: none waits, what finds no free slot is refused as not run.",
+		description: "Requests of the service that may wait at one entry. `0`: none waits, what finds no free slot is refused as not run.",
 	},
 	{
 		name: "queue_order", ref: func(p *Policy) any { return &p.QueueOrder },
-		effect: "Which waiting request goes first among those of equal priority: `deadline` (the nearest) or `arrival` (the oldest).",
+		description: "Which waiting request goes first among those of equal priority: `deadline` (the nearest) or `arrival` (the oldest).",
 	},
 	{
 		name: "priority", ref: func(p *Policy) any { return &p.Priority }, max: 9,
-		effect: "Services that share a pool are served in this order, highest first.",
+		description: "Services that share a pool are served in this order, highest first.",
 	},
 	{
 		name: "slot_share", ref: func(p *Policy) any { return &p.SlotShare }, min: 0.01, max: 1,
-		effect: "Largest share of the pool's slots that the service may hold at once.",
+		description: "Largest share of the pool's slots that the service may hold at once.",
 	},
 	{
 		name: "caller_share", ref: func(p *Policy) any { return &p.CallerShare }, min: 0.01, max: 1,
-		effect: "Largest share of the queue's places that one caller may hold.",
+		description: "Largest share of the queue's places that one caller may hold.",
 	},
 	{
 		name: "retry_budget", ref: func(p *Policy) any { return &p.RetryBudget }, max: 1,
-		effect: "Retries and hedges together, as a share of successful requests. `0`: neither.",
+		description: "Retries and hedges together, as a share of successful requests. `0`: neither.",
 	},
 	{
 		name: "max_attempts", ref: func(p *Policy) any { return &p.MaxAttempts }, min: 1, max: 5,
-		effect: "Tries of one request, the first included. Kind `once` is tried again only where the try before provably did not run.",
+		description: "Tries of one request, the first included. Kind `once` is tried again only where the try before provably did not run.",
 	},
 	{
 		name: "hedge_after", ref: func(p *Policy) any { return &p.HedgeAfter },
-		min: float64(time.Millisecond), max: float64(time.Minute), orZero: true,
-		effect: "How long the first attempt may stay unanswered before a second one starts elsewhere. `0s`: no hedge.",
+		min: float64(time.Millisecond), max: float64(time.Minute), allowZero: true,
+		description: "How long the first attempt may stay unanswered before a second one starts elsewhere. `0s`: no hedge.",
 	},
 	{
 		name: "watch_budget", ref: func(p *Policy) any { return &p.WatchBudget }, max: 0.2,
-		effect: "Share of the endpoints' slot time that the probes of all entries together may take. In a shared pool the smallest one holds.",
+		description: "Share of the endpoints' slot time that the probes of all entries together may take. In a shared pool the smallest one holds.",
 	},
 	{
 		name: "eject_max_share", ref: func(p *Policy) any { return &p.EjectMaxShare }, max: 0.5,
-		effect: "Largest share of the pool's endpoints ejected at once. `0`: no ejection. In a shared pool the smallest one holds.",
+		description: "Largest share of the pool's endpoints ejected at once. `0`: no ejection. In a shared pool the smallest one holds.",
 	},
 	{
 		name: "eject_base", ref: func(p *Policy) any { return &p.EjectBase },
 		min: float64(100 * time.Millisecond), max: float64(time.Hour),
-		effect: "Time of a first ejection; it grows with each further one in a row. In a shared pool the smallest one holds.",
+		description: "Time of a first ejection; it grows with each further one in a row. In a shared pool the smallest one holds.",
 	},
 	{
 		name: "eject_max", ref: func(p *Policy) any { return &p.EjectMax },
 		min: float64(100 * time.Millisecond), max: float64(time.Hour),
-		effect: "Longest time of an ejection. In a shared pool the smallest one holds.",
+		description: "Longest time of an ejection. In a shared pool the smallest one holds.",
 	},
 	{
 		name: "max_body", ref: func(p *Policy) any { return &p.MaxBodyBytes }, max: 16 * gigabyte,
-		effect: "Largest request body; a larger one is refused as not run. `0B`: no body.",
+		description: "Largest request body; a larger one is refused as not run. `0B`: no body.",
 	},
 	{
 		name: "require_key", ref: func(p *Policy) any { return &p.RequireKey }, fixed: true,
-		effect: "Whether a request without an idempotency key is refused as not run.",
+		description: "Whether a request without an idempotency key is refused as not run.",
 	},
 	{
 		name: "entries_per_domain", ref: func(p *Policy) any { return &p.EntriesPerDomain }, min: 0, max: 16,
-		effect: "Entries of each failure domain that callers of the service are sent to. `0`: one entry in each region, which then sees every request and every slot; callers of other failure domains have a longer way.",
+		description: "Entries of each failure domain that callers of the service are sent to. `0`: one entry in each region, which then sees every request and every slot; callers of other failure domains have a longer way.",
 	},
 }
 
@@ -125,10 +125,10 @@
 	switch ref := f.ref(p).(type) {
 	case *Kind:
 		text, ok := value.(string)
-		return ok && choose(ref, Kind(text), Kinds())
+		return ok && setChoice(ref, Kind(text), Kinds())
 	case *QueueOrder:
 		text, ok := value.(string)
-		return ok && choose(ref, QueueOrder(text), []QueueOrder{ByDeadline, ByArrival})
+		return ok && setChoice(ref, QueueOrder(text), []QueueOrder{ByDeadline, ByArrival})
 	case *bool:
 		flag, ok := value.(bool)
 		if ok {
@@ -137,34 +137,34 @@
 		return ok
 	case *int:
 		n, ok := value.(int64)
-		return ok && store(f, ref, int(n))
+		return ok && setInRange(f, ref, int(n))
 	case *float64:
 		if n, ok := value.(int64); ok {
-			return store(f, ref, float64(n))
+			return setInRange(f, ref, float64(n))
 		}
 		share, ok := value.(float64)
-		return ok && store(f, ref, share)
+		return ok && setInRange(f, ref, share)
 	case *time.Duration:
 		text, ok := value.(string)
 		if !ok {
 			return false
 		}
 		d, err := time.ParseDuration(text)
-		return err == nil && store(f, ref, d)
+		return err == nil && setInRange(f, ref, d)
 	case *int64:
 		text, ok := value.(string)
 		if !ok {
 			return false
 		}
 		size, ok := parseSize(text)
-		return ok && store(f, ref, size)
+		return ok && setInRange(f, ref, size)
 	}
 	panic("profile: no rule for the type of " + f.name)
 }
 
-// choose stores value if it is among those admitted.
-func choose[T comparable](ref *T, value T, admitted []T) bool {
-	for _, a := range admitted {
+// setChoice stores value if it is among those admitted.
+func setChoice[T comparable](ref *T, value T, allowed []T) bool {
+	for _, a := range allowed {
 		if a == value {
 			*ref = value
 			return true
@@ -173,20 +173,20 @@
 	return false
 }
 
-// store keeps value if it lies within the field's bounds. A NaN compares false
+// setInRange keeps value if it lies within the field's bounds. A NaN compares false
 // with both and so is not stored.
-func store[T int | int64 | float64 | time.Duration](f *field, ref *T, value T) bool {
+func setInRange[T int | int64 | float64 | time.Duration](f *field, ref *T, value T) bool {
 	n := float64(value)
 	inside := n >= f.min && n <= f.max
-	if !inside && !(f.orZero && n == 0) {
+	if !inside && !(f.allowZero && n == 0) {
 		return false
 	}
 	*ref = value
 	return true
 }
 
-// text returns the setting of p as the document writes it, without quotes.
-func (f *field) text(p *Policy) string {
+// format returns the setting of p as the document writes it, without quotes.
+func (f *field) format(p *Policy) string {
 	switch ref := f.ref(p).(type) {
 	case *Kind:
 		return string(*ref)
@@ -224,8 +224,8 @@
 	}
 }
 
-// admitted returns the values that the field takes, as the document writes them.
-func (f *field) admitted() string {
+// allowedValues returns the values that the field takes, as the document writes them.
+func (f *field) allowedValues() string {
 	low, high := "", ""
 	switch f.ref(new(Policy)).(type) {
 	case *Kind:
@@ -243,7 +243,7 @@
 	default:
 		low, high = formatShare(f.min), formatShare(f.max)
 	}
-	if f.orZero {
+	if f.allowZero {
 		return fmt.Sprintf(`"0s", or %s to %s`, low, high)
 	}
 	return fmt.Sprintf("%s to %s", low, high)
--- a/internal/profile/golden_test.go
+++ b/internal/profile/golden_test.go
@@ -10,12 +10,12 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// TestRefused holds the problems that an operator sees for a document.
-func TestRefused(t *testing.T) {
+// TestRefusedDocumentsListEveryProblem holds the problems that an operator sees for a document.
+func TestRefusedDocumentsListEveryProblem(t *testing.T) {
 	datadriven.RunTest(t, "testdata/refused", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Parse([]byte(d.Input), 1)
 		if err == nil {
-			return "accepted\n" + lines(s.Warnings())
+			return "accepted\n" + formatLines(s.Warnings())
 		}
 		if kind := fault.KindOf(err); kind != fault.BadProfile {
 			t.Errorf("kind = %q", kind)
@@ -24,12 +24,12 @@
 		if !errors.As(err, &refused) {
 			t.Fatalf("%v holds no DocumentError", err)
 		}
-		return lines(refused.Problems)
+		return formatLines(refused.Problems)
 	})
 }
 
-// TestDiff publishes one document after another and shows what changes.
-func TestDiff(t *testing.T) {
+// TestDiffOfSuccessiveDocuments publishes one document after another and shows what changes.
+func TestDiffOfSuccessiveDocuments(t *testing.T) {
 	var inForce *Snapshot
 	datadriven.RunTest(t, "testdata/diff", func(t *testing.T, d *datadriven.TestData) string {
 		next, err := Parse([]byte(d.Input), 1)
@@ -38,11 +38,11 @@
 		}
 		changes := Diff(inForce, next)
 		inForce = next
-		return lines(changes)
+		return formatLines(changes)
 	})
 }
 
-func lines[T interface{ String() string }](items []T) string {
+func formatLines[T interface{ String() string }](items []T) string {
 	var b strings.Builder
 	for _, item := range items {
 		b.WriteString(item.String() + "\n")
--- a/internal/profile/lines.go
+++ b/internal/profile/lineindex.go
@@ -22,8 +22,8 @@
 
 var bareKey = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
 
-// join appends a key to a path, quoted where TOML would need that.
-func join(path, key string) string {
+// joinPath appends a key to a path, quoted where TOML would need that.
+func joinPath(path, key string) string {
 	if len(key) > maxKeyInPath {
 		key = key[:maxKeyInPath] + "..."
 	}
@@ -36,8 +36,8 @@
 	return path + "." + key
 }
 
-// element appends the index of an array's element to a path, from 1.
-func element(path string, index int) string {
+// elementPath appends the index of an array's element to a path, from 1.
+func elementPath(path string, index int) string {
 	return path + "[" + strconv.Itoa(index) + "]"
 }
 
@@ -67,9 +67,9 @@
 	for parser.NextExpression() {
 		switch node := parser.Expression(); node.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, depth = x.keys("", 0, node.Key(), node.Kind == unstable.ArrayTable)
+			table, depth = x.recordKeys("", 0, node.Key(), node.Kind == unstable.ArrayTable)
 		case unstable.KeyValue:
-			x.keyValue(table, depth, node)
+			x.recordKeyValue(table, depth, node)
 		}
 	}
 	return x
@@ -86,21 +86,21 @@
 	return 1
 }
 
-// keys records the parts of a dotted key and returns its path and depth.
-func (x *lineIndex) keys(path string, depth int, parts unstable.Iterator, newElement bool) (string, int) {
+// recordKeys records the parts of a dotted key and returns its path and depth.
+func (x *lineIndex) recordKeys(path string, depth int, parts unstable.Iterator, newElement bool) (string, int) {
 	for parts.Next() {
 		depth++
 		if depth > maxPathDepth {
 			continue
 		}
 		node := parts.Node()
-		path = join(path, string(node.Data))
+		path = joinPath(path, string(node.Data))
 		x.record(path, node)
 		if newElement && parts.IsLast() {
 			x.elements[path]++
 		}
 		if n := x.elements[path]; n > 0 {
-			path = element(path, n)
+			path = elementPath(path, n)
 			x.record(path, node)
 		}
 	}
@@ -114,13 +114,13 @@
 	x.lines[path] = 1 + sort.SearchInts(x.newlines, int(node.Raw.Offset))
 }
 
-func (x *lineIndex) keyValue(table string, depth int, node *unstable.Node) {
-	path, depth := x.keys(table, depth, node.Key(), false)
-	x.value(path, depth, node.Value())
+func (x *lineIndex) recordKeyValue(table string, depth int, node *unstable.Node) {
+	path, depth := x.recordKeys(table, depth, node.Key(), false)
+	x.recordValue(path, depth, node.Value())
 }
 
-// value descends into inline tables, also those that are elements of an array.
-func (x *lineIndex) value(path string, depth int, node *unstable.Node) {
+// recordValue descends into inline tables, also those that are elements of an array.
+func (x *lineIndex) recordValue(path string, depth int, node *unstable.Node) {
 	if depth >= maxPathDepth {
 		return
 	}
@@ -128,15 +128,15 @@
 	switch node.Kind {
 	case unstable.InlineTable:
 		for children.Next() {
-			x.keyValue(path, depth, children.Node())
+			x.recordKeyValue(path, depth, children.Node())
 		}
 	case unstable.Array:
 		for i := 1; children.Next(); i++ {
 			child := children.Node()
 			if child.Raw.Length > 0 {
-				x.record(element(path, i), child)
+				x.record(elementPath(path, i), child)
 			}
-			x.value(element(path, i), depth+1, child)
+			x.recordValue(elementPath(path, i), depth+1, child)
 		}
 	}
 }
--- a/internal/profile/localtime.go
+++ b/internal/profile/localtime.go
@@ -10,23 +10,23 @@
 // begins: the earlier of two, and the change of the clocks itself for a time
 // that they skip. local is given as if it were in UTC.
 func firstInstant(local time.Time, zone *time.Location) time.Time {
-	first, _ := instants(local, zone)
+	first, _ := instantsOf(local, zone)
 	return first
 }
 
 // lastInstant is firstInstant for a close's end: the later of two.
 func lastInstant(local time.Time, zone *time.Location) time.Time {
-	_, last := instants(local, zone)
+	_, last := instantsOf(local, zone)
 	return last
 }
 
-// instants returns the first and last instant that have the local time, which
+// instantsOf returns the first and last instant that have the local time, which
 // are the same for most.
-func instants(local time.Time, zone *time.Location) (first, last time.Time) {
+func instantsOf(local time.Time, zone *time.Location) (first, last time.Time) {
 	before, after := offsetsAround(local, zone)
 	early := local.Add(-max(before, after)).In(zone)
 	late := local.Add(-min(before, after)).In(zone)
-	isEarly, isLate := shows(early, local), shows(late, local)
+	isEarly, isLate := showsLocalTime(early, local), showsLocalTime(late, local)
 	switch {
 	case isEarly && isLate:
 		return early, late
@@ -51,7 +51,7 @@
 	return offset(local.Add(-day)), offset(local.Add(day))
 }
 
-// shows reports whether a clock in t's zone shows the local time at t.
-func shows(t, local time.Time) bool {
-	return t.Format(localLayout) == local.Format(localLayout)
+// showsLocalTime reports whether a clock in t's zone shows the local time at t.
+func showsLocalTime(t, local time.Time) bool {
+	return t.Format(localTimeLayout) == local.Format(localTimeLayout)
 }
--- a/internal/profile/parse.go
+++ b/internal/profile/parse.go
@@ -37,7 +37,7 @@
 		return nil, refuse([]Problem{*problem})
 	}
 	c := &checker{lines: lines}
-	if !c.header(root) {
+	if !c.checkFormat(root) {
 		return nil, refuse(c.problems)
 	}
 	profiles := c.readProfiles(root)
@@ -57,8 +57,8 @@
 		"mend the document and publish it again", "profile document refused, %d problem(s)", len(problems))
 }
 
-// tooLarge returns the problem of a document beyond the bounds, or nil.
-func tooLarge(data []byte) *Problem {
+// checkSize returns the problem of a document beyond the bounds, or nil.
+func checkSize(data []byte) *Problem {
 	p := &Problem{Line: 1, Remedy: "make it smaller"}
 	if len(data) > MaxDocumentBytes {
 		p.Problem = fmt.Sprintf("the document has %d bytes, more than %d", len(data), MaxDocumentBytes)
@@ -74,7 +74,7 @@
 
 // decode reads the text into generic values, and finds the lines of its keys.
 func decode(data []byte) (root section, lines *lineIndex, problem *Problem) {
-	if problem := tooLarge(data); problem != nil {
+	if problem := checkSize(data); problem != nil {
 		return section{}, nil, problem
 	}
 	// A document that made the TOML library panic would end every entry at
@@ -100,15 +100,15 @@
 	return p
 }
 
-// header checks the version fields. It returns false if this program can't
+// checkFormat checks the version fields. It returns false if this program can't
 // judge the rest: fields that it does not know are then to be expected, and
 // listing them would hide the one remedy.
-func (c *checker) header(root section) bool {
-	format, given := c.version(root, "format")
+func (c *checker) checkFormat(root section) bool {
+	format, given := c.readVersion(root, "format")
 	if !given {
 		c.report("format", "the field is missing", fmt.Sprintf("write format = %d at the top", DocumentFormat))
 	}
-	requires, _ := c.version(root, "requires")
+	requires, _ := c.readVersion(root, "requires")
 	if format > DocumentFormat || requires > ProgramFormat {
 		c.problems = nil
 		path, wanted, have := "format", format, int64(DocumentFormat)
@@ -119,12 +119,12 @@
 			"upgrade every entry first, then publish again")
 		return false
 	}
-	c.unknown(root, []string{"format", "requires", "profile", "service", "traffic", "calendar"})
+	c.reportUnknownKeys(root, []string{"format", "requires", "profile", "service", "traffic", "calendar"})
 	return true
 }
 
-// version reads an optional version number from 1.
-func (c *checker) version(root section, key string) (n int64, given bool) {
+// readVersion reads an optional version number from 1.
+func (c *checker) readVersion(root section, key string) (n int64, given bool) {
 	value, given := root.values[key]
 	if !given {
 		return 0, false
--- a/internal/profile/parse_test.go
+++ b/internal/profile/parse_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-const example = "../../examples/mermaconteo.toml"
+const exampleDocument = "../../examples/mermaconteo.toml"
 
 // mustParse returns the snapshot of a document that has to be accepted.
 func mustParse(t *testing.T, document string) *Snapshot {
@@ -23,9 +23,9 @@
 	return s
 }
 
-func TestExamples(t *testing.T) {
+func TestExampleDocumentsAreAccepted(t *testing.T) {
 	cases := []struct{ file, services, pools string }{
-		{example, "live-counts photo-batches waste-entries weekly-summaries", "batches live-counts waste-entries"},
+		{exampleDocument, "live-counts photo-batches waste-entries weekly-summaries", "batches live-counts waste-entries"},
 		{"../../examples/sabra.toml", "booking library scans site-checks", "booking field library"},
 	}
 	for _, tc := range cases {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestSnapshot(t *testing.T) {
+func TestSnapshotHoldsPoliciesAndPoolLimits(t *testing.T) {
 	document := `format = 1
 requires = 1
 [profile]
@@ -78,9 +78,9 @@
 	}
 	ordinary := Default(Bulk)
 	ordinary.Deadline, ordinary.WatchBudget = time.Hour, 0
-	during := ordinary
-	during.Deadline, during.MaxBodyBytes = 90*time.Second, 3<<30
-	if *scans.Policy(false) != ordinary || *scans.Policy(true) != during {
+	closePolicy := ordinary
+	closePolicy.Deadline, closePolicy.MaxBodyBytes = 90*time.Second, 3<<30
+	if *scans.Policy(false) != ordinary || *scans.Policy(true) != closePolicy {
 		t.Errorf("scans = %+v", scans)
 	}
 
@@ -99,7 +99,7 @@
 
 // A document that is syntactically sound can still be built to exhaust an
 // entry. All entries read it at once and again at each start, so none may fail.
-func TestHostileDocuments(t *testing.T) {
+func TestHostileDocumentsAreRefused(t *testing.T) {
 	half := MaxDocumentBytes/2 - 10
 	cases := map[string]string{
 		"too large":         strings.Repeat("#", MaxDocumentBytes+1),
@@ -131,17 +131,17 @@
 	return b.String()
 }
 
-// checkSound restates what must hold of a service however it was written.
-func checkSound(t interface{ Errorf(string, ...any) }, s *Service) {
+// checkServiceInvariants restates what must hold of a service however it was written.
+func checkServiceInvariants(t interface{ Errorf(string, ...any) }, s *Service) {
 	if s.Ordinary.Kind != s.Close.Kind || s.Ordinary.RequireKey != s.Close.RequireKey {
 		t.Errorf("%s: the contract with callers differs in a close", s.Name)
 	}
 	for _, closing := range []bool{false, true} {
 		p := s.Policy(closing)
-		twice := p.Kind == Read || p.Kind == Urgent
-		sound := s.Pool != "" && s.Profile != "" &&
+		mayRunTwice := p.Kind == Read || p.Kind == Urgent
+		valid := s.Pool != "" && s.Profile != "" &&
 			p.Deadline > 0 && p.HedgeAfter >= 0 && p.HedgeAfter < p.Deadline &&
-			(p.HedgeAfter == 0 || twice && p.MaxAttempts > 1 && p.RetryBudget > 0) &&
+			(p.HedgeAfter == 0 || mayRunTwice && p.MaxAttempts > 1 && p.RetryBudget > 0) &&
 			(p.Kind != Once || p.RequireKey || p.MaxAttempts == 1) &&
 			(p.QueueOrder == ByDeadline || p.QueueOrder == ByArrival) &&
 			p.QueueLimit >= 0 && p.Priority >= 0 && p.Priority <= 9 &&
@@ -150,7 +150,7 @@
 			p.RetryBudget >= 0 && p.RetryBudget <= 1 && p.MaxAttempts >= 1 && p.MaxAttempts <= 5 &&
 			p.WatchBudget >= 0 && p.WatchBudget <= 0.2 && p.EjectMaxShare >= 0 && p.EjectMaxShare <= 0.5 &&
 			p.EjectBase > 0 && p.EjectBase <= p.EjectMax && p.MaxBodyBytes >= 0 && p.EntriesPerDomain >= 0
-		if !sound {
+		if !valid {
 			t.Errorf("%s: accepted in closing=%v: %+v", s.Name, closing, *p)
 		}
 	}
@@ -191,15 +191,15 @@
 	return document
 }
 
-func TestParseProperties(t *testing.T) {
+func TestParseIsDeterministicAndKeepsInvariants(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		document := drawDocument(t)
 		first, err := Parse([]byte(document), 1)
-		second, again := Parse([]byte(document), 1)
-		if err != nil || again != nil {
-			if err == nil || again == nil || err.Error() != again.Error() {
-				t.Fatalf("one outcome %v, then %v", err, again)
+		second, secondErr := Parse([]byte(document), 1)
+		if err != nil || secondErr != nil {
+			if err == nil || secondErr == nil || err.Error() != secondErr.Error() {
+				t.Fatalf("one outcome %v, then %v", err, secondErr)
 			}
 			return
 		}
@@ -208,7 +208,7 @@
 			t.Errorf("the same document differs: %v", changes)
 		}
 		for _, s := range first.Services() {
-			checkSound(t, s)
+			checkServiceInvariants(t, s)
 		}
 	})
 	if accepted == 0 {
@@ -217,8 +217,8 @@
 }
 
 // A publisher that cuts a file or mangles its text must not end an entry.
-func TestParseDamaged(t *testing.T) {
-	whole, err := os.ReadFile(example)
+func TestDamagedDocumentDoesNotPanic(t *testing.T) {
+	whole, err := os.ReadFile(exampleDocument)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 		}
 		if s, err := Parse(data, 1); err == nil {
 			for _, service := range s.Services() {
-				checkSound(t, service)
+				checkServiceInvariants(t, service)
 			}
 		}
 	})
--- a/internal/profile/pool.go
+++ b/internal/profile/pool.go
@@ -45,8 +45,8 @@
 		if !shared {
 			m = poolModes{ordinary: limitsOf(&service.Ordinary), closing: limitsOf(&service.Close)}
 		}
-		m.ordinary = smallest(m.ordinary, limitsOf(&service.Ordinary))
-		m.closing = smallest(m.closing, limitsOf(&service.Close))
+		m.ordinary = smallestLimits(m.ordinary, limitsOf(&service.Ordinary))
+		m.closing = smallestLimits(m.closing, limitsOf(&service.Close))
 		s.pools[service.Pool] = m
 	}
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-func smallest(a, b PoolLimits) PoolLimits {
+func smallestLimits(a, b PoolLimits) PoolLimits {
 	return PoolLimits{
 		WatchBudget:   min(a.WatchBudget, b.WatchBudget),
 		EjectMaxShare: min(a.EjectMaxShare, b.EjectMaxShare),
--- a/internal/profile/problem.go
+++ b/internal/profile/problem.go
@@ -38,16 +38,16 @@
 
 // Error returns one problem a line.
 func (e *DocumentError) Error() string {
-	var text strings.Builder
+	var b strings.Builder
 	for i, p := range e.Problems {
 		if i == maxProblemsInMessage {
-			fmt.Fprintf(&text, "\nand %d more", len(e.Problems)-i)
+			fmt.Fprintf(&b, "\nand %d more", len(e.Problems)-i)
 			break
 		}
 		if i > 0 {
-			text.WriteByte('\n')
+			b.WriteByte('\n')
 		}
-		text.WriteString(p.String())
+		b.WriteString(p.String())
 	}
-	return text.String()
+	return b.String()
 }
--- a/internal/profile/reference.go
+++ b/internal/profile/reference.go
@@ -11,7 +11,7 @@
 func Reference() string {
 	var b strings.Builder
 	writeValues(&b)
-	writeEffects(&b)
+	writeDescriptions(&b)
 	writeRules(&b)
 	return b.String()
 }
@@ -21,10 +21,10 @@
 	b.WriteString("|---|---|---|---|---|---|---|---|\n")
 	for i := range fields {
 		f := &fields[i]
-		fmt.Fprintf(b, "| `%s` | %s | %s |", f.name, f.unit(), f.admitted())
+		fmt.Fprintf(b, "| `%s` | %s | %s |", f.name, f.unit(), f.allowedValues())
 		for _, kind := range Kinds() {
 			p := Default(kind)
-			fmt.Fprintf(b, " %s |", f.text(&p))
+			fmt.Fprintf(b, " %s |", f.format(&p))
 		}
 		if f.fixed {
 			b.WriteString(" no |\n")
@@ -34,10 +34,10 @@
 	}
 }
 
-func writeEffects(b *strings.Builder) {
+func writeDescriptions(b *strings.Builder) {
 	b.WriteString("\n### Effects\n\n")
 	for i := range fields {
-		fmt.Fprintf(b, "- `%s`: %s\n", fields[i].name, fields[i].effect)
+		fmt.Fprintf(b, "- `%s`: %s\n", fields[i].name, fields[i].description)
 	}
 }
 
--- a/internal/profile/reference_test.go
+++ b/internal/profile/reference_test.go
@@ -13,9 +13,9 @@
 	referenceEnd   = "<!-- reference: end -->\n"
 )
 
-// TestReference compares the reference in the documentation with the fields in
+// TestReferencePageMatchesFields compares the reference in the documentation with the fields in
 // the code. With -rewrite, the flag of the golden files, it is written anew.
-func TestReference(t *testing.T) {
+func TestReferencePageMatchesFields(t *testing.T) {
 	data, err := os.ReadFile(referenceFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/profile/rules.go
+++ b/internal/profile/rules.go
@@ -10,53 +10,53 @@
 type rule struct {
 	// fields are the settings concerned; the problem is shown at the first of
 	// them that the document sets.
-	fields  []string
-	broken  func(p *Policy) bool
-	problem string
-	remedy  string
+	fields   []string
+	violated func(p *Policy) bool
+	problem  string
+	remedy   string
 }
 
 // rules holds in both modes of every profile.
 var rules = []rule{
 	{
-		fields:  []string{"hedge_after", "kind"},
-		broken:  func(p *Policy) bool { return p.HedgeAfter > 0 && (p.Kind == Once || p.Kind == Bulk) },
-		problem: "a hedge runs a request a second time, which kinds once and bulk do not allow",
-		remedy:  "remove hedge_after",
+		fields:   []string{"hedge_after", "kind"},
+		violated: func(p *Policy) bool { return p.HedgeAfter > 0 && (p.Kind == Once || p.Kind == Bulk) },
+		problem:  "a hedge runs a request a second time, which kinds once and bulk do not allow",
+		remedy:   "remove hedge_after",
 	},
 	{
-		fields:  []string{"max_attempts", "require_key", "kind"},
-		broken:  func(p *Policy) bool { return p.Kind == Once && !p.RequireKey && p.MaxAttempts > 1 },
-		problem: "kind once without a required key can have one attempt only",
-		remedy:  "set require_key = true or max_attempts = 1",
+		fields:   []string{"max_attempts", "require_key", "kind"},
+		violated: func(p *Policy) bool { return p.Kind == Once && !p.RequireKey && p.MaxAttempts > 1 },
+		problem:  "kind once without a required key can have one attempt only",
+		remedy:   "set require_key = true or max_attempts = 1",
 	},
 	{
-		fields:  []string{"hedge_after", "deadline"},
-		broken:  func(p *Policy) bool { return p.HedgeAfter >= p.Deadline },
-		problem: "the hedge would start at the deadline or later",
-		remedy:  "set hedge_after well below deadline, or remove it",
+		fields:   []string{"hedge_after", "deadline"},
+		violated: func(p *Policy) bool { return p.HedgeAfter >= p.Deadline },
+		problem:  "the hedge would start at the deadline or later",
+		remedy:   "set hedge_after well below deadline, or remove it",
 	},
 	{
-		fields:  []string{"hedge_after", "max_attempts"},
-		broken:  func(p *Policy) bool { return p.HedgeAfter > 0 && p.MaxAttempts < 2 },
-		problem: "a hedge is a second attempt, and max_attempts allows one",
-		remedy:  "set max_attempts to 2 or more, or remove hedge_after",
+		fields:   []string{"hedge_after", "max_attempts"},
+		violated: func(p *Policy) bool { return p.HedgeAfter > 0 && p.MaxAttempts < 2 },
+		problem:  "a hedge is a second attempt, and max_attempts allows one",
+		remedy:   "set max_attempts to 2 or more, or remove hedge_after",
 	},
 	{
-		fields:  []string{"hedge_after", "retry_budget"},
-		broken:  func(p *Policy) bool { return p.HedgeAfter > 0 && p.RetryBudget == 0 },
-		problem: "hedges are paid from retry_budget, which is 0",
-		remedy:  "set retry_budget above 0, or remove hedge_after",
+		fields:   []string{"hedge_after", "retry_budget"},
+		violated: func(p *Policy) bool { return p.HedgeAfter > 0 && p.RetryBudget == 0 },
+		problem:  "hedges are paid from retry_budget, which is 0",
+		remedy:   "set retry_budget above 0, or remove hedge_after",
 	},
 	{
-		fields:  []string{"eject_base", "eject_max"},
-		broken:  func(p *Policy) bool { return p.EjectBase > p.EjectMax },
-		problem: "the first ejection is longer than the longest one",
-		remedy:  "set eject_base to eject_max or less",
+		fields:   []string{"eject_base", "eject_max"},
+		violated: func(p *Policy) bool { return p.EjectBase > p.EjectMax },
+		problem:  "the first ejection is longer than the longest one",
+		remedy:   "set eject_base to eject_max or less",
 	},
 	{
 		fields: []string{"caller_share", "queue_limit"},
-		broken: func(p *Policy) bool {
+		violated: func(p *Policy) bool {
 			return p.QueueLimit > 0 && p.CallerShare*float64(p.QueueLimit) < 1
 		},
 		problem: "caller_share of queue_limit is less than one place, so no caller could ever wait",
@@ -74,17 +74,17 @@
 // that was refused itself are left out, as the policy holds its default.
 func (c *checker) checkRules(p *Policy, blocks []section, refused map[string]bool) {
 	for _, r := range rules {
-		if r.broken(p) && !anyOf(refused, r.fields) {
-			c.report(locate(blocks, r.fields), r.problem, r.remedy)
+		if r.violated(p) && !containsAny(refused, r.fields) {
+			c.report(firstSetPath(blocks, r.fields), r.problem, r.remedy)
 		}
 	}
 	_, ordered := blocks[0].values["queue_order"]
-	if ordered && p.QueueLimit == 0 && !anyOf(refused, []string{"queue_limit"}) {
+	if ordered && p.QueueLimit == 0 && !containsAny(refused, []string{"queue_limit"}) {
 		c.report(blocks[0].child("queue_order"), orderWithoutQueue, orderWithoutQueueRemedy)
 	}
 }
 
-func anyOf(set map[string]bool, names []string) bool {
+func containsAny(set map[string]bool, names []string) bool {
 	for _, name := range names {
 		if set[name] {
 			return true
@@ -93,8 +93,8 @@
 	return false
 }
 
-// locate returns the path of the first of the fields that a block sets.
-func locate(blocks []section, names []string) string {
+// firstSetPath returns the path of the first of the fields that a block sets.
+func firstSetPath(blocks []section, names []string) string {
 	for _, block := range blocks {
 		for _, name := range names {
 			if _, ok := block.values[name]; ok {
@@ -114,20 +114,20 @@
 // shareTolerance absorbs the rounding of a sum of decimal shares.
 const shareTolerance = 1e-9
 
-// checkReserve reports pools whose other services leave too little for the
+// checkUrgentReserve reports pools whose other services leave too little for the
 // urgent ones. Services are sorted by name.
-func (c *checker) checkReserve(services []*Service) {
+func (c *checker) checkUrgentReserve(services []*Service) {
 	for _, s := range services {
 		if s.Ordinary.Kind != Urgent {
 			continue
 		}
 		for _, mode := range []Mode{Ordinary, Closing} {
-			c.checkReserveOf(s, mode, services)
+			c.checkUrgentReserveInMode(s, mode, services)
 		}
 	}
 }
 
-func (c *checker) checkReserveOf(urgent *Service, mode Mode, services []*Service) {
+func (c *checker) checkUrgentReserveInMode(urgent *Service, mode Mode, services []*Service) {
 	var sum float64
 	var names []string
 	for _, s := range services {
@@ -143,5 +143,5 @@
 	problem := fmt.Sprintf("in %s mode the other services of pool %s (%s) may hold %.4g of its slots, which leaves too little for urgent requests",
 		mode, urgent.Pool, strings.Join(names, ", "), sum)
 	remedy := fmt.Sprintf("set their slot_share to %.4g or less together", 1-urgentReserve)
-	c.report(join("service", urgent.Name), problem, remedy)
+	c.report(joinPath("service", urgent.Name), problem, remedy)
 }
--- a/internal/profile/snapshot.go
+++ b/internal/profile/snapshot.go
@@ -18,7 +18,7 @@
 
 // String returns both times with their zone, without the name.
 func (c Close) String() string {
-	const layout = localLayout + " MST"
+	const layout = localTimeLayout + " MST"
 	return c.Start.Format(layout) + " to " + c.End.Format(layout)
 }
 
@@ -36,8 +36,8 @@
 	pools    map[string]poolModes
 	warnings []Problem
 	// traffic and modes are what Bind makes services of routes from.
-	traffic []Traffic
-	modes   map[string]*modes
+	traffic []TrafficRule
+	modes   map[string]*profileModes
 	table   *route.Table
 }
 
--- a/internal/profile/traffic.go
+++ b/internal/profile/traffic.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// Traffic names the profile that treats the requests of routes of one kind.
-type Traffic struct {
+// TrafficRule names the profile that treats the requests of routes of one kind.
+type TrafficRule struct {
 	Name string
 	Kind route.Kind
 	// Priority limits the rule to routes of that rank; HasPriority says that it is
@@ -26,39 +26,39 @@
 	highestPriority = 9
 )
 
-// kindsFor lists which kinds of profiles may treat a kind of route: what may be
+// profileKindsFor lists which kinds of profiles may treat a kind of route: what may be
 // repeated follows from the route, and a profile must not promise more.
-var kindsFor = map[route.Kind][]Kind{
+var profileKindsFor = map[route.Kind][]Kind{
 	route.Idempotent:    {Read, Urgent},
 	route.NonIdempotent: {Once},
 	route.Upload:        {Bulk, Once},
 }
 
 // readTraffic reads the rules that give routes their profiles.
-func (c *checker) readTraffic(root section, profiles map[string]*modes, s *Snapshot) {
-	all, _ := c.table(root, "traffic")
-	for _, name := range all.keys() {
-		c.name(all.child(name), name)
-		table, ok := c.table(all, name)
+func (c *checker) readTraffic(root section, profiles map[string]*profileModes, s *Snapshot) {
+	tables, _ := c.readTable(root, "traffic")
+	for _, name := range tables.keys() {
+		c.checkName(tables.child(name), name)
+		table, ok := c.readTable(tables, name)
 		if !ok {
 			continue
 		}
-		if rule, ok := c.readRule(table, name, profiles); ok {
+		if rule, ok := c.readTrafficRule(table, name, profiles); ok {
 			s.traffic = append(s.traffic, rule)
 		}
 	}
 	for _, kind := range route.Kinds() {
-		if len(s.traffic) > 0 && s.ruleFor(kind, lowestPriority) == nil {
+		if len(s.traffic) > 0 && s.trafficRuleFor(kind, lowestPriority) == nil {
 			c.report("traffic", fmt.Sprintf("no rule covers routes of kind %q of every priority", kind),
 				"add a rule for the kind without a priority")
 		}
 	}
 }
 
-func (c *checker) readRule(table section, name string, profiles map[string]*modes) (Traffic, bool) {
-	c.unknown(table, []string{"kind", "priority", "profile"})
-	rule := Traffic{Name: name}
-	kind, ok := c.text(table, "kind", `use "idempotent", "non_idempotent" or "upload"`)
+func (c *checker) readTrafficRule(table section, name string, profiles map[string]*profileModes) (TrafficRule, bool) {
+	c.reportUnknownKeys(table, []string{"kind", "priority", "profile"})
+	rule := TrafficRule{Name: name}
+	kind, ok := c.readString(table, "kind", `use "idempotent", "non_idempotent" or "upload"`)
 	if !ok {
 		return rule, false
 	}
@@ -75,7 +75,7 @@
 		}
 		rule.Priority, rule.HasPriority = int(n), true
 	}
-	if rule.Profile, ok = c.text(table, "profile", "name one of the document's profiles"); !ok {
+	if rule.Profile, ok = c.readString(table, "profile", "name one of the document's profiles"); !ok {
 		return rule, false
 	}
 	m, ok := profiles[rule.Profile]
@@ -85,17 +85,17 @@
 		return rule, false
 	}
 	m.used = true
-	if !slices.Contains(kindsFor[rule.Kind], m.ordinary.Kind) {
+	if !slices.Contains(profileKindsFor[rule.Kind], m.ordinary.Kind) {
 		c.report(table.child("profile"), fmt.Sprintf("profile %s is of kind %s, which does not suit %s routes", rule.Profile, m.ordinary.Kind, rule.Kind),
-			fmt.Sprintf("name a profile of kind %v", kindsFor[rule.Kind]))
+			fmt.Sprintf("name a profile of kind %v", profileKindsFor[rule.Kind]))
 		return rule, false
 	}
 	return rule, true
 }
 
-// ruleFor returns the rule for routes of a kind and rank, or nil.
-func (s *Snapshot) ruleFor(kind route.Kind, priority int) *Traffic {
-	var found *Traffic
+// trafficRuleFor returns the rule for routes of a kind and rank, or nil.
+func (s *Snapshot) trafficRuleFor(kind route.Kind, priority int) *TrafficRule {
+	var found *TrafficRule
 	for i := range s.traffic {
 		rule := &s.traffic[i]
 		if rule.Kind != kind || rule.HasPriority && rule.Priority != priority {
@@ -123,7 +123,7 @@
 	}
 	for i := range table.Routes() {
 		r := &table.Routes()[i]
-		rule := s.ruleFor(r.Kind, r.Priority)
+		rule := s.trafficRuleFor(r.Kind, r.Priority)
 		if rule == nil {
 			return nil, fault.New(fault.BadProfile, "add a [traffic] rule for the kind to the profiles", "no profile treats %s routes such as %q", r.Kind, r.Name)
 		}
@@ -154,22 +154,22 @@
 	return r.Name + "/" + part.Service
 }
 
-func (s *Snapshot) addPart(r *route.Route, part route.Part, of route.Service, profileName string, m *modes) {
+func (s *Snapshot) addPart(r *route.Route, part route.Part, routeService route.Service, profileName string, m *profileModes) {
 	service := &Service{
 		Name:      PartName(r, part),
 		Pool:      part.Service,
 		Profile:   profileName,
-		Ordinary:  routed(m.ordinary, r, s.table.Limits()),
-		Close:     routed(m.closing, r, s.table.Limits()),
-		ProbePath: of.ProbePath,
-		Warmup:    Warmup{For: of.Warmup.Duration(), PerSecond: of.WarmupRate},
+		Ordinary:  policyForRoute(m.ordinary, r, s.table.Limits()),
+		Close:     policyForRoute(m.closing, r, s.table.Limits()),
+		ProbePath: routeService.ProbePath,
+		Warmup:    Warmup{For: routeService.Warmup.Duration(), PerSecond: routeService.WarmupRate},
 	}
 	s.services = append(s.services, service)
 	s.byName[service.Name] = service
 }
 
-// routed is a profile's policy with what the route says itself.
-func routed(p Policy, r *route.Route, limits route.Limits) Policy {
+// policyForRoute is a profile's policy with what the route says itself.
+func policyForRoute(p Policy, r *route.Route, limits route.Limits) Policy {
 	if r.Timeout > 0 {
 		p.Deadline = r.Timeout.Duration()
 	}
--- a/internal/profile/traffic_test.go
+++ b/internal/profile/traffic_test.go
@@ -53,17 +53,17 @@
 
 // Names of routes are new each day; what a route is treated by follows from its kind
 // and rank. What the route says itself goes before its profile.
-func TestBind(t *testing.T) {
+func TestBindAppliesTrafficRulesAndRouteSettings(t *testing.T) {
 	base, err := Parse([]byte(trafficDocument), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := []route.Part{{Service: "s", Weight: 1}}
+	singlePart := []route.Part{{Service: "s", Weight: 1}}
 	bound, err := base.Bind(trafficTable(t,
-		route.Route{Name: "r", Kind: route.Idempotent, Priority: 2, Parts: one},
-		route.Route{Name: "u", Kind: route.Idempotent, Priority: 0, Parts: one},
+		route.Route{Name: "r", Kind: route.Idempotent, Priority: 2, Parts: singlePart},
+		route.Route{Name: "u", Kind: route.Idempotent, Priority: 0, Parts: singlePart},
 		route.Route{Name: "b", Kind: route.NonIdempotent, Priority: 1, Parts: []route.Part{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
-		route.Route{Name: "l", Kind: route.Upload, Priority: 12, Parts: one},
+		route.Route{Name: "l", Kind: route.Upload, Priority: 12, Parts: singlePart},
 	), 7, 8)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	if bound.Revision() != 7 || bound.Digest() != 8 || len(base.Services()) != 0 || bound.Routes() == nil {
 		t.Errorf("revision %d, digest %d, services of the base %d", bound.Revision(), bound.Digest(), len(base.Services()))
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		service, profile, pool, probe string
 		priority                      int
 	}{
@@ -81,25 +81,25 @@
 		{"b/t", "once", "t", "", 8},
 		{"l", "uploads", "s", "/h", 0},
 	} {
-		s, ok := bound.Service(c.service)
+		s, ok := bound.Service(tc.service)
 		if !ok {
-			t.Errorf("no service %s", c.service)
+			t.Errorf("no service %s", tc.service)
 			continue
 		}
 		p := s.Policy(false)
-		if s.Profile != c.profile || s.Pool != c.pool || s.ProbePath != c.probe || p.Priority != c.priority {
-			t.Errorf("%s: profile %s, pool %s, probe %q, priority %d", c.service, s.Profile, s.Pool, s.ProbePath, p.Priority)
+		if s.Profile != tc.profile || s.Pool != tc.pool || s.ProbePath != tc.probe || p.Priority != tc.priority {
+			t.Errorf("%s: profile %s, pool %s, probe %q, priority %d", tc.service, s.Profile, s.Pool, s.ProbePath, p.Priority)
 		}
 		if p.Deadline != 1500*time.Millisecond || p.Objective != 400*time.Millisecond || p.MaxAttempts != 2 || p.MaxBodyBytes != 77 || p.RequireKey {
-			t.Errorf("%s: %+v", c.service, p)
+			t.Errorf("%s: %+v", tc.service, p)
 		}
 	}
 }
 
 // A rule that treated bookings as reads would run them twice; one that forgets a kind
 // would leave routes without a profile on the day on which they come.
-func TestTrafficRulesAreChecked(t *testing.T) {
-	for _, c := range []struct{ name, old, new, says string }{
+func TestBadTrafficRulesAreRefused(t *testing.T) {
+	for _, tc := range []struct{ name, old, new, says string }{
 		{"once treated as read", `profile = "once"`, `profile = "reads"`, "does not suit non_idempotent routes"},
 		{"no rule for a kind", "[traffic.uploads]\nkind = \"upload\"\nprofile = \"uploads\"\n", "", `no rule covers routes of kind "upload"`},
 		{"only a rule with a priority", "profile = \"uploads\"\n", "profile = \"uploads\"\npriority = 3\n", `no rule covers routes of kind "upload"`},
@@ -108,17 +108,17 @@
 		{"bad rank", "priority = 0", "priority = -1", "the value is not a rank"},
 		{"unknown field", "priority = 0", "rank = 0", "unknown field"},
 	} {
-		text := strings.Replace(trafficDocument, c.old, c.new, 1)
+		text := strings.Replace(trafficDocument, tc.old, tc.new, 1)
 		if text == trafficDocument {
-			t.Fatalf("%s: nothing replaced", c.name)
+			t.Fatalf("%s: nothing replaced", tc.name)
 		}
-		if _, err := Parse([]byte(text), 1); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", c.name, err)
+		if _, err := Parse([]byte(text), 1); err == nil || !strings.Contains(err.Error(), tc.says) {
+			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
 }
 
-func TestNoRuleForARoute(t *testing.T) {
+func TestBindFailsWithoutRuleForRouteKind(t *testing.T) {
 	base, err := Parse([]byte("format = 1\n[profile.r]\nkind = \"read\"\n[service.s]\nprofile = \"r\"\n"), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/certs/certs.go
+++ b/internal/settings/certs/certs.go
@@ -28,9 +28,9 @@
 type Store struct {
 	files Files
 
-	mu      sync.Mutex
-	current material
-	tried   [3]stamp // of the files at the last load, whether it succeeded or not
+	mu        sync.Mutex
+	current   material
+	lastTried [3]fileStamp // of the files at the last load, whether it succeeded or not
 }
 
 // material is what one load of the files gave; it is immutable.
@@ -39,8 +39,8 @@
 	authorities *x509.CertPool // nil without authorities
 }
 
-// stamp changes when a file is written.
-type stamp struct {
+// fileStamp changes when a file is written.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
@@ -61,12 +61,12 @@
 func (s *Store) Reload() (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stamps := s.stamps()
-	if stamps == s.tried && s.current.certificate.Certificate != nil {
+	stamps := s.fileStamps()
+	if stamps == s.lastTried && s.current.certificate.Certificate != nil {
 		return false, nil
 	}
-	s.tried = stamps
-	loaded, err := load(s.files)
+	s.lastTried = stamps
+	loaded, err := loadFiles(s.files)
 	if err != nil {
 		return false, err
 	}
@@ -74,16 +74,16 @@
 	return true, nil
 }
 
-func (s *Store) stamps() (stamps [3]stamp) {
+func (s *Store) fileStamps() (stamps [3]fileStamp) {
 	for i, name := range []string{s.files.Certificate, s.files.Key, s.files.Authorities} {
 		if info, err := os.Stat(name); err == nil {
-			stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
+			stamps[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return stamps
 }
 
-func load(files Files) (material, error) {
+func loadFiles(files Files) (material, error) {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		return material{}, fault.Wrap(err, fault.BadSettings, "give a PEM certificate chain with its private key",
@@ -137,11 +137,11 @@
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.server(), nil },
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.serverConfig(), nil },
 	}
 }
 
-func (s *Store) server() *tls.Config {
+func (s *Store) serverConfig() *tls.Config {
 	m := s.material()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
--- a/internal/settings/certs/certs_test.go
+++ b/internal/settings/certs/certs_test.go
@@ -12,16 +12,16 @@
 	"github.com/tealhall/tealhall/internal/settings/certs/certstest"
 )
 
-// side writes the files of one side and returns their names.
-func side(t *testing.T, authority *certstest.Authority, trusted *certstest.Authority) Files {
+// newFiles writes the files of one side and returns their names.
+func newFiles(t *testing.T, authority *certstest.Authority, trusted *certstest.Authority) Files {
 	t.Helper()
 	dir := t.TempDir()
 	files := Files{Certificate: filepath.Join(dir, "a.pem"), Key: filepath.Join(dir, "a.key"), Authorities: filepath.Join(dir, "ca.pem")}
-	write(t, files, authority, trusted)
+	writeFiles(t, files, authority, trusted)
 	return files
 }
 
-func write(t *testing.T, files Files, authority, trusted *certstest.Authority) {
+func writeFiles(t *testing.T, files Files, authority, trusted *certstest.Authority) {
 	t.Helper()
 	certificate, key := authority.Issue(t, "peer", "127.0.0.1")
 	for name, text := range map[string][]byte{files.Certificate: certificate, files.Key: key, files.Authorities: trusted.PEM} {
@@ -31,7 +31,7 @@
 	}
 }
 
-func open(t *testing.T, files Files) *Store {
+func openStore(t *testing.T, files Files) *Store {
 	t.Helper()
 	s, err := Open(files)
 	if err != nil {
@@ -66,25 +66,25 @@
 	return clientErr, <-answered
 }
 
-func TestMutualHandshake(t *testing.T) {
+func TestHandshakeNeedsTrustedCertificates(t *testing.T) {
 	ours, foreign := certstest.NewAuthority(t), certstest.NewAuthority(t)
-	server := open(t, side(t, ours, ours))
+	server := openStore(t, newFiles(t, ours, ours))
 	cases := []struct {
 		name   string
 		client *tls.Config
 		ok     bool
 	}{
-		{"by IP number", open(t, side(t, ours, ours)).Client("127.0.0.1"), true},
-		{"by common name", open(t, side(t, ours, ours)).Client("peer"), true},
-		{"another IP number", open(t, side(t, ours, ours)).Client("127.0.0.2"), false},
-		{"client of a foreign authority", open(t, side(t, foreign, ours)).Client("peer"), false},
-		{"server of a foreign authority", open(t, side(t, ours, foreign)).Client("peer"), false},
+		{"by IP number", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.1"), true},
+		{"by common name", openStore(t, newFiles(t, ours, ours)).Client("peer"), true},
+		{"another IP number", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.2"), false},
+		{"client of a foreign authority", openStore(t, newFiles(t, foreign, ours)).Client("peer"), false},
+		{"server of a foreign authority", openStore(t, newFiles(t, ours, foreign)).Client("peer"), false},
 		{"client without certificate", &tls.Config{ServerName: "peer", RootCAs: server.material().authorities}, false},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			clientErr, serverErr := handshake(t, c.client, server.Server())
-			if ok := clientErr == nil && serverErr == nil; ok != c.ok {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			clientErr, serverErr := handshake(t, tc.client, server.Server())
+			if ok := clientErr == nil && serverErr == nil; ok != tc.ok {
 				t.Errorf("client: %v, server: %v", clientErr, serverErr)
 			}
 		})
@@ -94,12 +94,12 @@
 // An operator renews certificates by writing three files one after the other
 // while the daemon looks at them. It must never stop serving in between, and
 // use the new ones once all are there.
-func TestReload(t *testing.T) {
+func TestReloadWhileFilesAreReplacedOneByOne(t *testing.T) {
 	before, after := certstest.NewAuthority(t), certstest.NewAuthority(t)
-	files := side(t, before, before)
-	server := open(t, files)
-	trustsNew := open(t, side(t, after, after)).Client("peer")
-	trustsOld := open(t, side(t, before, before)).Client("peer")
+	files := newFiles(t, before, before)
+	server := openStore(t, files)
+	trustsNew := openStore(t, newFiles(t, after, after)).Client("peer")
+	trustsOld := openStore(t, newFiles(t, before, before)).Client("peer")
 	step := 0
 	reload := func(text []byte, name string) (bool, error) {
 		step++
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestOpenRefusesMissingFiles(t *testing.T) {
+func TestOpenFailsOnMissingFiles(t *testing.T) {
 	if _, err := Open(Files{Certificate: "absent.pem", Key: "absent.key"}); fault.KindOf(err) != fault.BadSettings {
 		t.Errorf("error %v", err)
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -22,7 +22,7 @@
 	}
 	s := Default()
 	lines := keyLines(data)
-	problems := decodeEach(s, document, lines)
+	problems := decodeLeaves(s, document, lines)
 	refused := make(map[string]bool, len(problems))
 	for _, p := range problems {
 		refused[p.Field] = true
@@ -51,7 +51,7 @@
 }
 
 func syntaxProblem(err error) Problem {
-	p := Problem{What: strings.TrimPrefix(err.Error(), "toml: "), Remedy: "write valid TOML"}
+	p := Problem{Message: strings.TrimPrefix(err.Error(), "toml: "), Remedy: "write valid TOML"}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
 		p.Line, _ = decode.Position()
@@ -59,37 +59,37 @@
 	return p
 }
 
-// decodeEach decodes every setting by itself, because the decoder stops at the
+// decodeLeaves decodes every setting by itself, because the decoder stops at the
 // first value of a wrong type and an operator wants to see all of them.
-func decodeEach(s *Settings, document map[string]any, lines map[string]int) []Problem {
+func decodeLeaves(s *Settings, document map[string]any, lines map[string]int) []Problem {
 	var problems []Problem
 	known := Reference()
-	for _, leaf := range leaves(nil, document) {
+	for _, leaf := range leavesOf(nil, document) {
 		field := strings.Join(leaf.path, ".")
 		p := Problem{Line: lines[field], Field: field}
-		at := slices.IndexFunc(known, func(e Entry) bool { return e.Field == field })
+		index := slices.IndexFunc(known, func(e ReferenceRow) bool { return e.Field == field })
 		switch {
-		case at >= 0:
-			if leaf.decode(s) == nil {
+		case index >= 0:
+			if leaf.decodeInto(s) == nil {
 				continue
 			}
-			p.What, p.Remedy = fmt.Sprintf("%#v is no value for it", leaf.value), "write "+form(known[at])
+			p.Message, p.Remedy = fmt.Sprintf("%#v is no value for it", leaf.value), "write "+valueForm(known[index])
 		case isTable(known, field):
-			p.What, p.Remedy = "it is a table", fmt.Sprintf("write [%s] and the settings below it", field)
+			p.Message, p.Remedy = "it is a table", fmt.Sprintf("write [%s] and the settings below it", field)
 		default:
-			p.What, p.Remedy = "there is no such setting", "remove it or correct its name"
+			p.Message, p.Remedy = "there is no such setting", "remove it or correct its name"
 		}
 		problems = append(problems, p)
 	}
 	return problems
 }
 
-func isTable(known []Entry, field string) bool {
-	return slices.ContainsFunc(known, func(e Entry) bool { return strings.HasPrefix(e.Field, field+".") })
+func isTable(known []ReferenceRow, field string) bool {
+	return slices.ContainsFunc(known, func(e ReferenceRow) bool { return strings.HasPrefix(e.Field, field+".") })
 }
 
-// form says how the value of a setting is written.
-func form(e Entry) string {
+// valueForm says how the value of a setting is written.
+func valueForm(e ReferenceRow) string {
 	switch {
 	case e.Unit == "duration":
 		return `a duration such as "250ms", "90s" or "1m30s"`
@@ -111,8 +111,8 @@
 	value any
 }
 
-// nested returns the document that holds only this leaf.
-func (l leaf) nested() map[string]any {
+// asDocument returns the document that holds only this leaf.
+func (l leaf) asDocument() map[string]any {
 	value := l.value
 	for _, key := range slices.Backward(l.path) {
 		value = map[string]any{key: value}
@@ -120,26 +120,26 @@
 	return value.(map[string]any)
 }
 
-// decode puts this setting alone into s.
-func (l leaf) decode(s *Settings) error {
-	single, err := toml.Marshal(l.nested())
+// decodeInto puts this setting alone into s.
+func (l leaf) decodeInto(s *Settings) error {
+	single, err := toml.Marshal(l.asDocument())
 	if err != nil {
 		return err
 	}
 	return toml.NewDecoder(bytes.NewReader(single)).DisallowUnknownFields().Decode(s)
 }
 
-// leaves lists the settings of a table in the order of their names. An empty
+// leavesOf lists the settings of a table in the order of their names. An empty
 // table counts as a setting, so that a table with an unknown name is noticed.
-func leaves(path []string, table map[string]any) []leaf {
+func leavesOf(path []string, table map[string]any) []leaf {
 	var out []leaf
 	for _, key := range slices.Sorted(maps.Keys(table)) {
-		at := append(slices.Clone(path), key)
+		keyPath := append(slices.Clone(path), key)
 		if inner, ok := table[key].(map[string]any); ok && len(inner) > 0 {
-			out = append(out, leaves(at, inner)...)
+			out = append(out, leavesOf(keyPath, inner)...)
 			continue
 		}
-		out = append(out, leaf{path: at, value: table[key]})
+		out = append(out, leaf{path: keyPath, value: table[key]})
 	}
 	return out
 }
@@ -154,27 +154,27 @@
 		node := parser.Expression()
 		switch node.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = noteKey(&parser, lines, nil, node)
+			table = recordKey(&parser, lines, nil, node)
 		case unstable.KeyValue:
-			noteKeyValue(&parser, lines, table, node)
+			recordKeyValue(&parser, lines, table, node)
 		}
 	}
 	return lines
 }
 
-func noteKeyValue(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) {
-	path := noteKey(parser, lines, table, node)
+func recordKeyValue(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) {
+	path := recordKey(parser, lines, table, node)
 	if node.Value().Kind != unstable.InlineTable {
 		return
 	}
 	children := node.Value().Children()
 	for children.Next() {
-		noteKeyValue(parser, lines, path, children.Node())
+		recordKeyValue(parser, lines, path, children.Node())
 	}
 }
 
-// noteKey notes the line of a key below the given table and returns its path.
-func noteKey(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) []string {
+// recordKey notes the line of a key below the given table and returns its path.
+func recordKey(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) []string {
 	path := slices.Clone(table)
 	line := 0
 	for keys := node.Key(); keys.Next(); {
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -15,8 +15,8 @@
 	Line int
 	// Field is the dotted name of the setting, "" for a syntax error.
 	Field string
-	// What is wrong.
-	What string
+	// Message is wrong.
+	Message string
 	// Remedy says what to do about it.
 	Remedy string
 }
@@ -30,7 +30,7 @@
 	if p.Field != "" {
 		fmt.Fprintf(&b, "%s: ", p.Field)
 	}
-	fmt.Fprintf(&b, "%s; %s", p.What, p.Remedy)
+	fmt.Fprintf(&b, "%s; %s", p.Message, p.Remedy)
 	return b.String()
 }
 
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -13,8 +13,8 @@
 	unitBool = "true or false"
 )
 
-// Entry is one setting as the reference lists it.
-type Entry struct {
+// ReferenceRow is one setting as the reference lists it.
+type ReferenceRow struct {
 	// Field is the dotted name.
 	Field string
 	// Unit is the unit or type.
@@ -24,22 +24,22 @@
 }
 
 // Reference lists every setting in the order of the structs.
-func Reference() []Entry {
-	return reference("", reflect.ValueOf(*Default()))
+func Reference() []ReferenceRow {
+	return referenceRows("", reflect.ValueOf(*Default()))
 }
 
-func reference(prefix string, table reflect.Value) []Entry {
-	var entries []Entry
+func referenceRows(prefix string, table reflect.Value) []ReferenceRow {
+	var rows []ReferenceRow
 	for i := range table.NumField() {
 		field, value := table.Type().Field(i), table.Field(i)
 		name := prefix + field.Tag.Get("toml")
-		if _, span := value.Interface().(Duration); value.Kind() == reflect.Struct && !span {
-			entries = append(entries, reference(name+".", value)...)
+		if _, isDuration := value.Interface().(Duration); value.Kind() == reflect.Struct && !isDuration {
+			rows = append(rows, referenceRows(name+".", value)...)
 			continue
 		}
-		entries = append(entries, Entry{Field: name, Unit: unitOf(field), Default: literal(value)})
+		rows = append(rows, ReferenceRow{Field: name, Unit: unitOf(field), Default: tomlLiteral(value)})
 	}
-	return entries
+	return rows
 }
 
 func unitOf(field reflect.StructField) string {
@@ -56,10 +56,10 @@
 	}
 }
 
-func literal(value reflect.Value) string {
+func tomlLiteral(value reflect.Value) string {
 	switch v := value.Interface().(type) {
 	case Duration:
-		return fmt.Sprintf("%q", shortSpan(v))
+		return fmt.Sprintf("%q", shortDuration(v))
 	case string:
 		return fmt.Sprintf("%q", v)
 	case []string:
@@ -69,8 +69,8 @@
 	}
 }
 
-// shortSpan drops the zero seconds and minutes that Duration prints: "15m0s".
-func shortSpan(d Duration) string {
+// shortDuration drops the zero seconds and minutes that Duration prints: "15m0s".
+func shortDuration(d Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
 		text = strings.TrimSuffix(text, "0s")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -278,8 +278,8 @@
 
 // The protocols of Platform.Protocol.
 const (
-	OwnProtocol   = "values"
-	StoreProtocol = "store"
+	ValuesProtocol = "values"
+	StoreProtocol  = "store"
 )
 
 // The formats of Log.Format.
@@ -294,7 +294,7 @@
 	return &Settings{
 		Addresses: Addresses{Admin: "127.0.0.1:9090"},
 		Platform: Platform{CallsPerSecond: 5, Timeout: Duration{5 * time.Second}, Watch: Duration{30 * time.Second},
-			Protocol: OwnProtocol, ReadersPerDomain: 2, CheckEvery: Duration{10 * time.Second}, MissingAfter: Duration{30 * time.Second}, KeepLast: Duration{24 * time.Hour}},
+			Protocol: ValuesProtocol, ReadersPerDomain: 2, CheckEvery: Duration{10 * time.Second}, MissingAfter: Duration{30 * time.Second}, KeepLast: Duration{24 * time.Hour}},
 		Peers: Peers{
 			Heartbeat:      Duration{time.Second},
 			CallTimeout:    Duration{3 * time.Second},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,9 +14,9 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// TestLoad runs whole documents: "load" prints the problems of a document, or
+// TestLoadReportsEveryProblem runs whole documents: "load" prints the problems of a document, or
 // some of the values that it leads to.
-func TestLoad(t *testing.T) {
+func TestLoadReportsEveryProblem(t *testing.T) {
 	datadriven.RunTest(t, "testdata/load", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Load([]byte(d.Input))
 		if err == nil {
@@ -37,19 +37,19 @@
 
 // A setting that the reference leaves out, or gives another default, misleads
 // the operator who looks it up; this comparison fails in the same commit.
-func TestReferencePageMatchesTheCode(t *testing.T) {
+func TestReferencePageMatchesDefaults(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var documented []Entry
+	var documented []ReferenceRow
 	for line := range strings.Lines(string(page)) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		if len(cells) < 4 || !strings.HasPrefix(strings.TrimSpace(cells[0]), "`") {
 			continue
 		}
 		cell := func(i int) string { return strings.Trim(strings.TrimSpace(cells[i]), "`") }
-		documented = append(documented, Entry{Field: cell(0), Unit: cell(1), Default: cell(2)})
+		documented = append(documented, ReferenceRow{Field: cell(0), Unit: cell(1), Default: cell(2)})
 		if cell(3) == "" {
 			t.Errorf("%s has no description", cell(0))
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestExampleOfThePageLoads(t *testing.T) {
+func TestExampleOnReferencePageLoads(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
