--- a/internal/profile/calendar.go
+++ b/internal/profile/calendar.go
@@ -6,21 +6,21 @@
 	"slices"
 	"time"
 
-	// The zone rules are part of the program for VMs without zone files.
+	// Embeds the time zone database, for VMs without zone files.
 	_ "time/tzdata"
 )
 
 const (
-	// localTimeLayout is how the calendar writes a local time.
+	// localTimeLayout is the format of local times in the calendar.
 	localTimeLayout = "2006-01-02 15:04"
 	localTimeRemedy = `write a local time such as "2026-12-31 18:00"`
 	timeZoneRemedy  = `set it to an IANA name such as "America/Mexico_City"`
-	// maxCloses bounds what CloseAt searches: more than eighty years of
-	// monthly closes.
+	// maxCloses bounds the linear search in CloseAt. It allows more than eighty years of monthly
+	// closes.
 	maxCloses = 1000
 )
 
-// calendarClose is a close with its place in the document.
+// calendarClose is a close with its path in the document.
 type calendarClose struct {
 	Close
 	path string
@@ -49,15 +49,15 @@
 	}
 }
 
-// readTimeZone returns UTC for a zone that is not usable, so that the rest of the
-// calendar can still be checked.
+// readTimeZone returns the calendar's time zone. It returns UTC for an unusable zone, so that the
+// rest of the calendar can still be checked.
 func (c *checker) readTimeZone(calendar section) *time.Location {
 	name, ok := c.readString(calendar, "time_zone", timeZoneRemedy)
 	if !ok {
 		return time.UTC
 	}
-	// LoadLocation takes "" for UTC and "Local" for the VM's own zone, which
-	// may differ between entries.
+	// LoadLocation accepts "" as UTC and "Local" as the VM's own zone, which may differ between
+	// entries.
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "" || name == "Local" {
 		c.report(calendar.child("time_zone"), fmt.Sprintf("there is no time zone %.*q", maxPrintedValue, name), timeZoneRemedy)
@@ -113,7 +113,7 @@
 	return parsed, true
 }
 
-// readLocalTime returns a local time as if it were in UTC.
+// readLocalTime parses a local time and returns it as if it were in UTC.
 func (c *checker) readLocalTime(table section, key string) (local time.Time, ok bool) {
 	text, ok := c.readString(table, key, localTimeRemedy)
 	if !ok {
@@ -126,8 +126,8 @@
 	return local, err == nil
 }
 
-// checkOverlaps reports closes of the same name that overlap. They are sorted
-// by start, so each is compared with the one of its name that ends last.
+// checkOverlaps reports overlapping closes of the same name. The closes are sorted by start, so
+// each is compared with the earlier close of its name that ends last.
 func (c *checker) checkOverlaps(closes []calendarClose) {
 	latest := map[string]calendarClose{}
 	for _, current := range closes {
--- a/internal/profile/checker.go
+++ b/internal/profile/checker.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// namePattern holds for services, pools and profiles: they appear in URLs,
-// headers, metric names and tables.
+// namePattern matches the names of services, pools and profiles, which appear in URLs, headers,
+// metric names and tables.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 const nameRemedy = "use up to 63 lower-case letters, digits and hyphens"
@@ -22,8 +22,8 @@
 
 func (s section) child(key string) string { return joinPath(s.path, key) }
 
-// keys returns the section's keys, sorted, so that nothing depends on the
-// order of a map.
+// keys returns the section's keys in sorted order, so that results do not depend on map iteration
+// order.
 func (s section) keys() []string {
 	keys := make([]string, 0, len(s.values))
 	for key := range s.values {
@@ -33,7 +33,7 @@
 	return keys
 }
 
-// checker gathers the problems of one document.
+// checker collects the problems of one document.
 type checker struct {
 	lines    *lineIndex
 	problems []Problem
@@ -52,8 +52,8 @@
 	return Problem{Line: c.lines.line(path), Path: path, Problem: problem, Remedy: remedy}
 }
 
-// sortProblems orders by line and drops what was found twice: a broken rule
-// that the close inherits unchanged is one problem.
+// sortProblems sorts by line and removes duplicates: a rule violation that the close settings
+// inherit unchanged is found twice.
 func sortProblems(problems []Problem) []Problem {
 	slices.SortStableFunc(problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Path, b.Path), cmp.Compare(a.Problem, b.Problem))
@@ -61,8 +61,8 @@
 	return slices.Compact(problems)
 }
 
-// readTable returns the table under key. A missing one is empty; ok is false if
-// there is none or something else stands there.
+// readTable returns the table under key. If the key is missing, or its value is not a table, which
+// it reports, readTable returns a section without values and false.
 func (c *checker) readTable(parent section, key string) (child section, ok bool) {
 	child = section{path: parent.child(key)}
 	value, present := parent.values[key]
@@ -76,7 +76,7 @@
 	return child, ok
 }
 
-// reportUnknownKeys reports the keys of s that are not among those known.
+// reportUnknownKeys reports the keys of s that are not in known.
 func (c *checker) reportUnknownKeys(s section, known []string) {
 	for _, key := range s.keys() {
 		if slices.Contains(known, key) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// checkName checks the name that a table is given by its key.
+// checkName reports whether name is valid, and adds a problem if it is not.
 func (c *checker) checkName(path, name string) bool {
 	if namePattern.MatchString(name) {
 		return true
@@ -99,8 +99,8 @@
 	return false
 }
 
-// readString returns the string under key; ok is false, and the problem reported, if
-// it is missing or no string.
+// readString returns the string under key. If the key is missing or its value is not a string,
+// readString reports the problem and returns false.
 func (c *checker) readString(s section, key, remedy string) (text string, ok bool) {
 	value, present := s.values[key]
 	if !present {
@@ -114,10 +114,11 @@
 	return text, ok
 }
 
-// maxNameDistance is how many letters a mistyped field may differ by.
+// maxNameDistance is the largest edit distance at which a known name is suggested for an unknown
+// one.
 const maxNameDistance = 2
 
-// nearestName returns the known name that was probably meant.
+// nearestName returns the known name closest to name, if one is within maxNameDistance.
 func nearestName(name string, known []string) (string, bool) {
 	best, found := maxNameDistance+1, ""
 	for _, k := range known {
@@ -131,7 +132,7 @@
 	return found, found != ""
 }
 
-// editDistance is the Levenshtein distance between two short names.
+// editDistance returns the Levenshtein distance between two short names.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/profile/defaults.go
+++ b/internal/profile/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Default returns the policy of a profile of that kind that sets nothing else.
+// Default returns the policy of a profile of the given kind that sets no other field.
 func Default(kind Kind) Policy {
 	p := Policy{
 		Kind:             kind,
--- a/internal/profile/diff.go
+++ b/internal/profile/diff.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Subject says what a Change is about.
+// Subject is the kind of object that a Change describes.
 type Subject string
 
 // The subjects of a change.
@@ -15,21 +15,21 @@
 	CalendarSubject Subject = "calendar"
 )
 
-// Change is one difference between two documents in what is in force.
+// Change is one difference in effective configuration between two documents.
 type Change struct {
 	Subject Subject
-	// Name is the service or the close; "" for the calendar.
+	// Name is the name of the service or close; "" for the calendar.
 	Name string
-	// Mode is the mode in which a service's setting changes; "" for changes
-	// that concern both.
+	// Mode is the mode in which a service's setting changes; "" for a change that affects both
+	// modes.
 	Mode Mode
-	// Field is the setting as the document names it; "" when the service or
-	// close itself is added (From is "") or removed (To is "").
+	// Field is the setting's key in the document. It is "" when the service or close itself is
+	// added (From is "") or removed (To is "").
 	Field    string
 	From, To string
 }
 
-// String returns the change on one line.
+// String formats the change as one line.
 func (c Change) String() string {
 	words := []string{string(c.Subject)}
 	if c.Name != "" {
@@ -56,9 +56,9 @@
 	return text
 }
 
-// Diff returns what changes for callers when next replaces prev, which may be
-// nil: the services sorted by name, then the calendar sorted by time. Profiles
-// show by the services that use them.
+// Diff returns the changes that take effect when next replaces prev, which may be nil: first those
+// of services, sorted by name, then those of the calendar, sorted by time. A changed profile
+// appears as changes of the services that use it.
 func Diff(prev, next *Snapshot) []Change {
 	if prev == nil {
 		prev = &Snapshot{}
--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// field describes one setting of a profile. The same description serves the
-// checks, the reference in docs/PROFILES.md and Diff.
+// field describes one setting of a profile. Validation, Diff and the reference in docs/PROFILES.md
+// all use this description.
 type field struct {
 	// name is the key in the document.
 	name string
-	// ref returns a pointer to the setting within p. The pointer's type
-	// decides how the value is written in the document.
+	// ref returns a pointer to the setting in p. The pointer's type determines the value's format
+	// in the document.
 	ref func(p *Policy) any
-	// min and max bound the value, in nanoseconds, bytes, or as a plain
-	// number. They have no meaning for text and for true or false.
+	// min and max bound the value in nanoseconds, bytes or as a plain number. They are ignored for
+	// strings and booleans.
 	min, max float64
-	// allowZero admits 0 although it is below min.
+	// allowZero allows 0 even if it is below min.
 	allowZero bool
-	// fixed settings are a contract with callers and can't differ in a close.
+	// fixed marks a setting that is part of the contract with callers and must not differ during a
+	// close.
 	fixed bool
-	// description is the setting's line in the reference.
+	// description is the setting's text in the reference.
 	description string
 }
 
-// fields holds every setting; kind comes first since it decides the defaults.
+// fields lists every setting. kind is first because it determines the defaults.
 var fields = []field{
 	{
 		name: "kind", ref: func(p *Policy) any { return &p.Kind }, fixed: true,
@@ -110,7 +111,7 @@
 	},
 }
 
-// fieldNames returns the keys in the order of the reference.
+// fieldNames returns the keys of all settings in the order of the reference.
 func fieldNames() []string {
 	names := make([]string, len(fields))
 	for i := range fields {
@@ -119,8 +120,8 @@
 	return names
 }
 
-// set stores a decoded TOML value in p, and reports whether the value is one
-// that the field admits. p is unchanged if not.
+// set stores a decoded TOML value in p and reports whether the field allows the value. If not, p is
+// unchanged.
 func (f *field) set(p *Policy, value any) bool {
 	switch ref := f.ref(p).(type) {
 	case *Kind:
@@ -159,10 +160,10 @@
 		size, ok := parseSize(text)
 		return ok && setInRange(f, ref, size)
 	}
-	panic("profile: no rule for the type of " + f.name)
+	panic("profile: unsupported type of field " + f.name)
 }
 
-// setChoice stores value if it is among those admitted.
+// setChoice stores value and returns true if value is one of allowed.
 func setChoice[T comparable](ref *T, value T, allowed []T) bool {
 	for _, a := range allowed {
 		if a == value {
@@ -173,8 +174,8 @@
 	return false
 }
 
-// setInRange keeps value if it lies within the field's bounds. A NaN compares false
-// with both and so is not stored.
+// setInRange stores value and returns true if value is within the field's bounds. NaN fails both
+// comparisons and is therefore rejected.
 func setInRange[T int | int64 | float64 | time.Duration](f *field, ref *T, value T) bool {
 	n := float64(value)
 	inside := n >= f.min && n <= f.max
@@ -185,7 +186,7 @@
 	return true
 }
 
-// format returns the setting of p as the document writes it, without quotes.
+// format returns the setting of p as written in the document, without quotes.
 func (f *field) format(p *Policy) string {
 	switch ref := f.ref(p).(type) {
 	case *Kind:
@@ -203,10 +204,10 @@
 	case *int64:
 		return formatSize(*ref)
 	}
-	panic("profile: no rule for the type of " + f.name)
+	panic("profile: unsupported type of field " + f.name)
 }
 
-// unit returns what the setting is measured in.
+// unit returns the name of the setting's unit or type.
 func (f *field) unit() string {
 	switch f.ref(new(Policy)).(type) {
 	case *Kind, *QueueOrder:
@@ -224,7 +225,7 @@
 	}
 }
 
-// allowedValues returns the values that the field takes, as the document writes them.
+// allowedValues describes the values that the field allows, as written in the document.
 func (f *field) allowedValues() string {
 	low, high := "", ""
 	switch f.ref(new(Policy)).(type) {
--- a/internal/profile/golden_test.go
+++ b/internal/profile/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// TestRefusedDocumentsListEveryProblem holds the problems that an operator sees for a document.
+// TestRefusedDocumentsListEveryProblem compares the problems reported for a document with testdata.
 func TestRefusedDocumentsListEveryProblem(t *testing.T) {
 	datadriven.RunTest(t, "testdata/refused", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Parse([]byte(d.Input), 1)
@@ -22,13 +22,14 @@
 		}
 		var refused *DocumentError
 		if !errors.As(err, &refused) {
-			t.Fatalf("%v holds no DocumentError", err)
+			t.Fatalf("%v wraps no DocumentError", err)
 		}
 		return formatLines(refused.Problems)
 	})
 }
 
-// TestDiffOfSuccessiveDocuments publishes one document after another and shows what changes.
+// TestDiffOfSuccessiveDocuments parses one document after another and compares the changes with
+// testdata.
 func TestDiffOfSuccessiveDocuments(t *testing.T) {
 	var inForce *Snapshot
 	datadriven.RunTest(t, "testdata/diff", func(t *testing.T, d *datadriven.TestData) string {
--- a/internal/profile/lineindex.go
+++ b/internal/profile/lineindex.go
@@ -10,19 +10,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxPathDepth bounds the keys whose line is kept. The deepest key that a
-// document may hold has four parts. Without a bound the paths of one dotted
-// key with hundreds of thousands of parts would take all memory.
+// maxPathDepth bounds the depth of keys whose lines are recorded. Valid keys have at most four
+// parts. Without this bound, the paths of one dotted key with hundreds of thousands of parts would
+// exhaust memory.
 const maxPathDepth = 6
 
-// maxKeyInPath bounds what one key adds to a path. Keys that a document may
-// hold are shorter; a longer one would stand in the path of each problem
-// within its table.
+// maxKeyInPath bounds the length that one key adds to a path. Valid keys are shorter. A longer key
+// would be repeated in the path of every problem within its table.
 const maxKeyInPath = 80
 
 var bareKey = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
 
-// joinPath appends a key to a path, quoted where TOML would need that.
+// joinPath appends a key to a path, quoted where TOML requires it.
 func joinPath(path, key string) string {
 	if len(key) > maxKeyInPath {
 		key = key[:maxKeyInPath] + "..."
@@ -36,21 +35,21 @@
 	return path + "." + key
 }
 
-// elementPath appends the index of an array's element to a path, from 1.
+// elementPath appends the index of an array element, counted from 1, to a path.
 func elementPath(path string, index int) string {
 	return path + "[" + strconv.Itoa(index) + "]"
 }
 
-// lineIndex knows on which line each key of a document first stands.
+// lineIndex maps each key of a document to the line on which it first appears.
 type lineIndex struct {
 	lines map[string]int
-	// newlines holds the offsets of the line ends.
+	// newlines holds the byte offsets of the line ends.
 	newlines []int
-	// elements counts the tables of each array of tables so far.
+	// elements counts the tables seen so far in each array of tables.
 	elements map[string]int
 }
 
-// indexLines reads a document that is known to be valid TOML.
+// indexLines indexes a document, which must be valid TOML.
 func indexLines(data []byte) *lineIndex {
 	x := &lineIndex{lines: map[string]int{}, elements: map[string]int{}}
 	for at := 0; ; at++ {
@@ -75,7 +74,7 @@
 	return x
 }
 
-// line returns the line of the path, or of the nearest table around it.
+// line returns the line of the path or, if it has none, that of the nearest enclosing table.
 func (x *lineIndex) line(path string) int {
 	for path != "" {
 		if line, ok := x.lines[path]; ok {
@@ -86,7 +85,7 @@
 	return 1
 }
 
-// recordKeys records the parts of a dotted key and returns its path and depth.
+// recordKeys records the lines of the parts of a dotted key and returns the key's path and depth.
 func (x *lineIndex) recordKeys(path string, depth int, parts unstable.Iterator, newElement bool) (string, int) {
 	for parts.Next() {
 		depth++
@@ -119,7 +118,7 @@
 	x.recordValue(path, depth, node.Value())
 }
 
-// recordValue descends into inline tables, also those that are elements of an array.
+// recordValue records the keys of inline tables, including those that are array elements.
 func (x *lineIndex) recordValue(path string, depth int, node *unstable.Node) {
 	if depth >= maxPathDepth {
 		return
--- a/internal/profile/localtime.go
+++ b/internal/profile/localtime.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// A local time names no instant where the clocks go forward over it, and two
-// where they go back over it. A close is then read as long as it can be: it is
-// safer to be careful an hour too long than to leave out an hour of a close.
+// When clocks go forward, some local times do not exist; when they go back, some occur twice. A
+// close is extended to its longest interpretation, because close settings that apply an hour too
+// long are safer than a close that is an hour too short.
 
-// firstInstant returns the instant at which a close with that local start
-// begins: the earlier of two, and the change of the clocks itself for a time
-// that they skip. local is given as if it were in UTC.
+// firstInstant returns the instant at which a close with the given local start begins. For an
+// ambiguous time it is the earlier instant, for a nonexistent time the instant of the clock change.
+// local is given as if it were in UTC.
 func firstInstant(local time.Time, zone *time.Location) time.Time {
 	first, _ := instantsOf(local, zone)
 	return first
 }
 
-// lastInstant is firstInstant for a close's end: the later of two.
+// lastInstant is like firstInstant for the end of a close: for an ambiguous time it returns the
+// later instant.
 func lastInstant(local time.Time, zone *time.Location) time.Time {
 	_, last := instantsOf(local, zone)
 	return last
 }
 
-// instantsOf returns the first and last instant that have the local time, which
-// are the same for most.
+// instantsOf returns the first and last instants with the given local time. They are the same
+// unless the time is ambiguous.
 func instantsOf(local time.Time, zone *time.Location) (first, last time.Time) {
 	before, after := offsetsAround(local, zone)
 	early := local.Add(-max(before, after)).In(zone)
@@ -39,9 +40,9 @@
 	return change, change
 }
 
-// offsetsAround returns the zone's offsets from UTC a day before and after the
-// local time. No offset reaches a day, so a change of the clocks that concerns
-// the local time lies between the two.
+// offsetsAround returns the zone's UTC offsets one day before and one day after the local time.
+// Offsets are always less than a day, so a clock change that affects the local time lies between
+// the two.
 func offsetsAround(local time.Time, zone *time.Location) (before, after time.Duration) {
 	const day = 24 * time.Hour
 	offset := func(t time.Time) time.Duration {
--- a/internal/profile/parse.go
+++ b/internal/profile/parse.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// DocumentFormat is the value of the document's field format.
+	// DocumentFormat is the supported value of the document's format field.
 	DocumentFormat = 1
-	// ProgramFormat is the largest value of the document's field requires that
-	// this program satisfies. It grows when a field is added.
+	// ProgramFormat is the largest value of the document's requires field that this program
+	// supports. It increases when a field is added.
 	ProgramFormat = 1
-	// MaxDocumentBytes is the largest document, which is also the largest
-	// value that the platform's configuration service holds.
+	// MaxDocumentBytes is the size limit of a document. It equals the size limit of a value in the
+	// platform's configuration service.
 	MaxDocumentBytes = 1 << 20
-	// maxKeys bounds the keys and table headers of a document. The TOML
-	// library compares each key with all others of its table, so that without
-	// a bound a document full of short keys would occupy an entry for half a
-	// minute. A thousand services need a few thousand.
+	// maxKeys bounds the number of keys and table headers in a document. The TOML library compares
+	// each key with all others of its table, so a document full of short keys could otherwise
+	// occupy an entry for half a minute. A document with a thousand services needs a few thousand
+	// keys.
 	maxKeys = 20000
 )
 
-// Parse checks a document and compiles it. A document with a problem is
-// refused whole, by an error of kind fault.BadProfile that holds a
-// *DocumentError. Parse keeps no reference to data.
+// Parse validates a document and compiles it. If the document has any problem, Parse rejects all of
+// it with an error of kind fault.BadProfile that wraps a *DocumentError. Parse keeps no reference
+// to data.
 func Parse(data []byte, revision uint64) (*Snapshot, error) {
 	s := &Snapshot{revision: revision, digest: xxhash.Sum64(data), data: bytes.Clone(data)}
 	root, lines, problem := decode(s.data)
@@ -57,14 +57,14 @@
 		"mend the document and publish it again", "profile document refused, %d problem(s)", len(problems))
 }
 
-// checkSize returns the problem of a document beyond the bounds, or nil.
+// checkSize returns a problem if the document exceeds the size limits, or nil.
 func checkSize(data []byte) *Problem {
 	p := &Problem{Line: 1, Remedy: "make it smaller"}
 	if len(data) > MaxDocumentBytes {
 		p.Problem = fmt.Sprintf("the document has %d bytes, more than %d", len(data), MaxDocumentBytes)
 		return p
 	}
-	// This counts a little too much: the signs may also stand in a comment.
+	// This overestimates slightly, since the characters may also appear in strings and comments.
 	if n := bytes.Count(data, []byte("=")) + bytes.Count(data, []byte("[")); n > maxKeys {
 		p.Problem = fmt.Sprintf("the document has %d keys and tables, more than %d", n, maxKeys)
 		return p
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// decode reads the text into generic values, and finds the lines of its keys.
+// decode parses the document into generic values and indexes the lines of its keys.
 func decode(data []byte) (root section, lines *lineIndex, problem *Problem) {
 	if problem := checkSize(data); problem != nil {
 		return section{}, nil, problem
 	}
-	// A document that made the TOML library panic would end every entry at
-	// once, and again at each start, for as long as it stays published.
-	// Refused like any other, it leaves the one before it in force.
+	// Recover from panics in the TOML library. Otherwise a document that triggers one would crash
+	// every entry at once, and again at each restart, for as long as it stays published. Rejecting
+	// the document leaves the previous one in force.
 	defer func() {
 		if r := recover(); r != nil {
 			problem = &Problem{Line: 1, Problem: fmt.Sprintf("the TOML library failed: %v", r), Remedy: "simplify the document"}
@@ -100,9 +100,8 @@
 	return p
 }
 
-// checkFormat checks the version fields. It returns false if this program can't
-// judge the rest: fields that it does not know are then to be expected, and
-// listing them would hide the one remedy.
+// checkFormat checks the version fields. It returns false if the document needs a newer program.
+// Such a document may have unknown fields, and reporting those would hide the actual remedy.
 func (c *checker) checkFormat(root section) bool {
 	format, given := c.readVersion(root, "format")
 	if !given {
@@ -123,7 +122,7 @@
 	return true
 }
 
-// readVersion reads an optional version number from 1.
+// readVersion reads an optional version number, which must be at least 1.
 func (c *checker) readVersion(root section, key string) (n int64, given bool) {
 	value, given := root.values[key]
 	if !given {
--- a/internal/profile/parse_test.go
+++ b/internal/profile/parse_test.go
@@ -13,7 +13,7 @@
 
 const exampleDocument = "../../examples/mermaconteo.toml"
 
-// mustParse returns the snapshot of a document that has to be accepted.
+// mustParse parses a document that must be accepted.
 func mustParse(t *testing.T, document string) *Snapshot {
 	t.Helper()
 	s, err := Parse([]byte(document), 7)
@@ -69,12 +69,12 @@
 		t.Errorf("revision %d, data %q", s.Revision(), s.Data())
 	}
 	if s.Digest() == mustParse(t, document+"\n").Digest() {
-		t.Error("another text has the same digest")
+		t.Error("two different documents have the same digest")
 	}
 
 	scans, ok := s.Service("scans")
 	if _, other := s.Service("photos"); !ok || other {
-		t.Fatal("a service is missing or made up")
+		t.Fatal("service scans is missing, or service photos exists")
 	}
 	ordinary := Default(Bulk)
 	ordinary.Deadline, ordinary.WatchBudget = time.Hour, 0
@@ -93,12 +93,12 @@
 		t.Errorf("limits during a close = %+v", got)
 	}
 	if _, ok := s.PoolLimits("scans", false); ok {
-		t.Error("a service's own name is a pool although it picked another")
+		t.Error("there is a pool named after service scans, which uses pool field")
 	}
 }
 
-// A document that is syntactically sound can still be built to exhaust an
-// entry. All entries read it at once and again at each start, so none may fail.
+// A syntactically valid document can still be built to exhaust an entry. All entries parse the
+// published document at once and again at each restart, so it must not crash them.
 func TestHostileDocumentsAreRefused(t *testing.T) {
 	half := MaxDocumentBytes/2 - 10
 	cases := map[string]string{
@@ -131,10 +131,10 @@
 	return b.String()
 }
 
-// checkServiceInvariants restates what must hold of a service however it was written.
+// checkServiceInvariants checks what must hold for every accepted service.
 func checkServiceInvariants(t interface{ Errorf(string, ...any) }, s *Service) {
 	if s.Ordinary.Kind != s.Close.Kind || s.Ordinary.RequireKey != s.Close.RequireKey {
-		t.Errorf("%s: the contract with callers differs in a close", s.Name)
+		t.Errorf("%s: kind or require_key differs during a close", s.Name)
 	}
 	for _, closing := range []bool{false, true} {
 		p := s.Policy(closing)
@@ -151,13 +151,13 @@
 			p.WatchBudget >= 0 && p.WatchBudget <= 0.2 && p.EjectMaxShare >= 0 && p.EjectMaxShare <= 0.5 &&
 			p.EjectBase > 0 && p.EjectBase <= p.EjectMax && p.MaxBodyBytes >= 0 && p.EntriesPerDomain >= 0
 		if !valid {
-			t.Errorf("%s: accepted in closing=%v: %+v", s.Name, closing, *p)
+			t.Errorf("%s: accepted an invalid policy with closing=%v: %+v", s.Name, closing, *p)
 		}
 	}
 }
 
-// drawDocument writes a document from parts that are mostly good, so that a
-// fair share of the documents is accepted.
+// drawDocument generates a document from mostly valid parts, so that many of the documents are
+// accepted.
 func drawDocument(t *rapid.T) string {
 	values := map[string][]string{
 		"duration":      {`"1s"`, `"5s"`, `"1m"`, `"20ms"`, `"1h"`},
@@ -199,24 +199,24 @@
 		second, secondErr := Parse([]byte(document), 1)
 		if err != nil || secondErr != nil {
 			if err == nil || secondErr == nil || err.Error() != secondErr.Error() {
-				t.Fatalf("one outcome %v, then %v", err, secondErr)
+				t.Fatalf("two parses of one document returned errors %v and %v", err, secondErr)
 			}
 			return
 		}
 		accepted++
 		if changes := Diff(first, second); len(changes) > 0 {
-			t.Errorf("the same document differs: %v", changes)
+			t.Errorf("a document differs from itself: %v", changes)
 		}
 		for _, s := range first.Services() {
 			checkServiceInvariants(t, s)
 		}
 	})
 	if accepted == 0 {
-		t.Error("no document was accepted, so none was checked")
+		t.Error("no generated document was accepted, so no service was checked")
 	}
 }
 
-// A publisher that cuts a file or mangles its text must not end an entry.
+// A truncated or corrupted document must not crash an entry.
 func TestDamagedDocumentDoesNotPanic(t *testing.T) {
 	whole, err := os.ReadFile(exampleDocument)
 	if err != nil {
--- a/internal/profile/pool.go
+++ b/internal/profile/pool.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// PoolLimits holds what concerns the endpoints of a pool rather than the
-// requests of one service. Where services share a pool, each limit is the
-// smallest that one of them sets, so that no profile's limit is exceeded.
+// PoolLimits holds the limits that apply to a pool's endpoints rather than to the requests of one
+// service. If several services share a pool, each limit is the smallest value among their profiles,
+// so that no profile's limit is exceeded.
 type PoolLimits struct {
 	WatchBudget         float64
 	EjectMaxShare       float64
 	EjectBase, EjectMax time.Duration
 }
 
-// poolModes is a pool's limits in both modes.
+// poolModes holds a pool's limits in both modes.
 type poolModes struct {
 	ordinary, closing PoolLimits
 }
@@ -29,7 +29,7 @@
 	return names
 }
 
-// PoolLimits returns the limits of a pool in one mode.
+// PoolLimits returns the limits of a pool in the given mode. ok is false if there is no such pool.
 func (s *Snapshot) PoolLimits(pool string, closing bool) (PoolLimits, bool) {
 	m, ok := s.pools[pool]
 	if closing {
--- a/internal/profile/problem.go
+++ b/internal/profile/problem.go
@@ -9,19 +9,19 @@
 // always complete.
 const maxProblemsInMessage = 100
 
-// Problem is one thing wrong with a document.
+// Problem is one error or warning in a document.
 type Problem struct {
 	// Line counts from 1.
 	Line int
-	// Path is the key, as in "profile.live-counts.deadline". Entries of an
-	// array count from 1. It is empty for a problem of the whole document.
+	// Path is the dotted key, for example "profile.live-counts.deadline". Array elements are
+	// counted from 1. Path is empty for a problem of the whole document.
 	Path string
 	// Problem says what is wrong, Remedy what to do about it.
 	Problem string
 	Remedy  string
 }
 
-// String returns the problem on one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	if p.Path == "" {
 		return fmt.Sprintf("line %d: %s; %s", p.Line, p.Problem, p.Remedy)
@@ -29,14 +29,14 @@
 	return fmt.Sprintf("line %d: %s: %s; %s", p.Line, p.Path, p.Problem, p.Remedy)
 }
 
-// DocumentError lists everything for which a document was refused. Parse
-// returns it inside an error of kind fault.BadProfile; errors.As finds it.
+// DocumentError lists all problems for which a document was rejected. Parse returns it wrapped in
+// an error of kind fault.BadProfile; use errors.As to retrieve it.
 type DocumentError struct {
 	// Problems are sorted by line.
 	Problems []Problem
 }
 
-// Error returns one problem a line.
+// Error formats the problems, one per line.
 func (e *DocumentError) Error() string {
 	var b strings.Builder
 	for i, p := range e.Problems {
--- a/internal/profile/profiles.go
+++ b/internal/profile/profiles.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// profileModes is what a profile says for both modes.
+// profileModes holds the settings of a profile in both modes.
 type profileModes struct {
 	ordinary, closing Policy
-	// valid is false if a problem was reported.
+	// valid is false if the profile has a problem.
 	valid bool
 	used  bool
 }
@@ -57,8 +57,8 @@
 	c.checkRules(&m.closing, []section{closeTable, table}, refused)
 }
 
-// readFields stores the settings of one block in p, and the names of those
-// with a bad value in refused.
+// readFields stores the settings of one table in p and adds the names of settings with an invalid
+// value to refused.
 func (c *checker) readFields(s section, p *Policy, refused map[string]bool) {
 	for i := range fields {
 		f := &fields[i]
@@ -71,11 +71,11 @@
 	}
 }
 
-// maxPrintedValue bounds a refused value in a message.
+// maxPrintedValue bounds the length of a rejected value in a message.
 const maxPrintedValue = 40
 
-// formatRefusedValue returns a refused value for a message. Tables and lists are not
-// spelled out: they can be nested deeper than the stack would bear.
+// formatRefusedValue formats a rejected value for a message. Tables and lists are not printed: they
+// may be nested so deeply that formatting them would overflow the stack.
 func formatRefusedValue(value any) string {
 	switch v := value.(type) {
 	case string:
--- a/internal/profile/reference.go
+++ b/internal/profile/reference.go
@@ -5,9 +5,8 @@
 	"strings"
 )
 
-// Reference returns the Markdown reference of a profile's settings, for
-// docs/PROFILES.md: a table of values, the effects, and the combinations that
-// are refused.
+// Reference returns the Markdown reference of profile settings for docs/PROFILES.md: a table of
+// values, the descriptions, and the combinations that are rejected.
 func Reference() string {
 	var b strings.Builder
 	writeValues(&b)
--- a/internal/profile/reference_test.go
+++ b/internal/profile/reference_test.go
@@ -13,8 +13,8 @@
 	referenceEnd   = "<!-- reference: end -->\n"
 )
 
-// TestReferencePageMatchesFields compares the reference in the documentation with the fields in
-// the code. With -rewrite, the flag of the golden files, it is written anew.
+// TestReferencePageMatchesFields compares the reference in docs/PROFILES.md with the fields in the
+// code. With -rewrite, the flag of the golden files, it updates the page instead.
 func TestReferencePageMatchesFields(t *testing.T) {
 	data, err := os.ReadFile(referenceFile)
 	if err != nil {
@@ -23,7 +23,7 @@
 	head, rest, found := strings.Cut(string(data), referenceBegin)
 	table, tail, ended := strings.Cut(rest, referenceEnd)
 	if !found || !ended {
-		t.Fatal("the marks around the reference are missing")
+		t.Fatal("the markers around the reference are missing")
 	}
 	want := "\n" + Reference() + "\n"
 	if table == want {
--- a/internal/profile/rules.go
+++ b/internal/profile/rules.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// rule is a combination of settings within one profile that can't be meant.
-// Its text is also its line in the reference.
+// rule is an invalid combination of settings within one profile. Its problem and remedy also appear
+// in the reference.
 type rule struct {
-	// fields are the settings concerned; the problem is shown at the first of
-	// them that the document sets.
+	// fields are the settings involved. The problem is reported at the first of them that the
+	// document sets.
 	fields   []string
 	violated func(p *Policy) bool
 	problem  string
 	remedy   string
 }
 
-// rules holds in both modes of every profile.
+// rules apply to both modes of every profile.
 var rules = []rule{
 	{
 		fields:   []string{"hedge_after", "kind"},
@@ -69,9 +69,9 @@
 	orderWithoutQueueRemedy = "remove queue_order or set queue_limit to 1 or more"
 )
 
-// checkRules reports the broken rules of one mode. The blocks are where the
-// mode's settings may stand, the decisive one first. Rules about a setting
-// that was refused itself are left out, as the policy holds its default.
+// checkRules reports the rules that the policy of one mode violates. blocks are the tables that may
+// set the mode's settings, the one with precedence first. Rules that involve a rejected setting are
+// skipped, because the policy has that setting's default instead.
 func (c *checker) checkRules(p *Policy, blocks []section, refused map[string]bool) {
 	for _, r := range rules {
 		if r.violated(p) && !containsAny(refused, r.fields) {
@@ -93,7 +93,7 @@
 	return false
 }
 
-// firstSetPath returns the path of the first of the fields that a block sets.
+// firstSetPath returns the path of the first of the named settings that a block sets.
 func firstSetPath(blocks []section, names []string) string {
 	for _, block := range blocks {
 		for _, name := range names {
@@ -105,17 +105,16 @@
 	return blocks[0].child(names[0])
 }
 
-// urgentReserve is the share of a pool's slots that services of other kinds
-// may never hold where an urgent service shares the pool. Without it bulk
-// requests, which hold a slot for long and are never cut off, could fill every
-// slot, and an urgent request would wait for a whole upload.
+// urgentReserve is the share of a pool's slots that services of other kinds may not use if an
+// urgent service shares the pool. Without it, bulk requests, which use a slot for long and are
+// never cut off, could occupy every slot, and an urgent request would wait for an entire upload.
 const urgentReserve = 0.1
 
-// shareTolerance absorbs the rounding of a sum of decimal shares.
+// shareTolerance absorbs rounding errors in a sum of decimal shares.
 const shareTolerance = 1e-9
 
-// checkUrgentReserve reports pools whose other services leave too little for the
-// urgent ones. Services are sorted by name.
+// checkUrgentReserve reports urgent services whose pools do not leave urgentReserve to them.
+// services must be sorted by name.
 func (c *checker) checkUrgentReserve(services []*Service) {
 	for _, s := range services {
 		if s.Ordinary.Kind != Urgent {
--- a/internal/profile/scalar.go
+++ b/internal/profile/scalar.go
@@ -12,7 +12,7 @@
 	gigabyte = 1000 * megabyte
 )
 
-// sizeUnits are in the order in which formatSize tries them.
+// sizeUnits lists the units in the order in which formatSize tries them.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
@@ -22,7 +22,7 @@
 	{"B", 1},
 }
 
-// parseSize reads a whole number with a unit, as in "8MB" or "64KiB".
+// parseSize parses a whole number with a unit, for example "8MB" or "64KiB".
 func parseSize(text string) (int64, bool) {
 	for _, unit := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
@@ -38,7 +38,7 @@
 	return 0, false
 }
 
-// formatSize returns the text with the largest unit that loses nothing.
+// formatSize formats n with the first unit in sizeUnits that represents it exactly.
 func formatSize(n int64) string {
 	for _, unit := range sizeUnits {
 		if n >= unit.bytes && n%unit.bytes == 0 {
@@ -48,7 +48,8 @@
 	return "0B"
 }
 
-// formatDuration drops the zero parts that time.Duration prints: 2m, not 2m0s.
+// formatDuration formats d without the trailing zero parts that time.Duration prints: 2m rather
+// than 2m0s.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/profile/services.go
+++ b/internal/profile/services.go
@@ -36,7 +36,7 @@
 	s.compilePools()
 }
 
-// readService returns the service and its profile, nil if it has none.
+// readService returns the service and its profile, which is nil if the service names no valid one.
 func (c *checker) readService(table section, name string, profiles map[string]*profileModes) (*Service, *profileModes) {
 	c.reportUnknownKeys(table, []string{"profile", "pool"})
 	service := &Service{Name: name, Pool: name}
--- a/internal/profile/snapshot.go
+++ b/internal/profile/snapshot.go
@@ -9,21 +9,21 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// Close is a time during which the close settings are in force: from Start on,
-// until just before End.
+// Close is a period during which the close settings apply: from Start (inclusive) to End
+// (exclusive).
 type Close struct {
 	Name       string
 	Start, End time.Time
 }
 
-// String returns both times with their zone, without the name.
+// String formats the start and end with their time zone, without the name.
 func (c Close) String() string {
 	const layout = localTimeLayout + " MST"
 	return c.Start.Format(layout) + " to " + c.End.Format(layout)
 }
 
-// Snapshot is one accepted document at one revision. It never changes and is
-// safe for concurrent use. What it returns by pointer must not be changed.
+// Snapshot is an accepted document at one revision. It is immutable and safe for concurrent use.
+// Callers must not modify values that its methods return by pointer.
 type Snapshot struct {
 	revision uint64
 	digest   uint64
@@ -35,7 +35,7 @@
 	closes   []Close // sorted by start, then name
 	pools    map[string]poolModes
 	warnings []Problem
-	// traffic and modes are what Bind makes services of routes from.
+	// traffic and modes are the inputs from which Bind creates the services of routes.
 	traffic []TrafficRule
 	modes   map[string]*profileModes
 	table   *route.Table
@@ -44,13 +44,13 @@
 // Revision returns the revision at which the document was published.
 func (s *Snapshot) Revision() uint64 { return s.revision }
 
-// Digest returns the xxhash of the document's text.
+// Digest returns the xxHash of the document's text, or the digest passed to Bind.
 func (s *Snapshot) Digest() uint64 { return s.digest }
 
 // Data returns a copy of the document's text.
 func (s *Snapshot) Data() []byte { return bytes.Clone(s.data) }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (s *Snapshot) Service(name string) (*Service, bool) {
 	service, ok := s.byName[name]
 	return service, ok
@@ -62,18 +62,17 @@
 // Profiles returns the names of all profiles, sorted.
 func (s *Snapshot) Profiles() []string { return slices.Clone(s.profiles) }
 
-// Warnings returns what looks unintended in the document but is no reason to
-// refuse it, sorted by line.
+// Warnings returns the likely mistakes for which the document was not rejected, sorted by line.
 func (s *Snapshot) Warnings() []Problem { return slices.Clone(s.warnings) }
 
-// TimeZone returns the name of the calendar's time zone, "" without a calendar.
+// TimeZone returns the name of the calendar's time zone, or "" if there is no calendar.
 func (s *Snapshot) TimeZone() string { return s.zone }
 
-// Closes returns the calendar, sorted by start.
+// Closes returns the closes of the calendar, sorted by start.
 func (s *Snapshot) Closes() []Close { return slices.Clone(s.closes) }
 
-// CloseAt returns the close in force at wall. Of several it is the one that
-// started first, and of these the first by name.
+// CloseAt returns the close in force at wall. If several overlap, it returns the one that started
+// first, and among those that started together the first by name.
 func (s *Snapshot) CloseAt(wall time.Time) (Close, bool) {
 	for _, c := range s.closes {
 		if c.Start.After(wall) {
--- a/internal/profile/traffic.go
+++ b/internal/profile/traffic.go
@@ -8,33 +8,33 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// TrafficRule names the profile that treats the requests of routes of one kind.
+// TrafficRule assigns a profile to routes of one kind.
 type TrafficRule struct {
 	Name string
 	Kind route.Kind
-	// Priority limits the rule to routes of that rank; HasPriority says that it is
-	// set. A rule with a priority goes before one without.
+	// Priority restricts the rule to routes of that rank if HasPriority is set. A rule with a
+	// priority takes precedence over one without.
 	Priority    int
 	HasPriority bool
 	Profile     string
 }
 
-// lowestPriority is the least priority of a policy, and highestPriority that of
-// routes of rank 0; ranks beyond their distance are alike.
+// lowestPriority is the lowest priority of a policy, and highestPriority is the priority of routes
+// of rank 0. All ranks from highestPriority on get lowestPriority.
 const (
 	lowestPriority  = 0
 	highestPriority = 9
 )
 
-// profileKindsFor lists which kinds of profiles may treat a kind of route: what may be
-// repeated follows from the route, and a profile must not promise more.
+// profileKindsFor lists the kinds of profiles that each kind of route may use. The route determines
+// whether its requests may be repeated, and the profile must not allow more.
 var profileKindsFor = map[route.Kind][]Kind{
 	route.Idempotent:    {Read, Urgent},
 	route.NonIdempotent: {Once},
 	route.Upload:        {Bulk, Once},
 }
 
-// readTraffic reads the rules that give routes their profiles.
+// readTraffic reads the rules that assign profiles to routes.
 func (c *checker) readTraffic(root section, profiles map[string]*profileModes, s *Snapshot) {
 	tables, _ := c.readTable(root, "traffic")
 	for _, name := range tables.keys() {
@@ -93,7 +93,7 @@
 	return rule, true
 }
 
-// trafficRuleFor returns the rule for routes of a kind and rank, or nil.
+// trafficRuleFor returns the rule for routes of the given kind and rank, or nil if there is none.
 func (s *Snapshot) trafficRuleFor(kind route.Kind, priority int) *TrafficRule {
 	var found *TrafficRule
 	for i := range s.traffic {
@@ -108,10 +108,10 @@
 	return found
 }
 
-// Bind returns a snapshot of the given revision whose services are those of the
-// routes, each treated by the profile that the traffic rules of s give it. The
-// route's own timeout, latency objective, rank and attempts replace those of the
-// profile; one without a timeout keeps the profile's deadline. The calendar is that of s.
+// Bind returns a snapshot of the given revision whose services are those of the routes in table,
+// each with the profile that the traffic rules of s assign. The route's own timeout, latency
+// objective, rank and attempts replace those of the profile; a route without a timeout keeps the
+// profile's deadline. The calendar is that of s.
 func (s *Snapshot) Bind(table *route.Table, revision, digest uint64) (*Snapshot, error) {
 	bound := *s
 	bound.revision, bound.digest = revision, digest
@@ -146,7 +146,7 @@
 	return 0
 }
 
-// PartName names the service that stands for one part of a route.
+// PartName returns the name of the service that represents one part of a route.
 func PartName(r *route.Route, part route.Part) string {
 	if len(r.Parts) == 1 {
 		return r.Name
@@ -168,7 +168,7 @@
 	s.byName[service.Name] = service
 }
 
-// policyForRoute is a profile's policy with what the route says itself.
+// policyForRoute returns the profile's policy with the route's own settings applied.
 func policyForRoute(p Policy, r *route.Route, limits route.Limits) Policy {
 	if r.Timeout > 0 {
 		p.Deadline = r.Timeout.Duration()
@@ -183,6 +183,6 @@
 	return p
 }
 
-// Routes returns the route table that the services were made from, nil if the
-// services are those of the document.
+// Routes returns the route table from which Bind created the services, or nil if the services are
+// those of the document.
 func (s *Snapshot) Routes() *route.Table { return s.table }
--- a/internal/profile/traffic_test.go
+++ b/internal/profile/traffic_test.go
@@ -51,8 +51,8 @@
 	return table
 }
 
-// Names of routes are new each day; what a route is treated by follows from its kind
-// and rank. What the route says itself goes before its profile.
+// Route names change daily, so a route's profile follows from its kind and rank. The route's own
+// settings take precedence over those of its profile.
 func TestBindAppliesTrafficRulesAndRouteSettings(t *testing.T) {
 	base, err := Parse([]byte(trafficDocument), 1)
 	if err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if bound.Revision() != 7 || bound.Digest() != 8 || len(base.Services()) != 0 || bound.Routes() == nil {
-		t.Errorf("revision %d, digest %d, services of the base %d", bound.Revision(), bound.Digest(), len(base.Services()))
+		t.Errorf("revision %d, digest %d, %d services in the base snapshot", bound.Revision(), bound.Digest(), len(base.Services()))
 	}
 	for _, tc := range []struct {
 		service, profile, pool, probe string
@@ -96,11 +96,11 @@
 	}
 }
 
-// A rule that treated bookings as reads would run them twice; one that forgets a kind
-// would leave routes without a profile on the day on which they come.
+// A rule that applied a read profile to non-idempotent routes would run their requests twice. A
+// missing rule for a kind would leave future routes of that kind without a profile.
 func TestBadTrafficRulesAreRefused(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, says string }{
-		{"once treated as read", `profile = "once"`, `profile = "reads"`, "does not suit non_idempotent routes"},
+		{"read profile for non-idempotent route", `profile = "once"`, `profile = "reads"`, "does not suit non_idempotent routes"},
 		{"no rule for a kind", "[traffic.uploads]\nkind = \"upload\"\nprofile = \"uploads\"\n", "", `no rule covers routes of kind "upload"`},
 		{"only a rule with a priority", "profile = \"uploads\"\n", "profile = \"uploads\"\npriority = 3\n", `no rule covers routes of kind "upload"`},
 		{"unknown profile", `profile = "urgent"`, `profile = "urgnt"`, "there is no profile"},
@@ -110,7 +110,7 @@
 	} {
 		text := strings.Replace(trafficDocument, tc.old, tc.new, 1)
 		if text == trafficDocument {
-			t.Fatalf("%s: nothing replaced", tc.name)
+			t.Fatalf("%s: the replaced text is not in the document", tc.name)
 		}
 		if _, err := Parse([]byte(text), 1); err == nil || !strings.Contains(err.Error(), tc.says) {
 			t.Errorf("%s: %v", tc.name, err)
