--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -9,27 +9,28 @@
 	"k8s.io/klog/v2"
 )
 
-// LowPriority is the key of an attribute that marks a line as one of many alike, such as
-// that of a request that went well. It is not written.
+// LowPriority is the key of an attribute that marks a line as one of many similar ones, such as the
+// request trace of a successful request. Such lines are dropped first. The attribute itself is not
+// written.
 const LowPriority = "ordinary"
 
-// handler encodes records as JSON and gives the lines to a Writer.
+// handler encodes records as JSON and passes the lines to a Writer.
 type handler struct {
 	inner slog.Handler
 	line  *lineBuffer
 	out   *Writer
 }
 
-// lineBuffer is where the encoder of all derived handlers writes to.
+// lineBuffer is the output of the JSON encoder, shared by all derived handlers.
 type lineBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
 }
 
-// Write implements io.Writer; mu is held by Handle.
+// Write implements io.Writer. Handle holds mu when the encoder calls it.
 func (b *lineBuffer) Write(p []byte) (int, error) { return b.data.Write(p) }
 
-// NewHandler returns a slog handler that writes one JSON object a line.
+// NewHandler returns a slog handler that writes one JSON object per line to out.
 func NewHandler(out *Writer) slog.Handler {
 	line := &lineBuffer{}
 	options := &slog.HandlerOptions{
@@ -76,7 +77,7 @@
 	return &handler{inner: h.inner.WithGroup(name), line: h.line, out: h.out}
 }
 
-// RedirectKlog makes klog write to w, every line as JSON. fields go with each line.
+// RedirectKlog makes klog write to w, with each line as a JSON object that includes fields.
 func RedirectKlog(w *Writer, fields ...any) {
 	klog.SetSlogLogger(slog.New(NewHandler(w)).With(fields...))
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// manualClock is a clock that a test sets.
+// manualClock is a clock that a test advances.
 type manualClock struct{ nanos atomic.Int64 }
 
 func (m *manualClock) now() time.Time          { return time.Unix(0, m.nanos.Load()) }
 func (m *manualClock) advance(d time.Duration) { m.nanos.Add(int64(d)) }
 
-// The collector of logs hangs and reads nothing. Requests must go on as if there were no
-// log: no line may wait, and what is lost must be counted and told once it reads again.
+// Guards against a stalled log reader that blocks requests. No line may block, and dropped lines
+// must be counted and reported once the reader continues.
 func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
 	clock := &manualClock{}
 	reader, pipe := io.Pipe()
@@ -27,13 +27,13 @@
 	log := slog.New(NewHandler(w))
 	const lines = 500
 	for range lines {
-		log.Info("request", "status", 503) // would hang here
+		log.Info("request", "status", 503) // blocks here if a line waits for the reader
 	}
 	if w.Dropped() < lines-6 {
 		t.Errorf("%d lines dropped", w.Dropped())
 	}
-	// The writer may have begun to tell of the first ones before the last were written,
-	// so several lines may tell of them; together they account for every line.
+	// The writer may report the first dropped lines before the last lines are logged, so there may
+	// be several reports. Together they account for every line.
 	reported, written := make(chan uint64), 0
 	go func() {
 		var sum uint64
@@ -56,12 +56,12 @@
 	<-w.done
 	pipe.Close()
 	if sum := <-reported; sum != w.Dropped() || int(sum)+written != lines {
-		t.Errorf("told of %d lines left out, counted %d, written %d of %d", sum, w.Dropped(), written, lines)
+		t.Errorf("reported %d dropped lines, counted %d, written %d of %d", sum, w.Dropped(), written, lines)
 	}
 }
 
-// Endpoints fail and every request writes a line. The volume stays within the bound, and
-// what tells of failures is not pushed out by ordinary successes.
+// Endpoints fail and every request logs a line. The volume must stay within the limit, and
+// successful requests must not displace the lines of failures.
 func TestVolumeBoundKeepsFailureLines(t *testing.T) {
 	clock := &manualClock{}
 	var out bytes.Buffer
@@ -79,7 +79,7 @@
 	all := strings.Count(out.String(), `"msg":"request"`)
 	failures := strings.Count(out.String(), `"level":"ERROR"`)
 	if n := strings.Count(out.String(), "left out"); n > seconds+1 {
-		t.Errorf("%d lines tell of lines left out", n)
+		t.Errorf("%d lines report dropped lines", n)
 	}
 	if all > perSecond*(seconds+burst) || failures != seconds*20 {
 		t.Errorf("%d lines, %d of %d failures", all, failures, seconds*20)
@@ -87,7 +87,7 @@
 	for line := range strings.Lines(out.String()) {
 		var fields map[string]any
 		if err := json.Unmarshal([]byte(line), &fields); err != nil || fields["msg"] == nil || fields[LowPriority] != nil {
-			t.Fatalf("not one object: %q, %v", line, err)
+			t.Fatalf("not a valid log line: %q, %v", line, err)
 		}
 	}
 }
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,6 +1,6 @@
-// Package logging writes the log: one JSON object a line through klog's slog bridge,
-// within a bound on lines and bytes a second, and never on the path of a request. What
-// does not fit is dropped and counted.
+// Package logging writes the log through klog's slog bridge, as one JSON object per line, within a
+// limit on lines and bytes per second. Logging never blocks a request: lines that exceed the limits
+// are dropped and counted.
 package logging
 
 import (
@@ -13,13 +13,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds a Writer. Zero values stand for the defaults.
+// Config configures the limits of a Writer. Zero values select the defaults.
 type Config struct {
-	// LinesPerSecond and BytesPerSecond bound what is written in the long run;
-	// defaults 200 and 100,000. Twice as much may come at once.
+	// LinesPerSecond and BytesPerSecond limit the average rate; defaults 200 and 100,000. A burst
+	// may contain twice as much.
 	LinesPerSecond int
 	BytesPerSecond int
-	// Queue is how many lines may wait for a slow reader; default 256.
+	// Queue is the number of lines that may wait for a slow reader; default 256.
 	Queue int
 	// Now is the clock; default time.Now.
 	Now func() time.Time
@@ -29,15 +29,15 @@
 	defaultLines = 200
 	defaultBytes = 100_000
 	defaultQueue = 256
-	// burst is how many seconds' worth may be written at once.
+	// burst is the number of seconds of the limits that may be written at once.
 	burst = 2
-	// reservedShare is the part of the bound that ordinary lines leave for failures
-	// and for changes of what the process believes.
+	// reservedShare is the share of the line limit that low-priority lines leave for failures and
+	// for changes in the state of the process.
 	reservedShare = 0.5
-	// dropReportInterval is the shortest time between two lines that tell how many were left
-	// out, which the bound does not count.
+	// dropReportInterval is the shortest time between two lines that report dropped lines. These
+	// lines do not count towards the limits.
 	dropReportInterval = time.Second
-	// closeTimeout bounds the wait for a reader at the end of the process.
+	// closeTimeout bounds the wait for the reader in Close.
 	closeTimeout = 200 * time.Millisecond
 )
 
@@ -57,8 +57,9 @@
 	return c
 }
 
-// Writer passes lines on to a reader that may be slow, or read nothing at all: a pipe
-// that is full must not hold up a request. It is safe for concurrent use.
+// Writer passes lines to a reader that may be slow or stalled. A full pipe must not block a
+// request, so lines are queued and dropped when the queue is full. Writer is safe for concurrent
+// use.
 type Writer struct {
 	cfg   Config
 	lines *rate.Limiter
@@ -71,7 +72,7 @@
 	unreported atomic.Uint64
 }
 
-// NewWriter returns a writer to out. Close it to write what waits.
+// NewWriter returns a Writer to out. Call Close to flush the queued lines.
 func NewWriter(out io.Writer, cfg Config) *Writer {
 	cfg = cfg.withDefaults()
 	w := &Writer{
@@ -85,7 +86,7 @@
 	return w
 }
 
-// run is the only one who waits for the reader.
+// run writes the queued lines. Only this goroutine blocks on out.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
 	var nextReport time.Time
@@ -93,12 +94,13 @@
 		if now := w.cfg.Now(); !now.Before(nextReport) && w.reportDropped(out) {
 			nextReport = now.Add(dropReportInterval)
 		}
-		_, _ = out.Write(line) // nobody is left to be told
+		_, _ = out.Write(line) // a write error has no recipient: this is the log itself
 	}
 	w.reportDropped(out)
 }
 
-// reportDropped writes how many lines were left out since it last did, if any were.
+// reportDropped writes the number of lines dropped since the previous report and returns true, or
+// returns false if there are none.
 func (w *Writer) reportDropped(out io.Writer) bool {
 	n := w.unreported.Swap(0)
 	if n > 0 {
@@ -107,14 +109,15 @@
 	return n > 0
 }
 
-// Write takes one line and never waits. It returns no error: a line that does not fit
-// is counted.
+// Write queues one line without blocking. It never returns an error: a line that exceeds the limits
+// is dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.enqueue(line, false)
 	return len(line), nil
 }
 
-// enqueue queues a line; ordinary ones leave room for others.
+// enqueue queues a line, or drops it if it exceeds the limits. Low-priority lines leave room for
+// other lines.
 func (w *Writer) enqueue(line []byte, lowPriority bool) {
 	now := w.cfg.Now()
 	if lowPriority && w.lines.TokensAt(now) < reservedShare*float64(w.lines.Burst()) ||
@@ -134,11 +137,11 @@
 	w.unreported.Add(1)
 }
 
-// Dropped returns how many lines were left out since the start.
+// Dropped returns the number of lines dropped since the start.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, as far as the reader takes it within a short time. Nothing
-// may be written after it.
+// Close flushes the queued lines, waiting up to closeTimeout for the reader. The Writer must not be
+// used after Close.
 func (w *Writer) Close() {
 	w.closing.Do(func() { close(w.queue) })
 	select {
--- a/internal/settings/certs/certs.go
+++ b/internal/settings/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs keeps TLS certificates that are read from files and read again
-// when the files change, so that certificates are renewed without a restart.
+// Package certs loads TLS certificates from files and reloads them when the files change, so that
+// certificates can be renewed without a restart.
 package certs
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Files names the PEM files of one side.
+// Files names the PEM files of one end of a connection.
 type Files struct {
-	// Certificate holds the chain, Key its private key.
+	// Certificate is the file with the certificate chain, Key the file with its private key.
 	Certificate, Key string
-	// Authorities holds the authorities that sign the other ends'
-	// certificates; "" when the other ends show none.
+	// Authorities is the file with the authorities that sign the certificates of the other end; ""
+	// if the other end presents none.
 	Authorities string
 }
 
@@ -30,22 +30,22 @@
 
 	mu        sync.Mutex
 	current   material
-	lastTried [3]fileStamp // of the files at the last load, whether it succeeded or not
+	lastTried [3]fileStamp // file stamps at the last load, successful or not
 }
 
-// material is what one load of the files gave; it is immutable.
+// material is the result of one load of the files. It is immutable.
 type material struct {
 	certificate tls.Certificate
-	authorities *x509.CertPool // nil without authorities
+	authorities *x509.CertPool // nil if Files.Authorities is empty
 }
 
-// fileStamp changes when a file is written.
+// fileStamp identifies a version of a file by its modification time and size.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// Open reads the files.
+// Open loads the files.
 func Open(files Files) (*Store, error) {
 	s := &Store{files: files}
 	if _, err := s.Reload(); err != nil {
@@ -54,10 +54,10 @@
 	return s, nil
 }
 
-// Reload reads the files again if one of them changed since the last try, and
-// reports whether it put new certificates in use. After an error the ones
-// before stay in use: files are often replaced one after the other, and a
-// certificate that does not fit its key yet will do so at a later try.
+// Reload loads the files again if one of them has changed since the last attempt, and reports
+// whether new certificates are in use. After an error the previous certificates stay in use: files
+// are often replaced one after the other, and a certificate whose key has not been replaced yet
+// loads on a later attempt.
 func (s *Store) Reload() (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,25 +87,24 @@
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		return material{}, fault.Wrap(err, fault.BadSettings, "give a PEM certificate chain with its private key",
-			"the certificate %s with the key %s can't be used", files.Certificate, files.Key)
+			"can't load the certificate %s with the key %s", files.Certificate, files.Key)
 	}
 	if files.Authorities == "" {
 		return material{certificate: certificate}, nil
 	}
 	text, err := os.ReadFile(files.Authorities)
 	if err != nil {
-		return material{}, fault.Wrap(err, fault.BadSettings, "give a readable PEM file", "the authorities can't be read")
+		return material{}, fault.Wrap(err, fault.BadSettings, "give a readable PEM file", "can't read the authorities")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
 		return material{}, fault.New(fault.BadSettings, "give a PEM file with certificates of authorities",
-			"%s holds no certificate", files.Authorities)
+			"%s contains no certificate", files.Authorities)
 	}
 	return material{certificate: certificate, authorities: pool}, nil
 }
 
-// Watch calls Reload at each interval until the context ends, and logs what
-// came of it.
+// Watch calls Reload at each interval until the context is canceled, and logs the results.
 func (s *Store) Watch(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -117,10 +116,10 @@
 		}
 		changed, err := s.Reload()
 		if err != nil {
-			klog.ErrorS(err, "the changed TLS files can't be used; the ones before stay in use", "certificate", s.files.Certificate)
+			klog.ErrorS(err, "can't load the changed TLS files; the previous certificates stay in use", "certificate", s.files.Certificate)
 		}
 		if changed {
-			klog.InfoS("TLS files were read again; new connections use them", "certificate", s.files.Certificate)
+			klog.InfoS("reloaded the TLS files; new connections use them", "certificate", s.files.Certificate)
 		}
 	}
 }
@@ -131,9 +130,8 @@
 	return s.current
 }
 
-// Server returns the configuration of a server. Each handshake uses the
-// certificates that are in use then. With authorities, clients must show a
-// certificate that one of them signed.
+// Server returns a server configuration. Each handshake uses the certificates in use at that time.
+// If the store has authorities, clients must present a certificate signed by one of them.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
@@ -157,9 +155,8 @@
 	return config
 }
 
-// Client returns the configuration for one dial: it shows this side's
-// certificate and trusts the authorities only. An empty serverName leaves the
-// name to the caller.
+// Client returns a client configuration for one connection. It presents the store's certificate and
+// trusts only the store's authorities. If serverName is empty, the caller must set it.
 func (s *Store) Client(serverName string) *tls.Config {
 	m := s.material()
 	return &tls.Config{
--- a/internal/settings/certs/certs_test.go
+++ b/internal/settings/certs/certs_test.go
@@ -12,7 +12,8 @@
 	"github.com/tealhall/tealhall/internal/settings/certs/certstest"
 )
 
-// newFiles writes the files of one side and returns their names.
+// newFiles writes a certificate signed by authority, its key and the trusted authority to new
+// files.
 func newFiles(t *testing.T, authority *certstest.Authority, trusted *certstest.Authority) Files {
 	t.Helper()
 	dir := t.TempDir()
@@ -40,7 +41,7 @@
 	return s
 }
 
-// handshake returns the errors of both ends of a connection over loopback.
+// handshake connects over loopback and returns the errors of both ends.
 func handshake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,9 +75,9 @@
 		client *tls.Config
 		ok     bool
 	}{
-		{"by IP number", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.1"), true},
-		{"by common name", openStore(t, newFiles(t, ours, ours)).Client("peer"), true},
-		{"another IP number", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.2"), false},
+		{"by IP address", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.1"), true},
+		{"by DNS name", openStore(t, newFiles(t, ours, ours)).Client("peer"), true},
+		{"another IP address", openStore(t, newFiles(t, ours, ours)).Client("127.0.0.2"), false},
 		{"client of a foreign authority", openStore(t, newFiles(t, foreign, ours)).Client("peer"), false},
 		{"server of a foreign authority", openStore(t, newFiles(t, ours, foreign)).Client("peer"), false},
 		{"client without certificate", &tls.Config{ServerName: "peer", RootCAs: server.material().authorities}, false},
@@ -91,9 +92,9 @@
 	}
 }
 
-// An operator renews certificates by writing three files one after the other
-// while the daemon looks at them. It must never stop serving in between, and
-// use the new ones once all are there.
+// Operators renew certificates by writing three files one after the other while the daemon checks
+// them for changes. The daemon must keep serving in between, and use the new certificates once all
+// files are written.
 func TestReloadWhileFilesAreReplacedOneByOne(t *testing.T) {
 	before, after := certstest.NewAuthority(t), certstest.NewAuthority(t)
 	files := newFiles(t, before, before)
@@ -106,41 +107,41 @@
 		if err := os.WriteFile(name, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		at := time.Unix(int64(step), 0) // file systems with coarse times
+		at := time.Unix(int64(step), 0) // distinct even on file systems with coarse timestamps
 		if err := os.Chtimes(name, at, at); err != nil {
 			t.Fatal(err)
 		}
 		return server.Reload()
 	}
 	if changed, err := server.Reload(); changed || err != nil {
-		t.Fatalf("nothing was written: %v, %v", changed, err)
+		t.Fatalf("Reload without a change: %v, %v", changed, err)
 	}
 	certificate, key := after.Issue(t, "peer", "127.0.0.1")
 	if changed, err := reload(certificate, files.Certificate); changed || fault.KindOf(err) != fault.BadSettings {
 		t.Errorf("certificate without its key: %v, %v", changed, err)
 	}
 	if changed, err := server.Reload(); changed || err != nil {
-		t.Errorf("the same error again: %v, %v", changed, err)
+		t.Errorf("Reload without a change after an error: %v, %v", changed, err)
 	}
 	if _, err := handshake(t, trustsOld, server.Server()); err != nil {
-		t.Errorf("the old pair is out of use: %v", err)
+		t.Errorf("the old certificate is no longer in use: %v", err)
 	}
 	if changed, err := reload(key, files.Key); !changed || err != nil {
-		t.Errorf("both: %v, %v", changed, err)
+		t.Errorf("certificate and key: %v, %v", changed, err)
 	}
 	if changed, err := reload([]byte("none"), files.Authorities); changed || fault.KindOf(err) != fault.BadSettings {
-		t.Errorf("no authority: %v, %v", changed, err)
+		t.Errorf("authorities file without a certificate: %v, %v", changed, err)
 	}
 	if changed, err := reload(after.PEM, files.Authorities); !changed || err != nil {
-		t.Errorf("all three: %v, %v", changed, err)
+		t.Errorf("all three files: %v, %v", changed, err)
 	}
 	if clientErr, serverErr := handshake(t, trustsNew, server.Server()); clientErr != nil || serverErr != nil {
-		t.Errorf("the new pair is not in use: %v, %v", clientErr, serverErr)
+		t.Errorf("the new certificate is not in use: %v, %v", clientErr, serverErr)
 	}
 }
 
 func TestOpenFailsOnMissingFiles(t *testing.T) {
 	if _, err := Open(Files{Certificate: "absent.pem", Key: "absent.key"}); fault.KindOf(err) != fault.BadSettings {
-		t.Errorf("error %v", err)
+		t.Errorf("Open with missing files: error %v", err)
 	}
 }
--- a/internal/settings/certs/certstest/certstest.go
+++ b/internal/settings/certs/certstest/certstest.go
@@ -1,4 +1,4 @@
-// Package certstest makes short-lived certificates for tests.
+// Package certstest issues certificates for tests.
 package certstest
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	// PEM is the authority's own certificate.
 	PEM []byte
@@ -23,7 +23,7 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority that nobody trusts yet.
+// NewAuthority returns an authority with a new key.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	template := newTemplate("authority")
@@ -35,8 +35,8 @@
 	return a
 }
 
-// Issue returns a certificate and its key in PEM, for the given DNS name and IP
-// number, as client and as server.
+// Issue returns a new certificate and its key in PEM, valid for the given DNS name and IP address,
+// for both client and server use.
 func (a *Authority) Issue(t testing.TB, name, ip string) (certificate, key []byte) {
 	t.Helper()
 	template := newTemplate(name)
@@ -66,7 +66,7 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		// Tests may run on a clock that starts in the year 2000.
+		// Tests may run on a simulated clock that starts in the year 2000.
 		NotBefore: time.Date(1999, 1, 1, 0, 0, 0, 0, time.UTC),
 		NotAfter:  time.Date(2199, 1, 1, 0, 0, 0, 0, time.UTC),
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -20,7 +20,7 @@
 	c.problems = append(c.problems, Problem{Field: field, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// check returns what is wrong with the values, without lines.
+// check returns the problems of the values. The problems have no line numbers.
 func check(s *Settings) []Problem {
 	var c checker
 	c.checkIdentity(s)
@@ -62,7 +62,7 @@
 	}
 	disallowed := func(r rune) bool { return !allowed(r) }
 	if len(value) > maxNameBytes || strings.ContainsFunc(value, disallowed) {
-		c.report(field, fmt.Sprintf("use at most %d letters, digits, '-', '_' and '.'", maxNameBytes), "%q is no usable name", value)
+		c.report(field, fmt.Sprintf("use at most %d letters, digits, '-', '_' and '.'", maxNameBytes), "%q is not a valid name", value)
 	}
 }
 
@@ -84,7 +84,7 @@
 func (c *checker) parseAddress(field, value string) (netip.AddrPort, bool) {
 	parsed, err := netip.ParseAddrPort(value)
 	if err != nil {
-		c.report(field, addressRemedy, "%q is no address", value)
+		c.report(field, addressRemedy, "%q is not a valid address", value)
 		return parsed, false
 	}
 	return parsed, true
@@ -98,14 +98,15 @@
 	c.parseAddress(field, value)
 }
 
-// checkOptional checks an address that may be left out.
+// checkOptional checks an address that may be empty.
 func (c *checker) checkOptional(field, value string) {
 	if value != "" {
 		c.parseAddress(field, value)
 	}
 }
 
-// checkAdvertised checks an address that others dial: it must name one VM and port.
+// checkAdvertised checks an address that others dial, which must name one VM and port. If it is
+// empty, the listen address is advertised and must meet the same condition.
 func (c *checker) checkAdvertised(field, value, listenField, listen string) {
 	if value != "" {
 		if parsed, ok := c.parseAddress(field, value); ok && !dialable(parsed) {
@@ -134,7 +135,7 @@
 	if p.URL == "" {
 		c.report("platform.url", "set the base URL of the configuration service", "it is required")
 	} else if u, err := url.Parse(p.URL); err != nil || u.Host == "" || !slices.Contains([]string{"http", "https"}, u.Scheme) {
-		c.report("platform.url", "write http://HOST:PORT or https://HOST:PORT", "%q is no base URL", p.URL)
+		c.report("platform.url", "write http://HOST:PORT or https://HOST:PORT", "%q is not a valid base URL", p.URL)
 	}
 	if !(p.CallsPerSecond >= 0.1 && p.CallsPerSecond <= 100) { // also refuses NaN
 		c.report("platform.calls_per_second", "give a number from 0.1 to 100", "%v is out of range", p.CallsPerSecond)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,9 +12,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Load reads a settings document over the defaults and checks every setting.
-// Its error is a fault.BadSettings that wraps an *Error with all problems at
-// once, except that a syntax error hides what follows it.
+// Load parses a settings document on top of the defaults and checks every setting. It returns a
+// fault.BadSettings error that wraps an *Error with all problems. A syntax error is reported alone.
 func Load(data []byte) (*Settings, error) {
 	var document map[string]any
 	if err := toml.Unmarshal(data, &document); err != nil {
@@ -29,7 +28,7 @@
 	}
 	for _, p := range check(s) {
 		if refused[p.Field] {
-			continue // the default stands in for a value that could not be read
+			continue // s has the default in place of the invalid value
 		}
 		p.Line = lines[p.Field]
 		problems = append(problems, p)
@@ -59,8 +58,8 @@
 	return p
 }
 
-// decodeLeaves decodes every setting by itself, because the decoder stops at the
-// first value of a wrong type and an operator wants to see all of them.
+// decodeLeaves decodes each setting separately, because the decoder stops at the first value of a
+// wrong type and operators want to see all errors at once.
 func decodeLeaves(s *Settings, document map[string]any, lines map[string]int) []Problem {
 	var problems []Problem
 	known := Reference()
@@ -73,7 +72,7 @@
 			if leaf.decodeInto(s) == nil {
 				continue
 			}
-			p.Message, p.Remedy = fmt.Sprintf("%#v is no value for it", leaf.value), "write "+valueForm(known[index])
+			p.Message, p.Remedy = fmt.Sprintf("%#v is not a valid value", leaf.value), "write "+valueForm(known[index])
 		case isTable(known, field):
 			p.Message, p.Remedy = "it is a table", fmt.Sprintf("write [%s] and the settings below it", field)
 		default:
@@ -88,7 +87,7 @@
 	return slices.ContainsFunc(known, func(e ReferenceRow) bool { return strings.HasPrefix(e.Field, field+".") })
 }
 
-// valueForm says how the value of a setting is written.
+// valueForm describes the form of a setting's value.
 func valueForm(e ReferenceRow) string {
 	switch {
 	case e.Unit == "duration":
@@ -105,13 +104,13 @@
 	return "a whole number"
 }
 
-// leaf is one setting of a decoded document.
+// leaf is one setting of a parsed document.
 type leaf struct {
 	path  []string
 	value any
 }
 
-// asDocument returns the document that holds only this leaf.
+// asDocument returns a document that contains only this setting.
 func (l leaf) asDocument() map[string]any {
 	value := l.value
 	for _, key := range slices.Backward(l.path) {
@@ -120,7 +119,7 @@
 	return value.(map[string]any)
 }
 
-// decodeInto puts this setting alone into s.
+// decodeInto decodes this setting into s.
 func (l leaf) decodeInto(s *Settings) error {
 	single, err := toml.Marshal(l.asDocument())
 	if err != nil {
@@ -129,8 +128,8 @@
 	return toml.NewDecoder(bytes.NewReader(single)).DisallowUnknownFields().Decode(s)
 }
 
-// leavesOf lists the settings of a table in the order of their names. An empty
-// table counts as a setting, so that a table with an unknown name is noticed.
+// leavesOf returns the settings of a table in the order of their names. An empty table counts as a
+// setting, so that a table with an unknown name is reported.
 func leavesOf(path []string, table map[string]any) []leaf {
 	var out []leaf
 	for _, key := range slices.Sorted(maps.Keys(table)) {
@@ -173,7 +172,7 @@
 	}
 }
 
-// recordKey notes the line of a key below the given table and returns its path.
+// recordKey records the line of a key in the given table and returns the key's path.
 func recordKey(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) []string {
 	path := slices.Clone(table)
 	line := 0
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -9,19 +9,19 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Problem is one thing that is wrong with a settings document.
+// Problem is one error in a settings document.
 type Problem struct {
-	// Line is the line of the setting, or 0 when the document lacks it.
+	// Line is the line of the setting, or 0 if the document does not set it.
 	Line int
-	// Field is the dotted name of the setting, "" for a syntax error.
+	// Field is the dotted name of the setting, or "" for a syntax error.
 	Field string
-	// Message is wrong.
+	// Message says what is wrong.
 	Message string
-	// Remedy says what to do about it.
+	// Remedy says how to correct it.
 	Remedy string
 }
 
-// String renders the problem as one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.Line > 0 {
@@ -34,13 +34,13 @@
 	return b.String()
 }
 
-// Error lists everything that is wrong with a settings document, in the order
-// of its lines; settings that are absent come last.
+// Error lists all problems of a settings document in line order; problems of missing settings come
+// last.
 type Error struct {
 	Problems []Problem
 }
 
-// Error renders one problem per line.
+// Error formats the problems, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -49,8 +49,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// refuse returns a fault.BadSettings that wraps an *Error, or nil when there
-// are no problems.
+// refuse returns a fault.BadSettings error that wraps an *Error, or nil if there are no problems.
 func refuse(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// The units of settings whose field bears no unit tag.
+// Units of settings whose field has no unit tag.
 const (
 	unitText = "text"
 	unitList = "list of texts"
 	unitBool = "true or false"
 )
 
-// ReferenceRow is one setting as the reference lists it.
+// ReferenceRow describes one setting in the reference.
 type ReferenceRow struct {
-	// Field is the dotted name.
+	// Field is the dotted name of the setting.
 	Field string
-	// Unit is the unit or type.
+	// Unit is the setting's unit or type.
 	Unit string
-	// Default is the default as it would be written in TOML.
+	// Default is the default value in TOML syntax.
 	Default string
 }
 
-// Reference lists every setting in the order of the structs.
+// Reference returns every setting in the order of the struct fields.
 func Reference() []ReferenceRow {
 	return referenceRows("", reflect.ValueOf(*Default()))
 }
@@ -69,7 +69,8 @@
 	}
 }
 
-// shortDuration drops the zero seconds and minutes that Duration prints: "15m0s".
+// shortDuration formats d without the trailing zero parts that Duration prints: 15m rather than
+// 15m0s.
 func shortDuration(d Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,8 +14,8 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// TestLoadReportsEveryProblem runs whole documents: "load" prints the problems of a document, or
-// some of the values that it leads to.
+// TestLoadReportsEveryProblem loads the documents in testdata/load and compares the reported
+// problems, or some of the resulting values.
 func TestLoadReportsEveryProblem(t *testing.T) {
 	datadriven.RunTest(t, "testdata/load", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Load([]byte(d.Input))
@@ -28,15 +28,15 @@
 		}
 		var list *Error
 		if !errors.As(err, &list) {
-			t.Fatalf("%s: %v is no *Error", d.Pos, err)
+			t.Fatalf("%s: %v wraps no *Error", d.Pos, err)
 		}
-		// The names of the policies belong to package balance.
+		// The list of policies belongs to package balance and may change there.
 		return strings.ReplaceAll(list.Error(), strings.Join(balance.Policies(), ", "), "POLICIES")
 	})
 }
 
-// A setting that the reference leaves out, or gives another default, misleads
-// the operator who looks it up; this comparison fails in the same commit.
+// Guards against a reference page that lacks a setting or states another default than the code,
+// which would mislead operators.
 func TestReferencePageMatchesDefaults(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
