--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -94,7 +94,7 @@
 		if now := w.cfg.Now(); !now.Before(nextReport) && w.reportDropped(out) {
 			nextReport = now.Add(dropReportInterval)
 		}
-		_, _ = out.Write(line) // a write error has no recipient: this is the log itself
+		_, _ = out.Write(line) // a write error of the log cannot be logged
 	}
 	w.reportDropped(out)
 }
