--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -17,14 +17,14 @@
 const root = "../.."
 
 var (
-	// link finds the targets of links; those into the web are left out.
-	link = regexp.MustCompile(`\]\(([^)\s:]+)\)`)
-	// path finds names of files and folders of this repository in code spans.
-	path = regexp.MustCompile("`((?:internal|client|cmd|docs|examples)/[\\w./-]+)`")
-	// header finds the names of tealhall's own headers.
-	header  = regexp.MustCompile(`Tealhall-[A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)*`)
-	heading = regexp.MustCompile(`(?m)^#+ +(.+)$`)
-	dropped = regexp.MustCompile(`[^\w -]`)
+	// linkPattern finds the targets of links; those into the web are left out.
+	linkPattern = regexp.MustCompile(`\]\(([^)\s:]+)\)`)
+	// pathPattern finds names of files and folders of this repository in code spans.
+	pathPattern = regexp.MustCompile("`((?:internal|client|cmd|docs|examples)/[\\w./-]+)`")
+	// headerPattern finds the names of tealhall's own headers.
+	headerPattern      = regexp.MustCompile(`Tealhall-[A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)*`)
+	headingPattern     = regexp.MustCompile(`(?m)^#+ +(.+)$`)
+	punctuationPattern = regexp.MustCompile(`[^\w -]`)
 )
 
 // pages returns the text of every page by its path.
@@ -50,7 +50,7 @@
 func TestLinksResolve(t *testing.T) {
 	all := pages(t)
 	for name, text := range all {
-		for _, match := range link.FindAllStringSubmatch(text, -1) {
+		for _, match := range linkPattern.FindAllStringSubmatch(text, -1) {
 			file, fragment, _ := strings.Cut(match[1], "#")
 			target := name
 			if file != "" {
@@ -62,7 +62,7 @@
 				t.Errorf("%s: the link %s names no heading", name, match[1])
 			}
 		}
-		for _, match := range path.FindAllStringSubmatch(text, -1) {
+		for _, match := range pathPattern.FindAllStringSubmatch(text, -1) {
 			if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
 				t.Errorf("%s names %s, which does not exist", name, match[1])
 			}
@@ -72,8 +72,8 @@
 
 // hasHeading reports whether a fragment is made from a heading of the text.
 func hasHeading(text, fragment string) bool {
-	for _, match := range heading.FindAllStringSubmatch(text, -1) {
-		plain := dropped.ReplaceAllString(strings.ToLower(match[1]), "")
+	for _, match := range headingPattern.FindAllStringSubmatch(text, -1) {
+		plain := punctuationPattern.ReplaceAllString(strings.ToLower(match[1]), "")
 		if strings.ReplaceAll(plain, " ", "-") == fragment {
 			return true
 		}
@@ -83,10 +83,10 @@
 
 // A caller's program sends a header that a page names, and an entry knows the
 // header by another name: the deadline was then passed over without a word.
-func TestHeadersAreThoseOfTheContract(t *testing.T) {
-	known := contractTexts(t)
+func TestPagesNameOnlyContractHeaders(t *testing.T) {
+	known := contractStrings(t)
 	for name, text := range pages(t) {
-		for _, used := range header.FindAllString(text, -1) {
+		for _, used := range headerPattern.FindAllString(text, -1) {
 			if !known[used] {
 				t.Errorf("%s names the header %s, which internal/contract does not", name, used)
 			}
@@ -94,8 +94,8 @@
 	}
 }
 
-// contractTexts returns the strings in the code of the contract.
-func contractTexts(t *testing.T) map[string]bool {
+// contractStrings returns the strings in the code of the contract.
+func contractStrings(t *testing.T) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(root + "/internal/contract/*.go")
 	if err != nil {
--- a/internal/fleetload/caller.go
+++ b/internal/fleetload/caller.go
@@ -32,8 +32,8 @@
 
 // The range and precision of latencies, in microseconds.
 const (
-	longestLatency = int64(10 * time.Second / time.Microsecond)
-	latencyDigits  = 3
+	maxLatency    = int64(10 * time.Second / time.Microsecond)
+	latencyDigits = 3
 )
 
 // newCaller connects to an entry or an endpoint. With a key prefix each request
@@ -52,7 +52,7 @@
 		reader:    bufio.NewReader(conn),
 		head:      fmt.Sprintf("%s /counts HTTP/1.1\r\nHost: bench\r\n%s: %s\r\n%s: bench\r\n", method, contract.HeaderService, service, contract.HeaderCaller),
 		keyPrefix: keyPrefix,
-		latency:   hdrhistogram.New(1, longestLatency, latencyDigits),
+		latency:   hdrhistogram.New(1, maxLatency, latencyDigits),
 	}, nil
 }
 
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// paced calls at a steady pace until ctx ends; a call that is late is followed
+// sendPaced calls at a steady pace until ctx ends; a call that is late is followed
 // by the next at once.
-func (c *caller) paced(ctx context.Context, first, every time.Duration) error {
+func (c *caller) sendPaced(ctx context.Context, first, every time.Duration) error {
 	due := time.Now().Add(first)
-	for wait(ctx, time.Until(due)) {
+	for sleep(ctx, time.Until(due)) {
 		began := time.Now()
 		if err := c.send(); err != nil {
 			return err
@@ -129,20 +129,20 @@
 			continue
 		}
 		sending.Go(func() {
-			if err := c.paced(ctx, time.Duration(i)*every/time.Duration(len(cs)), every); err != nil {
+			if err := c.sendPaced(ctx, time.Duration(i)*every/time.Duration(len(cs)), every); err != nil {
 				once.Do(func() { failed = err })
 			}
 		})
 	}
 	<-ctx.Done()
 	sending.Wait()
-	r := CallRound{Cores: m.share()}
-	passed := time.Since(m.began).Seconds()
-	all := hdrhistogram.New(1, longestLatency, latencyDigits)
+	r := CallRound{Cores: m.cores()}
+	elapsed := time.Since(m.began).Seconds()
+	all := hdrhistogram.New(1, maxLatency, latencyDigits)
 	for _, c := range cs {
 		all.Merge(c.latency)
 	}
-	r.Rate = float64(all.TotalCount()) / passed
+	r.Rate = float64(all.TotalCount()) / elapsed
 	r.P50, r.P99 = float64(all.ValueAtQuantile(50)), float64(all.ValueAtQuantile(99))
 	return r, failed
 }
--- a/internal/fleetload/calls.go
+++ b/internal/fleetload/calls.go
@@ -15,9 +15,9 @@
 	P99 float64 `json:"p99_us"`
 }
 
-// Calls are the costs of calls through a fleet and, by the same callers,
+// CallCosts are the costs of calls through a fleet and, by the same callers,
 // directly to the endpoints. The difference is the entry's.
-type Calls struct {
+type CallCosts struct {
 	Size Size `json:"size"`
 	// Keyed says that each call carried an idempotency key of its own.
 	Keyed   bool        `json:"keyed"`
@@ -39,14 +39,14 @@
 
 // The services that are called: those of the kind are every len(kinds)-th.
 const (
-	readKind = 0
-	onceKind = 1
+	firstReadService = 0
+	firstOnceService = 1
 )
 
 // measureCalls runs all rates through the fleet and directly, in turn.
-func (f *fleet) measureCalls(ctx context.Context, c Config, keyed bool) (Calls, error) {
-	result := Calls{Size: f.size, Keyed: keyed}
-	through, direct, err := f.callers(ctx, keyed)
+func (f *fleet) measureCalls(ctx context.Context, c Config, keyed bool) (CallCosts, error) {
+	result := CallCosts{Size: f.size, Keyed: keyed}
+	through, direct, err := f.connectCallers(ctx, keyed)
 	defer through.close()
 	defer direct.close()
 	if err != nil {
@@ -65,12 +65,12 @@
 			result.Through, result.Direct = append(result.Through, t), append(result.Direct, d)
 		}
 	}
-	result.conclude()
+	result.summarize()
 	return result, nil
 }
 
-// conclude works out the slopes and differences.
-func (c *Calls) conclude() {
+// summarize works out the slopes and differences.
+func (c *CallCosts) summarize() {
 	c.ThroughLine, c.DirectLine = fitCores(c.Through), fitCores(c.Direct)
 	c.PerCall = (c.ThroughLine.Slope - c.DirectLine.Slope) * 1e6
 	t, d := c.Through[len(c.Through)-1], c.Direct[len(c.Direct)-1]
@@ -85,19 +85,19 @@
 	return Fit(rates, cores)
 }
 
-// callers connects callers of the services of one kind: to the entries that
+// connectCallers connects callers of the services of one kind: to the entries that
 // the fleet names, and the same number to the endpoints. Close both also after
 // an error.
-func (f *fleet) callers(ctx context.Context, keyed bool) (through, direct callers, err error) {
-	kind := readKind
+func (f *fleet) connectCallers(ctx context.Context, keyed bool) (through, direct callers, err error) {
+	first := firstReadService
 	if keyed {
-		kind = onceKind
+		first = firstOnceService
 	}
-	for service := kind; service < f.services; service += len(kinds) {
+	for service := first; service < f.services; service += len(profileKinds) {
 		for i := range callersPerService {
-			_, domain := f.size.place(i)
-			asked := f.entries[service%len(f.entries)].CallerAddress()
-			entries, err := entriesFor(ctx, asked, serviceName(service), domain)
+			_, domain := f.size.location(i)
+			address := f.entries[service%len(f.entries)].CallerAddress()
+			entries, err := entriesFor(ctx, address, serviceName(service), domain)
 			if err != nil {
 				return through, direct, err
 			}
@@ -110,8 +110,8 @@
 				return through, direct, err
 			}
 			through = append(through, t)
-			pool := f.endpointsOf(service)
-			d, err := newCaller(pool[i%len(pool)].vm.Address, serviceName(service), prefix)
+			endpoints := f.endpointsOf(service)
+			d, err := newCaller(endpoints[i%len(endpoints)].vm.Address, serviceName(service), prefix)
 			if err != nil {
 				return through, direct, err
 			}
--- /dev/null
+++ b/internal/fleetload/changes.go
@@ -0,0 +1,84 @@
+package fleetload
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/tealhall/tealhall/internal/audit"
+)
+
+// changeTracker learns from the entries' audit trails when each got a piece of news.
+type changeTracker struct {
+	mu        sync.Mutex
+	firstSeen map[change]map[string]time.Time // by entry
+	// updated is closed and replaced with each piece.
+	updated chan struct{}
+}
+
+// change is a revision that came into force or an endpoint that leaves.
+type change struct {
+	revision uint64
+	leaving  string
+}
+
+func newChangeTracker() *changeTracker {
+	return &changeTracker{firstSeen: make(map[change]map[string]time.Time), updated: make(chan struct{})}
+}
+
+// The audit records that the bench looks for.
+const (
+	profilesSubject = "profiles"
+	inForceAction   = "in-force"
+	leavingAction   = "endpoint-leaving"
+	endpointPrefix  = "endpoint "
+)
+
+// add takes a record of an entry's trail.
+func (t *changeTracker) add(entry string, r audit.Record) {
+	now := time.Now()
+	var c change
+	switch {
+	case r.Subject == profilesSubject && r.Action == inForceAction:
+		c.revision = r.Revision
+	case r.Action == leavingAction:
+		c.leaving = r.Subject
+	default:
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.firstSeen[c] == nil {
+		t.firstSeen[c] = make(map[string]time.Time)
+	}
+	if _, known := t.firstSeen[c][entry]; !known {
+		t.firstSeen[c][entry] = now
+	}
+	close(t.updated)
+	t.updated = make(chan struct{})
+}
+
+// await waits until count entries have the news and returns how many seconds
+// after since each got it. missing is how many had not when ctx ended.
+func (t *changeTracker) await(ctx context.Context, c change, count int, since time.Time) (delays []float64, missing int) {
+	for {
+		t.mu.Lock()
+		seen, updated := len(t.firstSeen[c]), t.updated
+		t.mu.Unlock()
+		if seen >= count {
+			break
+		}
+		select {
+		case <-updated:
+			continue
+		case <-ctx.Done():
+		}
+		break
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, seenAt := range t.firstSeen[c] {
+		delays = append(delays, seenAt.Sub(since).Seconds())
+	}
+	return delays, max(0, count-len(delays))
+}
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -15,9 +15,9 @@
 	EndpointsEntries int
 	// Target is the size that the project is designed for.
 	Target Size
-	// Rounds are the rounds of Window each in which an idle fleet is watched.
-	Rounds int
-	Window time.Duration
+	// IdleRounds are the rounds of Window each in which an idle fleet is watched.
+	IdleRounds int
+	IdleWindow time.Duration
 	// PlatformWindow is how long the calls at the configuration service are
 	// counted after the rounds; 0 counts none. An entry checks every 10 s or less
 	// often, so less than 30 s say little.
@@ -26,22 +26,22 @@
 	Settle time.Duration
 	// Publications and Leavings are how often each kind of news is spread.
 	Publications int
-	Leavings     int
+	Departures   int
 	// FaultPublications are those while the service is slow, or reachable by one
 	// reader only.
 	FaultPublications int
-	// OtherPublications are those that only an entry that does not watch can
+	// NonReaderPublications are those that only an entry that does not watch can
 	// read; they take up to spreadLimit each.
-	OtherPublications int
+	NonReaderPublications int
 	// Rates are the calls a second at which calls are measured, for CallWindow
 	// each. CallSizes are the fleets that they are sent through.
 	Rates      []int
 	CallWindow time.Duration
 	CallRounds int
 	CallSizes  []Size
-	// Held are the numbers of idle connections and of waiting requests at which
+	// ConnectionCounts are the numbers of idle connections and of waiting requests at which
 	// memory is measured.
-	Held []int
+	ConnectionCounts []int
 	// Log gets a line for each step; nil for none.
 	Log func(format string, args ...any)
 }
@@ -54,27 +54,27 @@
 		Endpoints:        []int{33, 140, 560},
 		EndpointsEntries: 15,
 		Target:           Size{Entries: targetEntries, Endpoints: targetEndpoints, Regions: 3, Domains: 8},
-		Rounds:           3,
-		Window:           time.Second,
+		IdleRounds:       3,
+		IdleWindow:       time.Second,
 		Settle:           time.Second,
 		Publications:     5,
-		Leavings:         3,
+		Departures:       3,
 
-		FaultPublications: 3,
-		OtherPublications: 1,
-		Rates:             []int{1000, 2000, 4000, 8000},
-		CallWindow:        1200 * time.Millisecond,
-		CallRounds:        1,
+		FaultPublications:     3,
+		NonReaderPublications: 1,
+		Rates:                 []int{1000, 2000, 4000, 8000},
+		CallWindow:            1200 * time.Millisecond,
+		CallRounds:            1,
 		CallSizes: []Size{
 			{Entries: 3, Endpoints: 33, Regions: 1, Domains: 3},
 			{Entries: 15, Endpoints: targetEndpoints, Regions: 1, Domains: 3},
 		},
-		Held: []int{0, 100, 200, 400},
+		ConnectionCounts: []int{0, 100, 200, 400},
 	}
 }
 
-// fewDomains is how many failure domains the fleets in one region have.
-const fewDomains = 3
+// singleRegionDomains is how many failure domains the fleets in one region have.
+const singleRegionDomains = 3
 
 // sizes lists the fleets of both series and the target, each once.
 func (c Config) sizes() []Size {
@@ -88,10 +88,10 @@
 		all = append(all, s)
 	}
 	for _, n := range c.Endpoints {
-		add(inOneRegion(c.EndpointsEntries, n))
+		add(singleRegionSize(c.EndpointsEntries, n))
 	}
 	for _, n := range c.Entries {
-		add(inOneRegion(n, c.EntriesEndpoints))
+		add(singleRegionSize(n, c.EntriesEndpoints))
 	}
 	if c.Target.Entries > 0 {
 		add(c.Target)
@@ -99,8 +99,8 @@
 	return all
 }
 
-func inOneRegion(entries, endpoints int) Size {
-	return Size{Entries: entries, Endpoints: endpoints, Regions: 1, Domains: min(fewDomains, entries)}
+func singleRegionSize(entries, endpoints int) Size {
+	return Size{Entries: entries, Endpoints: endpoints, Regions: 1, Domains: min(singleRegionDomains, entries)}
 }
 
 func (c Config) logf(format string, args ...any) {
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -19,11 +19,11 @@
 	{Entries: targetEntries, Endpoints: targetEndpoints, Regions: 3, Domains: 8},
 }
 
-func coreVMs(size Size) []published.VM {
+func benchVMs(size Size) []published.VM {
 	var vms []published.VM
 	services := servicesFor(size.Endpoints)
 	for i := range size.Endpoints {
-		region, domain := size.place(i / services)
+		region, domain := size.location(i / services)
 		vms = append(vms, published.VM{
 			Name: fmt.Sprintf("endpoint-%03d", i+1), Incarnation: 1, Role: published.EndpointRole, State: published.Live,
 			Region: region, Domain: domain, Pool: serviceName(i % services), Slots: endpointSlots,
@@ -31,7 +31,7 @@
 		})
 	}
 	for i := range size.Entries {
-		region, domain := size.place(i)
+		region, domain := size.location(i)
 		vms = append(vms, published.VM{
 			Name: fmt.Sprintf("entry-%02d", i+1), Incarnation: uint64(i + 1), Role: published.EntryRole, State: published.Live,
 			Region: region, Domain: domain,
@@ -69,7 +69,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints), func(b *testing.B) {
-			vms := coreVMs(size)
+			vms := benchVMs(size)
 			c := newCore(b, size, vms)
 			const step = 5 * time.Millisecond
 			var out core.Actions
@@ -78,8 +78,8 @@
 			for b.Loop() {
 				now += step
 				sequence++
-				heard := vms[size.Endpoints+1+int(sequence)%(size.Entries-1)]
-				c.PeerUpdate(now, &message.Update{From: heard.Incarnation, Sequence: sequence, State: message.EntryServing}, &out)
+				peer := vms[size.Endpoints+1+int(sequence)%(size.Entries-1)]
+				c.PeerUpdate(now, &message.Update{From: peer.Incarnation, Sequence: sequence, State: message.EntryServing}, &out)
 				c.Tick(now, wall, &out)
 				for i := range out.Updates {
 					c.UpdateDone(now, out.Updates[i].To, out.Updates[i].Update.Sequence, message.Receipt{Acked: true})
@@ -95,24 +95,24 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints), func(b *testing.B) {
-			vms := coreVMs(size)
-			var held float64
+			vms := benchVMs(size)
+			var used float64
 			for b.Loop() {
-				before, _ := heldMemory()
+				before, _ := memoryInUse()
 				c := newCore(b, size, vms)
-				after, _ := heldMemory()
-				held = float64(after) - float64(before)
+				after, _ := memoryInUse()
+				used = float64(after) - float64(before)
 				c.InFlight() // keeps c alive until here
 			}
-			b.ReportMetric(held/1024, "KB")
-			b.ReportMetric(held/float64(len(vms)), "B/VM")
+			b.ReportMetric(used/1024, "KB")
+			b.ReportMetric(used/float64(len(vms)), "B/VM")
 		})
 	}
 }
 
 // BenchmarkParse reads a document, which each entry does once for a change.
 func BenchmarkParse(b *testing.B) {
-	for _, services := range []int{leastServices, targetServices} {
+	for _, services := range []int{minServices, targetServices} {
 		b.Run(fmt.Sprintf("%d services", services), func(b *testing.B) {
 			text := document(services, 1)
 			b.SetBytes(int64(len(text)))
@@ -124,7 +124,7 @@
 		})
 	}
 	b.Run("list of 620 VMs", func(b *testing.B) {
-		text := published.EncodeVMs(published.VMList{VMs: coreVMs(benchSizes[1])})
+		text := published.EncodeVMs(published.VMList{VMs: benchVMs(benchSizes[1])})
 		b.SetBytes(int64(len(text)))
 		for b.Loop() {
 			if _, err := published.ParseVMs(published.Value{Data: text, Revision: 1}); err != nil {
@@ -138,7 +138,7 @@
 // force. The entry decides nothing else meanwhile.
 func BenchmarkApply(b *testing.B) {
 	size := benchSizes[1]
-	vms := coreVMs(size)
+	vms := benchVMs(size)
 	b.Run("list of 620 VMs", func(b *testing.B) {
 		c := newCore(b, size, vms)
 		var out core.Actions
--- a/internal/fleetload/spread_test.go
+++ b/internal/fleetload/departure_test.go
@@ -11,18 +11,18 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// grownSize is that of a grown installation of today.
-var grownSize = Size{Entries: 141, Endpoints: 421, Regions: 1, Domains: 4}
+// largeInstallation is that of a grown installation of today.
+var largeInstallation = Size{Entries: 141, Endpoints: 421, Regions: 1, Domains: 4}
 
-// BenchmarkLeaving is what it costs an entry to hear that one endpoint leaves, from a peer or
+// BenchmarkEndpointLeaving is what it costs an entry to hear that one endpoint leaves, from a peer or
 // by a later list.
-func BenchmarkLeaving(b *testing.B) {
-	for _, size := range append([]Size{grownSize}, benchSizes...) {
+func BenchmarkEndpointLeaving(b *testing.B) {
+	for _, size := range append([]Size{largeInstallation}, benchSizes...) {
 		name := fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints)
 		b.Run("told, "+name, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				vms := coreVMs(size)
+				vms := benchVMs(size)
 				c := newCore(b, size, vms)
 				var out core.Actions
 				b.StartTimer()
@@ -35,7 +35,7 @@
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(26*b.N), "us/endpoint")
 		})
 		b.Run("list, "+name, func(b *testing.B) {
-			vms := coreVMs(size)
+			vms := benchVMs(size)
 			c := newCore(b, size, vms)
 			var out core.Actions
 			revision := uint64(1)
--- a/internal/fleetload/document.go
+++ b/internal/fleetload/document.go
@@ -11,20 +11,20 @@
 	targetEntries   = 60
 	targetEndpoints = 560
 	targetServices  = 46
-	leastServices   = 3
+	minServices     = 3
 )
 
 // servicesFor returns how many services share so many endpoints: as many
-// endpoints to a service as at the target size, and at least leastServices.
+// endpoints to a service as at the target size, and at least minServices.
 func servicesFor(endpoints int) int {
 	share := float64(endpoints) * targetServices / targetEndpoints
-	return max(leastServices, int(math.Round(share)))
+	return max(minServices, int(math.Round(share)))
 }
 
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i+1) }
 
-// kinds of the services, in turn. The first is a read, the second runs once.
-var kinds = []string{"read", "once", "read", "bulk", "urgent"}
+// profileKinds of the services, in turn. The first is a read, the second runs once.
+var profileKinds = []string{"read", "once", "read", "bulk", "urgent"}
 
 const profileText = `
 [profile.%[1]s]
@@ -53,7 +53,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "# round %d\nformat = 1\n", round)
 	for i := range services {
-		kind := kinds[i%len(kinds)]
+		kind := profileKinds[i%len(profileKinds)]
 		fmt.Fprintf(&b, profileText, serviceName(i), kind, fmt.Sprintf("%ds", 5+round%5), i%9)
 	}
 	return []byte(b.String())
--- a/internal/fleetload/endpoint.go
+++ b/internal/fleetload/endpoint.go
@@ -23,20 +23,20 @@
 type endpoint struct {
 	vm     published.VM
 	server *http.Server
-	// hold, if not nil, is closed when held requests may be answered.
-	hold     atomic.Pointer[chan struct{}]
+	// unblock, if not nil, is closed when held requests may be answered.
+	unblock  atomic.Pointer[chan struct{}]
 	draining atomic.Bool
-	// toldAt is when the first answer said that the endpoint drains, in
+	// drainingSentAt is when the first answer said that the endpoint drains, in
 	// nanoseconds since the epoch.
-	toldAt atomic.Int64
+	drainingSentAt atomic.Int64
 }
 
 // The headers of all answers; read only.
 var (
-	idleLoad    = []string{contract.Load{Slots: endpointSlots}.String()}
-	incarnation = []string{contract.FormatIncarnation(endpointIncarnation)}
-	draining    = []string{contract.DrainingValue}
-	answerBody  = make([]byte, answerBytes)
+	idleLoadHeader    = []string{contract.Load{Slots: endpointSlots}.String()}
+	incarnationHeader = []string{contract.FormatIncarnation(endpointIncarnation)}
+	drainingHeader    = []string{contract.DrainingValue}
+	answerBody        = make([]byte, answerBytes)
 )
 
 // newEndpoint starts an endpoint on a free port of an address.
@@ -55,15 +55,15 @@
 
 // ServeHTTP implements http.Handler.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if held := e.hold.Load(); held != nil && r.URL.Path != contract.ProbePath {
-		<-*held
+	if unblock := e.unblock.Load(); unblock != nil && r.URL.Path != contract.ProbePath {
+		<-*unblock
 	}
 	h := w.Header()
-	h[contract.HeaderLoad] = idleLoad
-	h[contract.HeaderIncarnation] = incarnation
+	h[contract.HeaderLoad] = idleLoadHeader
+	h[contract.HeaderIncarnation] = incarnationHeader
 	if e.draining.Load() {
-		h[contract.HeaderDraining] = draining
-		e.toldAt.CompareAndSwap(0, time.Now().UnixNano())
+		h[contract.HeaderDraining] = drainingHeader
+		e.drainingSentAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 	_, _ = w.Write(answerBody)
 }
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -28,18 +28,18 @@
 	return fmt.Sprintf("%d entries, %d endpoints, %d regions, %d failure domains", s.Entries, s.Endpoints, s.Regions, s.Domains)
 }
 
-// place returns the region and failure domain of the i-th VM.
-func (s Size) place(i int) (region, domain string) {
+// location returns the region and failure domain of the i-th VM.
+func (s Size) location(i int) (region, domain string) {
 	d := i % s.Domains
 	return fmt.Sprintf("region-%d", d*s.Regions/s.Domains+1), fmt.Sprintf("domain-%d", d+1)
 }
 
-// inRegionOf returns how many entries the region of the i-th entry has.
-func (s Size) inRegionOf(i int) int {
-	region, _ := s.place(i)
+// entriesInRegionOf returns how many entries the region of the i-th entry has.
+func (s Size) entriesInRegionOf(i int) int {
+	region, _ := s.location(i)
 	n := 0
 	for j := range s.Entries {
-		if other, _ := s.place(j); other == region {
+		if other, _ := s.location(j); other == region {
 			n++
 		}
 	}
@@ -48,27 +48,27 @@
 
 // fleet is a running fleet with its stand-ins.
 type fleet struct {
-	size        Size
-	services    int
-	platform    *standin.Platform
-	server      *standin.Server
-	changesSeen *arrivals
+	size     Size
+	services int
+	platform *standin.Platform
+	server   *standin.Server
+	changes  *changeTracker
 
-	endpoints []*endpoint
-	entries   []*entry.Entry
-	gates     []*gate
+	endpoints       []*endpoint
+	entries         []*entry.Entry
+	platformClients []*platformClient
 	// round numbers the published documents.
 	round int
 }
 
-// newStandIns starts all of a fleet but its entries. Close it also after an
+// newFleet starts all of a fleet but its entries. Close it also after an
 // error.
-func newStandIns(size Size) (*fleet, error) {
+func newFleet(size Size) (*fleet, error) {
 	f := &fleet{
-		size:        size,
-		services:    servicesFor(size.Endpoints),
-		platform:    standin.NewPlatform(standin.RealClock()),
-		changesSeen: newArrivals(),
+		size:     size,
+		services: servicesFor(size.Endpoints),
+		platform: standin.NewPlatform(standin.RealClock()),
+		changes:  newChangeTracker(),
 	}
 	server, err := standin.NewServer(standin.DefaultListen, f.platform, standin.RealClock(), 0)
 	if err != nil {
@@ -76,12 +76,12 @@
 	}
 	f.server = server
 	for i := range size.Endpoints {
-		region, domain := size.place(i / f.services)
+		region, domain := size.location(i / f.services)
 		e, err := newEndpoint(published.VM{
 			Name:   fmt.Sprintf("endpoint-%03d", i+1),
 			Region: region, Domain: domain,
 			Pool: serviceName(i % f.services),
-		}, loopback(endpointKind, i))
+		}, loopback(endpointOctet, i))
 		if err != nil {
 			return f, err
 		}
@@ -97,32 +97,32 @@
 	return f.platform.Put(published.ProfilesValue, document(f.services, f.round))
 }
 
-// sockets are the listeners of one entry.
-type sockets struct{ callers, peers *net.TCPListener }
+// listeners are the listeners of one entry.
+type listeners struct{ callers, peers *net.TCPListener }
 
 // loopback returns the i-th loopback address of a kind of VM. Each VM has an
 // address of its own, as it would on a network, and with it all port numbers.
-func loopback(kind byte, i int) net.IP {
-	return net.IPv4(127, kind, byte(i/perSubnet), byte(i%perSubnet+1))
+func loopback(octet byte, i int) net.IP {
+	return net.IPv4(127, octet, byte(i/vmsPerSubnet), byte(i%vmsPerSubnet+1))
 }
 
-// perSubnet is how many addresses differ in the last number only.
-const perSubnet = 200
+// vmsPerSubnet is how many addresses differ in the last number only.
+const vmsPerSubnet = 200
 
 // The kinds of VMs in loopback addresses.
 const (
-	entryKind    = 10
-	endpointKind = 20
+	entryOctet    = 10
+	endpointOctet = 20
 )
 
-func openSockets(i int) (sockets, error) {
-	loopback := &net.TCPAddr{IP: loopback(entryKind, i)}
-	callers, err := net.ListenTCP("tcp", loopback)
+func openListeners(i int) (listeners, error) {
+	address := &net.TCPAddr{IP: loopback(entryOctet, i)}
+	callers, err := net.ListenTCP("tcp", address)
 	if err != nil {
-		return sockets{}, err
+		return listeners{}, err
 	}
-	peers, err := net.ListenTCP("tcp", loopback)
-	return sockets{callers, peers}, err
+	peers, err := net.ListenTCP("tcp", address)
+	return listeners{callers, peers}, err
 }
 
 // startEntries starts the entries. All are in the list of VMs from the start,
@@ -132,9 +132,9 @@
 	for _, e := range f.endpoints {
 		vms = append(vms, e.vm)
 	}
-	all := make([]sockets, f.size.Entries)
+	all := make([]listeners, f.size.Entries)
 	for i := range all {
-		opened, err := openSockets(i)
+		opened, err := openListeners(i)
 		if err != nil {
 			return err
 		}
@@ -150,8 +150,8 @@
 	return nil
 }
 
-func (f *fleet) entryVM(i int, s sockets) published.VM {
-	region, domain := f.size.place(i)
+func (f *fleet) entryVM(i int, s listeners) published.VM {
+	region, domain := f.size.location(i)
 	return published.VM{
 		Name:        fmt.Sprintf("entry-%02d", i+1),
 		Incarnation: uint64(time.Now().Unix())<<32 | uint64(i+1),
@@ -164,20 +164,20 @@
 	}
 }
 
-func (f *fleet) startEntry(i int, opened sockets, vm published.VM) error {
+func (f *fleet) startEntry(i int, opened listeners, vm published.VM) error {
 	s := settings.Default()
 	s.Name, s.Region, s.FailureDomain = vm.Name, vm.Region, vm.Domain
 	s.Addresses.Caller, s.Addresses.Peer = vm.Address, vm.PeerAddress
 	s.Platform.URL = f.server.URL()
-	g := newGate(published.NewClient(published.ClientConfig{
+	client := newPlatformClient(published.NewClient(published.ClientConfig{
 		BaseURL:        s.Platform.URL,
 		Timeout:        s.Platform.Timeout.Duration,
 		WatchWait:      s.Platform.Watch.Duration,
 		CallsPerSecond: s.Platform.CallsPerSecond,
 	}))
 	e, err := entry.New(s, entry.Options{
-		Platform:       g,
-		Audit:          audit.New(s.Audit.Records, time.Now, func(r audit.Record) { f.changesSeen.add(vm.Name, r) }),
+		Platform:       client,
+		Audit:          audit.New(s.Audit.Records, time.Now, func(r audit.Record) { f.changes.add(vm.Name, r) }),
 		Incarnation:    vm.Incarnation,
 		CallerListener: opened.callers,
 		PeerListener:   opened.peers,
@@ -185,24 +185,24 @@
 	if err != nil {
 		return err
 	}
-	f.entries, f.gates = append(f.entries, e), append(f.gates, g)
+	f.entries, f.platformClients = append(f.entries, e), append(f.platformClients, client)
 	return e.Start()
 }
 
-// poll is how often the bench looks at states that nothing announces.
-const poll = 20 * time.Millisecond
+// pollInterval is how often the bench looks at states that nothing announces.
+const pollInterval = 20 * time.Millisecond
 
-// ready waits until each entry is ready and has heard all others of its region,
+// awaitReady waits until each entry is ready and has heard all others of its region,
 // and returns how long that took.
-func (f *fleet) ready(ctx context.Context) (time.Duration, error) {
+func (f *fleet) awaitReady(ctx context.Context) (time.Duration, error) {
 	began := time.Now()
 	for i, e := range f.entries {
 		for {
 			ready, why := e.Ready()
-			if ready && e.KnownEntries() >= f.size.inRegionOf(i) {
+			if ready && e.KnownEntries() >= f.size.entriesInRegionOf(i) {
 				break
 			}
-			if !wait(ctx, poll) {
+			if !sleep(ctx, pollInterval) {
 				return 0, fmt.Errorf("%s of %s is not ready: %q; it knows %d entries", e.Name(), f.size, why, e.KnownEntries())
 			}
 		}
@@ -210,8 +210,8 @@
 	return time.Since(began), nil
 }
 
-// wait sleeps for d; it is false if ctx ended before.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep sleeps for d; it is false if ctx ended before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -225,19 +225,19 @@
 // readers returns the numbers of the entries that watch the service.
 func (f *fleet) readers() []int {
 	var found []int
-	for i, g := range f.gates {
-		if g.reads() {
+	for i, client := range f.platformClients {
+		if client.watching() {
 			found = append(found, i)
 		}
 	}
 	return found
 }
 
-// onlyReachableBy cuts all entries but one from the configuration service; a
+// restrictPlatformTo cuts all entries but one from the configuration service; a
 // negative number opens all ways again.
-func (f *fleet) onlyReachableBy(only int) {
-	for i, g := range f.gates {
-		g.set(only >= 0 && i != only)
+func (f *fleet) restrictPlatformTo(only int) {
+	for i, client := range f.platformClients {
+		client.setDisconnected(only >= 0 && i != only)
 	}
 }
 
--- a/internal/fleetload/report.go
+++ b/internal/fleetload/report.go
@@ -10,14 +10,14 @@
 
 // The target for control at each entry, from the project's owners.
 const (
-	targetProcessor = 0.013
-	targetMemory    = 64 << 20
-	targetBytes     = 20_000
-	targetInForce   = 13.0
+	targetProcessor      = 0.013
+	targetMemory         = 64 << 20
+	targetBytesPerSecond = 20_000
+	targetInForceSeconds = 13.0
 )
 
-// segmentHeader is what the headers of one TCP segment take, in bytes.
-const segmentHeader = 52
+// segmentHeaderBytes is what the headers of one TCP segment take, in bytes.
+const segmentHeaderBytes = 52
 
 // table is a table of texts with a heading.
 type table struct {
@@ -30,7 +30,7 @@
 
 // tables returns everything as tables, the same for people and for pages.
 func (r *Result) tables() []table {
-	return []table{r.costTable(), r.platformTable(), r.spreadTable(), r.callTable(), r.slopeTable()}
+	return []table{r.costTable(), r.platformTable(), r.propagationTable(), r.callTable(), r.slopeTable()}
 }
 
 func (r *Result) costTable() table {
@@ -41,8 +41,8 @@
 	}
 	for _, f := range r.Fleets {
 		i := f.Idle
-		t.add(sizeCells(f, number(100*i.Processor, 2), number(i.Heap/1024, 0), number(i.Stacks/1024, 0),
-			number(i.Updates, 1), number(i.BytesOut, 0), number(i.BytesIn, 0), number(i.MostOut, 0), number(i.Segments, 0))...)
+		t.add(sizeCells(f, formatNumber(100*i.Processor, 2), formatNumber(i.Heap/1024, 0), formatNumber(i.Stacks/1024, 0),
+			formatNumber(i.Updates, 1), formatNumber(i.BytesOut, 0), formatNumber(i.BytesIn, 0), formatNumber(i.MaxBytesOut, 0), formatNumber(i.Segments, 0))...)
 	}
 	return t
 }
@@ -53,40 +53,40 @@
 		head:  []string{"entries", "endpoints", "regions", "services", "calls/s", "watches waiting", "readers", "ready after s"},
 	}
 	for _, f := range r.Fleets {
-		calls := "–"
-		if r.callsCounted {
-			calls = number(f.Idle.Calls, 1)
+		platformCalls := "–"
+		if r.platformCallsCounted {
+			platformCalls = formatNumber(f.Idle.PlatformCalls, 1)
 		}
-		t.add(sizeCells(f, calls, fmt.Sprint(f.Idle.Watches), fmt.Sprint(f.Idle.Readers), number(f.Ready, 1))...)
+		t.add(sizeCells(f, platformCalls, fmt.Sprint(f.Idle.PlatformWatches), fmt.Sprint(f.Idle.Readers), formatNumber(f.Ready, 1))...)
 	}
 	return t
 }
 
 // sizeCells starts a row with the size of a fleet.
-func sizeCells(f Fleet, more ...string) []string {
+func sizeCells(f FleetResult, more ...string) []string {
 	return append([]string{fmt.Sprint(f.Size.Entries), fmt.Sprint(f.Size.Endpoints), fmt.Sprint(f.Size.Regions), fmt.Sprint(f.Services)}, more...)
 }
 
-func (r *Result) spreadTable() table {
+func (r *Result) propagationTable() table {
 	t := table{
 		title: "Seconds until news is known at every entry: median of the last entry (longest)",
 		head:  []string{"entries", "endpoints", "regions", "services", "published", "service slow", "one reader reaches it", "one other reaches it", "endpoint leaves"},
 	}
 	for _, f := range r.Fleets {
-		s := f.Spreads
-		t.add(sizeCells(f, s.Published.cell(), s.Slow.cell(), s.OneReader.cell(), s.OneOther.cell(), s.Leaving.cell())...)
+		p := f.Propagations
+		t.add(sizeCells(f, p.Published.cell(), p.Slow.cell(), p.OneReader.cell(), p.OneNonReader.cell(), p.Leaving.cell())...)
 	}
 	return t
 }
 
-func (s Spread) cell() string {
+func (p Propagation) cell() string {
 	switch {
-	case s.Times == 0:
+	case p.Tries == 0:
 		return "–"
-	case s.Missing > 0:
-		return fmt.Sprintf("%d missing after %s", s.Missing, spreadLimit)
+	case p.Missing > 0:
+		return fmt.Sprintf("%d missing after %s", p.Missing, propagationTimeout)
 	}
-	return fmt.Sprintf("%.2f (%.2f)", s.Last, s.Worst)
+	return fmt.Sprintf("%.2f (%.2f)", p.Last, p.Worst)
 }
 
 func (r *Result) callTable() table {
@@ -97,14 +97,14 @@
 	}
 	for _, c := range r.Calls {
 		last, direct := c.Through[len(c.Through)-1], c.Direct[len(c.Direct)-1]
-		t.add(fmt.Sprint(c.Size.Entries), fmt.Sprint(c.Size.Endpoints), yes(c.Keyed),
-			number(1e6*c.ThroughLine.Slope, 0), number(1e6*c.DirectLine.Slope, 0), number(c.PerCall, 0), number(c.ThroughLine.R2, 3),
-			number(last.Rate, 0), fmt.Sprintf("%.0f / %.0f", direct.P50, direct.P99), fmt.Sprintf("%.0f / %.0f", c.AddedP50, c.AddedP99))
+		t.add(fmt.Sprint(c.Size.Entries), fmt.Sprint(c.Size.Endpoints), yesNo(c.Keyed),
+			formatNumber(1e6*c.ThroughLine.Slope, 0), formatNumber(1e6*c.DirectLine.Slope, 0), formatNumber(c.PerCall, 0), formatNumber(c.ThroughLine.R2, 3),
+			formatNumber(last.Rate, 0), fmt.Sprintf("%.0f / %.0f", direct.P50, direct.P99), fmt.Sprintf("%.0f / %.0f", c.AddedP50, c.AddedP99))
 	}
 	return t
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
@@ -114,7 +114,7 @@
 func (r *Result) slopeTable() table {
 	t := table{title: "Slopes, per entry", head: []string{"what", "over", "at 0", "slope", "R2"}}
 	line := func(what, over string, l Line, scale float64, digits int) {
-		t.add(what, over, number(l.At0*scale, digits), number(l.Slope*scale, digits), number(l.R2, 2))
+		t.add(what, over, formatNumber(l.At0*scale, digits), formatNumber(l.Slope*scale, digits), formatNumber(l.R2, 2))
 	}
 	for _, s := range []struct {
 		over   string
@@ -125,42 +125,42 @@
 	} {
 		line("% of a core", s.over, s.series.Processor, 100, 4)
 		line("memory KB", s.over, s.series.Memory, 1.0/1024, 2)
-		line("stream B/s out", s.over, s.series.Out, 1, 2)
+		line("stream B/s out", s.over, s.series.BytesOut, 1, 2)
 		line("in force s", s.over, s.series.InForce, 1, 4)
-		if r.callsCounted {
-			line("fleet's calls/s at the service", s.over, s.series.Calls, 1, 3)
+		if r.platformCallsCounted {
+			line("fleet's calls/s at the service", s.over, s.series.PlatformCalls, 1, 3)
 		}
 	}
-	line("memory KB", "idle callers' connections", r.Held.Connection, 1.0/1024, 2)
-	line("memory KB", "waiting requests, connection included", r.Held.Request, 1.0/1024, 2)
+	line("memory KB", "idle callers' connections", r.ConnectionMemory.Connection, 1.0/1024, 2)
+	line("memory KB", "waiting requests, connection included", r.ConnectionMemory.Request, 1.0/1024, 2)
 	return t
 }
 
-func number(v float64, digits int) string { return fmt.Sprintf("%.*f", digits, v) }
+func formatNumber(v float64, digits int) string { return fmt.Sprintf("%.*f", digits, v) }
 
-// verdicts compares the largest fleet with the target.
-func (r *Result) verdicts() []string {
+// targetChecks compares the largest fleet with the target.
+func (r *Result) targetChecks() []string {
 	if len(r.Fleets) == 0 {
 		return nil
 	}
 	f := r.Fleets[len(r.Fleets)-1]
 	i := f.Idle
-	segments := i.BytesOut + i.BytesIn + 2*segmentHeader*i.Segments
+	segments := i.BytesOut + i.BytesIn + 2*segmentHeaderBytes*i.Segments
 	return []string{
-		verdict("processor, % of a core", 100*i.Processor, 100*targetProcessor),
-		verdict("heap and stacks, MB", (i.Heap+i.Stacks)/(1<<20), targetMemory>>20),
-		verdict("streams to and from peers, B/s", i.BytesOut+i.BytesIn, targetBytes),
-		verdict("the same with the headers of all segments, B/s", segments, targetBytes),
-		verdict("in force everywhere, s (longest)", f.Spreads.Published.Worst, targetInForce),
+		targetCheck("processor, % of a core", 100*i.Processor, 100*targetProcessor),
+		targetCheck("heap and stacks, MB", (i.Heap+i.Stacks)/(1<<20), targetMemory>>20),
+		targetCheck("streams to and from peers, B/s", i.BytesOut+i.BytesIn, targetBytesPerSecond),
+		targetCheck("the same with the headers of all segments, B/s", segments, targetBytesPerSecond),
+		targetCheck("in force everywhere, s (longest)", f.Propagations.Published.Worst, targetInForceSeconds),
 	}
 }
 
-func verdict(what string, measured, target float64) string {
-	word := "within"
+func targetCheck(name string, measured, target float64) string {
+	result := "within"
 	if measured > target {
-		word = "BREAKS"
+		result = "BREAKS"
 	}
-	return fmt.Sprintf("%s: %.2f, target %.2f: %s", what, measured, target, word)
+	return fmt.Sprintf("%s: %.2f, target %.2f: %s", name, measured, target, result)
 }
 
 // header says where and how the run was made.
@@ -182,8 +182,8 @@
 		_ = columns.Flush()
 	}
 	fmt.Fprintln(w, "\nThe last fleet against the target")
-	for _, v := range r.verdicts() {
-		fmt.Fprintln(w, "  "+v)
+	for _, check := range r.targetChecks() {
+		fmt.Fprintln(w, "  "+check)
 	}
 }
 
@@ -197,8 +197,8 @@
 		}
 	}
 	fmt.Fprint(w, "\n### The last fleet against the target\n\n")
-	for _, v := range r.verdicts() {
-		fmt.Fprintf(w, "- %s\n", v)
+	for _, check := range r.targetChecks() {
+		fmt.Fprintf(w, "- %s\n", check)
 	}
 }
 
--- a/internal/fleetload/run.go
+++ b/internal/fleetload/run.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Fleet is what was measured of one fleet.
-type Fleet struct {
-	Size     Size    `json:"size"`
-	Services int     `json:"services"`
-	Ready    float64 `json:"ready_s"`
-	Idle     Idle    `json:"idle"`
-	Spreads  Spreads `json:"spreads"`
+// FleetResult is what was measured of one fleet.
+type FleetResult struct {
+	Size         Size         `json:"size"`
+	Services     int          `json:"services"`
+	Ready        float64      `json:"ready_s"`
+	Idle         IdleCosts    `json:"idle"`
+	Propagations Propagations `json:"spreads"`
 }
 
 // Result is one run.
 type Result struct {
-	Machine Machine       `json:"machine"`
-	Took    time.Duration `json:"took_ns"`
-	Fleets  []Fleet       `json:"fleets"`
-	Calls   []Calls       `json:"calls"`
-	Held    Held          `json:"held"`
-	Slopes  Slopes        `json:"slopes"`
+	Machine          Machine          `json:"machine"`
+	Took             time.Duration    `json:"took_ns"`
+	Fleets           []FleetResult    `json:"fleets"`
+	Calls            []CallCosts      `json:"calls"`
+	ConnectionMemory ConnectionMemory `json:"held"`
+	Slopes           Slopes           `json:"slopes"`
 	// Entries and Endpoints are the sizes that do not change in the series
 	// over the other.
 	EntriesEndpoints int `json:"entries_series_endpoints"`
 	EndpointsEntries int `json:"endpoints_series_entries"`
 
-	callsCounted bool
+	platformCallsCounted bool
 }
 
 // Run measures everything, one fleet after the other.
 func Run(ctx context.Context, c Config) (*Result, error) {
 	began := time.Now()
-	r := &Result{Machine: describeMachine(), EntriesEndpoints: c.EntriesEndpoints, EndpointsEntries: c.EndpointsEntries, callsCounted: c.PlatformWindow > 0}
+	r := &Result{Machine: describeMachine(), EntriesEndpoints: c.EntriesEndpoints, EndpointsEntries: c.EndpointsEntries, platformCallsCounted: c.PlatformWindow > 0}
 	for _, size := range c.sizes() {
 		f, err := runFleet(ctx, c, size)
 		if err != nil {
@@ -62,45 +62,45 @@
 // startFleet starts a fleet and lets it settle. It returns the memory held by
 // the stand-ins alone. Close the fleet also after an error.
 func startFleet(ctx context.Context, c Config, size Size) (f *fleet, ready time.Duration, heap, stacks uint64, err error) {
-	f, err = newStandIns(size)
+	f, err = newFleet(size)
 	if err != nil {
 		return f, 0, 0, 0, err
 	}
-	heap, stacks = heldMemory()
+	heap, stacks = memoryInUse()
 	if err := f.startEntries(); err != nil {
 		return f, 0, heap, stacks, err
 	}
 	limited, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	ready, err = f.ready(limited)
-	wait(ctx, c.Settle)
+	ready, err = f.awaitReady(limited)
+	sleep(ctx, c.Settle)
 	return f, ready, heap, stacks, err
 }
 
-func runFleet(ctx context.Context, c Config, size Size) (Fleet, error) {
+func runFleet(ctx context.Context, c Config, size Size) (FleetResult, error) {
 	f, ready, heap, stacks, err := startFleet(ctx, c, size)
 	defer f.close()
-	result := Fleet{Size: size, Services: f.services, Ready: ready.Seconds()}
+	result := FleetResult{Size: size, Services: f.services, Ready: ready.Seconds()}
 	if err != nil {
 		return result, err
 	}
 	result.Idle = f.measureIdle(ctx, c, heap, stacks)
 	c.logf("%s: ready after %.1f s, %.2f %% of a core each", size, result.Ready, 100*result.Idle.Processor)
-	result.Spreads, err = f.measureSpreads(ctx, c)
-	c.logf("  in force everywhere after %.2f s, leaving known after %.2f s", result.Spreads.Published.Last, result.Spreads.Leaving.Last)
+	result.Propagations, err = f.measurePropagations(ctx, c)
+	c.logf("  in force everywhere after %.2f s, leaving known after %.2f s", result.Propagations.Published.Last, result.Propagations.Leaving.Last)
 	return result, err
 }
 
 // runCalls measures calls, and with the smallest fleet calls with keys and
 // what is held.
-func (r *Result) runCalls(ctx context.Context, c Config, size Size, more bool) error {
+func (r *Result) runCalls(ctx context.Context, c Config, size Size, detailed bool) error {
 	f, _, _, _, err := startFleet(ctx, c, size)
 	defer f.close()
 	if err != nil {
 		return err
 	}
 	for _, keyed := range []bool{false, true} {
-		if keyed && !more {
+		if keyed && !detailed {
 			continue
 		}
 		calls, err := f.measureCalls(ctx, c, keyed)
@@ -110,10 +110,10 @@
 		c.logf("calls, %s, keyed %t: %.0f us of an entry each", size, keyed, calls.PerCall)
 		r.Calls = append(r.Calls, calls)
 	}
-	if !more {
+	if !detailed {
 		return nil
 	}
-	held, err := f.measureHeld(ctx, c)
-	r.Held = held
+	memory, err := f.measureConnectionMemory(ctx, c)
+	r.ConnectionMemory = memory
 	return err
 }
--- a/internal/fleetload/slope_test.go
+++ b/internal/fleetload/slope_test.go
@@ -40,13 +40,13 @@
 
 // The difference of the slopes is what a call costs at the entry; the time of
 // the callers and endpoints, and of the idle fleet, must not show in it.
-func TestPerCallIsTheDifference(t *testing.T) {
-	c := Calls{}
+func TestPerCallExcludesDirectAndIdleCost(t *testing.T) {
+	c := CallCosts{}
 	for _, rate := range []float64{100, 200, 300} {
 		c.Through = append(c.Through, CallRound{Rate: rate, Cores: 0.5 + rate*250e-6, P50: 300, P99: 900})
 		c.Direct = append(c.Direct, CallRound{Rate: rate, Cores: 0.1 + rate*100e-6, P50: 100, P99: 400})
 	}
-	c.conclude()
+	c.summarize()
 	if math.Abs(c.PerCall-150) > 1e-6 || c.AddedP50 != 200 || c.AddedP99 != 500 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/fleetload/slopes.go
+++ b/internal/fleetload/slopes.go
@@ -14,29 +14,29 @@
 	// is in force everywhere.
 	Processor Line `json:"processor"`
 	Memory    Line `json:"memory"`
-	Out       Line `json:"bytes_out"`
+	BytesOut  Line `json:"bytes_out"`
 	InForce   Line `json:"in_force"`
-	// Calls are calls a second of the fleet at the configuration service.
-	Calls Line `json:"platform_calls"`
+	// PlatformCalls are calls a second of the fleet at the configuration service.
+	PlatformCalls Line `json:"platform_calls"`
 }
 
 func (r *Result) slopes() Slopes {
 	return Slopes{
 		ByEntry: r.series(func(s Size) (float64, bool) {
-			return float64(s.Entries), s == inOneRegion(s.Entries, r.EntriesEndpoints)
+			return float64(s.Entries), s == singleRegionSize(s.Entries, r.EntriesEndpoints)
 		}),
 		ByEndpoint: r.series(func(s Size) (float64, bool) {
-			return float64(s.Endpoints), s == inOneRegion(r.EndpointsEntries, s.Endpoints)
+			return float64(s.Endpoints), s == singleRegionSize(r.EndpointsEntries, s.Endpoints)
 		}),
 	}
 }
 
 // series fits lines over the fleets that belong to a series, given the number
 // that varies in it.
-func (r *Result) series(varies func(Size) (float64, bool)) Series {
+func (r *Result) series(xOf func(Size) (float64, bool)) Series {
 	var xs, processor, memory, out, inForce, calls []float64
 	for _, f := range r.Fleets {
-		x, belongs := varies(f.Size)
+		x, belongs := xOf(f.Size)
 		if !belongs {
 			continue
 		}
@@ -44,14 +44,14 @@
 		processor = append(processor, f.Idle.Processor)
 		memory = append(memory, f.Idle.Heap+f.Idle.Stacks)
 		out = append(out, f.Idle.BytesOut)
-		inForce = append(inForce, f.Spreads.Published.Last)
-		calls = append(calls, f.Idle.Calls)
+		inForce = append(inForce, f.Propagations.Published.Last)
+		calls = append(calls, f.Idle.PlatformCalls)
 	}
 	return Series{
-		Processor: Fit(xs, processor),
-		Memory:    Fit(xs, memory),
-		Out:       Fit(xs, out),
-		InForce:   Fit(xs, inForce),
-		Calls:     Fit(xs, calls),
+		Processor:     Fit(xs, processor),
+		Memory:        Fit(xs, memory),
+		BytesOut:      Fit(xs, out),
+		InForce:       Fit(xs, inForce),
+		PlatformCalls: Fit(xs, calls),
 	}
 }
--- a/internal/fleetload/traffic.go
+++ b/internal/fleetload/traffic.go
@@ -1,16 +1,16 @@
 package fleetload
 
-// traffic is what one entry exchanged with its peers, as bytes of the TCP
+// peerTraffic is what one entry exchanged with its peers, as bytes of the TCP
 // streams without packet headers.
-type traffic struct{ out, in, updates uint64 }
+type peerTraffic struct{ out, in, updates uint64 }
 
-func (t traffic) sub(earlier traffic) traffic {
-	return traffic{out: t.out - earlier.out, in: t.in - earlier.in, updates: t.updates - earlier.updates}
+func (t peerTraffic) sub(earlier peerTraffic) peerTraffic {
+	return peerTraffic{out: t.out - earlier.out, in: t.in - earlier.in, updates: t.updates - earlier.updates}
 }
 
-// traffic returns what each entry exchanged so far.
-func (f *fleet) traffic() []traffic {
-	all := make([]traffic, len(f.entries))
+// peerTraffic returns what each entry exchanged so far.
+func (f *fleet) peerTraffic() []peerTraffic {
+	all := make([]peerTraffic, len(f.entries))
 	for i, e := range f.entries {
 		links, server := e.PeerTraffic()
 		all[i].out, all[i].in = server.BytesOut, server.BytesIn
--- a/internal/fleetload/usage.go
+++ b/internal/fleetload/usage.go
@@ -21,20 +21,20 @@
 
 // meter measures processor time against the clock.
 type meter struct {
-	began time.Time
-	used  time.Duration
+	began       time.Time
+	usedAtStart time.Duration
 }
 
-func startMeter() meter { return meter{began: time.Now(), used: processorTime()} }
+func startMeter() meter { return meter{began: time.Now(), usedAtStart: processorTime()} }
 
-// share returns the cores used since the start, 1 for one core.
-func (m meter) share() float64 {
-	return float64(processorTime()-m.used) / float64(time.Since(m.began))
+// cores returns the cores used since the start, 1 for one core.
+func (m meter) cores() float64 {
+	return float64(processorTime()-m.usedAtStart) / float64(time.Since(m.began))
 }
 
-// heldMemory returns the bytes of live heap objects and of goroutine stacks.
+// memoryInUse returns the bytes of live heap objects and of goroutine stacks.
 // It collects garbage twice, so that finalizers and pools are emptied too.
-func heldMemory() (heap, stacks uint64) {
+func memoryInUse() (heap, stacks uint64) {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
