--- a/cmd/tealhallbench/fleet.go
+++ b/cmd/tealhallbench/fleet.go
@@ -16,10 +16,10 @@
 	"github.com/tealhall/tealhall/internal/fleetload"
 )
 
-// defaultProcs leaves half of a 12-core machine to others.
+// defaultProcs leaves half of a 12-core machine to other work.
 const defaultProcs = 6
 
-// fleetFlags are the flags that are no part of the configuration.
+// fleetFlags are the flags that are not part of fleetload.Config.
 type fleetFlags struct {
 	procs    int
 	json     bool
@@ -33,7 +33,7 @@
 	flags := fleetFlags{procs: defaultProcs, limit: 10 * time.Minute}
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "What a fleet costs and how fast news spreads in it, against its size",
+		Short: "Measure what a fleet costs and how fast changes spread in it, by its size",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return runFleet(c, config, flags)
@@ -41,22 +41,22 @@
 	}
 	f := c.Flags()
 	f.IntSliceVar(&config.Entries, "entries", config.Entries, "numbers of entries of the series over entries")
-	f.IntVar(&config.EntriesEndpoints, "entries-endpoints", config.EntriesEndpoints, "endpoints in that series")
+	f.IntVar(&config.EntriesEndpoints, "entries-endpoints", config.EntriesEndpoints, "endpoints of each fleet in the series over entries")
 	f.IntSliceVar(&config.Endpoints, "endpoints", config.Endpoints, "numbers of endpoints of the series over endpoints")
-	f.IntVar(&config.EndpointsEntries, "endpoints-entries", config.EndpointsEntries, "entries in that series")
+	f.IntVar(&config.EndpointsEntries, "endpoints-entries", config.EndpointsEntries, "entries of each fleet in the series over endpoints")
 	f.IntVar(&config.Target.Entries, "target-entries", config.Target.Entries, "entries of the largest fleet; 0 leaves it out")
 	f.IntVar(&config.Target.Endpoints, "target-endpoints", config.Target.Endpoints, "endpoints of the largest fleet")
 	f.IntVar(&config.Target.Regions, "target-regions", config.Target.Regions, "regions of the largest fleet")
 	f.IntVar(&config.Target.Domains, "target-domains", config.Target.Domains, "failure domains of the largest fleet")
-	f.IntVar(&config.IdleRounds, "rounds", config.IdleRounds, "rounds in which an idle fleet is watched")
-	f.DurationVar(&config.IdleWindow, "window", config.IdleWindow, "time of each round")
-	f.DurationVar(&config.PlatformWindow, "platform-window", config.PlatformWindow, "time in which calls at the configuration service are counted, best 30s or more; 0 for none")
-	f.IntVar(&config.Publications, "publications", config.Publications, "documents published in each state of the service")
+	f.IntVar(&config.IdleRounds, "rounds", config.IdleRounds, "rounds in which an idle fleet is measured")
+	f.DurationVar(&config.IdleWindow, "window", config.IdleWindow, "duration of each of these rounds")
+	f.DurationVar(&config.PlatformWindow, "platform-window", config.PlatformWindow, "time in which calls to the configuration service are counted, best 30s or more; 0 for none")
+	f.IntVar(&config.Publications, "publications", config.Publications, "documents published while every entry reaches the configuration service")
 	f.IntVar(&config.FaultPublications, "fault-publications", config.FaultPublications, "documents published while the service is slow, or reachable by one reader only")
-	f.DurationVar(&config.CallWindow, "call-window", config.CallWindow, "time of each rate of calls")
-	f.IntVar(&config.NonReaderPublications, "other-publications", config.NonReaderPublications, "documents that only an entry that does not watch can read")
-	f.IntVar(&config.Departures, "leavings", config.Departures, "endpoints that leave")
-	f.IntSliceVar(&config.Rates, "rates", config.Rates, "calls a second")
+	f.DurationVar(&config.CallWindow, "call-window", config.CallWindow, "duration of each rate of calls")
+	f.IntVar(&config.NonReaderPublications, "other-publications", config.NonReaderPublications, "documents published while only an entry that does not watch the service can read them")
+	f.IntVar(&config.Departures, "leavings", config.Departures, "endpoints that leave, one after the other")
+	f.IntSliceVar(&config.Rates, "rates", config.Rates, "rates at which calls are measured, in calls a second")
 	f.IntVar(&config.CallRounds, "call-rounds", config.CallRounds, "rounds over all rates; 0 leaves calls out")
 	f.IntVar(&flags.procs, "procs", flags.procs, "cores to use at most")
 	f.BoolVar(&flags.json, "json", false, "print JSON")
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startProfile begins a profile if a file is named; stop ends it.
+// startProfile starts a processor profile if a file is named; stop ends it.
 func startProfile(name string) (stop func(), err error) {
 	if name == "" {
 		return func() {}, nil
--- a/cmd/tealhallbench/main.go
+++ b/cmd/tealhallbench/main.go
@@ -1,5 +1,5 @@
-// Command tealhallbench measures tealhall on one machine. It is no part of an
-// installation. See docs/MEASUREMENTS.md.
+// Command tealhallbench measures tealhall on one machine. It is not part of an installation. See
+// docs/MEASUREMENTS.md.
 package main
 
 import (
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs_test checks what the pages of this repository refer to.
+// Package docs_test checks that links, paths and header names in the Markdown pages of this
+// repository are valid.
 package docs_test
 
 import (
@@ -17,9 +18,9 @@
 const root = "../.."
 
 var (
-	// linkPattern finds the targets of links; those into the web are left out.
+	// linkPattern finds the targets of links, except those to the web.
 	linkPattern = regexp.MustCompile(`\]\(([^)\s:]+)\)`)
-	// pathPattern finds names of files and folders of this repository in code spans.
+	// pathPattern finds the names of files and folders of this repository in code spans.
 	pathPattern = regexp.MustCompile("`((?:internal|client|cmd|docs|examples)/[\\w./-]+)`")
 	// headerPattern finds the names of tealhall's own headers.
 	headerPattern      = regexp.MustCompile(`Tealhall-[A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)*`)
@@ -27,7 +28,7 @@
 	punctuationPattern = regexp.MustCompile(`[^\w -]`)
 )
 
-// pages returns the text of every page by its path.
+// pages returns the text of every Markdown page by its path.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
@@ -40,13 +41,12 @@
 		return err
 	})
 	if err != nil || len(found) == 0 {
-		t.Fatalf("%d pages, %v", len(found), err)
+		t.Fatalf("read %d pages, error %v", len(found), err)
 	}
 	return found
 }
 
-// An operator follows a link at night and finds nothing, because the page was
-// renamed and the one that links to it was not.
+// Guards against dead references: a page is renamed or removed, but another page still links to it.
 func TestLinksResolve(t *testing.T) {
 	all := pages(t)
 	for name, text := range all {
@@ -57,9 +57,9 @@
 				target = filepath.Join(filepath.Dir(name), file)
 			}
 			if _, err := os.Stat(target); err != nil {
-				t.Errorf("%s: the link %s leads nowhere", name, match[1])
+				t.Errorf("%s: the target of the link %s does not exist", name, match[1])
 			} else if fragment != "" && !hasHeading(all[target], fragment) {
-				t.Errorf("%s: the link %s names no heading", name, match[1])
+				t.Errorf("%s: the target of the link %s has no such heading", name, match[1])
 			}
 		}
 		for _, match := range pathPattern.FindAllStringSubmatch(text, -1) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// hasHeading reports whether a fragment is made from a heading of the text.
+// hasHeading reports whether the text has a heading with this fragment.
 func hasHeading(text, fragment string) bool {
 	for _, match := range headingPattern.FindAllStringSubmatch(text, -1) {
 		plain := punctuationPattern.ReplaceAllString(strings.ToLower(match[1]), "")
@@ -81,20 +81,20 @@
 	return false
 }
 
-// A caller's program sends a header that a page names, and an entry knows the
-// header by another name: the deadline was then passed over without a word.
+// Guards against a page that names a header differently from package contract. A caller that
+// followed such a page sent its deadline under a name that the entry ignored without an error.
 func TestPagesNameOnlyContractHeaders(t *testing.T) {
 	known := contractStrings(t)
 	for name, text := range pages(t) {
 		for _, used := range headerPattern.FindAllString(text, -1) {
 			if !known[used] {
-				t.Errorf("%s names the header %s, which internal/contract does not", name, used)
+				t.Errorf("%s names the header %s, which internal/contract does not define", name, used)
 			}
 		}
 	}
 }
 
-// contractStrings returns the strings in the code of the contract.
+// contractStrings returns the string literals of package contract.
 func contractStrings(t *testing.T) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(root + "/internal/contract/*.go")
--- a/internal/fleetload/caller.go
+++ b/internal/fleetload/caller.go
@@ -19,25 +19,25 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// caller sends requests over one connection that it keeps. It does little else,
-// so that the processor time of a call is that of the entry and the endpoint.
+// caller sends requests over one persistent connection. It does little else, so that the processor
+// time of a call is that of the entry and the endpoint.
 type caller struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// head is the request up to its key; keys start with keyPrefix.
+	// head is the text of a request up to its idempotency key; keys start with keyPrefix.
 	head      string
 	keyPrefix string
 	latency   *hdrhistogram.Histogram
 }
 
-// The range and precision of latencies, in microseconds.
+// The largest latency, in microseconds, and the number of significant digits that are recorded.
 const (
 	maxLatency    = int64(10 * time.Second / time.Microsecond)
 	latencyDigits = 3
 )
 
-// newCaller connects to an entry or an endpoint. With a key prefix each request
-// is a POST with a key of its own.
+// newCaller connects to an entry or an endpoint. With a key prefix, each request is a POST with an
+// idempotency key of its own; without one, it is a GET.
 func newCaller(address, service, keyPrefix string) (*caller, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return err
 }
 
-// receive reads one answer.
+// receive reads one answer; a status other than 200 is an error.
 func (c *caller) receive() error {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// sendPaced calls at a steady pace until ctx ends; a call that is late is followed
-// by the next at once.
+// sendPaced sends requests at a fixed interval until ctx ends. If a call takes longer than the
+// interval, the next request follows at once.
 func (c *caller) sendPaced(ctx context.Context, first, every time.Duration) error {
 	due := time.Now().Add(first)
 	for sleep(ctx, time.Until(due)) {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// callers are callers that share a rate.
+// callers is a group of callers that share a rate of calls.
 type callers []*caller
 
 func (cs callers) close() {
@@ -110,8 +110,8 @@
 	}
 }
 
-// run sends rate calls a second for a time. It returns the cores used, the
-// calls a second and the 50th and 99th percentile of their time.
+// run sends rate calls a second during window. It returns the cores used, the calls a second and
+// the 50th and 99th percentiles of their latency. With a rate of 0 it sends no calls.
 func (cs callers) run(ctx context.Context, rate int, window time.Duration) (CallRound, error) {
 	ctx, cancel := context.WithTimeout(ctx, window)
 	defer cancel()
@@ -147,7 +147,7 @@
 	return r, failed
 }
 
-// entriesFor asks an entry which entries the callers of a service should use.
+// entriesFor asks an entry which entries the callers of a service in a failure domain should use.
 func entriesFor(ctx context.Context, address, service, domain string) ([]contract.EntryAddress, error) {
 	query := url.Values{"service": {service}, "caller": {"bench"}, "domain": {domain}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+contract.EntriesPath+"?"+query.Encode(), nil)
--- a/internal/fleetload/calls.go
+++ b/internal/fleetload/calls.go
@@ -5,45 +5,47 @@
 	"fmt"
 )
 
-// CallRound is what one rate of calls cost.
+// CallRound is the cost of calls at one rate.
 type CallRound struct {
-	// Rate is calls a second as made, Cores what the whole process used.
+	// Rate is the number of calls a second that were made, Cores the number of cores that the whole
+	// process used.
 	Rate  float64 `json:"rate"`
 	Cores float64 `json:"cores"`
-	// P50 and P99 are percentiles of the time of a call, in microseconds.
+	// P50 and P99 are percentiles of the latency of a call, in microseconds.
 	P50 float64 `json:"p50_us"`
 	P99 float64 `json:"p99_us"`
 }
 
-// CallCosts are the costs of calls through a fleet and, by the same callers,
-// directly to the endpoints. The difference is the entry's.
+// CallCosts are the costs of calls through a fleet and of the same calls sent directly to the
+// endpoints. The difference is the cost of the entry.
 type CallCosts struct {
 	Size Size `json:"size"`
-	// Keyed says that each call carried an idempotency key of its own.
+	// Keyed says whether each call carried an idempotency key of its own.
 	Keyed   bool        `json:"keyed"`
 	Through []CallRound `json:"through"`
 	Direct  []CallRound `json:"direct"`
-	// ThroughLine and DirectLine are cores against calls a second.
+	// ThroughLine and DirectLine are fits of the cores used over the calls a second.
 	ThroughLine Line `json:"through_line"`
 	DirectLine  Line `json:"direct_line"`
 	// PerCall is the entry's processor time for one call, in microseconds.
 	PerCall float64 `json:"entry_us_per_call"`
-	// AddedP50 and AddedP99 are differences of the percentiles at the highest
-	// rate, in microseconds.
+	// AddedP50 and AddedP99 are the latency that the entry adds at the highest rate: the
+	// differences of the percentiles, in microseconds.
 	AddedP50 float64 `json:"added_p50_us"`
 	AddedP99 float64 `json:"added_p99_us"`
 }
 
-// callersPerService is how many callers each service has.
+// callersPerService is the number of callers of each service that is called.
 const callersPerService = 8
 
-// The services that are called: those of the kind are every len(kinds)-th.
+// The first service that is called without keys and the first that is called with keys. Every
+// len(profileKinds)-th service after it has the same kind and is called too.
 const (
 	firstReadService = 0
 	firstOnceService = 1
 )
 
-// measureCalls runs all rates through the fleet and directly, in turn.
+// measureCalls measures each rate first through the fleet and then directly to the endpoints.
 func (f *fleet) measureCalls(ctx context.Context, c Config, keyed bool) (CallCosts, error) {
 	result := CallCosts{Size: f.size, Keyed: keyed}
 	through, direct, err := f.connectCallers(ctx, keyed)
@@ -69,7 +71,7 @@
 	return result, nil
 }
 
-// summarize works out the slopes and differences.
+// summarize computes the fitted lines and the costs that the entry adds.
 func (c *CallCosts) summarize() {
 	c.ThroughLine, c.DirectLine = fitCores(c.Through), fitCores(c.Direct)
 	c.PerCall = (c.ThroughLine.Slope - c.DirectLine.Slope) * 1e6
@@ -85,9 +87,8 @@
 	return Fit(rates, cores)
 }
 
-// connectCallers connects callers of the services of one kind: to the entries that
-// the fleet names, and the same number to the endpoints. Close both also after
-// an error.
+// connectCallers connects callers of the services of one kind: through go to the entries that the
+// fleet names for them, direct, the same number, to the endpoints. Close both also after an error.
 func (f *fleet) connectCallers(ctx context.Context, keyed bool) (through, direct callers, err error) {
 	first := firstReadService
 	if keyed {
--- a/internal/fleetload/changes.go
+++ b/internal/fleetload/changes.go
@@ -8,15 +8,15 @@
 	"github.com/tealhall/tealhall/internal/audit"
 )
 
-// changeTracker learns from the entries' audit trails when each got a piece of news.
+// changeTracker records, from the entries' audit trails, when each entry learned of a change.
 type changeTracker struct {
 	mu        sync.Mutex
-	firstSeen map[change]map[string]time.Time // by entry
-	// updated is closed and replaced with each piece.
+	firstSeen map[change]map[string]time.Time // by change and entry
+	// updated is closed and replaced whenever a record of a change arrives.
 	updated chan struct{}
 }
 
-// change is a revision that came into force or an endpoint that leaves.
+// change is either a revision that came into force or an endpoint that is leaving.
 type change struct {
 	revision uint64
 	leaving  string
@@ -26,7 +26,7 @@
 	return &changeTracker{firstSeen: make(map[change]map[string]time.Time), updated: make(chan struct{})}
 }
 
-// The audit records that the bench looks for.
+// The subjects and actions of the audit records that report a change.
 const (
 	profilesSubject = "profiles"
 	inForceAction   = "in-force"
@@ -34,7 +34,7 @@
 	endpointPrefix  = "endpoint "
 )
 
-// add takes a record of an entry's trail.
+// add records the change, if any, that a record of an entry's audit trail reports.
 func (t *changeTracker) add(entry string, r audit.Record) {
 	now := time.Now()
 	var c change
@@ -58,8 +58,8 @@
 	t.updated = make(chan struct{})
 }
 
-// await waits until count entries have the news and returns how many seconds
-// after since each got it. missing is how many had not when ctx ended.
+// await waits until count entries have learned of a change or ctx ends. It returns how many seconds
+// after since each entry learned of it, and the number of entries that have not.
 func (t *changeTracker) await(ctx context.Context, c change, count int, since time.Time) (delays []float64, missing int) {
 	for {
 		t.mu.Lock()
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Config says what a run measures. Zero fields take the values of
-// DefaultConfig.
+// Config says what a run measures.
 type Config struct {
-	// Entries are the sizes of the series over entries, each with
-	// EntriesEndpoints endpoints in one region.
+	// Entries are the numbers of entries of the fleets in the series over entries. Each of these
+	// fleets has EntriesEndpoints endpoints in one region.
 	Entries          []int
 	EntriesEndpoints int
-	// Endpoints are the sizes of the series over endpoints, each with
-	// EndpointsEntries entries in one region.
+	// Endpoints are the numbers of endpoints of the fleets in the series over endpoints. Each of
+	// these fleets has EndpointsEntries entries in one region.
 	Endpoints        []int
 	EndpointsEntries int
-	// Target is the size that the project is designed for.
+	// Target is the fleet size that the project is designed for. Zero entries leave it out.
 	Target Size
-	// IdleRounds are the rounds of Window each in which an idle fleet is watched.
+	// IdleRounds is the number of rounds, each as long as IdleWindow, in which an idle fleet is
+	// measured.
 	IdleRounds int
 	IdleWindow time.Duration
-	// PlatformWindow is how long the calls at the configuration service are
-	// counted after the rounds; 0 counts none. An entry checks every 10 s or less
-	// often, so less than 30 s say little.
+	// PlatformWindow is how long calls to the configuration service are counted after the rounds; 0
+	// counts none. An entry checks the service every 10 s or less often, so a window below 30 s
+	// says little.
 	PlatformWindow time.Duration
-	// Settle is the time between the start of a fleet and the first round.
+	// Settle is the pause between the start of a fleet and the first round.
 	Settle time.Duration
-	// Publications and Leavings are how often each kind of news is spread.
+	// Publications is the number of documents published, Departures the number of endpoints that
+	// leave, while the time is measured until every entry knows.
 	Publications int
 	Departures   int
-	// FaultPublications are those while the service is slow, or reachable by one
-	// reader only.
+	// FaultPublications is the number of documents published while the service is slow, and again
+	// while only one reader reaches it.
 	FaultPublications int
-	// NonReaderPublications are those that only an entry that does not watch can
-	// read; they take up to spreadLimit each.
+	// NonReaderPublications is the number of documents published while only an entry that does not
+	// watch the service can read them; each takes up to propagationTimeout.
 	NonReaderPublications int
-	// Rates are the calls a second at which calls are measured, for CallWindow
-	// each. CallSizes are the fleets that they are sent through.
+	// Rates are the calls a second at which calls are measured, each for CallWindow. CallRounds is
+	// the number of rounds over all rates; 0 leaves calls out. CallSizes are the sizes of the
+	// fleets that the calls go through.
 	Rates      []int
 	CallWindow time.Duration
 	CallRounds int
 	CallSizes  []Size
-	// ConnectionCounts are the numbers of idle connections and of waiting requests at which
+	// ConnectionCounts are the numbers of idle connections, and of waiting requests, at which
 	// memory is measured.
 	ConnectionCounts []int
-	// Log gets a line for each step; nil for none.
+	// Log, if not nil, gets a line for each step.
 	Log func(format string, args ...any)
 }
 
-// DefaultConfig is the run that docs/CAPACITY.md is made from.
+// DefaultConfig returns the configuration of the run that docs/CAPACITY.md reports.
 func DefaultConfig() Config {
 	return Config{
 		Entries:          []int{3, 8, 15, 30, 60},
@@ -73,10 +75,10 @@
 	}
 }
 
-// singleRegionDomains is how many failure domains the fleets in one region have.
+// singleRegionDomains is the number of failure domains of a fleet in one region.
 const singleRegionDomains = 3
 
-// sizes lists the fleets of both series and the target, each once.
+// sizes lists the fleets of both series and the target, without duplicates.
 func (c Config) sizes() []Size {
 	var all []Size
 	add := func(s Size) {
--- a/internal/fleetload/connmemory.go
+++ b/internal/fleetload/connmemory.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Held is the memory of what an entry holds, each the slope over the numbers
-// in Config.Held, heap and stacks together, in bytes.
+// ConnectionMemory is the memory that an entry uses for connections and for waiting requests, heap
+// and stacks together, in bytes. Each line is fitted over Config.ConnectionCounts; its slope is the
+// memory of one connection or request.
 type ConnectionMemory struct {
-	// Connection is an idle connection of a caller.
+	// Connection is for idle connections of callers.
 	Connection Line `json:"connection"`
-	// Request is a request that waits in the entry's queue, with its caller's
-	// connection.
+	// Request is for requests that wait in the entry's queue, their callers' connections included.
 	Request Line `json:"request"`
 }
 
-// measureConnectionMemory opens connections to one entry, first idle ones and then ones on
+// measureConnectionMemory opens connections to one entry, first idle ones and then connections on
 // which a request waits.
 func (f *fleet) measureConnectionMemory(ctx context.Context, c Config) (ConnectionMemory, error) {
 	idle, err := f.fitConnectionMemory(ctx, c.ConnectionCounts, false)
@@ -26,8 +26,8 @@
 	return ConnectionMemory{Connection: idle, Request: waiting}, err
 }
 
-// fitConnectionMemory measures memory at several numbers of connections. The callers' own
-// part is a bare socket each.
+// fitConnectionMemory measures memory at several numbers of connections and fits a line. A caller
+// itself adds only a bare socket.
 func (f *fleet) fitConnectionMemory(ctx context.Context, counts []int, waiting bool) (Line, error) {
 	unblock := make(chan struct{})
 	release := func() {
@@ -60,11 +60,12 @@
 	return Fit(xs, ys), nil
 }
 
-// connectionSettle lets the entry take in what was sent.
+// connectionSettle is the time that the entry gets to process the requests before memory is
+// measured.
 const connectionSettle = 300 * time.Millisecond
 
-// connectWithRequest opens a connection to the first entry and sends a request on it;
-// unless the request is to wait, it takes the answer.
+// connectWithRequest opens a connection to the first entry and sends a request on it. Unless the
+// request is to wait, it also reads the answer.
 func (f *fleet) connectWithRequest(waiting bool) (*caller, error) {
 	c, err := newCaller(f.entries[0].CallerAddress(), serviceName(firstReadService), "")
 	if err != nil {
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -13,7 +13,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// benchSizes are today's size and the one that is designed for.
+// benchSizes are the size of an installation of today and the size that the project is designed
+// for.
 var benchSizes = []Size{
 	{Entries: 15, Endpoints: 33, Regions: 1, Domains: 3},
 	{Entries: targetEntries, Endpoints: targetEndpoints, Regions: 3, Domains: 8},
@@ -41,8 +42,7 @@
 	return vms
 }
 
-// newCore returns the core of the first entry, which knows all VMs and has
-// profiles in force.
+// newCore returns the core of the first entry. It knows all VMs and has profiles in force.
 func newCore(tb testing.TB, size Size, vms []published.VM) *core.Core {
 	tb.Helper()
 	hello := func(vm published.VM) message.Hello {
@@ -65,7 +65,7 @@
 	return c
 }
 
-// BenchmarkTick is one tick of a calm entry, peers' heartbeats included.
+// BenchmarkTick measures one tick of an idle entry, together with the heartbeat of one peer.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints), func(b *testing.B) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkMemory is the heap that a core holds for what it knows.
+// BenchmarkMemory measures the heap that a core uses for the VMs, peers and profiles that it knows.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints), func(b *testing.B) {
@@ -110,7 +110,8 @@
 	}
 }
 
-// BenchmarkParse reads a document, which each entry does once for a change.
+// BenchmarkParse measures parsing a profile document or a list of VMs. Each entry parses it once
+// for each change.
 func BenchmarkParse(b *testing.B) {
 	for _, services := range []int{minServices, targetServices} {
 		b.Run(fmt.Sprintf("%d services", services), func(b *testing.B) {
@@ -134,8 +135,8 @@
 	})
 }
 
-// BenchmarkApply puts a list in which one VM was replaced, or a document, in
-// force. The entry decides nothing else meanwhile.
+// BenchmarkApply measures putting in force a list in which one VM was replaced, or a profile
+// document. The entry makes no other decisions during this time.
 func BenchmarkApply(b *testing.B) {
 	size := benchSizes[1]
 	vms := benchVMs(size)
--- a/internal/fleetload/departure_test.go
+++ b/internal/fleetload/departure_test.go
@@ -11,15 +11,15 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// largeInstallation is that of a grown installation of today.
+// largeInstallation is the size of a large installation of today.
 var largeInstallation = Size{Entries: 141, Endpoints: 421, Regions: 1, Domains: 4}
 
-// BenchmarkEndpointLeaving is what it costs an entry to hear that one endpoint leaves, from a peer or
-// by a later list.
+// BenchmarkEndpointLeaving measures what it costs an entry to learn from a peer that an endpoint is
+// leaving, or to process a list in which one endpoint was replaced.
 func BenchmarkEndpointLeaving(b *testing.B) {
 	for _, size := range append([]Size{largeInstallation}, benchSizes...) {
 		name := fmt.Sprintf("%d entries, %d endpoints", size.Entries, size.Endpoints)
-		b.Run("told, "+name, func(b *testing.B) {
+		b.Run("evidence, "+name, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
 				vms := benchVMs(size)
--- a/internal/fleetload/document.go
+++ b/internal/fleetload/document.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// The size that the project is designed for, see docs/CAPACITY.md.
+// The fleet size that the project is designed for, see docs/CAPACITY.md, and the least number of
+// services.
 const (
 	targetEntries   = 60
 	targetEndpoints = 560
@@ -14,8 +15,8 @@
 	minServices     = 3
 )
 
-// servicesFor returns how many services share so many endpoints: as many
-// endpoints to a service as at the target size, and at least minServices.
+// servicesFor returns the number of services of a fleet with so many endpoints: at least
+// minServices, and otherwise as many endpoints to a service as at the target size.
 func servicesFor(endpoints int) int {
 	share := float64(endpoints) * targetServices / targetEndpoints
 	return max(minServices, int(math.Round(share)))
@@ -23,7 +24,8 @@
 
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i+1) }
 
-// profileKinds of the services, in turn. The first is a read, the second runs once.
+// profileKinds are the kinds of the services, in rotation. firstReadService and firstOnceService
+// are indexes of it.
 var profileKinds = []string{"read", "once", "read", "bulk", "urgent"}
 
 const profileText = `
@@ -47,8 +49,8 @@
 profile = "%[1]s"
 `
 
-// document returns a profile document with a profile of its own for each
-// service. Documents of different rounds differ.
+// document returns a profile document with a profile of its own for each service. Documents of
+// different rounds differ.
 func document(services, round int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# round %d\nformat = 1\n", round)
--- a/internal/fleetload/endpoint.go
+++ b/internal/fleetload/endpoint.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// endpointSlots is what the brief gives each instance.
+	// endpointSlots is the number of slots of each instance in the project's requirements.
 	endpointSlots = 2
-	// endpointIncarnation is the one incarnation of every endpoint.
+	// endpointIncarnation is the incarnation of every endpoint.
 	endpointIncarnation = 1
 	answerBytes         = 200
 )
 
-// endpoint is an instance that answers every request at once, so that next to
-// nothing of the measured processor time is its own.
+// endpoint is a simulated endpoint that answers every request at once, so that it uses next to none
+// of the measured processor time.
 type endpoint struct {
 	vm     published.VM
 	server *http.Server
-	// unblock, if not nil, is closed when held requests may be answered.
+	// unblock, if not nil, points to a channel that delays all answers but those to probes until it
+	// is closed.
 	unblock  atomic.Pointer[chan struct{}]
 	draining atomic.Bool
-	// drainingSentAt is when the first answer said that the endpoint drains, in
-	// nanoseconds since the epoch.
+	// drainingSentAt is the time of the first answer with the draining header, in nanoseconds since
+	// the Unix epoch.
 	drainingSentAt atomic.Int64
 }
 
-// The headers of all answers; read only.
+// The header values and the body of all answers; read-only.
 var (
 	idleLoadHeader    = []string{contract.Load{Slots: endpointSlots}.String()}
 	incarnationHeader = []string{contract.FormatIncarnation(endpointIncarnation)}
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -15,7 +15,8 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// Size is the size of a fleet.
+// Size is the number of entries and endpoints of a fleet and of the regions and failure domains
+// that they are spread over.
 type Size struct {
 	Entries   int `json:"entries"`
 	Endpoints int `json:"endpoints"`
@@ -23,7 +24,7 @@
 	Domains   int `json:"domains"`
 }
 
-// String describes the size in a few words.
+// String describes the size for logs and errors.
 func (s Size) String() string {
 	return fmt.Sprintf("%d entries, %d endpoints, %d regions, %d failure domains", s.Entries, s.Endpoints, s.Regions, s.Domains)
 }
@@ -34,7 +35,7 @@
 	return fmt.Sprintf("region-%d", d*s.Regions/s.Domains+1), fmt.Sprintf("domain-%d", d+1)
 }
 
-// entriesInRegionOf returns how many entries the region of the i-th entry has.
+// entriesInRegionOf returns the number of entries in the region of the i-th entry.
 func (s Size) entriesInRegionOf(i int) int {
 	region, _ := s.location(i)
 	n := 0
@@ -46,7 +47,7 @@
 	return n
 }
 
-// fleet is a running fleet with its stand-ins.
+// fleet is a running fleet with its simulated endpoints and configuration service.
 type fleet struct {
 	size     Size
 	services int
@@ -57,12 +58,12 @@
 	endpoints       []*endpoint
 	entries         []*entry.Entry
 	platformClients []*platformClient
-	// round numbers the published documents.
+	// round is the number of profile documents published so far.
 	round int
 }
 
-// newFleet starts all of a fleet but its entries. Close it also after an
-// error.
+// newFleet starts the configuration service and the endpoints of a fleet, but not its entries.
+// Close the fleet also after an error.
 func newFleet(size Size) (*fleet, error) {
 	f := &fleet{
 		size:     size,
@@ -91,25 +92,25 @@
 	return f, nil
 }
 
-// publish puts the next document into the configuration service.
+// publish puts the next profile document into the configuration service.
 func (f *fleet) publish() (revision uint64) {
 	f.round++
 	return f.platform.Put(published.ProfilesValue, document(f.services, f.round))
 }
 
-// listeners are the listeners of one entry.
+// listeners are the sockets on which one entry accepts callers and peers.
 type listeners struct{ callers, peers *net.TCPListener }
 
-// loopback returns the i-th loopback address of a kind of VM. Each VM has an
-// address of its own, as it would on a network, and with it all port numbers.
+// loopback returns the address of the i-th VM among the loopback addresses with this second octet.
+// Each VM has an address of its own, as it would on a network, and with it all port numbers.
 func loopback(octet byte, i int) net.IP {
 	return net.IPv4(127, octet, byte(i/vmsPerSubnet), byte(i%vmsPerSubnet+1))
 }
 
-// vmsPerSubnet is how many addresses differ in the last number only.
+// vmsPerSubnet is the number of VMs whose addresses differ only in the last octet.
 const vmsPerSubnet = 200
 
-// The kinds of VMs in loopback addresses.
+// The second octets of the loopback addresses of entries and of endpoints.
 const (
 	entryOctet    = 10
 	endpointOctet = 20
@@ -125,8 +126,8 @@
 	return listeners{callers, peers}, err
 }
 
-// startEntries starts the entries. All are in the list of VMs from the start,
-// as in a fleet that has run for long.
+// startEntries starts the entries. The list of VMs names all of them from the start, as in a fleet
+// that has run for a long time.
 func (f *fleet) startEntries() error {
 	var vms []published.VM
 	for _, e := range f.endpoints {
@@ -189,11 +190,11 @@
 	return e.Start()
 }
 
-// pollInterval is how often the bench looks at states that nothing announces.
+// pollInterval is how often the benchmark polls a state that has no notification.
 const pollInterval = 20 * time.Millisecond
 
-// awaitReady waits until each entry is ready and has heard all others of its region,
-// and returns how long that took.
+// awaitReady waits until each entry is ready and knows all other entries of its region, and returns
+// how long that took.
 func (f *fleet) awaitReady(ctx context.Context) (time.Duration, error) {
 	began := time.Now()
 	for i, e := range f.entries {
@@ -210,7 +211,7 @@
 	return time.Since(began), nil
 }
 
-// sleep sleeps for d; it is false if ctx ended before.
+// sleep pauses for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -222,7 +223,7 @@
 	}
 }
 
-// readers returns the numbers of the entries that watch the service.
+// readers returns the indexes of the entries that watch the configuration service.
 func (f *fleet) readers() []int {
 	var found []int
 	for i, client := range f.platformClients {
@@ -233,15 +234,15 @@
 	return found
 }
 
-// restrictPlatformTo cuts all entries but one from the configuration service; a
-// negative number opens all ways again.
+// restrictPlatformTo disconnects all entries but one from the configuration service. A negative
+// index reconnects all of them.
 func (f *fleet) restrictPlatformTo(only int) {
 	for i, client := range f.platformClients {
 		client.setDisconnected(only >= 0 && i != only)
 	}
 }
 
-// endpointsOf returns the endpoints of the i-th service.
+// endpointsOf returns the endpoints of a service, given its index.
 func (f *fleet) endpointsOf(service int) []*endpoint {
 	return slices.Collect(func(yield func(*endpoint) bool) {
 		for i := service; i < len(f.endpoints); i += f.services {
@@ -252,7 +253,8 @@
 	})
 }
 
-// close ends everything at once.
+// close stops all entries at once, then the endpoints and the configuration service, without
+// draining.
 func (f *fleet) close() {
 	var ending sync.WaitGroup
 	for _, e := range f.entries {
--- a/internal/fleetload/idle.go
+++ b/internal/fleetload/idle.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// IdleCosts is what a fleet without calls costs, per entry.
+// IdleCosts are the costs of a fleet without calls, per entry where not stated otherwise.
 type IdleCosts struct {
-	// Processor is the share of one core, 1 for all of it. The stand-ins'
-	// answers to probes and watches are in it.
+	// Processor is the share of one core; 1 is a whole core. It includes the answers of the
+	// simulated endpoints and configuration service to probes and watches.
 	Processor float64 `json:"processor"`
-	// BytesOut and BytesIn are bytes a second of the TCP streams of the peer
-	// links, MaxBytesOut the largest of any entry.
+	// BytesOut and BytesIn are bytes a second of the TCP streams of the peer links. MaxBytesOut is
+	// the largest BytesOut of any entry.
 	BytesOut    float64 `json:"bytes_out_per_s"`
 	BytesIn     float64 `json:"bytes_in_per_s"`
 	MaxBytesOut float64 `json:"most_bytes_out_per_s"`
-	// Updates are messages a second with news, heartbeats or sightings.
+	// Updates is the number of messages a second that carry evidence, heartbeats or load reports.
 	Updates float64 `json:"updates_per_s"`
-	// Segments are the TCP segments a second that the whole machine sent,
-	// divided by the entries: an upper bound, and exact if nothing else used
-	// the network. Probes and the configuration service are in it.
+	// Segments is the number of TCP segments a second that the whole machine sent, divided by the
+	// number of entries: an upper bound, and exact if nothing else used the network. It includes
+	// probes and the configuration service.
 	Segments float64 `json:"tcp_segments_per_s"`
-	// Heap and Stacks are bytes beyond those of the stand-ins.
+	// Heap and Stacks are bytes beyond those in use before the entries started.
 	Heap   float64 `json:"heap_bytes"`
 	Stacks float64 `json:"stack_bytes"`
-	// PlatformCalls are calls a second of the whole fleet at the configuration service in
-	// Config.PlatformWindow, Watches how many wait there, Readers how many
-	// entries watch.
+	// PlatformCalls is the number of calls a second of the whole fleet to the configuration service
+	// in Config.PlatformWindow. PlatformWatches is the number of watches that wait there, Readers
+	// the number of entries that watch.
 	PlatformCalls   float64 `json:"platform_calls_per_s"`
 	PlatformWatches int     `json:"platform_watches"`
 	Readers         int     `json:"readers"`
 }
 
-// measureIdle watches a fleet for a time in rounds and takes the medians.
+// measureIdle measures an idle fleet in several rounds and returns the medians; MaxBytesOut is the
+// largest of all rounds. baseHeap and baseStacks are the memory in use before the entries started.
 func (f *fleet) measureIdle(ctx context.Context, c Config, baseHeap, baseStacks uint64) IdleCosts {
 	n := float64(len(f.entries))
 	var processor, out, in, maxOut, updates, segments []float64
@@ -59,7 +60,7 @@
 	}
 }
 
-// idleRound measures rates over one window.
+// idleRound measures the rates over one window.
 func (f *fleet) idleRound(ctx context.Context, window time.Duration) IdleCosts {
 	n := float64(len(f.entries))
 	before, calls, segments := f.peerTraffic(), f.platform.Stats().Calls, sentSegments()
--- a/internal/fleetload/platformclient.go
+++ b/internal/fleetload/platformclient.go
@@ -9,20 +9,22 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// platformClient is an entry's way to the configuration service, which can be cut.
+// platformClient is an entry's client of the configuration service. The benchmark can disconnect
+// and reconnect it.
 type platformClient struct {
 	published.Service
 	watches atomic.Int32
 
 	mu           sync.Mutex
-	disconnected chan struct{} // closed while the way is cut
+	disconnected chan struct{} // closed while the entry is disconnected
 }
 
 func newPlatformClient(s published.Service) *platformClient {
 	return &platformClient{Service: s, disconnected: make(chan struct{})}
 }
 
-// setDisconnected cuts the way, or opens it again. Calls under way end with the cut.
+// setDisconnected disconnects the entry from the configuration service, which cancels calls in
+// flight, or reconnects it.
 func (c *platformClient) setDisconnected(disconnect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +40,7 @@
 	}
 }
 
-// watching reports whether the entry watches the service now.
+// watching reports whether the entry has a watch open.
 func (c *platformClient) watching() bool { return c.watches.Load() > 0 }
 
 // Read implements published.Service.
@@ -63,9 +65,9 @@
 	return c.Service.Watch(ctx, name, after)
 }
 
-var errDisconnected = fault.New(fault.PlatformDown, "nothing: the bench opens the way again", "the way to the configuration service is cut")
+var errDisconnected = fault.New(fault.PlatformDown, "wait until the benchmark reconnects the entry", "the benchmark has disconnected the entry from the configuration service")
 
-// withDisconnect returns a context that ends with the cut.
+// withDisconnect returns a context that is cancelled when the entry is disconnected.
 func (c *platformClient) withDisconnect(ctx context.Context) (context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	disconnected := c.disconnected
--- a/internal/fleetload/propagation.go
+++ b/internal/fleetload/propagation.go
@@ -13,23 +13,24 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// Propagation is how long news took to reach every entry, in seconds.
+// Propagation is how long a change took to reach every entry, in seconds.
 type Propagation struct {
-	// Tries is how often it was tried.
+	// Tries is the number of changes that were measured.
 	Tries int `json:"times"`
-	// Typical is the median over all entries and times, Last the median of the
-	// times until the last entry had it, Worst the longest of all.
+	// Typical is the median over all entries and tries, Last the median of the times until the last
+	// entry had the change, Worst the longest time of all.
 	Typical float64 `json:"typical_s"`
 	Last    float64 `json:"last_s"`
 	Worst   float64 `json:"worst_s"`
-	// Missing counts entries that had not got it when the bench gave up.
+	// Missing is the number of entries that did not have the change within propagationTimeout, over
+	// all tries.
 	Missing int `json:"missing"`
 }
 
-// propagationTimeout is when the bench gives a piece of news up.
+// propagationTimeout is how long the benchmark waits for a change to reach every entry.
 const propagationTimeout = 20 * time.Second
 
-// propagationSamples gathers several tries.
+// propagationSamples collects the results of several tries.
 type propagationSamples struct {
 	all, lastEntry []float64
 	missing        int
@@ -49,25 +50,27 @@
 	return Propagation{Tries: len(s.lastEntry), Typical: Median(s.all), Last: Median(s.lastEntry), Worst: largest(s.lastEntry), Missing: s.missing}
 }
 
-// Propagations are the spreads of one fleet.
+// Propagations are the propagation times of one fleet under several conditions.
 type Propagations struct {
-	// Published: every entry reaches the configuration service.
+	// Published is for a document published while every entry reaches the configuration service.
 	Published Propagation `json:"published"`
-	// Slow: each call at the service takes slowCall.
+	// Slow is for a document published while each call to the service takes slowCall.
 	Slow Propagation `json:"published_slow"`
-	// OneReader: only one entry, which watches, reaches the service.
+	// OneReader is for a document published while only one entry reaches the service, and that
+	// entry watches it.
 	OneReader Propagation `json:"published_one_reader"`
-	// OneNonReader: only one entry, which does not watch while others do, reaches it.
+	// OneNonReader is for a document published while only one entry reaches the service, and that
+	// entry does not watch it because other entries do.
 	OneNonReader Propagation `json:"published_one_other"`
-	// Leaving: an endpoint says in an answer that it drains.
+	// Leaving is for an endpoint that says in an answer that it drains.
 	Leaving Propagation `json:"leaving"`
 }
 
-// slowCall is how long a slow service takes for each call.
+// slowCall is the time that a slow configuration service takes for each call.
 const slowCall = 500 * time.Millisecond
 
-// measurePropagations publishes several documents in each state of the service and
-// lets endpoints leave.
+// measurePropagations publishes documents in each state of the configuration service and then lets
+// endpoints leave.
 func (f *fleet) measurePropagations(ctx context.Context, c Config) (Propagations, error) {
 	var p Propagations
 	readers := f.readers()
@@ -86,7 +89,7 @@
 	return p, err
 }
 
-// measurePublications publishes several times, at odd moments.
+// measurePublications publishes documents at random intervals.
 func (f *fleet) measurePublications(ctx context.Context, tries int) Propagation {
 	var s propagationSamples
 	for range tries {
@@ -104,10 +107,11 @@
 	return f.changes.await(limited, change{revision: revision}, len(f.entries), published)
 }
 
-// disconnectSettle is how long a cut lasts before something is published.
+// disconnectSettle is the pause between disconnecting entries and publishing a document.
 const disconnectSettle = time.Second
 
-// measurePublicationsVia publishes while a single entry reaches the service.
+// measurePublicationsVia publishes documents while only one entry reaches the configuration
+// service.
 func (f *fleet) measurePublicationsVia(ctx context.Context, only, tries int) Propagation {
 	f.restrictPlatformTo(only)
 	defer f.restrictPlatformTo(-1)
@@ -115,7 +119,7 @@
 	return f.measurePublications(ctx, tries)
 }
 
-// firstNotIn returns the first number below n that is not listed, or -1.
+// firstNotIn returns the first index below n that is not listed, or -1.
 func firstNotIn(listed []int, n int) int {
 	for i := range n {
 		if !slices.Contains(listed, i) {
@@ -125,8 +129,8 @@
 	return -1
 }
 
-// measureDepartures lets endpoints leave one after the other, each of another service,
-// and measures from the first answer that says so.
+// measureDepartures lets endpoints leave one after the other, each from another service. It
+// measures from the first answer in which the endpoint says that it drains.
 func (f *fleet) measureDepartures(ctx context.Context, tries int) (Propagation, error) {
 	var s propagationSamples
 	for i := range min(tries, f.services) {
@@ -144,9 +148,9 @@
 	return s.result(), nil
 }
 
-// awaitDrainingAnswer calls the i-th service through all entries in turn until an endpoint
-// that drains has said so, in an answer to a call or to a probe, and returns
-// when it did.
+// awaitDrainingAnswer sends requests for the i-th service through all entries in turn until the
+// departing endpoint has said that it drains, in an answer to a request or to a probe. It returns
+// the time of that answer.
 func (f *fleet) awaitDrainingAnswer(ctx context.Context, i int, departing *endpoint) (time.Time, error) {
 	limited, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
@@ -158,13 +162,13 @@
 			return time.Time{}, err
 		}
 	}
-	return time.Time{}, fmt.Errorf("%s answered nothing for %s", departing.vm.Name, propagationTimeout)
+	return time.Time{}, fmt.Errorf("%s has not answered that it drains within %s", departing.vm.Name, propagationTimeout)
 }
 
-// drainingCallPause is the time between the calls that look for an endpoint.
+// drainingCallPause is the pause between the requests of awaitDrainingAnswer.
 const drainingCallPause = 2 * time.Millisecond
 
-// call sends one request for the i-th service.
+// call sends one request for the i-th service through an entry.
 func (f *fleet) call(ctx context.Context, through *entry.Entry, i int) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+through.CallerAddress()+"/", nil)
 	if err != nil {
--- a/internal/fleetload/report.go
+++ b/internal/fleetload/report.go
@@ -8,7 +8,9 @@
 	"time"
 )
 
-// The target for control at each entry, from the project's owners.
+// The targets for the cost of the control plane at each entry, set by the project's owners: the
+// share of a core, the memory in bytes, the bytes a second to and from peers, and the seconds until
+// a document is in force at every entry.
 const (
 	targetProcessor      = 0.013
 	targetMemory         = 64 << 20
@@ -16,10 +18,10 @@
 	targetInForceSeconds = 13.0
 )
 
-// segmentHeaderBytes is what the headers of one TCP segment take, in bytes.
+// segmentHeaderBytes is the size of the headers of one TCP segment.
 const segmentHeaderBytes = 52
 
-// table is a table of texts with a heading.
+// table is a printed table with a title.
 type table struct {
 	title string
 	head  []string
@@ -28,7 +30,7 @@
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// tables returns everything as tables, the same for people and for pages.
+// tables returns the tables that both Print and Markdown write.
 func (r *Result) tables() []table {
 	return []table{r.costTable(), r.platformTable(), r.propagationTable(), r.callTable(), r.slopeTable()}
 }
@@ -62,14 +64,14 @@
 	return t
 }
 
-// sizeCells starts a row with the size of a fleet.
+// sizeCells returns a row that starts with the size of a fleet.
 func sizeCells(f FleetResult, more ...string) []string {
 	return append([]string{fmt.Sprint(f.Size.Entries), fmt.Sprint(f.Size.Endpoints), fmt.Sprint(f.Size.Regions), fmt.Sprint(f.Services)}, more...)
 }
 
 func (r *Result) propagationTable() table {
 	t := table{
-		title: "Seconds until news is known at every entry: median of the last entry (longest)",
+		title: "Seconds until every entry knows a change: median of the last entry (longest)",
 		head:  []string{"entries", "endpoints", "regions", "services", "published", "service slow", "one reader reaches it", "one other reaches it", "endpoint leaves"},
 	}
 	for _, f := range r.Fleets {
@@ -138,7 +140,7 @@
 
 func formatNumber(v float64, digits int) string { return fmt.Sprintf("%.*f", digits, v) }
 
-// targetChecks compares the largest fleet with the target.
+// targetChecks compares the last fleet, which is the largest, with the targets.
 func (r *Result) targetChecks() []string {
 	if len(r.Fleets) == 0 {
 		return nil
@@ -163,14 +165,14 @@
 	return fmt.Sprintf("%s: %.2f, target %.2f: %s", name, measured, target, result)
 }
 
-// header says where and how the run was made.
+// header describes the machine, its load and the duration of the run.
 func (r *Result) header() string {
 	m := r.Machine
 	return fmt.Sprintf("%s, %d cores, %d of them used, %s; load average %s before and %s after; took %s",
 		m.Processor, m.Cores, m.Procs, m.Go, m.LoadBefore, m.LoadAfter, r.Took.Round(time.Second))
 }
 
-// Print writes the tables for people.
+// Print writes the tables as aligned text.
 func (r *Result) Print(w io.Writer) {
 	fmt.Fprintln(w, r.header())
 	for _, t := range r.tables() {
@@ -187,7 +189,7 @@
 	}
 }
 
-// Markdown writes the tables for a page.
+// Markdown writes the tables as Markdown.
 func (r *Result) Markdown(w io.Writer) {
 	fmt.Fprintf(w, "%s.\n", r.header())
 	for _, t := range r.tables() {
--- a/internal/fleetload/run.go
+++ b/internal/fleetload/run.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FleetResult is what was measured of one fleet.
+// FleetResult holds the measurements of one fleet.
 type FleetResult struct {
 	Size         Size         `json:"size"`
 	Services     int          `json:"services"`
@@ -15,7 +15,7 @@
 	Propagations Propagations `json:"spreads"`
 }
 
-// Result is one run.
+// Result holds the measurements of one run.
 type Result struct {
 	Machine          Machine          `json:"machine"`
 	Took             time.Duration    `json:"took_ns"`
@@ -23,15 +23,16 @@
 	Calls            []CallCosts      `json:"calls"`
 	ConnectionMemory ConnectionMemory `json:"held"`
 	Slopes           Slopes           `json:"slopes"`
-	// Entries and Endpoints are the sizes that do not change in the series
-	// over the other.
+	// EntriesEndpoints is the number of endpoints in the series over entries, EndpointsEntries the
+	// number of entries in the series over endpoints.
 	EntriesEndpoints int `json:"entries_series_endpoints"`
 	EndpointsEntries int `json:"endpoints_series_entries"`
 
 	platformCallsCounted bool
 }
 
-// Run measures everything, one fleet after the other.
+// Run measures all fleets, one after the other, and then calls through the fleets of
+// Config.CallSizes.
 func Run(ctx context.Context, c Config) (*Result, error) {
 	began := time.Now()
 	r := &Result{Machine: describeMachine(), EntriesEndpoints: c.EntriesEndpoints, EndpointsEntries: c.EndpointsEntries, platformCallsCounted: c.PlatformWindow > 0}
@@ -56,11 +57,12 @@
 	return r, nil
 }
 
-// startLimit bounds the start of a fleet.
+// startLimit bounds the time until all entries of a fleet are ready.
 const startLimit = 30 * time.Second
 
-// startFleet starts a fleet and lets it settle. It returns the memory held by
-// the stand-ins alone. Close the fleet also after an error.
+// startFleet starts a fleet and lets it settle. heap and stacks are the memory in use before the
+// entries start, which is that of the simulated endpoints and configuration service. Close the
+// fleet also after an error.
 func startFleet(ctx context.Context, c Config, size Size) (f *fleet, ready time.Duration, heap, stacks uint64, err error) {
 	f, err = newFleet(size)
 	if err != nil {
@@ -85,14 +87,14 @@
 		return result, err
 	}
 	result.Idle = f.measureIdle(ctx, c, heap, stacks)
-	c.logf("%s: ready after %.1f s, %.2f %% of a core each", size, result.Ready, 100*result.Idle.Processor)
+	c.logf("%s: ready after %.1f s, %.2f %% of a core per entry", size, result.Ready, 100*result.Idle.Processor)
 	result.Propagations, err = f.measurePropagations(ctx, c)
-	c.logf("  in force everywhere after %.2f s, leaving known after %.2f s", result.Propagations.Published.Last, result.Propagations.Leaving.Last)
+	c.logf("  document in force at every entry after %.2f s, leaving endpoint known after %.2f s", result.Propagations.Published.Last, result.Propagations.Leaving.Last)
 	return result, err
 }
 
-// runCalls measures calls, and with the smallest fleet calls with keys and
-// what is held.
+// runCalls measures calls through one fleet. If detailed is set, as for the first and smallest
+// fleet, it also measures calls with keys and the memory of connections.
 func (r *Result) runCalls(ctx context.Context, c Config, size Size, detailed bool) error {
 	f, _, _, _, err := startFleet(ctx, c, size)
 	defer f.close()
@@ -107,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		c.logf("calls, %s, keyed %t: %.0f us of an entry each", size, keyed, calls.PerCall)
+		c.logf("calls, %s, keyed %t: %.0f us of processor time of the entry per call", size, keyed, calls.PerCall)
 		r.Calls = append(r.Calls, calls)
 	}
 	if !detailed {
--- a/internal/fleetload/slope.go
+++ b/internal/fleetload/slope.go
@@ -14,8 +14,8 @@
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.At0 + l.Slope*x }
 
-// Fit returns the line of least squares. With fewer than two different x the
-// slope is 0 and the line lies at the mean.
+// Fit returns the least-squares line through the points. With fewer than two different x the slope
+// is 0 and the line lies at the mean of ys.
 func Fit(xs, ys []float64) Line {
 	meanX, meanY := mean(xs), mean(ys)
 	var xx, xy, yy float64
@@ -48,7 +48,7 @@
 	return sum / float64(len(values))
 }
 
-// Median returns the middle of values, 0 if there are none.
+// Median returns the median of values, 0 if there are none.
 func Median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/fleetload/slope_test.go
+++ b/internal/fleetload/slope_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// The difference of the slopes is what a call costs at the entry; the time of
-// the callers and endpoints, and of the idle fleet, must not show in it.
+// The entry's cost of a call is the difference of the slopes. The time of the callers, the
+// endpoints and the idle fleet must not be counted in it.
 func TestPerCallExcludesDirectAndIdleCost(t *testing.T) {
 	c := CallCosts{}
 	for _, rate := range []float64{100, 200, 300} {
@@ -48,6 +48,6 @@
 	}
 	c.summarize()
 	if math.Abs(c.PerCall-150) > 1e-6 || c.AddedP50 != 200 || c.AddedP99 != 500 {
-		t.Errorf("%+v", c)
+		t.Errorf("costs are %+v, want 150 us per call, 200 us added to p50 and 500 us added to p99", c)
 	}
 }
--- a/internal/fleetload/slopes.go
+++ b/internal/fleetload/slopes.go
@@ -1,22 +1,24 @@
 package fleetload
 
-// Slopes are how an entry's costs grow, over the fleets in one region.
+// Slopes show how the costs of an entry grow with the size of the fleet, for fleets in one region.
 type Slopes struct {
-	// ByEntry are over the number of entries, ByEndpoint over endpoints.
+	// ByEntry is the series over the number of entries, ByEndpoint the one over the number of
+	// endpoints.
 	ByEntry    Series `json:"by_entry"`
 	ByEndpoint Series `json:"by_endpoint"`
 }
 
-// Series are the lines of one series, all per entry.
+// Series holds the lines fitted over one series, per entry where not stated otherwise.
 type Series struct {
-	// Processor is the share of a core, Memory bytes of heap and stacks, Out
-	// bytes a second of the streams to peers, InForce seconds until a document
-	// is in force everywhere.
+	// Processor is the share of a core, Memory the bytes of heap and stacks, BytesOut the bytes a
+	// second of the streams to peers, InForce the seconds until a document is in force at every
+	// entry.
 	Processor Line `json:"processor"`
 	Memory    Line `json:"memory"`
 	BytesOut  Line `json:"bytes_out"`
 	InForce   Line `json:"in_force"`
-	// PlatformCalls are calls a second of the fleet at the configuration service.
+	// PlatformCalls is the number of calls a second of the whole fleet to the configuration
+	// service.
 	PlatformCalls Line `json:"platform_calls"`
 }
 
@@ -31,8 +33,8 @@
 	}
 }
 
-// series fits lines over the fleets that belong to a series, given the number
-// that varies in it.
+// series fits lines over the fleets of a series. xOf returns the number that varies in the series
+// and whether a fleet of this size belongs to it.
 func (r *Result) series(xOf func(Size) (float64, bool)) Series {
 	var xs, processor, memory, out, inForce, calls []float64
 	for _, f := range r.Fleets {
--- a/internal/fleetload/traffic.go
+++ b/internal/fleetload/traffic.go
@@ -1,14 +1,14 @@
 package fleetload
 
-// peerTraffic is what one entry exchanged with its peers, as bytes of the TCP
-// streams without packet headers.
+// peerTraffic is the number of bytes and of update messages that one entry exchanged with its
+// peers. Bytes are those of the TCP streams, without packet headers.
 type peerTraffic struct{ out, in, updates uint64 }
 
 func (t peerTraffic) sub(earlier peerTraffic) peerTraffic {
 	return peerTraffic{out: t.out - earlier.out, in: t.in - earlier.in, updates: t.updates - earlier.updates}
 }
 
-// peerTraffic returns what each entry exchanged so far.
+// peerTraffic returns the traffic of each entry so far.
 func (f *fleet) peerTraffic() []peerTraffic {
 	all := make([]peerTraffic, len(f.entries))
 	for i, e := range f.entries {
--- a/internal/fleetload/usage.go
+++ b/internal/fleetload/usage.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// processorTime returns what this process used so far, user and system.
+// processorTime returns the user and system time that this process has used so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -19,7 +19,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// meter measures processor time against the clock.
+// meter measures processor time against wall-clock time.
 type meter struct {
 	began       time.Time
 	usedAtStart time.Duration
@@ -27,13 +27,13 @@
 
 func startMeter() meter { return meter{began: time.Now(), usedAtStart: processorTime()} }
 
-// cores returns the cores used since the start, 1 for one core.
+// cores returns the average number of cores used since the start.
 func (m meter) cores() float64 {
 	return float64(processorTime()-m.usedAtStart) / float64(time.Since(m.began))
 }
 
-// memoryInUse returns the bytes of live heap objects and of goroutine stacks.
-// It collects garbage twice, so that finalizers and pools are emptied too.
+// memoryInUse returns the bytes of live heap objects and of goroutine stacks. It collects garbage
+// twice, so that objects with finalizers and pooled objects are freed too.
 func memoryInUse() (heap, stacks uint64) {
 	runtime.GC()
 	runtime.GC()
@@ -42,15 +42,15 @@
 	return stats.HeapAlloc, stats.StackInuse
 }
 
-// Machine states what the figures were measured on.
+// Machine describes the machine that the figures were measured on.
 type Machine struct {
 	Cores int `json:"cores"`
-	// Procs is how many cores this run was allowed to use.
+	// Procs is the number of cores that this run was allowed to use.
 	Procs     int    `json:"procs"`
 	Processor string `json:"processor"`
 	Go        string `json:"go"`
-	// LoadBefore and LoadAfter are the load averages of the last minute. Other
-	// work on the machine makes processor times noisier, not only longer.
+	// LoadBefore and LoadAfter are the load averages of the last minute. Other work on the machine
+	// makes processor times noisier, not only longer.
 	LoadBefore string `json:"load_before"`
 	LoadAfter  string `json:"load_after"`
 }
@@ -87,8 +87,8 @@
 	return "unknown"
 }
 
-// sentSegments returns the TCP segments that this machine, or the network
-// namespace of this process, sent so far.
+// sentSegments returns the number of TCP segments that this machine, or the network namespace of
+// this process, has sent so far.
 func sentSegments() uint64 {
 	data, err := os.ReadFile("/proc/self/net/snmp")
 	if err != nil {
