--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -33,7 +33,7 @@
 		pairs = append(pairs, traceFields[i], value)
 	}
 	if trace.Sampled {
-		pairs = append(pairs, logging.Ordinary, true)
+		pairs = append(pairs, logging.LowPriority, true)
 	}
 	klog.InfoS("request", pairs...)
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -113,7 +113,7 @@
 func (e *Entry) finish(sendTime time.Duration, timeLeft func() time.Duration) {
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.Stopped(now, out) })
 	wait.For(context.Background(), sendTime)
-	if !wait.Done(timeLeft(), e.shutDown) {
+	if !wait.Within(timeLeft(), e.shutDown) {
 		klog.InfoS("the process ends before all its goroutines have ended", "entry", e.settings.Name)
 	}
 }
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Config says what a run measures. Zero fields take the values of
-// DefaultConfig.
+// Config says what a run measures.
 type Config struct {
-	// Entries are the sizes of the series over entries, each with
-	// EntriesEndpoints endpoints in one region.
+	// Entries are the numbers of entries of the fleets in the series over entries. Each of these
+	// fleets has EntriesEndpoints endpoints in one region.
 	Entries          []int
 	EntriesEndpoints int
-	// Endpoints are the sizes of the series over endpoints, each with
-	// EndpointsEntries entries in one region.
+	// Endpoints are the numbers of endpoints of the fleets in the series over endpoints. Each of
+	// these fleets has EndpointsEntries entries in one region.
 	Endpoints        []int
 	EndpointsEntries int
-	// Target is the size that the project is designed for.
+	// Target is the fleet size that the project is designed for. Zero entries leave it out.
 	Target Size
-	// Rounds are the rounds of Window each in which an idle fleet is watched.
-	Rounds int
-	Window time.Duration
-	// PlatformWindow is how long the calls at the configuration service are
-	// counted after the rounds; 0 counts none. An entry checks every 10 s or less
-	// often, so less than 30 s say little.
+	// IdleRounds is the number of rounds, each as long as IdleWindow, in which an idle fleet is
+	// measured.
+	IdleRounds int
+	IdleWindow time.Duration
+	// PlatformWindow is how long calls to the configuration service are counted after the rounds; 0
+	// counts none. An entry checks the service every 10 s or less often, so a window below 30 s
+	// says little.
 	PlatformWindow time.Duration
-	// Settle is the time between the start of a fleet and the first round.
+	// Settle is the pause between the start of a fleet and the first round.
 	Settle time.Duration
-	// Publications and Leavings are how often each kind of news is spread.
+	// Publications is the number of documents published, Departures the number of endpoints that
+	// leave, while the time is measured until every entry knows.
 	Publications int
-	Leavings     int
-	// FaultPublications are those while the service is slow, or reachable by one
-	// reader only.
+	Departures   int
+	// FaultPublications is the number of documents published while the service is slow, and again
+	// while only one reader reaches it.
 	FaultPublications int
-	// OtherPublications are those that only an entry that does not watch can
-	// read; they take up to spreadLimit each.
-	OtherPublications int
-	// Rates are the calls a second at which calls are measured, for CallWindow
-	// each. CallSizes are the fleets that they are sent through.
+	// NonReaderPublications is the number of documents published while only an entry that does not
+	// watch the service can read them; each takes up to propagationTimeout.
+	NonReaderPublications int
+	// Rates are the calls a second at which calls are measured, each for CallWindow. CallRounds is
+	// the number of rounds over all rates; 0 leaves calls out. CallSizes are the sizes of the
+	// fleets that the calls go through.
 	Rates      []int
 	CallWindow time.Duration
 	CallRounds int
 	CallSizes  []Size
-	// Held are the numbers of idle connections and of waiting requests at which
+	// ConnectionCounts are the numbers of idle connections, and of waiting requests, at which
 	// memory is measured.
-	Held []int
-	// Log gets a line for each step; nil for none.
+	ConnectionCounts []int
+	// Log, if not nil, gets a line for each step.
 	Log func(format string, args ...any)
 }
 
-// DefaultConfig is the run that docs/CAPACITY.md is made from.
+// DefaultConfig returns the configuration of the run that docs/CAPACITY.md reports.
 func DefaultConfig() Config {
 	return Config{
 		Entries:          []int{3, 8, 15, 30, 60},
@@ -54,29 +56,29 @@
 		Endpoints:        []int{33, 140, 560},
 		EndpointsEntries: 15,
 		Target:           Size{Entries: targetEntries, Endpoints: targetEndpoints, Regions: 3, Domains: 8},
-		Rounds:           3,
-		Window:           time.Second,
+		IdleRounds:       3,
+		IdleWindow:       time.Second,
 		Settle:           time.Second,
 		Publications:     5,
-		Leavings:         3,
+		Departures:       3,
 
-		FaultPublications: 3,
-		OtherPublications: 1,
-		Rates:             []int{1000, 2000, 4000, 8000},
-		CallWindow:        1200 * time.Millisecond,
-		CallRounds:        1,
+		FaultPublications:     3,
+		NonReaderPublications: 1,
+		Rates:                 []int{1000, 2000, 4000, 8000},
+		CallWindow:            1200 * time.Millisecond,
+		CallRounds:            1,
 		CallSizes: []Size{
 			{Entries: 3, Endpoints: 33, Regions: 1, Domains: 3},
 			{Entries: 15, Endpoints: targetEndpoints, Regions: 1, Domains: 3},
 		},
-		Held: []int{0, 100, 200, 400},
+		ConnectionCounts: []int{0, 100, 200, 400},
 	}
 }
 
-// fewDomains is how many failure domains the fleets in one region have.
-const fewDomains = 3
+// singleRegionDomains is the number of failure domains of a fleet in one region.
+const singleRegionDomains = 3
 
-// sizes lists the fleets of both series and the target, each once.
+// sizes lists the fleets of both series and the target, without duplicates.
 func (c Config) sizes() []Size {
 	var all []Size
 	add := func(s Size) {
@@ -88,10 +90,10 @@
 		all = append(all, s)
 	}
 	for _, n := range c.Endpoints {
-		add(inOneRegion(c.EndpointsEntries, n))
+		add(singleRegionSize(c.EndpointsEntries, n))
 	}
 	for _, n := range c.Entries {
-		add(inOneRegion(n, c.EntriesEndpoints))
+		add(singleRegionSize(n, c.EntriesEndpoints))
 	}
 	if c.Target.Entries > 0 {
 		add(c.Target)
@@ -99,8 +101,8 @@
 	return all
 }
 
-func inOneRegion(entries, endpoints int) Size {
-	return Size{Entries: entries, Endpoints: endpoints, Regions: 1, Domains: min(fewDomains, entries)}
+func singleRegionSize(entries, endpoints int) Size {
+	return Size{Entries: entries, Endpoints: endpoints, Regions: 1, Domains: min(singleRegionDomains, entries)}
 }
 
 func (c Config) logf(format string, args ...any) {
--- a/internal/fleetload/endpoint.go
+++ b/internal/fleetload/endpoint.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// endpointSlots is what the brief gives each instance.
+	// endpointSlots is the number of slots of each instance in the project's requirements.
 	endpointSlots = 2
-	// endpointIncarnation is the one incarnation of every endpoint.
+	// endpointIncarnation is the incarnation of every endpoint.
 	endpointIncarnation = 1
 	answerBytes         = 200
 )
 
-// endpoint is an instance that answers every request at once, so that next to
-// nothing of the measured processor time is its own.
+// endpoint is a simulated endpoint that answers every request at once, so that it uses next to none
+// of the measured processor time.
 type endpoint struct {
 	vm     published.VM
 	server *http.Server
-	// hold, if not nil, is closed when held requests may be answered.
-	hold     atomic.Pointer[chan struct{}]
+	// unblock, if not nil, points to a channel that delays all answers but those to probes until it
+	// is closed.
+	unblock  atomic.Pointer[chan struct{}]
 	draining atomic.Bool
-	// toldAt is when the first answer said that the endpoint drains, in
-	// nanoseconds since the epoch.
-	toldAt atomic.Int64
+	// drainingSentAt is the time of the first answer with the draining header, in nanoseconds since
+	// the Unix epoch.
+	drainingSentAt atomic.Int64
 }
 
-// The headers of all answers; read only.
+// The header values and the body of all answers; read-only.
 var (
-	idleLoad    = []string{contract.Load{Slots: endpointSlots}.String()}
-	incarnation = []string{contract.FormatIncarnation(endpointIncarnation)}
-	draining    = []string{contract.DrainingValue}
-	answerBody  = make([]byte, answerBytes)
+	idleLoadHeader    = []string{contract.Load{Slots: endpointSlots}.String()}
+	incarnationHeader = []string{contract.FormatIncarnation(endpointIncarnation)}
+	drainingHeader    = []string{contract.DrainingValue}
+	answerBody        = make([]byte, answerBytes)
 )
 
 // newEndpoint starts an endpoint on a free port of an address.
@@ -55,15 +56,15 @@
 
 // ServeHTTP implements http.Handler.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if held := e.hold.Load(); held != nil && r.URL.Path != contract.ProbePath {
-		<-*held
+	if unblock := e.unblock.Load(); unblock != nil && r.URL.Path != contract.ProbePath {
+		<-*unblock
 	}
 	h := w.Header()
-	h[contract.HeaderLoad] = idleLoad
-	h[contract.HeaderIncarnation] = incarnation
+	h[contract.HeaderLoad] = idleLoadHeader
+	h[contract.HeaderIncarnation] = incarnationHeader
 	if e.draining.Load() {
-		h[contract.HeaderDraining] = draining
-		e.toldAt.CompareAndSwap(0, time.Now().UnixNano())
+		h[contract.HeaderDraining] = drainingHeader
+		e.drainingSentAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 	_, _ = w.Write(answerBody)
 }
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -15,23 +15,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// endpoint is a fake endpoint. Its script handles each connection.
+// endpoint is a fake endpoint. Its script handles each connection in a goroutine.
 type endpoint struct {
 	t       *testing.T
 	address string
-	// arrivals counts the requests of which at least a byte came in.
+	// arrivals counts the requests of which at least one byte arrived.
 	arrivals atomic.Int32
 	conns    atomic.Int32
 }
 
-// peer is one connection of a fake endpoint.
-type peer struct {
+// endpointConn is one connection of a fake endpoint.
+type endpointConn struct {
 	*net.TCPConn
 	endpoint *endpoint
 	reader   *bufio.Reader
 }
 
-func newEndpoint(t *testing.T, script func(p *peer, number int)) *endpoint {
+func newEndpoint(t *testing.T, script func(p *endpointConn, number int)) *endpoint {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -45,7 +45,7 @@
 			if err != nil {
 				return
 			}
-			p := &peer{TCPConn: tcp, endpoint: e, reader: bufio.NewReader(tcp)}
+			p := &endpointConn{TCPConn: tcp, endpoint: e, reader: bufio.NewReader(tcp)}
 			t.Cleanup(func() { tcp.Close() })
 			number := int(e.conns.Add(1))
 			go script(p, number)
@@ -54,8 +54,8 @@
 	return e
 }
 
-// arrive waits for the first byte of a request and counts it.
-func (p *peer) arrive() bool {
+// awaitRequest waits for the first byte of a request and counts it.
+func (p *endpointConn) awaitRequest() bool {
 	if _, err := p.reader.Peek(1); err != nil {
 		return false
 	}
@@ -63,9 +63,9 @@
 	return true
 }
 
-// request reads a whole request.
-func (p *peer) request() *http.Request {
-	if !p.arrive() {
+// readRequest reads a whole request.
+func (p *endpointConn) readRequest() *http.Request {
+	if !p.awaitRequest() {
 		return nil
 	}
 	r, err := http.ReadRequest(p.reader)
@@ -76,17 +76,17 @@
 	return r
 }
 
-func (p *peer) say(text string) { io.WriteString(p, text) }
+func (p *endpointConn) writeText(text string) { io.WriteString(p, text) }
 
 // reset closes the connection with a RST.
-func (p *peer) reset() {
+func (p *endpointConn) reset() {
 	p.SetLinger(0)
 	p.Close()
 }
 
-// blackHole makes the kernel drop every segment that comes in, as if something
-// between the two ends had lost track of the connection.
-func (p *peer) blackHole() {
+// dropIncoming makes the kernel drop every incoming segment, as if a network device between the two
+// ends had lost the state of the connection.
+func (p *endpointConn) dropIncoming() {
 	raw, err := p.SyscallConn()
 	if err != nil {
 		p.endpoint.t.Error(err)
@@ -104,16 +104,16 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answering serves every request with the same answer.
-func answering(answer string) func(*peer, int) {
-	return func(p *peer, _ int) {
-		for p.request() != nil {
-			p.say(answer)
+// answerEvery returns a script that sends the same answer to every request.
+func answerEvery(answer string) func(*endpointConn, int) {
+	return func(p *endpointConn, _ int) {
+		for p.readRequest() != nil {
+			p.writeText(answer)
 		}
 	}
 }
 
-// manualClock is a clock that the test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) read() time.Duration     { return time.Duration(c.now.Load()) }
@@ -146,7 +146,7 @@
 	return out
 }
 
-// exchangeText sends a request and reads the answer whole.
+// exchangeText sends a request and returns the whole body of the answer.
 func exchangeText(c *Connections, out Outgoing) (string, Delivery, error) {
 	resp, delivery, err := c.Send(context.Background(), out)
 	if err != nil {
@@ -166,18 +166,18 @@
 	return delivery
 }
 
-// eventually waits for what another goroutine or the kernel does shortly.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits up to 10 s for a condition that another goroutine or the kernel brings about.
+func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(10 * time.Second); !holds(); runtime.Gosched() {
-		if time.Now().After(limit) {
-			t.Fatal("never happened: " + what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatal("did not happen within 10 s: " + event)
 		}
 	}
 }
 
-// idleDead reports whether no idle connection to address can be used.
-func idleDead(c *Connections, address string) func() bool {
+// idleUnusable returns a condition: no idle connection to address can be reused.
+func idleUnusable(c *Connections, address string) func() bool {
 	return func() bool {
 		p := c.lookup(address)
 		p.mu.Lock()
--- a/internal/front/copy_test.go
+++ b/internal/front/copy_test.go
@@ -12,11 +12,10 @@
 	"github.com/tealhall/tealhall/internal/forward"
 )
 
-// An auditor's summary ends in the middle of a table and nobody notices. The
-// endpoint died while it answered; the entry had passed on the first part. The
-// caller must see a broken connection, whichever way the answer is delimited:
-// by its length, in chunks, or in HTTP/1.0 by the connection's end.
-func TestCutOffAnswerIsNeverWhole(t *testing.T) {
+// An endpoint dies while it answers, after the entry has passed on the first part. The caller must
+// see a broken connection rather than a complete answer, whether the answer is delimited by its
+// length, in chunks, or in HTTP/1.0 by the end of the connection.
+func TestCutOffAnswerBreaksConnection(t *testing.T) {
 	tests := []struct {
 		name, version string
 		length        int64
@@ -35,22 +34,22 @@
 				}
 			})
 			c := dial(t, address)
-			c.say(lines("GET / "+test.version, "Host: a", "", ""))
+			c.send(lines("GET / "+test.version, "Host: a", "", ""))
 			if _, _, err := c.answer(http.MethodGet); !errors.Is(err, test.want) {
-				t.Errorf("the caller saw %v, want %v", err, test.want)
+				t.Errorf("the caller got the error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// failing fails every Read.
+// failing is a reader that always fails with err.
 type failing struct{ err error }
 
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
-// Live counts are pushed part by part. Each must be with the caller before the
-// endpoint has the next; headers of the endpoint's connection must not be.
-func TestStreamingAnswer(t *testing.T) {
+// Each part of a streaming answer must reach the caller before the endpoint sends the next one.
+// Hop-by-hop headers of the endpoint's connection must not reach the caller.
+func TestStreamingAnswerIsFlushedPartByPart(t *testing.T) {
 	source, endpoint := io.Pipe()
 	_, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, _ *http.Request) {
 		resp := fakeAnswer(source, -1)
@@ -61,7 +60,7 @@
 		}
 	})
 	c := dial(t, address)
-	c.say(lines("GET / HTTP/1.1", "Host: a", "", ""))
+	c.send(lines("GET / HTTP/1.1", "Host: a", "", ""))
 	io.WriteString(endpoint, "1")
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
@@ -86,18 +85,17 @@
 	}
 }
 
-// atEnd is an empty reader that calls the function.
+// atEnd is an empty reader that calls the function when it is read.
 type atEnd func()
 
 func (f atEnd) Read([]byte) (int, error) { f(); return 0, io.EOF }
 
-// pass is an entry in small: it brings a request to the endpoint and its answer
-// back.
-func pass(c *forward.Connections, address string, limits BodyLimits) http.HandlerFunc {
+// proxyTo is a minimal entry: it sends each request to one endpoint and copies the answer back.
+func proxyTo(c *forward.Connections, address string, limits BodyLimits) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := NewReplayBody(w, r, limits)
 		if err != nil {
-			refuseBody(w, err, false)
+			refuseRequest(w, err, false)
 			return
 		}
 		reader, _ := body.Reader()
@@ -105,17 +103,17 @@
 			Address: address, Request: r, Body: reader, ContentLength: body.Length(), Trailer: r.Trailer,
 		})
 		if err != nil {
-			refuseBody(w, err, delivery.Wrote)
+			refuseRequest(w, err, delivery.Wrote)
 			return
 		}
 		CopyAnswer(w, resp)
 	}
 }
 
-// refuseBody tells what it knows in headers of its own, since the words of the
-// answer are the entry's.
-func refuseBody(w http.ResponseWriter, err error, sentOn bool) {
-	var large *TooLarge
+// refuseRequest answers a request whose body failed. The header Sent-On states whether a part of
+// the body was sent to the endpoint.
+func refuseRequest(w http.ResponseWriter, err error, sentOn bool) {
+	var large *BodyTooLargeError
 	if !errors.As(err, &large) {
 		w.WriteHeader(http.StatusBadGateway)
 		return
@@ -124,9 +122,9 @@
 	w.WriteHeader(http.StatusRequestEntityTooLarge)
 }
 
-// The whole way through front and forward, with bodies that fit the buffer and
-// larger ones, each bounded, and endpoints that answer early or not at all.
-func TestBodiesThroughAnEntry(t *testing.T) {
+// Sends bodies through front and forward: bodies that fit the buffer, larger ones, ones that exceed
+// the limit or are malformed, and one to an endpoint that answers before the upload ends.
+func TestBodiesThroughEntry(t *testing.T) {
 	const kept, most = 100, 5000
 	_, endpoint := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/early" {
@@ -143,7 +141,7 @@
 	})
 	connections := forward.New(forward.Config{Clock: testClock()})
 	t.Cleanup(connections.Close)
-	_, address := serve(t, ServerConfig{}, pass(connections, endpoint, BodyLimits{Buffer: kept, Max: most}))
+	_, address := serve(t, ServerConfig{}, proxyTo(connections, endpoint, BodyLimits{Buffer: kept, Max: most}))
 	small, large, tooLarge := strings.Repeat("s", kept), strings.Repeat("l", most), strings.Repeat("t", most+1)
 	tests := []struct {
 		name, request, body string
@@ -163,13 +161,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := dial(t, address)
-			c.say(test.request)
+			c.send(test.request)
 			resp, text, err := c.answer(http.MethodPost)
 			if err != nil || resp.StatusCode != test.status || resp.StatusCode == 200 && text != test.body {
 				t.Fatalf("got %+v, %d bytes, %v", resp, len(text), err)
 			}
 			if got := resp.Header.Get("Sent-On"); got != test.sentOn {
-				t.Errorf("got sent on %q, want %q", got, test.sentOn)
+				t.Errorf("Sent-On is %q, want %q", got, test.sentOn)
 			}
 			if strings.Contains(test.request, "Sum") && resp.StatusCode == 200 && resp.Header.Get("Sum") != "7" {
 				t.Errorf("the trailer did not arrive: %v", resp.Header)
@@ -178,19 +176,21 @@
 	}
 }
 
+// withLength returns a POST request whose body has a Content-Length.
 func withLength(target, body string) string {
 	return lines("POST "+target+" HTTP/1.1", "Host: a", "Content-Length: "+decimal(len(body)), "", body)
 }
 
+// inChunks returns a POST request whose body is sent in two chunks with a trailer.
 func inChunks(target, body string) string {
 	half := len(body) / 2
 	return lines("POST "+target+" HTTP/1.1", "Host: a", "Transfer-Encoding: chunked", "Trailer: Sum", "",
 		hexadecimal(half), body[:half], hexadecimal(len(body)-half), body[half:], "0", "Sum: 7", "", "")
 }
 
-// A tablet is switched off while its request waits. The entry's context ends, so
-// that the endpoint's slot is freed; also when the body was streamed.
-func TestCallerLeaves(t *testing.T) {
+// A caller closes its connection while its request waits. The context of the request must end, so
+// that the endpoint's slot is freed, also if the body was streamed.
+func TestCallerGoneEndsRequest(t *testing.T) {
 	for _, buffer := range []int64{100, 1} {
 		started, ended := make(chan struct{}), make(chan struct{})
 		_, address := serve(t, ServerConfig{}, func(w http.ResponseWriter, r *http.Request) {
@@ -206,7 +206,7 @@
 			close(ended)
 		})
 		c := dial(t, address)
-		c.say(withLength("/", "tray"))
+		c.send(withLength("/", "tray"))
 		<-started
 		c.Close()
 		<-ended
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -11,26 +11,25 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// drainTime is how long connections that the kernel has accepted, or is about
-// to, are still taken over before a listener closes. Closing it at once would
-// reset them, perhaps with a request sent already. It is several times the way to
-// a caller and back.
+// drainTime is how long a listener that closes still accepts connections that the kernel has
+// established or is about to establish. Closing at once would reset them, possibly after the caller
+// has sent a request. The time is several times the round trip to a caller.
 const drainTime = 30 * time.Millisecond
 
-// firstRequest is how long a new connection may wait for its first request until
-// a stop takes it for idle. Closing it at once would cut off a caller that has
-// just connected and whose request is on its way.
-const firstRequest = time.Second
+// firstRequestWait is how long a stopping server waits for the first request on a new connection
+// before it treats the connection as idle. Closing it at once would cut off a caller that has just
+// connected and whose request is on its way.
+const firstRequestWait = time.Second
 
-// listener gives the server guarded connections.
+// listener accepts TCP connections and wraps them as guarded connections.
 type listener struct {
 	*net.TCPListener
 	server  *Server
 	leaving atomic.Bool
 }
 
-// Accept waits for a connection and sets its TCP options. After close it first
-// returns the connections that the kernel holds.
+// Accept waits for a connection and sets its TCP options. After leave it first returns the
+// connections that the kernel has established.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.TCPListener.AcceptTCP()
@@ -45,21 +44,21 @@
 			tcp.Close()
 			continue
 		}
-		return l.server.guard(tcp), nil
+		return l.server.newGuardedConn(tcp), nil
 	}
 }
 
-// leave makes Accept end once it has taken over the waiting connections.
+// leave makes Accept end once it has accepted the waiting connections.
 func (l *listener) leave() {
 	l.leaving.Store(true)
 	if raw, err := l.TCPListener.SyscallConn(); err == nil {
-		// Without it a connection that is opened in the last instant is reset.
-		_ = socket.StopOpening(raw)
+		// Without DropNewConnections, a connection that is opened just before the close is reset.
+		_ = socket.DropNewConnections(raw)
 	}
 	l.TCPListener.SetDeadline(time.Now().Add(drainTime))
 }
 
-// setOptions makes the kernel notice a caller that went away without a word.
+// setOptions makes the kernel detect a caller that disappears without closing its connection.
 func (s *Server) setOptions(tcp *net.TCPConn) error {
 	if err := tcp.SetKeepAliveConfig(socket.KeepAlive(s.cfg.KeepAlive)); err != nil {
 		return err
@@ -71,11 +70,11 @@
 	return socket.SetUserTimeout(raw, s.cfg.UserTimeout)
 }
 
-// guard wraps a new connection, inside TLS if that is set.
-func (s *Server) guard(tcp *net.TCPConn) *guard {
-	g := &guard{Conn: tcp, tcp: tcp, cfg: &s.cfg, opened: time.Now()}
-	if s.cfg.Ahead != nil {
-		g.ahead.server = s
+// newGuardedConn wraps a new connection, and adds TLS if that is configured.
+func (s *Server) newGuardedConn(tcp *net.TCPConn) *guardedConn {
+	g := &guardedConn{Conn: tcp, tcp: tcp, cfg: &s.cfg, opened: time.Now()}
+	if s.cfg.MayPipeline != nil {
+		g.pipeline.server = s
 	}
 	if s.cfg.TLS != nil {
 		g.Conn = tls.Server(tcp, s.cfg.TLS)
@@ -83,12 +82,13 @@
 	return g
 }
 
-// quiet reports whether nothing of a request has arrived or is to be expected.
-func (g *guard) quiet() bool {
-	if !g.idle.Load() || g.partial.Load() {
+// isIdle reports whether no request is in progress, has begun to arrive or is expected as the first
+// request of a new connection.
+func (g *guardedConn) isIdle() bool {
+	if !g.idle.Load() || g.headStarted.Load() {
 		return false
 	}
-	if !g.used.Load() && time.Since(g.opened) < firstRequest {
+	if !g.used.Load() && time.Since(g.opened) < firstRequestWait {
 		return false
 	}
 	raw, err := g.tcp.SyscallConn()
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,6 +1,6 @@
-// Package logging writes the log: one JSON object a line through klog's slog bridge,
-// within a bound on lines and bytes a second, and never on the path of a request. What
-// does not fit is dropped and counted.
+// Package logging writes the log through klog's slog bridge, as one JSON object per line, within a
+// limit on lines and bytes per second. Logging never blocks a request: lines that exceed the limits
+// are dropped and counted.
 package logging
 
 import (
@@ -13,13 +13,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds a Writer. Zero values stand for the defaults.
+// Config configures the limits of a Writer. Zero values select the defaults.
 type Config struct {
-	// LinesPerSecond and BytesPerSecond bound what is written in the long run;
-	// defaults 200 and 100,000. Twice as much may come at once.
+	// LinesPerSecond and BytesPerSecond limit the average rate; defaults 200 and 100,000. A burst
+	// may contain twice as much.
 	LinesPerSecond int
 	BytesPerSecond int
-	// Queue is how many lines may wait for a slow reader; default 256.
+	// Queue is the number of lines that may wait for a slow reader; default 256.
 	Queue int
 	// Now is the clock; default time.Now.
 	Now func() time.Time
@@ -29,16 +29,16 @@
 	defaultLines = 200
 	defaultBytes = 100_000
 	defaultQueue = 256
-	// burst is how many seconds' worth may be written at once.
+	// burst is the number of seconds of the limits that may be written at once.
 	burst = 2
-	// ordinaryShare is the part of the bound that ordinary lines leave for failures
-	// and for changes of what the process believes.
-	ordinaryShare = 0.5
-	// tellEvery is the shortest time between two lines that tell how many were left
-	// out, which the bound does not count.
-	tellEvery = time.Second
-	// closeWait bounds the wait for a reader at the end of the process.
-	closeWait = 200 * time.Millisecond
+	// reservedShare is the share of the line limit that low-priority lines leave for failures and
+	// for changes in the state of the process.
+	reservedShare = 0.5
+	// dropReportInterval is the shortest time between two lines that report dropped lines. These
+	// lines do not count towards the limits.
+	dropReportInterval = time.Second
+	// closeTimeout bounds the wait for the reader in Close.
+	closeTimeout = 200 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -57,8 +57,9 @@
 	return c
 }
 
-// Writer passes lines on to a reader that may be slow, or read nothing at all: a pipe
-// that is full must not hold up a request. It is safe for concurrent use.
+// Writer passes lines to a reader that may be slow or stalled. A full pipe must not block a
+// request, so lines are queued and dropped when the queue is full. Writer is safe for concurrent
+// use.
 type Writer struct {
 	cfg   Config
 	lines *rate.Limiter
@@ -66,12 +67,12 @@
 	queue chan []byte
 	done  chan struct{}
 
-	closing sync.Once
-	dropped atomic.Uint64
-	untold  atomic.Uint64
+	closing    sync.Once
+	dropped    atomic.Uint64
+	unreported atomic.Uint64
 }
 
-// NewWriter returns a writer to out. Close it to write what waits.
+// NewWriter returns a Writer to out. Call Close to flush the queued lines.
 func NewWriter(out io.Writer, cfg Config) *Writer {
 	cfg = cfg.withDefaults()
 	w := &Writer{
@@ -85,39 +86,41 @@
 	return w
 }
 
-// run is the only one who waits for the reader.
+// run writes the queued lines. Only this goroutine blocks on out.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
-	var next time.Time
+	var nextReport time.Time
 	for line := range w.queue {
-		if now := w.cfg.Now(); !now.Before(next) && w.tellDropped(out) {
-			next = now.Add(tellEvery)
+		if now := w.cfg.Now(); !now.Before(nextReport) && w.reportDropped(out) {
+			nextReport = now.Add(dropReportInterval)
 		}
-		_, _ = out.Write(line) // nobody is left to be told
+		_, _ = out.Write(line) // a write error of the log cannot be logged
 	}
-	w.tellDropped(out)
+	w.reportDropped(out)
 }
 
-// tellDropped writes how many lines were left out since it last did, if any were.
-func (w *Writer) tellDropped(out io.Writer) bool {
-	n := w.untold.Swap(0)
+// reportDropped writes the number of lines dropped since the previous report and returns true, or
+// returns false if there are none.
+func (w *Writer) reportDropped(out io.Writer) bool {
+	n := w.unreported.Swap(0)
 	if n > 0 {
 		fmt.Fprintf(out, `{"time":%q,"level":"WARN","msg":"log lines left out","lines":%d}`+"\n", w.cfg.Now().Format(time.RFC3339Nano), n)
 	}
 	return n > 0
 }
 
-// Write takes one line and never waits. It returns no error: a line that does not fit
-// is counted.
+// Write queues one line without blocking. It never returns an error: a line that exceeds the limits
+// is dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.put(line, false)
+	w.enqueue(line, false)
 	return len(line), nil
 }
 
-// put queues a line; ordinary ones leave room for others.
-func (w *Writer) put(line []byte, ordinary bool) {
+// enqueue queues a line, or drops it if it exceeds the limits. Low-priority lines leave room for
+// other lines.
+func (w *Writer) enqueue(line []byte, lowPriority bool) {
 	now := w.cfg.Now()
-	if ordinary && w.lines.TokensAt(now) < ordinaryShare*float64(w.lines.Burst()) ||
+	if lowPriority && w.lines.TokensAt(now) < reservedShare*float64(w.lines.Burst()) ||
 		!w.lines.AllowN(now, 1) || !w.bytes.AllowN(now, len(line)) {
 		w.drop()
 		return
@@ -131,18 +134,18 @@
 
 func (w *Writer) drop() {
 	w.dropped.Add(1)
-	w.untold.Add(1)
+	w.unreported.Add(1)
 }
 
-// Dropped returns how many lines were left out since the start.
+// Dropped returns the number of lines dropped since the start.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, as far as the reader takes it within a short time. Nothing
-// may be written after it.
+// Close flushes the queued lines, waiting up to closeTimeout for the reader. The Writer must not be
+// used after Close.
 func (w *Writer) Close() {
 	w.closing.Do(func() { close(w.queue) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,8 +13,8 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// link keeps one outgoing connection open. Its goroutine dials, sends updates
-// one at a time, and pings when there are none.
+// link keeps one outgoing connection open. Its goroutine dials, sends updates one at a time, and
+// pings when there is no update to send.
 type link struct {
 	owner   *Links
 	cfg     Config
@@ -22,11 +22,11 @@
 	meter   meter
 	cancel  context.CancelFunc
 	done    chan struct{}
-	ready   chan struct{} // signals that the outbox got something
+	ready   chan struct{} // signals that the outbox has an update
 
 	mu     sync.Mutex
 	outbox outbox
-	open   *connection // nil unless open
+	conn   *connection // nil unless the link is open
 	stats  LinkStats
 }
 
@@ -69,37 +69,38 @@
 	failures := 0
 	for ctx.Err() == nil {
 		before := l.snapshot().Messages
-		l.note(func(s *LinkStats) { s.State = LinkDialing })
-		err := l.session(ctx, failures == 0)
-		l.note(func(s *LinkStats) { s.State, s.LastError = LinkWaiting, err.Error() })
-		l.giveUp()
+		l.updateStats(func(s *LinkStats) { s.State = LinkDialing })
+		err := l.runConnection(ctx, failures == 0)
+		l.updateStats(func(s *LinkStats) { s.State, s.LastError = LinkWaiting, err.Error() })
+		l.failWaiting()
 		if l.snapshot().Messages > before {
-			failures = 0 // the peer took something, so this is a new failure
+			failures = 0 // the peer accepted an update, so this is a new failure
 		}
 		pause(ctx, l.backoff(failures))
 		failures++
 	}
-	l.note(func(s *LinkStats) { s.State = linkStopped })
-	l.giveUp()
+	l.updateStats(func(s *LinkStats) { s.State = linkStopped })
+	l.failWaiting()
 }
 
-// After a failure the first dials follow each other quickly, and the very first one is
-// repeated beside itself. Guards against entries that lose power together: the opening
-// packet to one that starts a little later is lost, and the kernel repeats it after a whole
-// second, for which callers are told of one entry only. repeatDial is far above a round
+// The first dials after a failure follow each other quickly, and the very first one is repeated in
+// parallel until one of them ends. This guards against entries that lose power together: the SYN
+// to an entry that starts a little later is lost, and the kernel retransmits it after a whole
+// second, during which callers learn of one entry only. repeatDialInterval is far above a round
 // trip between regions.
 const (
-	quickDials = 6
-	repeatDial = 150 * time.Millisecond
+	maxQuickDials      = 6
+	repeatDialInterval = 150 * time.Millisecond
 )
 
-// maxDoublings keeps the shift below from overflowing.
+// maxDoublings keeps the shift in backoff from overflowing.
 const maxDoublings = 16
 
-// backoff doubles with each failure after the quick dials up to its bound. Half of it is
-// random, so that the peers of a restarted entry don't come back in step.
+// backoff returns the delay before the next dial. After the quick dials, it doubles with each
+// failure up to its bound. Half of it is random, so that the peers of a restarted entry do not
+// reconnect at the same time.
 func (l *link) backoff(failures int) time.Duration {
-	doublings := min(max(failures-quickDials, 0), maxDoublings)
+	doublings := min(max(failures-maxQuickDials, 0), maxDoublings)
 	most := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
 	return most/2 + time.Duration(l.cfg.Jitter()*float64(most/2))
 }
@@ -113,35 +114,35 @@
 	}
 }
 
-// session opens a connection, with repeated dials if asked for, and uses it until it
+// runConnection opens a connection, with repeated dials if repeat is set, and uses it until it
 // breaks.
-func (l *link) session(ctx context.Context, repeat bool) error {
+func (l *link) runConnection(ctx context.Context, repeat bool) error {
 	c, peer, err := l.connect(ctx, repeat)
 	if err != nil {
 		return err
 	}
 	defer c.end()
-	l.note(func(s *LinkStats) {
+	l.updateStats(func(s *LinkStats) {
 		s.State, s.Peer = LinkOpen, peer
 		s.Opened++
 	})
 	l.owner.onHello(l.address, peer)
-	l.use(c)
-	defer l.use(nil)
-	return l.pump(ctx, c)
+	l.setConnection(c)
+	defer l.setConnection(nil)
+	return l.sendLoop(ctx, c)
 }
 
-// connect dials, and says Hello within the dial time-out.
+// connect dials and exchanges Hello within the dial timeout.
 func (l *link) connect(ctx context.Context, repeat bool) (*connection, message.Hello, error) {
-	dialing, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout)
 	defer cancel()
-	conn, err := l.dial(dialing, repeat)
+	conn, err := l.dial(dialCtx, repeat)
 	if err != nil {
-		return nil, message.Hello{}, l.down(err)
+		return nil, message.Hello{}, l.peerDown(err)
 	}
 	codec := wire.NewClientCodec(conn, l.cfg.limits())
 	c := &connection{client: rpc.NewClientWithCodec(codec), broken: make(chan struct{})}
-	peer, err := l.greet(dialing, c)
+	peer, err := l.exchangeHello(dialCtx, c)
 	if err != nil {
 		c.end()
 		return nil, message.Hello{}, err
@@ -150,11 +151,11 @@
 }
 
 func (l *link) dial(ctx context.Context, repeat bool) (net.Conn, error) {
-	open := l.cfg.Dial
+	dial := l.cfg.Dial
 	if repeat {
-		open = l.dialRepeated
+		dial = l.dialWithRepeats
 	}
-	conn, err := open(ctx, l.address)
+	conn, err := dial(ctx, l.address)
 	if err != nil {
 		return nil, err
 	}
@@ -170,50 +171,51 @@
 	return secure, nil
 }
 
-// dialled is how one dial ended.
-type dialled struct {
+// dialResult is the result of one dial.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialRepeated dials again every repeatDial until one of the dials ends, and returns how
-// that one ended. A refusal ends all: the VM is there, and its process is not.
-func (l *link) dialRepeated(ctx context.Context, address string) (net.Conn, error) {
+// dialWithRepeats starts another dial every repeatDialInterval until one of the dials ends, and
+// returns the result of that one. A refused connection ends all dials, because the VM is up and
+// its process is not.
+func (l *link) dialWithRepeats(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan dialled, quickDials)
-	begin := func() {
+	results := make(chan dialResult, maxQuickDials)
+	startDial := func() {
 		conn, err := l.cfg.Dial(ctx, address)
-		ended <- dialled{conn, err}
+		results <- dialResult{conn, err}
 	}
-	timer := time.NewTimer(repeatDial)
+	timer := time.NewTimer(repeatDialInterval)
 	defer timer.Stop()
-	go begin()
-	for under := 1; ; {
+	go startDial()
+	for running := 1; ; {
 		select {
-		case d := <-ended:
-			go closeDialled(ended, under-1)
-			return d.conn, d.err
+		case result := <-results:
+			go closeLateDials(results, running-1)
+			return result.conn, result.err
 		case <-timer.C:
-			if under < quickDials {
-				under++
-				go begin()
-				timer.Reset(repeatDial)
+			if running < maxQuickDials {
+				running++
+				go startDial()
+				timer.Reset(repeatDialInterval)
 			}
 		}
 	}
 }
 
-// closeDialled closes what so many more dials bring.
-func closeDialled(ended <-chan dialled, dials int) {
+// closeLateDials waits for the given number of dials and closes their connections.
+func closeLateDials(results <-chan dialResult, dials int) {
 	for range dials {
-		if d := <-ended; d.conn != nil {
-			d.conn.Close()
+		if result := <-results; result.conn != nil {
+			result.conn.Close()
 		}
 	}
 }
 
-// tlsConfig names the peer by its IP number where the settings give no name.
+// tlsConfig uses the peer's IP address as the server name if the settings give no name.
 func (l *link) tlsConfig() *tls.Config {
 	config := l.cfg.ClientTLS().Clone()
 	if host, _, err := net.SplitHostPort(l.address); err == nil && config.ServerName == "" {
@@ -222,7 +224,7 @@
 	return config
 }
 
-func (l *link) greet(ctx context.Context, c *connection) (message.Hello, error) {
+func (l *link) exchangeHello(ctx context.Context, c *connection) (message.Hello, error) {
 	self := wire.Hello(l.owner.self())
 	reply := new(wire.HelloReply)
 	if err := l.exchange(ctx, c, wire.MethodHello, &self, reply); err != nil {
@@ -235,9 +237,8 @@
 	return peer, checkVersion(peer)
 }
 
-// pump sends what waits, and pings when nothing does, until the connection
-// breaks.
-func (l *link) pump(ctx context.Context, c *connection) error {
+// sendLoop sends waiting updates, and pings when there are none, until the connection breaks.
+func (l *link) sendLoop(ctx context.Context, c *connection) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	last := time.Now()
@@ -248,7 +249,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-c.broken:
-			return l.down(net.ErrClosed)
+			return l.peerDown(net.ErrClosed)
 		case <-l.ready:
 			err = l.sendWaiting(ctx, c)
 		case <-timer.C:
@@ -269,7 +270,7 @@
 		return nil
 	}
 	ack, err := l.sendUpdate(ctx, c, u)
-	l.settle(done, message.Receipt{Acked: err == nil, EvidenceDigest: ack.EvidenceDigest, RecordDigest: ack.RecordDigest})
+	l.completeUpdate(done, message.Receipt{Acked: err == nil, EvidenceDigest: ack.EvidenceDigest, RecordDigest: ack.RecordDigest})
 	return err
 }
 
@@ -282,15 +283,16 @@
 		return message.Ack{}, err
 	}
 	if !reply.Ack.Accepted {
-		// Its reasons end with a new Hello, which a new connection begins with.
+		// A new connection begins with a new Hello, which removes the reasons for not accepting an
+		// update.
 		return message.Ack{}, fault.New(fault.PeerDown, "nothing: the link is opened again", "%s did not accept an update: %s", l.address, reply.Ack.Reason)
 	}
 	return reply.Ack, nil
 }
 
-// settle counts an update and tells its sender how it ended.
-func (l *link) settle(done func(message.Receipt), r message.Receipt) {
-	l.note(func(s *LinkStats) {
+// completeUpdate counts an update and passes the receipt to its sender.
+func (l *link) completeUpdate(done func(message.Receipt), r message.Receipt) {
+	l.updateStats(func(s *LinkStats) {
 		if r.Acked {
 			s.Messages++
 		} else {
@@ -300,19 +302,19 @@
 	done(r)
 }
 
-// giveUp fails the update that waits, if there is one.
-func (l *link) giveUp() {
+// failWaiting fails the waiting update, if there is one.
+func (l *link) failWaiting() {
 	l.mu.Lock()
 	_, done, ok := l.outbox.take(time.Now())
 	l.mu.Unlock()
 	if ok {
-		l.settle(done, message.Receipt{})
+		l.completeUpdate(done, message.Receipt{})
 	}
 }
 
-// send puts an update into the outbox unless the link is down. An update waits
-// for a link that is being dialled.
-func (l *link) send(u message.Update, done func(message.Receipt)) bool {
+// enqueue puts an update into the outbox, and returns false if the link is down. An update waits
+// while the link is dialling.
+func (l *link) enqueue(u message.Update, done func(message.Receipt)) bool {
 	l.mu.Lock()
 	if l.stats.State == LinkWaiting || l.stats.State == linkStopped {
 		l.stats.Dropped++
@@ -322,7 +324,7 @@
 	replaced := l.outbox.put(time.Now(), u, done)
 	l.mu.Unlock()
 	if replaced != nil {
-		l.settle(replaced, message.Receipt{})
+		l.completeUpdate(replaced, message.Receipt{})
 	}
 	select {
 	case l.ready <- struct{}{}:
@@ -331,16 +333,16 @@
 	return true
 }
 
-func (l *link) use(c *connection) {
+func (l *link) setConnection(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = c
+	l.conn = c
 }
 
-// call makes a call for a caller outside of the link's goroutine.
+// call makes a call on behalf of a goroutine other than the link's own.
 func (l *link) call(ctx context.Context, m wire.Method, args, reply any) error {
 	l.mu.Lock()
-	c, reason := l.open, l.stats.LastError
+	c, reason := l.conn, l.stats.LastError
 	l.mu.Unlock()
 	if c == nil {
 		return fault.New(fault.PeerDown, "ask another peer", "the link to %s is not open (last error: %s)", l.address, reason)
@@ -348,50 +350,50 @@
 	return l.exchange(ctx, c, m, args, reply)
 }
 
-// exchange makes one call. A call that the peer does not answer within the call
-// time-out breaks the connection: an open connection can be dead while new
-// ones work, which shows as silence, and a new connection is cheap.
+// exchange makes one call. A call that the peer does not answer within the call timeout closes the
+// connection: an established connection can be silently dead while new ones work, and a new
+// connection is cheap.
 func (l *link) exchange(ctx context.Context, c *connection, m wire.Method, args, reply any) error {
 	started := time.Now()
 	timer := time.NewTimer(l.cfg.CallTimeout)
 	defer timer.Stop()
-	// Writing may block until its own deadline, so it has its own goroutine.
+	// The call runs on its own goroutine because writing may block until the write deadline.
 	done := make(chan error, 1)
 	go func() { done <- c.client.Call(m.String(), args, reply) }()
 	select {
 	case err := <-done:
-		return l.finish(c, started, err)
+		return l.finishCall(c, started, err)
 	case <-timer.C:
 		c.end()
-		return fault.New(fault.PeerDown, "nothing: the link is opened again; look at the network if it goes on",
+		return fault.New(fault.PeerDown, "nothing: the link is opened again; check the network if this continues",
 			"%s did not answer for %s", l.address, l.cfg.CallTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (l *link) finish(c *connection, started time.Time, err error) error {
+func (l *link) finishCall(c *connection, started time.Time, err error) error {
 	if refusal, ok := err.(rpc.ServerError); ok {
 		return fault.New(fault.BadMessage, "upgrade the older of the two entries", "%s refused the call: %s", l.address, string(refusal))
 	}
 	if err != nil {
 		c.end()
-		return l.down(err)
+		return l.peerDown(err)
 	}
 	now := time.Now()
-	l.note(func(s *LinkStats) { s.Heard, s.RTT = now, now.Sub(started) })
+	l.updateStats(func(s *LinkStats) { s.Heard, s.RTT = now, now.Sub(started) })
 	return nil
 }
 
-func (l *link) down(err error) error {
+func (l *link) peerDown(err error) error {
 	if fault.KindOf(err) != "" {
 		return err
 	}
-	return fault.Wrap(err, fault.PeerDown, "nothing: the link is opened again; look at the peer or the network if it goes on",
+	return fault.Wrap(err, fault.PeerDown, "nothing: the link is opened again; check the peer or the network if this continues",
 		"the link to %s failed", l.address)
 }
 
-func (l *link) note(change func(*LinkStats)) {
+func (l *link) updateStats(change func(*LinkStats)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.stats)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,21 +15,21 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-func TestUpdatesArriveWhole(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+func TestUpdatesArriveUnchanged(t *testing.T) {
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		first := message.Update{From: 1, Sequence: 1, State: message.EntryServing, Epoch: 3,
 			Profiles: message.Mark{Revision: 4, Digest: 5}, VMs: message.Mark{Revision: 6, Digest: 7}, Reader: true, Rate: 8,
 			Evidence:    []message.Evidence{{VM: "vm-1", Incarnation: 9, Kind: message.EvidenceLeaving, AgeMillis: 10}},
 			LoadReports: []message.LoadReport{{Endpoint: "live-1", Incarnation: 11, InFlight: 2, Own: 1, AgeMillis: 12}}}
-		second := first // the same marks and endpoint again, which are not repeated on the wire
+		second := first // the same marks and endpoint, which the packed update omits
 		second.Sequence, second.Evidence = 2, nil
 		for _, u := range []message.Update{first, second} {
 			var acked atomic.Bool
 			p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked.Store(r.Acked) })
-			elapse(time.Second)
+			advance(time.Second)
 			if !acked.Load() {
-				t.Errorf("update %d: not accepted", u.Sequence)
+				t.Errorf("update %d was not acked", u.Sequence)
 			}
 		}
 		if diff := cmp.Diff([]message.Update{first, second}, n.received()); diff != "" {
@@ -51,22 +51,22 @@
 		reason string
 	}{
 		{"same release", helloOf("a", 1), helloOf("b", 2), nil, true, ""},
-		{"newer caller that speaks the old version", message.Hello{Name: "a", Version: 9, MinVersion: 1}, helloOf("b", 2), nil, true, ""},
-		{"newer caller that does not", message.Hello{Name: "a", Version: 9, MinVersion: 8}, helloOf("b", 2), nil, false, "upgrade this entry"},
-		{"older caller", message.Hello{Name: "a"}, helloOf("b", 2), nil, false, "upgrade entry a"},
-		{"newer answerer", helloOf("a", 1), message.Hello{Name: "b", Version: 9, MinVersion: 8}, nil, false, "upgrade this entry"},
+		{"newer client that supports the old version", message.Hello{Name: "a", Version: 9, MinVersion: 1}, helloOf("b", 2), nil, true, ""},
+		{"newer client without the old version", message.Hello{Name: "a", Version: 9, MinVersion: 8}, helloOf("b", 2), nil, false, "upgrade this entry"},
+		{"older client", message.Hello{Name: "a"}, helloOf("b", 2), nil, false, "upgrade entry a"},
+		{"newer server", helloOf("a", 1), message.Hello{Name: "b", Version: 9, MinVersion: 8}, nil, false, "upgrade this entry"},
 		{"refused by the handler", helloOf("a", 1), helloOf("b", 2),
 			fault.New(fault.BadMessage, "publish it in the list of VMs", "entry a is not known"), false, "publish it in the list of VMs"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: c.theirs, refuse: c.refuse}, Config{}, c.mine, func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: c.theirs, refuse: c.refuse}, Config{}, c.mine, func(t *testing.T, p *pair) {
 				stats := p.links.Stats()[0]
 				if open := stats.State == LinkOpen; open != c.open || len(p.hellos) > 0 != c.open {
 					t.Errorf("stats %+v, hellos %v", stats, p.hellos)
 				}
 				if !strings.Contains(stats.LastError, c.reason) {
-					t.Errorf("error %q lacks %q", stats.LastError, c.reason)
+					t.Errorf("error %q does not contain %q", stats.LastError, c.reason)
 				}
 			})
 		})
@@ -95,7 +95,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2), fetch: c.fetch}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: helloOf("b", 2), fetch: c.fetch}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 				document, err := p.links.Fetch(context.Background(), c.address, message.Fetch{Name: "profiles", After: 3})
 				if fault.KindOf(err) != c.kind || fault.Remedy(err) != c.remedy || len(document.Data) != c.bytes {
 					t.Errorf("%d bytes, error %v", len(document.Data), err)
@@ -108,34 +108,34 @@
 	}
 }
 
-// A user would see an entry that goes on choosing by figures of a peer that it
-// no longer hears. The open connection goes silent: a device between the two
-// forgot it, so nothing is refused and nothing arrives. A new connection works.
+// Guards against an entry that keeps using load reports of a peer that it can no longer reach. A
+// network device has lost the state of the open connection, so nothing is refused and nothing
+// arrives, while a new connection works.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	cfg := Config{Heartbeat: time.Second, CallTimeout: 3 * time.Second}
-	n := &node{hello: helloOf("b", 2)}
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.loseAll()
-		// Noticed by the ping's time-out; opened again after the back-off.
-		elapse(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
+		p.net.silenceAll()
+		// The ping times out, and the link opens again after the back-off.
+		advance(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
 		stats := p.links.Stats()[0]
 		if stats.State != LinkOpen || stats.Opened != 2 {
-			t.Fatalf("after the silence: %+v", stats)
+			t.Fatalf("stats after the connection went silent: %+v", stats)
 		}
 		if acked := p.deliver(message.Update{Sequence: 7}); !acked || n.received()[0].Sequence != 7 {
 			t.Errorf("acked %v, received %v", acked, n.received())
 		}
 		if open := p.server.Stats().Connections; open != 1 {
-			t.Errorf("the server holds %d connections", open)
+			t.Errorf("the server has %d connections, want 1", open)
 		}
 	})
 }
 
-// deliver returns whether the update was acked, or that nobody said so.
+// deliver returns whether the update was acked; false if done was not called in time.
 func (p *pair) deliver(u message.Update) bool {
 	acked := make(chan bool, 1)
 	p.links.Deliver(peerAddress, u, func(r message.Receipt) { acked <- r.Acked })
-	elapse(defaultCallTimeout)
+	advance(defaultCallTimeout)
 	select {
 	case ok := <-acked:
 		return ok
@@ -144,9 +144,10 @@
 	}
 }
 
-// A sender counts what it told as known to the peer. If it were told so too
-// early, a leaving VM would never be told again and go on getting work.
-func TestDeliverSaysWhetherThePeerAccepted(t *testing.T) {
+// A sender regards evidence in an acked update as known to the peer. Guards against acks that are
+// reported too early: the evidence that a VM is leaving would never be sent again, and the VM
+// would keep getting requests.
+func TestDeliverReportsWhetherPeerAccepted(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(p *pair)
@@ -154,18 +155,18 @@
 		state LinkState
 	}{
 		{"accepted", func(*pair) {}, true, LinkOpen},
-		{"refused by the handler", func(p *pair) { p.node.refuseUpdates = true }, false, LinkOpen},
-		{"connection lost", func(p *pair) { p.net.loseAll() }, false, LinkWaiting},
+		{"refused by the handler", func(p *pair) { p.handler.refuseUpdates = true }, false, LinkOpen},
+		{"connection lost", func(p *pair) { p.net.silenceAll() }, false, LinkWaiting},
 		{"peer down", func(p *pair) {
 			p.net.setDown(true)
-			p.net.loseAll()
-			elapse(10 * time.Second)
+			p.net.silenceAll()
+			advance(10 * time.Second)
 		}, false, LinkWaiting},
-		{"not wanted", func(p *pair) { p.links.Set(nil) }, false, ""},
+		{"not wanted", func(p *pair) { p.links.SetPeers(nil) }, false, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+			withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 				c.fault(p)
 				if acked := p.deliver(message.Update{Sequence: 1}); acked != c.acked {
 					t.Errorf("acked %v", acked)
@@ -178,21 +179,21 @@
 	}
 }
 
-// An update waits while the link is dialled. A newer one takes its place, and
-// its sender learns that; the newer one arrives with its true age.
-func TestUpdateWaitsForADial(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+// An update waits while the link is dialling. If a newer update replaces it, its sender is
+// notified, and the newer one arrives with ages that include the waiting time.
+func TestUpdateWaitsWhileLinkDials(t *testing.T) {
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{BackoffMax: defaultBackoffMin}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.setSlow(2 * time.Second)
-		p.net.loseAll()
-		elapse(5 * time.Second) // found by the ping; the next dial has begun
+		p.net.setDialDelay(2 * time.Second)
+		p.net.silenceAll()
+		advance(5 * time.Second) // the ping has timed out and the next dial has begun
 		var first, second []bool
 		p.links.Deliver(peerAddress, message.Update{Sequence: 1}, func(r message.Receipt) { first = append(first, r.Acked) })
 		p.links.Deliver(peerAddress, message.Update{Sequence: 2,
 			Evidence:    []message.Evidence{{VM: "vm-1", AgeMillis: 70_000}},
 			LoadReports: []message.LoadReport{{Endpoint: "live-1", AgeMillis: 65_000}},
 		}, func(r message.Receipt) { second = append(second, r.Acked) })
-		elapse(2 * time.Second)
+		advance(2 * time.Second)
 		if !cmp.Equal(first, []bool{false}) || !cmp.Equal(second, []bool{true}) {
 			t.Fatalf("acked: first %v, second %v", first, second)
 		}
@@ -203,87 +204,86 @@
 	})
 }
 
-// A peer is away for a minute: dials are spaced by a growing, bounded back-off.
+// A peer is down for a minute. The delays between dials must grow and stay bounded.
 func TestBackoff(t *testing.T) {
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.setDown(true)
-		p.net.loseAll()
-		elapse(time.Minute)
+		p.net.silenceAll()
+		advance(time.Minute)
 		if dials := len(p.net.dials); dials < 12 || dials > 25 {
 			t.Errorf("%d dials in a minute", dials)
 		}
 		last := p.net.dials[len(p.net.dials)-1].Sub(p.net.dials[len(p.net.dials)-2])
 		if last > defaultBackoffMax || last < defaultBackoffMax/2 {
-			t.Errorf("the last dials are %s apart", last)
+			t.Errorf("the delay between the last dials is %s", last)
 		}
 		p.net.setDown(false)
-		elapse(defaultBackoffMax)
+		advance(defaultBackoffMax)
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen {
 			t.Errorf("stats %+v", stats)
 		}
 	})
 }
 
-// All entries lose power together, and the one that the others look for is back a little
-// later than they are. Dials to it are lost until then. They are repeated soon, not left
-// to the kernel, which repeats a packet after a whole second; a peer that stays away is
-// dialled rarely in the end.
+// All entries lose power together, and one of them starts a little later than the others. SYNs to
+// it are lost until then. Guards against dials that wait for the kernel to retransmit a SYN after
+// a whole second, and against frequent dials to a peer that stays down.
 func TestQuickDialsAfterPowerLoss(t *testing.T) {
 	cfg := Config{BackoffMin: 100 * time.Millisecond}
-	withPair(t, &node{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.net.setDark(true)
-		p.links.Set(nil)
-		p.links.Set([]string{peerAddress})
-		elapse(310 * time.Millisecond)
-		p.net.setDark(false)
-		elapse(repeatDial)
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
+		p.net.setUnpowered(true)
+		p.links.SetPeers(nil)
+		p.links.SetPeers([]string{peerAddress})
+		advance(310 * time.Millisecond)
+		p.net.setUnpowered(false)
+		advance(repeatDialInterval)
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen {
-			t.Errorf("%v after the peer was back: %+v", repeatDial, stats)
+			t.Errorf("%v after the peer started: %+v", repeatDialInterval, stats)
 		}
-		before := len(p.net.dials)
-		p.net.setDark(true)
-		p.links.Set(nil)
-		p.links.Set([]string{peerAddress})
-		elapse(time.Minute)
-		if dials := len(p.net.dials) - before; dials > 25 {
+		dialsBefore := len(p.net.dials)
+		p.net.setUnpowered(true)
+		p.links.SetPeers(nil)
+		p.links.SetPeers([]string{peerAddress})
+		advance(time.Minute)
+		if dials := len(p.net.dials) - dialsBefore; dials > 25 {
 			t.Errorf("%d dials in a minute", dials)
 		}
 	})
 }
 
-func TestSetAndCloseEndLinks(t *testing.T) {
-	withPair(t, &node{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		p.links.Set(nil)
-		elapse(time.Second)
+func TestUnwantedLinkIsClosed(t *testing.T) {
+	withPair(t, &recordingHandler{hello: helloOf("b", 2)}, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+		p.links.SetPeers(nil)
+		advance(time.Second)
 		if open := p.server.Stats().Connections; open != 0 || len(p.links.Stats()) != 0 {
 			t.Errorf("%d connections, %d links", open, len(p.links.Stats()))
 		}
-		var told []bool // before Deliver returns
-		p.links.Deliver(peerAddress, message.Update{}, func(r message.Receipt) { told = append(told, r.Acked) })
-		if len(told) != 1 || told[0] {
-			t.Errorf("an update for an address that is not wanted: told %v", told)
+		var receipts []bool // complete when Deliver returns
+		p.links.Deliver(peerAddress, message.Update{}, func(r message.Receipt) { receipts = append(receipts, r.Acked) })
+		if len(receipts) != 1 || receipts[0] {
+			t.Errorf("receipts of an update for an unwanted address: %v", receipts)
 		}
 	})
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
-	n := &node{hello: helloOf("b", 2)}
+	n := &recordingHandler{hello: helloOf("b", 2)}
 	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
-		hold := make(chan struct{})
+		release := make(chan struct{})
 		n.fetch = func(message.Fetch) (message.Document, error) {
-			<-hold
+			<-release
 			return message.Document{}, nil
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := p.links.Fetch(ctx, peerAddress, message.Fetch{})
 		if !errors.Is(err, context.DeadlineExceeded) || p.links.Stats()[0].State != LinkOpen {
-			t.Errorf("short context: %v, %+v", err, p.links.Stats()[0])
+			t.Errorf("call with a short context: %v, %+v", err, p.links.Stats()[0])
 		}
 		_, err = p.links.Fetch(context.Background(), peerAddress, message.Fetch{})
 		if fault.KindOf(err) != fault.PeerDown {
-			t.Errorf("no answer: %v", err)
+			t.Errorf("call without an answer: %v", err)
 		}
-		close(hold)
+		close(release)
 	})
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,12 +15,12 @@
 	"github.com/tealhall/tealhall/internal/peer/wire"
 )
 
-// Server answers peers. It is safe for concurrent use.
+// Server answers calls of peers. It is safe for concurrent use.
 type Server struct {
-	cfg     Config
-	handler Handler
-	meter   meter
-	turned  atomic.Uint64 // connections turned away
+	cfg      Config
+	handler  Handler
+	meter    meter
+	rejected atomic.Uint64 // connections above the bound
 
 	mu        sync.Mutex
 	closed    bool
@@ -29,17 +29,17 @@
 	running   sync.WaitGroup
 }
 
-// ServerStats counts what a server did since its start.
+// ServerStats describes a server since its start.
 type ServerStats struct {
 	// Connections is the number of open connections.
 	Connections int
-	// TurnedAway counts connections over the bound.
-	TurnedAway uint64
+	// Rejected counts connections that were closed because of the bound on connections.
+	Rejected uint64
 	// BytesIn and BytesOut count the bytes of the TCP streams.
 	BytesIn, BytesOut uint64
 }
 
-// NewServer returns a server that passes what peers say to h.
+// NewServer returns a server that passes calls of peers to h.
 func NewServer(cfg Config, h Handler) *Server {
 	return &Server{
 		cfg:       cfg.withDefaults(),
@@ -49,9 +49,9 @@
 	}
 }
 
-// Serve accepts connections from l until Close, and then returns nil.
+// Serve accepts connections from l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
-	if !s.listen(l) {
+	if !s.addListener(l) {
 		return l.Close()
 	}
 	if s.cfg.ServerTLS == nil {
@@ -64,7 +64,7 @@
 			return nil
 		}
 		if isTemporary(err) {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err != nil {
@@ -74,16 +74,16 @@
 	}
 }
 
-// acceptPause is the wait after an error of Accept that may pass, such as too
-// many open files, so that the loop doesn't spin.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a temporary error of Accept, such as too many open files, so
+// that the loop does not spin.
+const acceptRetryDelay = 50 * time.Millisecond
 
 func isTemporary(err error) bool {
 	var temporary interface{ Temporary() bool }
 	return errors.As(err, &temporary) && temporary.Temporary()
 }
 
-func (s *Server) listen(l net.Listener) bool {
+func (s *Server) addListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners[l] = true
@@ -103,82 +103,82 @@
 	for l := range s.listeners {
 		l.Close()
 	}
-	for open := range s.sessions {
-		open.codec.Close()
+	for sess := range s.sessions {
+		sess.codec.Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
 }
 
-// Stats returns what the server counted so far.
+// Stats returns the counters of the server.
 func (s *Server) Stats() ServerStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return ServerStats{
 		Connections: len(s.sessions),
-		TurnedAway:  s.turned.Load(),
+		Rejected:    s.rejected.Load(),
 		BytesIn:     s.meter.in.Load(),
 		BytesOut:    s.meter.out.Load(),
 	}
 }
 
-// start serves a connection on its own goroutine, or closes it when there are
-// too many.
+// start serves a connection on its own goroutine, or closes the connection if there are too many
+// or the server is closed.
 func (s *Server) start(conn net.Conn) {
-	tune(conn, s.cfg.unacked())
+	configureTCP(conn, s.cfg.unackedTimeout())
 	conn = meteredConn{Conn: conn, meter: &s.meter}
 	if s.cfg.ServerTLS != nil {
 		conn = tls.Server(conn, s.cfg.ServerTLS)
 	}
-	open := newSession(s, conn)
-	if !s.admit(open) {
+	sess := newSession(s, conn)
+	if !s.addSession(sess) {
 		conn.Close()
 		return
 	}
 	go func() {
 		defer s.running.Done()
-		defer s.forget(open)
-		open.serve()
+		defer s.removeSession(sess)
+		sess.serve()
 	}()
 }
 
-func (s *Server) admit(open *session) bool {
+func (s *Server) addSession(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
 	if len(s.sessions) >= s.cfg.Connections {
-		s.turned.Add(1)
+		s.rejected.Add(1)
 		return false
 	}
-	s.sessions[open] = true
+	s.sessions[sess] = true
 	s.running.Add(1)
 	return true
 }
 
-func (s *Server) forget(open *session) {
+func (s *Server) removeSession(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, open)
+	delete(s.sessions, sess)
 }
 
-// replace closes older connections of the peer that opened this one. A peer
-// that dials again has given the older ones up, but a path that lost them may
-// never tell this end, where they would fill the table until their silence ends.
-func (s *Server) replace(newest *session, peer message.Hello) {
+// closeOlder records the peer of the newest session and closes older connections of the same peer.
+// A peer that dials again has abandoned the older ones. This end may never learn that if the
+// network lost them, and they would take up the bound on connections until their idle timeout.
+func (s *Server) closeOlder(newest *session, peer message.Hello) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest.peer.Store(&peer)
-	for open := range s.sessions {
-		other := open.peer.Load()
-		if open != newest && other != nil && other.Incarnation == peer.Incarnation {
-			open.codec.Close()
+	for sess := range s.sessions {
+		other := sess.peer.Load()
+		if sess != newest && other != nil && other.Incarnation == peer.Incarnation {
+			sess.codec.Close()
 		}
 	}
 }
 
-// session is one accepted connection and the receiver of its calls.
+// session is one accepted connection with the state that its receiver uses.
 type session struct {
 	server *Server
 	conn   net.Conn
@@ -191,25 +191,25 @@
 }
 
 func newSession(s *Server, conn net.Conn) *session {
-	open := &session{server: s, conn: conn, opened: time.Now()}
-	open.codec = wire.NewServerCodec(conn, s.cfg.limits(), open)
-	return open
+	sess := &session{server: s, conn: conn, opened: time.Now()}
+	sess.codec = wire.NewServerCodec(conn, s.cfg.limits(), sess)
+	return sess
 }
 
-// Known implements wire.Remote.
-func (c *session) Known() bool { return c.peer.Load() != nil }
+// HelloAccepted implements wire.Remote.
+func (c *session) HelloAccepted() bool { return c.peer.Load() != nil }
 
-// Silence implements wire.Remote: a stranger has to say Hello soon, whatever
-// else it sends, and a peer has to send heartbeats.
-func (c *session) Silence() time.Duration {
-	if !c.Known() {
+// IdleTimeout implements wire.Remote. A connection without an accepted Hello has a fixed time to
+// send one, regardless of other traffic; afterwards the peer has to send pings or updates.
+func (c *session) IdleTimeout() time.Duration {
+	if !c.HelloAccepted() {
 		return c.server.cfg.DialTimeout - time.Since(c.opened)
 	}
-	return serverSilence
+	return serverIdleTimeout
 }
 
-// serve answers calls until the connection ends. Each connection has a net/rpc
-// server of its own, so that its receiver knows whose calls it gets.
+// serve answers calls until the connection ends. Each connection has its own net/rpc server, so
+// that its receiver knows which peer calls it.
 func (c *session) serve() {
 	server := rpc.NewServer()
 	if err := server.RegisterName(wire.ServiceName, &receiver{c}); err != nil {
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -8,15 +8,14 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// maxNames bounds the endpoints that one connection has numbered. A full table
-// is started anew, so that replaced endpoints don't fill it for good.
-const maxNames = 4096
+// maxEndpoints bounds the endpoint table of one connection. A full table is restarted, because it
+// would otherwise fill up with endpoints that were replaced.
+const maxEndpoints = 4096
 
-// Update is a message.Update packed against what the connection carried
-// before: a Mark that did not change is left out, and an endpoint is named
-// once, then referred to by its number. A connection delivers updates in order
-// or ends, and both ends start anew with each connection, so the two tables
-// can't differ.
+// Update is a message.Update packed relative to the earlier updates on the connection. An
+// unchanged Mark is omitted, and an endpoint is identified in full once and by its number
+// afterwards. The tables at both ends always agree, because a connection delivers updates in order
+// or ends, and both ends start with empty tables on a new connection.
 type Update struct {
 	Sequence uint64             `cbor:"1,keyasint,omitempty"`
 	State    message.EntryState `cbor:"2,keyasint,omitempty"`
@@ -26,24 +25,24 @@
 	VMs      message.Mark `cbor:"5,keyasint,omitzero"`
 	Reader   bool         `cbor:"6,keyasint,omitempty"`
 	Rate     uint32       `cbor:"7,keyasint,omitempty"`
-	// EvidenceDigest is the exclusive or with its last value: 0 when unchanged.
+	// EvidenceDigest is the exclusive or of the digest and its previous value; 0 means unchanged.
 	EvidenceDigest uint64             `cbor:"8,keyasint,omitempty"`
 	Evidence       []message.Evidence `cbor:"9,keyasint,omitempty"`
-	// Restart tells the receiver to forget all names before it adds Names.
+	// Restart tells the receiver to clear its endpoint table before it adds Endpoints.
 	Restart bool `cbor:"10,keyasint,omitempty"`
-	// Names are numbered in order of their appearance on the connection.
-	Names []Name `cbor:"11,keyasint,omitempty"`
-	// LoadReports holds four unsigned varints for each load report: the endpoint's
-	// number, InFlight, Own and AgeMillis.
+	// Endpoints are the new rows of the endpoint table, numbered in order of appearance.
+	Endpoints []EndpointID `cbor:"11,keyasint,omitempty"`
+	// LoadReports has four unsigned varints for each load report: the endpoint's number, InFlight,
+	// Own and AgeMillis.
 	LoadReports []byte           `cbor:"12,keyasint,omitempty"`
 	Version     uint32           `cbor:"13,keyasint,omitempty"`
 	Records     []message.Record `cbor:"14,keyasint,omitempty"`
-	// RecordDigest is packed as EvidenceDigest is.
+	// RecordDigest is packed in the same way as EvidenceDigest.
 	RecordDigest uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// Name identifies one incarnation of an endpoint.
-type Name struct {
+// EndpointID identifies one incarnation of an endpoint.
+type EndpointID struct {
 	Endpoint    string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -53,18 +52,17 @@
 type Packer struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
-	numbers                      map[Name]uint64
+	numbers                      map[EndpointID]uint64
 }
 
-// Pack returns the packed form. The update's From is left out; the receiver
-// knows it from the Hello.
+// Pack returns the packed form of u. It omits From, which the receiver knows from the Hello.
 func (p *Packer) Pack(u message.Update) *Update {
 	packed := &Update{
 		Sequence:       u.Sequence,
 		State:          u.State,
 		Epoch:          u.Epoch,
-		Profiles:       changed(&p.profiles, u.Profiles),
-		VMs:            changed(&p.vms, u.VMs),
+		Profiles:       packMark(&p.profiles, u.Profiles),
+		VMs:            packMark(&p.vms, u.VMs),
 		Reader:         u.Reader,
 		Rate:           u.Rate,
 		EvidenceDigest: u.EvidenceDigest ^ p.evidenceDigest,
@@ -74,17 +72,18 @@
 		RecordDigest:   u.RecordDigest ^ p.recordDigest,
 	}
 	p.evidenceDigest, p.recordDigest = u.EvidenceDigest, u.RecordDigest
-	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxNames {
+	if p.numbers == nil || len(p.numbers)+len(u.LoadReports) > maxEndpoints {
 		packed.Restart = p.numbers != nil
-		p.numbers = make(map[Name]uint64)
+		p.numbers = make(map[EndpointID]uint64)
 	}
-	for _, s := range u.LoadReports {
-		p.pack(packed, s)
+	for _, report := range u.LoadReports {
+		p.packLoadReport(packed, report)
 	}
 	return packed
 }
 
-func changed(last *message.Mark, now message.Mark) message.Mark {
+// packMark returns the zero Mark if now equals the last one, and otherwise stores and returns now.
+func packMark(last *message.Mark, now message.Mark) message.Mark {
 	if *last == now {
 		return message.Mark{}
 	}
@@ -92,39 +91,38 @@
 	return now
 }
 
-func (p *Packer) pack(packed *Update, s message.LoadReport) {
-	name := Name{Endpoint: s.Endpoint, Incarnation: s.Incarnation}
-	number, known := p.numbers[name]
+func (p *Packer) packLoadReport(packed *Update, report message.LoadReport) {
+	id := EndpointID{Endpoint: report.Endpoint, Incarnation: report.Incarnation}
+	number, known := p.numbers[id]
 	if !known {
 		number = uint64(len(p.numbers))
-		p.numbers[name] = number
-		packed.Names = append(packed.Names, name)
+		p.numbers[id] = number
+		packed.Endpoints = append(packed.Endpoints, id)
 	}
 	b := binary.AppendUvarint(packed.LoadReports, number)
-	b = binary.AppendUvarint(b, uint64(s.InFlight))
-	b = binary.AppendUvarint(b, uint64(s.Own))
-	packed.LoadReports = binary.AppendUvarint(b, uint64(s.AgeMillis))
+	b = binary.AppendUvarint(b, uint64(report.InFlight))
+	b = binary.AppendUvarint(b, uint64(report.Own))
+	packed.LoadReports = binary.AppendUvarint(b, uint64(report.AgeMillis))
 }
 
-// Unpacker restores the updates that come in on one connection. It is not safe
-// for concurrent use.
+// Unpacker restores the updates that arrive on one connection. It is not safe for concurrent use.
 type Unpacker struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
-	names                        []Name
+	endpoints                    []EndpointID
 }
 
-// Unpack restores an update of the given sender. An error means that the two
-// ends disagree about the connection, which must then be closed.
+// Unpack restores an update of the given sender. An error means that the tables of the two ends
+// differ; the caller must then close the connection.
 func (p *Unpacker) Unpack(from uint64, packed *Update) (message.Update, error) {
 	if packed.Restart {
-		p.names = nil
+		p.endpoints = nil
 	}
-	p.names = append(p.names, packed.Names...)
-	if len(p.names) > maxNames {
-		return message.Update{}, badUpdate("names more than %d endpoints", maxNames)
+	p.endpoints = append(p.endpoints, packed.Endpoints...)
+	if len(p.endpoints) > maxEndpoints {
+		return message.Update{}, badUpdate("names more than %d endpoints", maxEndpoints)
 	}
-	sightings, err := p.loadReports(packed.LoadReports)
+	loadReports, err := p.unpackLoadReports(packed.LoadReports)
 	if err != nil {
 		return message.Update{}, err
 	}
@@ -135,8 +133,8 @@
 		Sequence:       packed.Sequence,
 		State:          packed.State,
 		Epoch:          packed.Epoch,
-		Profiles:       latest(&p.profiles, packed.Profiles),
-		VMs:            latest(&p.vms, packed.VMs),
+		Profiles:       unpackMark(&p.profiles, packed.Profiles),
+		VMs:            unpackMark(&p.vms, packed.VMs),
 		Reader:         packed.Reader,
 		Rate:           packed.Rate,
 		EvidenceDigest: p.evidenceDigest,
@@ -144,18 +142,19 @@
 		Version:        packed.Version,
 		Records:        packed.Records,
 		RecordDigest:   p.recordDigest,
-		LoadReports:    sightings,
+		LoadReports:    loadReports,
 	}, nil
 }
 
-func latest(last *message.Mark, now message.Mark) message.Mark {
+// unpackMark returns the Mark that packMark packed.
+func unpackMark(last *message.Mark, now message.Mark) message.Mark {
 	if now != (message.Mark{}) {
 		*last = now
 	}
 	return *last
 }
 
-func (p *Unpacker) loadReports(b []byte) ([]message.LoadReport, error) {
+func (p *Unpacker) unpackLoadReports(b []byte) ([]message.LoadReport, error) {
 	var out []message.LoadReport
 	for len(b) > 0 {
 		var fields [4]uint64
@@ -166,16 +165,16 @@
 			}
 			fields[i], b = value, b[size:]
 		}
-		if fields[0] >= uint64(len(p.names)) {
-			return nil, badUpdate("refers to endpoint %d of %d", fields[0], len(p.names))
+		if fields[0] >= uint64(len(p.endpoints)) {
+			return nil, badUpdate("refers to endpoint %d of %d", fields[0], len(p.endpoints))
 		}
 		if max(fields[1], fields[2], fields[3]) > math.MaxUint16 {
 			return nil, badUpdate("holds a number beyond its range")
 		}
-		name := p.names[fields[0]]
+		id := p.endpoints[fields[0]]
 		out = append(out, message.LoadReport{
-			Endpoint:    name.Endpoint,
-			Incarnation: name.Incarnation,
+			Endpoint:    id.Endpoint,
+			Incarnation: id.Incarnation,
 			InFlight:    uint16(fields[1]),
 			Own:         uint16(fields[2]),
 			AgeMillis:   uint16(fields[3]),
--- a/internal/profile/lines.go
+++ b/internal/profile/lineindex.go
@@ -10,20 +10,19 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxPathDepth bounds the keys whose line is kept. The deepest key that a
-// document may hold has four parts. Without a bound the paths of one dotted
-// key with hundreds of thousands of parts would take all memory.
+// maxPathDepth bounds the depth of keys whose lines are recorded. Valid keys have at most four
+// parts. Without this bound, the paths of one dotted key with hundreds of thousands of parts would
+// exhaust memory.
 const maxPathDepth = 6
 
-// maxKeyInPath bounds what one key adds to a path. Keys that a document may
-// hold are shorter; a longer one would stand in the path of each problem
-// within its table.
+// maxKeyInPath bounds the length that one key adds to a path. Valid keys are shorter. A longer key
+// would be repeated in the path of every problem within its table.
 const maxKeyInPath = 80
 
 var bareKey = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
 
-// join appends a key to a path, quoted where TOML would need that.
-func join(path, key string) string {
+// joinPath appends a key to a path, quoted where TOML requires it.
+func joinPath(path, key string) string {
 	if len(key) > maxKeyInPath {
 		key = key[:maxKeyInPath] + "..."
 	}
@@ -36,21 +35,21 @@
 	return path + "." + key
 }
 
-// element appends the index of an array's element to a path, from 1.
-func element(path string, index int) string {
+// elementPath appends the index of an array element, counted from 1, to a path.
+func elementPath(path string, index int) string {
 	return path + "[" + strconv.Itoa(index) + "]"
 }
 
-// lineIndex knows on which line each key of a document first stands.
+// lineIndex maps each key of a document to the line on which it first appears.
 type lineIndex struct {
 	lines map[string]int
-	// newlines holds the offsets of the line ends.
+	// newlines holds the byte offsets of the line ends.
 	newlines []int
-	// elements counts the tables of each array of tables so far.
+	// elements counts the tables seen so far in each array of tables.
 	elements map[string]int
 }
 
-// indexLines reads a document that is known to be valid TOML.
+// indexLines indexes a document, which must be valid TOML.
 func indexLines(data []byte) *lineIndex {
 	x := &lineIndex{lines: map[string]int{}, elements: map[string]int{}}
 	for at := 0; ; at++ {
@@ -67,15 +66,15 @@
 	for parser.NextExpression() {
 		switch node := parser.Expression(); node.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, depth = x.keys("", 0, node.Key(), node.Kind == unstable.ArrayTable)
+			table, depth = x.recordKeys("", 0, node.Key(), node.Kind == unstable.ArrayTable)
 		case unstable.KeyValue:
-			x.keyValue(table, depth, node)
+			x.recordKeyValue(table, depth, node)
 		}
 	}
 	return x
 }
 
-// line returns the line of the path, or of the nearest table around it.
+// line returns the line of the path or, if it has none, that of the nearest enclosing table.
 func (x *lineIndex) line(path string) int {
 	for path != "" {
 		if line, ok := x.lines[path]; ok {
@@ -86,21 +85,21 @@
 	return 1
 }
 
-// keys records the parts of a dotted key and returns its path and depth.
-func (x *lineIndex) keys(path string, depth int, parts unstable.Iterator, newElement bool) (string, int) {
+// recordKeys records the lines of the parts of a dotted key and returns the key's path and depth.
+func (x *lineIndex) recordKeys(path string, depth int, parts unstable.Iterator, newElement bool) (string, int) {
 	for parts.Next() {
 		depth++
 		if depth > maxPathDepth {
 			continue
 		}
 		node := parts.Node()
-		path = join(path, string(node.Data))
+		path = joinPath(path, string(node.Data))
 		x.record(path, node)
 		if newElement && parts.IsLast() {
 			x.elements[path]++
 		}
 		if n := x.elements[path]; n > 0 {
-			path = element(path, n)
+			path = elementPath(path, n)
 			x.record(path, node)
 		}
 	}
@@ -114,13 +113,13 @@
 	x.lines[path] = 1 + sort.SearchInts(x.newlines, int(node.Raw.Offset))
 }
 
-func (x *lineIndex) keyValue(table string, depth int, node *unstable.Node) {
-	path, depth := x.keys(table, depth, node.Key(), false)
-	x.value(path, depth, node.Value())
+func (x *lineIndex) recordKeyValue(table string, depth int, node *unstable.Node) {
+	path, depth := x.recordKeys(table, depth, node.Key(), false)
+	x.recordValue(path, depth, node.Value())
 }
 
-// value descends into inline tables, also those that are elements of an array.
-func (x *lineIndex) value(path string, depth int, node *unstable.Node) {
+// recordValue records the keys of inline tables, including those that are array elements.
+func (x *lineIndex) recordValue(path string, depth int, node *unstable.Node) {
 	if depth >= maxPathDepth {
 		return
 	}
@@ -128,15 +127,15 @@
 	switch node.Kind {
 	case unstable.InlineTable:
 		for children.Next() {
-			x.keyValue(path, depth, children.Node())
+			x.recordKeyValue(path, depth, children.Node())
 		}
 	case unstable.Array:
 		for i := 1; children.Next(); i++ {
 			child := children.Node()
 			if child.Raw.Length > 0 {
-				x.record(element(path, i), child)
+				x.record(elementPath(path, i), child)
 			}
-			x.value(element(path, i), depth+1, child)
+			x.recordValue(elementPath(path, i), depth+1, child)
 		}
 	}
 }
--- a/internal/profile/parse_test.go
+++ b/internal/profile/parse_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-const example = "../../examples/mermaconteo.toml"
+const exampleDocument = "../../examples/mermaconteo.toml"
 
-// mustParse returns the snapshot of a document that has to be accepted.
+// mustParse parses a document that must be accepted.
 func mustParse(t *testing.T, document string) *Snapshot {
 	t.Helper()
 	s, err := Parse([]byte(document), 7)
@@ -23,9 +23,9 @@
 	return s
 }
 
-func TestExamples(t *testing.T) {
+func TestExampleDocumentsAreAccepted(t *testing.T) {
 	cases := []struct{ file, services, pools string }{
-		{example, "live-counts photo-batches waste-entries weekly-summaries", "batches live-counts waste-entries"},
+		{exampleDocument, "live-counts photo-batches waste-entries weekly-summaries", "batches live-counts waste-entries"},
 		{"../../examples/sabra.toml", "booking library scans site-checks", "booking field library"},
 	}
 	for _, tc := range cases {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestSnapshot(t *testing.T) {
+func TestSnapshotHoldsPoliciesAndPoolLimits(t *testing.T) {
 	document := `format = 1
 requires = 1
 [profile]
@@ -69,18 +69,18 @@
 		t.Errorf("revision %d, data %q", s.Revision(), s.Data())
 	}
 	if s.Digest() == mustParse(t, document+"\n").Digest() {
-		t.Error("another text has the same digest")
+		t.Error("two different documents have the same digest")
 	}
 
 	scans, ok := s.Service("scans")
 	if _, other := s.Service("photos"); !ok || other {
-		t.Fatal("a service is missing or made up")
+		t.Fatal("service scans is missing, or service photos exists")
 	}
 	ordinary := Default(Bulk)
 	ordinary.Deadline, ordinary.WatchBudget = time.Hour, 0
-	during := ordinary
-	during.Deadline, during.MaxBodyBytes = 90*time.Second, 3<<30
-	if *scans.Policy(false) != ordinary || *scans.Policy(true) != during {
+	closePolicy := ordinary
+	closePolicy.Deadline, closePolicy.MaxBodyBytes = 90*time.Second, 3<<30
+	if *scans.Policy(false) != ordinary || *scans.Policy(true) != closePolicy {
 		t.Errorf("scans = %+v", scans)
 	}
 
@@ -93,13 +93,13 @@
 		t.Errorf("limits during a close = %+v", got)
 	}
 	if _, ok := s.PoolLimits("scans", false); ok {
-		t.Error("a service's own name is a pool although it picked another")
+		t.Error("there is a pool named after service scans, which uses pool field")
 	}
 }
 
-// A document that is syntactically sound can still be built to exhaust an
-// entry. All entries read it at once and again at each start, so none may fail.
-func TestHostileDocuments(t *testing.T) {
+// A syntactically valid document can still be built to exhaust an entry. All entries parse the
+// published document at once and again at each restart, so it must not crash them.
+func TestHostileDocumentsAreRefused(t *testing.T) {
 	half := MaxDocumentBytes/2 - 10
 	cases := map[string]string{
 		"too large":         strings.Repeat("#", MaxDocumentBytes+1),
@@ -131,17 +131,17 @@
 	return b.String()
 }
 
-// checkSound restates what must hold of a service however it was written.
-func checkSound(t interface{ Errorf(string, ...any) }, s *Service) {
+// checkServiceInvariants checks what must hold for every accepted service.
+func checkServiceInvariants(t interface{ Errorf(string, ...any) }, s *Service) {
 	if s.Ordinary.Kind != s.Close.Kind || s.Ordinary.RequireKey != s.Close.RequireKey {
-		t.Errorf("%s: the contract with callers differs in a close", s.Name)
+		t.Errorf("%s: kind or require_key differs during a close", s.Name)
 	}
 	for _, closing := range []bool{false, true} {
 		p := s.Policy(closing)
-		twice := p.Kind == Read || p.Kind == Urgent
-		sound := s.Pool != "" && s.Profile != "" &&
+		mayRunTwice := p.Kind == Read || p.Kind == Urgent
+		valid := s.Pool != "" && s.Profile != "" &&
 			p.Deadline > 0 && p.HedgeAfter >= 0 && p.HedgeAfter < p.Deadline &&
-			(p.HedgeAfter == 0 || twice && p.MaxAttempts > 1 && p.RetryBudget > 0) &&
+			(p.HedgeAfter == 0 || mayRunTwice && p.MaxAttempts > 1 && p.RetryBudget > 0) &&
 			(p.Kind != Once || p.RequireKey || p.MaxAttempts == 1) &&
 			(p.QueueOrder == ByDeadline || p.QueueOrder == ByArrival) &&
 			p.QueueLimit >= 0 && p.Priority >= 0 && p.Priority <= 9 &&
@@ -150,14 +150,14 @@
 			p.RetryBudget >= 0 && p.RetryBudget <= 1 && p.MaxAttempts >= 1 && p.MaxAttempts <= 5 &&
 			p.WatchBudget >= 0 && p.WatchBudget <= 0.2 && p.EjectMaxShare >= 0 && p.EjectMaxShare <= 0.5 &&
 			p.EjectBase > 0 && p.EjectBase <= p.EjectMax && p.MaxBodyBytes >= 0 && p.EntriesPerDomain >= 0
-		if !sound {
-			t.Errorf("%s: accepted in closing=%v: %+v", s.Name, closing, *p)
+		if !valid {
+			t.Errorf("%s: accepted an invalid policy with closing=%v: %+v", s.Name, closing, *p)
 		}
 	}
 }
 
-// drawDocument writes a document from parts that are mostly good, so that a
-// fair share of the documents is accepted.
+// drawDocument generates a document from mostly valid parts, so that many of the documents are
+// accepted.
 func drawDocument(t *rapid.T) string {
 	values := map[string][]string{
 		"duration":      {`"1s"`, `"5s"`, `"1m"`, `"20ms"`, `"1h"`},
@@ -191,34 +191,34 @@
 	return document
 }
 
-func TestParseProperties(t *testing.T) {
+func TestParseIsDeterministicAndKeepsInvariants(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		document := drawDocument(t)
 		first, err := Parse([]byte(document), 1)
-		second, again := Parse([]byte(document), 1)
-		if err != nil || again != nil {
-			if err == nil || again == nil || err.Error() != again.Error() {
-				t.Fatalf("one outcome %v, then %v", err, again)
+		second, secondErr := Parse([]byte(document), 1)
+		if err != nil || secondErr != nil {
+			if err == nil || secondErr == nil || err.Error() != secondErr.Error() {
+				t.Fatalf("two parses of one document returned errors %v and %v", err, secondErr)
 			}
 			return
 		}
 		accepted++
 		if changes := Diff(first, second); len(changes) > 0 {
-			t.Errorf("the same document differs: %v", changes)
+			t.Errorf("a document differs from itself: %v", changes)
 		}
 		for _, s := range first.Services() {
-			checkSound(t, s)
+			checkServiceInvariants(t, s)
 		}
 	})
 	if accepted == 0 {
-		t.Error("no document was accepted, so none was checked")
+		t.Error("no generated document was accepted, so no service was checked")
 	}
 }
 
-// A publisher that cuts a file or mangles its text must not end an entry.
-func TestParseDamaged(t *testing.T) {
-	whole, err := os.ReadFile(example)
+// A truncated or corrupted document must not crash an entry.
+func TestDamagedDocumentDoesNotPanic(t *testing.T) {
+	whole, err := os.ReadFile(exampleDocument)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 		}
 		if s, err := Parse(data, 1); err == nil {
 			for _, service := range s.Services() {
-				checkSound(t, service)
+				checkServiceInvariants(t, service)
 			}
 		}
 	})
--- a/internal/published/client_test.go
+++ b/internal/published/client_test.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// soon ends waits that must end without an answer.
-	soon = 50 * time.Millisecond
-	// patient bounds waits that end by an event.
-	patient = 20 * time.Second
+	// shortWait ends waits that must end without an answer.
+	shortWait = 50 * time.Millisecond
+	// longWait bounds waits that end by an event.
+	longWait = 20 * time.Second
 )
 
-// fixture is a stand-in for the service behind a server. Its clock stands still
-// unless a test moves it, so that what is slow never answers.
+// fixture is a simulated service behind a server. Its clock advances only when a test advances it,
+// so that a delayed answer never arrives.
 type fixture struct {
 	clock   *standin.ManualClock
 	service *standin.Platform
@@ -57,12 +57,12 @@
 
 func newClient(server *standin.Server, timeout time.Duration) *published.Client {
 	return published.NewClient(published.ClientConfig{
-		BaseURL: server.URL(), Timeout: timeout, WatchWait: patient, CallsPerSecond: 1e6, Burst: 1e6,
+		BaseURL: server.URL(), Timeout: timeout, WatchWait: longWait, CallsPerSecond: 1e6, Burst: 1e6,
 	})
 }
 
-// TestRead is the contract of Service.Read under every fault of the service.
-func TestRead(t *testing.T) {
+// TestReadUnderServiceFaults checks the contract of Service.Read under every fault of the service.
+func TestReadUnderServiceFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults   standin.PlatformFaults
 		prepare  func(fixture)
@@ -72,17 +72,17 @@
 		data     string
 		kind     fault.Kind
 	}{
-		"healthy":          {revision: 2, data: "second"},
-		"no such value":    {name: "tealhall/none", kind: fault.NotFound},
-		"answers 503":      {faults: standin.PlatformFaults{Down: true}, kind: fault.PlatformDown},
-		"refuses":          {prepare: func(f fixture) { f.server.Kill() }, kind: fault.PlatformDown},
-		"slow":             {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: soon, kind: fault.PlatformDown},
-		"cut, with length": {faults: standin.PlatformFaults{Cut: standin.CutSized}, kind: fault.PlatformAnswer},
-		"cut, in chunks":   {faults: standin.PlatformFaults{Cut: standin.CutChunked}, kind: fault.PlatformAnswer},
+		"healthy":                {revision: 2, data: "second"},
+		"no such value":          {name: "tealhall/none", kind: fault.NotFound},
+		"answers 503":            {faults: standin.PlatformFaults{Down: true}, kind: fault.PlatformDown},
+		"refuses connections":    {prepare: func(f fixture) { f.server.Kill() }, kind: fault.PlatformDown},
+		"slow":                   {faults: standin.PlatformFaults{Delay: time.Hour}, timeout: shortWait, kind: fault.PlatformDown},
+		"truncated, with length": {faults: standin.PlatformFaults{Cut: standin.CutSized}, kind: fault.PlatformAnswer},
+		"truncated, in chunks":   {faults: standin.PlatformFaults{Cut: standin.CutChunked}, kind: fault.PlatformAnswer},
 		"stale": {
 			faults:  standin.PlatformFaults{Stale: true},
 			prepare: func(f fixture) { f.service.Put(published.ProfilesValue, []byte("third")) },
-			// The reader can't tell; that the answer is old shows in its revision.
+			// The reader can't detect this; only the revision shows that the answer is old.
 			revision: 2, data: "second",
 		},
 		"older replica": {faults: standin.PlatformFaults{OlderReplica: true}, revision: 1, data: "first"},
@@ -108,7 +108,7 @@
 				c.name = published.ProfilesValue
 			}
 			if c.timeout == 0 {
-				c.timeout = patient
+				c.timeout = longWait
 			}
 			value, err := newClient(f.server, c.timeout).Read(context.Background(), c.name)
 			if fault.KindOf(err) != c.kind || value.Revision != c.revision || string(value.Data) != c.data {
@@ -116,16 +116,17 @@
 					value.Revision, len(value.Data), err, c.revision, len(c.data), c.kind)
 			}
 			if err != nil && fault.Remedy(err) == "" {
-				t.Errorf("error names no remedy: %v", err)
+				t.Errorf("error has no remedy: %v", err)
 			}
 		})
 	}
 }
 
-// TestWatch is the contract of Service.Watch: what ends the wait.
-func TestWatch(t *testing.T) {
+// TestWatchEndsWithChangeTimeoutOrFailure checks the contract of Service.Watch: which events end
+// the wait.
+func TestWatchEndsWithChangeTimeoutOrFailure(t *testing.T) {
 	cases := map[string]struct {
-		during   func(fixture) // once the watch waits
+		during   func(fixture) // called while the watch waits
 		revision uint64
 		data     string
 		kind     fault.Kind
@@ -134,8 +135,8 @@
 			during:   func(f fixture) { f.service.Put(published.ProfilesValue, []byte("third")) },
 			revision: 3, data: "third",
 		},
-		"nothing new": {
-			during:   func(f fixture) { f.clock.Advance(patient) },
+		"no change": {
+			during:   func(f fixture) { f.clock.Advance(longWait) },
 			revision: 2,
 		},
 		"goes down": {
@@ -150,7 +151,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := startService(t)
-			client := newClient(f.server, patient)
+			client := newClient(f.server, longWait)
 			type result struct {
 				value published.Value
 				err   error
@@ -160,7 +161,7 @@
 				value, err := client.Watch(context.Background(), published.ProfilesValue, 2)
 				results <- result{value, err}
 			}()
-			f.clock.AwaitTimers(1) // the service holds the watch
+			f.clock.AwaitTimers(1) // the watch waits at the service
 			c.during(f)
 			got := <-results
 			if fault.KindOf(got.err) != c.kind || got.value.Revision != c.revision || string(got.value.Data) != c.data {
@@ -170,54 +171,53 @@
 	}
 }
 
-// TestWatchAtLaggingReplica: a reader that asks for what is later than revision 2
-// reaches a replica that has only revision 1. The answer must come through as it
-// is: the decision that 1 is older than what is in force is made elsewhere.
-func TestWatchAtLaggingReplica(t *testing.T) {
+// A reader that asks for a revision later than 2 reaches a replica that has only revision 1. Watch
+// must return that answer unchanged, because its caller decides which revision is in force.
+func TestWatchReturnsOlderRevisionOfLaggingReplica(t *testing.T) {
 	f := startService(t)
 	f.service.SetFaults(standin.PlatformFaults{OlderReplica: true})
-	client := newClient(f.server, patient)
+	client := newClient(f.server, longWait)
 	value, err := client.Watch(context.Background(), published.ProfilesValue, 2)
 	if err != nil || value.Revision != 1 || string(value.Data) != "first" {
 		t.Errorf("got %+v, error %v", value, err)
 	}
 	if stats := f.service.Stats(); stats.Calls != 1 || stats.PeakWatches != 1 {
-		t.Errorf("the service counted %+v; want one call that is one watch", stats)
+		t.Errorf("stats of the service: %+v; want one call, which is one watch", stats)
 	}
 }
 
-// TestWatchGivenUp: the reader stops a watch, as when its duty moves to another
-// entry. The service must not count it as waiting any longer.
-func TestWatchGivenUp(t *testing.T) {
+// The reader cancels a watch, as when the assignment moves to another entry. Guards against a
+// service that still counts the watch as waiting.
+func TestCancelledWatchNoLongerCountsAsWaiting(t *testing.T) {
 	f := startService(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		f.clock.AwaitTimers(1)
 		cancel()
 	}()
-	_, err := newClient(f.server, patient).Watch(ctx, published.ProfilesValue, 2)
+	_, err := newClient(f.server, longWait).Watch(ctx, published.ProfilesValue, 2)
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
 	f.clock.AwaitTimers(0)
 }
 
-// A profile is published but some entries don't take it for minutes. Their open
-// connections had gone silent: something on the way forgot them. The failed call
-// must take its connection out of use, so that the next goes over a new one.
-func TestReadAfterConnectionWentSilent(t *testing.T) {
+// Guards against a profile that some entries do not apply for minutes after it was published,
+// because a network device lost the state of their open connections. A failed call must take its
+// connection out of use, so that the next call opens a new one.
+func TestReadAfterSilentConnectionUsesNewOne(t *testing.T) {
 	server := startService(t).server
-	client := newClient(server, patient)
+	client := newClient(server, longWait)
 	if _, err := client.Read(context.Background(), published.ProfilesValue); err != nil {
 		t.Fatal(err)
 	}
 	if silenced := server.BlackHole(); silenced != 1 {
-		t.Fatalf("%d open connections instead of one", silenced)
+		t.Fatalf("%d open connections, want 1", silenced)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), shortWait)
 	defer cancel()
 	if _, err := client.Read(ctx, published.ProfilesValue); fault.KindOf(err) != fault.PlatformDown {
-		t.Fatalf("error on the silent connection: %v", err)
+		t.Fatalf("call on the silent connection: %v", err)
 	}
 	value, err := client.Read(context.Background(), published.ProfilesValue)
 	if err != nil || value.Revision != 2 || server.AcceptedConnections() != 2 {
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestUnusableAnswers feeds the client answers that the stand-in never gives.
-func TestUnusableAnswers(t *testing.T) {
+// TestUnusableAnswersAreRefused gives the client answers that the simulated service never gives.
+func TestUnusableAnswersAreRefused(t *testing.T) {
 	ok := func(header ...string) string {
 		return "HTTP/1.1 200 OK\r\n" + strings.Join(header, "\r\n") + "\r\n\r\nbody"
 	}
@@ -234,18 +234,18 @@
 		answer string
 		kind   fault.Kind
 	}{
-		"usable":             {ok("Content-Length: 4", "Platform-Revision: 3"), ""},
-		"no revision":        {ok("Content-Length: 4"), fault.PlatformAnswer},
-		"revision zero":      {ok("Content-Length: 4", "Platform-Revision: 0"), fault.PlatformAnswer},
-		"malformed revision": {ok("Content-Length: 4", "Platform-Revision: 3a"), fault.PlatformAnswer},
-		"two revisions":      {ok("Content-Length: 4", "Platform-Revision: 3", "Platform-Revision: 4"), fault.PlatformAnswer},
-		"no length":          {ok("Connection: close", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"shorter than said":  {ok("Content-Length: 5", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"compressed":         {ok("Content-Length: 4", "Content-Encoding: gzip", "Platform-Revision: 3"), fault.PlatformAnswer},
-		"redirect":           {"HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n", fault.PlatformAnswer},
-		"unasked 304":        {"HTTP/1.1 304 Not Modified\r\n\r\n", fault.PlatformAnswer},
-		"too many calls":     {"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n", fault.PlatformDown},
-		"not HTTP":           {"SSH-2.0-OpenSSH\r\n\r\n", fault.PlatformDown},
+		"usable":                  {ok("Content-Length: 4", "Platform-Revision: 3"), ""},
+		"no revision":             {ok("Content-Length: 4"), fault.PlatformAnswer},
+		"revision zero":           {ok("Content-Length: 4", "Platform-Revision: 0"), fault.PlatformAnswer},
+		"malformed revision":      {ok("Content-Length: 4", "Platform-Revision: 3a"), fault.PlatformAnswer},
+		"two revisions":           {ok("Content-Length: 4", "Platform-Revision: 3", "Platform-Revision: 4"), fault.PlatformAnswer},
+		"no length":               {ok("Connection: close", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"shorter than its length": {ok("Content-Length: 5", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"compressed":              {ok("Content-Length: 4", "Content-Encoding: gzip", "Platform-Revision: 3"), fault.PlatformAnswer},
+		"redirect":                {"HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n", fault.PlatformAnswer},
+		"unrequested 304":         {"HTTP/1.1 304 Not Modified\r\n\r\n", fault.PlatformAnswer},
+		"too many calls":          {"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n", fault.PlatformDown},
+		"not HTTP":                {"SSH-2.0-OpenSSH\r\n\r\n", fault.PlatformDown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -257,7 +257,7 @@
 				}
 			}))
 			defer server.Close()
-			client := published.NewClient(published.ClientConfig{BaseURL: server.URL, Timeout: patient})
+			client := published.NewClient(published.ClientConfig{BaseURL: server.URL, Timeout: longWait})
 			value, err := client.Read(context.Background(), published.ProfilesValue)
 			if fault.KindOf(err) != c.kind {
 				t.Fatalf("got %+v, error %v; want kind %q", value, err, c.kind)
@@ -266,18 +266,18 @@
 	}
 }
 
-// endless is a chunked body without end that counts what is read of it.
-type endless struct{ read int }
+// endlessBody is a chunked body without an end. It counts the bytes that are read from it.
+type endlessBody struct{ read int }
 
-func (e *endless) Read(p []byte) (int, error) { e.read += len(p); return len(p), nil }
-func (e *endless) Close() error               { return nil }
+func (e *endlessBody) Read(p []byte) (int, error) { e.read += len(p); return len(p), nil }
+func (e *endlessBody) Close() error               { return nil }
 
 type transportFunc func(*http.Request) (*http.Response, error)
 
 func (f transportFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func TestReadStopsAtTheLargestValue(t *testing.T) {
-	body := &endless{}
+func TestReadStopsAtSizeLimit(t *testing.T) {
+	body := &endlessBody{}
 	client := published.NewClient(published.ClientConfig{
 		BaseURL: "http://127.0.0.1:1",
 		Transport: transportFunc(func(*http.Request) (*http.Response, error) {
@@ -293,7 +293,7 @@
 	}
 }
 
-func TestCallsAreBounded(t *testing.T) {
+func TestCallRateIsBounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	calls := 0
 	client := published.NewClient(published.ClientConfig{
@@ -304,7 +304,7 @@
 			return nil, fmt.Errorf("call %d", calls)
 		}),
 	})
-	for range 100 { // a hundred tries in ten seconds
+	for range 100 { // 100 calls in 10 s
 		_, err := client.Read(context.Background(), published.ProfilesValue)
 		if kind := fault.KindOf(err); kind != fault.RateLimited && kind != fault.PlatformDown {
 			t.Fatalf("error %v", err)
@@ -312,11 +312,11 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if most := 3 + 2*10; calls > most || calls < most-2 {
-		t.Errorf("%d calls went out; want about %d", calls, most)
+		t.Errorf("%d calls were sent; want about %d", calls, most)
 	}
 }
 
-func TestUnusableAddress(t *testing.T) {
+func TestUnusableBaseURL(t *testing.T) {
 	client := published.NewClient(published.ClientConfig{BaseURL: "http://[::1"})
 	if _, err := client.Read(context.Background(), "name"); fault.KindOf(err) != fault.BadSettings {
 		t.Errorf("error %v", err)
--- a/internal/route/repair.go
+++ b/internal/route/repair.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// maxProblems bounds how many problems are named.
+// maxProblems limits how many problems of a document are listed one by one.
 const maxProblems = 8
 
-// problems collects what was set right or left out.
+// problems collects descriptions of what was corrected or left out.
 type problems struct {
 	count int
 	texts []string
@@ -24,7 +24,7 @@
 	}
 }
 
-// list returns the problems, with how many more there are.
+// list returns the descriptions, the last one with the number of problems not listed.
 func (p *problems) list() []string {
 	if more := p.count - len(p.texts); more > 0 {
 		return append(slices.Clone(p.texts), fmt.Sprintf("and %d more", more))
@@ -32,13 +32,13 @@
 	return p.texts
 }
 
-// services returns the usable services, sorted by name.
-func (p *problems) services(all []Service) []Service {
+// usableServices returns the usable services, sorted by name.
+func (p *problems) usableServices(all []Service) []Service {
 	all = slices.SortedStableFunc(slices.Values(all), func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	usable := all[:0]
 	for _, s := range all {
 		if len(usable) > 0 && usable[len(usable)-1].Name == s.Name {
-			p.add("service %q stands twice; the first counts", s.Name)
+			p.add("service %q is listed twice; the first one is used", s.Name)
 			continue
 		}
 		if s.Warmup < 0 || !(s.WarmupRate >= 0) {
@@ -50,39 +50,39 @@
 	return usable
 }
 
-// place is what one route alone may occupy.
-type place struct{ host, prefix string }
+// routeKey is the host and prefix of a route. Only one route may have it.
+type routeKey struct{ host, prefix string }
 
-// routes returns the usable routes, sorted by name, each with what it lacks.
-func (p *problems) routes(all []Route) []Route {
+// usableRoutes returns the usable routes, sorted by name, with their values corrected.
+func (p *problems) usableRoutes(all []Route) []Route {
 	all = slices.SortedStableFunc(slices.Values(all), func(a, b Route) int { return cmp.Compare(a.Name, b.Name) })
-	places, usable := make(map[place]string, len(all)), all[:0]
+	names, usable := make(map[routeKey]string, len(all)), all[:0]
 	for i := range all {
 		r := all[i]
-		at := place{strings.ToLower(r.Host), r.Prefix}
-		other, taken := places[at]
-		r.Parts = p.parts(&r)
+		key := routeKey{strings.ToLower(r.Host), r.Prefix}
+		other, taken := names[key]
+		r.Parts = p.mergeParts(&r)
 		switch {
 		case len(usable) > 0 && usable[len(usable)-1].Name == r.Name:
-			p.add("route %q stands twice; the first counts", r.Name)
+			p.add("route %q is listed twice; the first one is used", r.Name)
 			continue
 		case len(r.Parts) == 0:
 			p.add("route %q leads to no service and is left out", r.Name)
 			continue
 		case taken:
-			p.add("routes %q and %q have the same host and prefix; the first counts", other, r.Name)
+			p.add("routes %q and %q have the same host and prefix; the first one is used", other, r.Name)
 			continue
 		}
-		places[at] = r.Name
-		p.bounds(&r)
+		names[key] = r.Name
+		p.checkBounds(&r)
 		usable = append(usable, r)
 	}
 	return usable
 }
 
-// bounds sets a route's own figures right. One that says nothing of its kind is treated as the
-// kind that promises least.
-func (p *problems) bounds(r *Route) {
+// checkBounds corrects a route's kind, timeout, objective, priority and attempts. A route of an
+// unknown kind is treated as NonIdempotent, the kind that permits the least.
+func (p *problems) checkBounds(r *Route) {
 	if !slices.Contains(Kinds(), r.Kind) {
 		p.add("route %q: requests of the unknown kind %q run once at most", r.Name, r.Kind)
 		r.Kind = NonIdempotent
@@ -97,21 +97,22 @@
 	}
 }
 
-// wholeSplit bounds the sum of a split's weights, to which larger and broken ones are scaled.
-const wholeSplit = 1000
+// maxWeightSum is the limit for the sum of a route's weights. Weights with a larger sum or with
+// fractions are scaled to it.
+const maxWeightSum = 1000
 
-// largestWeight keeps sums of weights exact.
-const largestWeight = 1e9
+// maxWeight limits a single weight, so that sums of weights are exact.
+const maxWeight = 1e9
 
-// parts returns the parts that get requests, each service once, with whole weights above 0. Where
-// no part has a weight all are alike: the route is there to be served.
-func (p *problems) parts(r *Route) []Part {
+// mergeParts returns the parts that get requests, each service once, with whole weights above 0. If
+// no part has a weight, all get the same one, because a published route is meant to be served.
+func (p *problems) mergeParts(r *Route) []Part {
 	var merged []Part
 	for _, part := range r.Parts {
 		if part.Weight < 0 {
 			p.add("route %q: the negative weight of service %q counts as 0", r.Name, part.Service)
 		}
-		part.Weight = min(max(part.Weight, 0), largestWeight)
+		part.Weight = min(max(part.Weight, 0), maxWeight)
 		same := func(other Part) bool { return other.Service == part.Service }
 		if i := slices.IndexFunc(merged, same); i >= 0 {
 			merged[i].Weight += part.Weight
@@ -133,22 +134,23 @@
 		return merged
 	}
 	merged = slices.DeleteFunc(merged, func(part Part) bool { return part.Weight == 0 })
-	return whole(merged, sum)
+	return wholeWeights(merged, sum)
 }
 
-// whole turns the weights into small whole numbers, in which requests are dealt.
-func whole(parts []Part, sum float64) []Part {
+// wholeWeights converts the weights to small whole numbers, which the distribution of requests
+// needs.
+func wholeWeights(parts []Part, sum float64) []Part {
 	if len(parts) == 1 {
 		parts[0].Weight = 1
 		return parts
 	}
 	isWhole := func(part Part) bool { return part.Weight == math.Trunc(part.Weight) }
-	if sum <= wholeSplit && !slices.ContainsFunc(parts, func(part Part) bool { return !isWhole(part) }) {
+	if sum <= maxWeightSum && !slices.ContainsFunc(parts, func(part Part) bool { return !isWhole(part) }) {
 		return parts
 	}
 	divisor := 0
 	for i := range parts {
-		parts[i].Weight = max(1, math.Round(parts[i].Weight/sum*wholeSplit))
+		parts[i].Weight = max(1, math.Round(parts[i].Weight/sum*maxWeightSum))
 		divisor = gcd(divisor, int(parts[i].Weight))
 	}
 	for i := range parts {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,9 +12,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Load reads a settings document over the defaults and checks every setting.
-// Its error is a fault.BadSettings that wraps an *Error with all problems at
-// once, except that a syntax error hides what follows it.
+// Load parses a settings document on top of the defaults and checks every setting. It returns a
+// fault.BadSettings error that wraps an *Error with all problems. A syntax error is reported alone.
 func Load(data []byte) (*Settings, error) {
 	var document map[string]any
 	if err := toml.Unmarshal(data, &document); err != nil {
@@ -22,14 +21,14 @@
 	}
 	s := Default()
 	lines := keyLines(data)
-	problems := decodeEach(s, document, lines)
+	problems := decodeLeaves(s, document, lines)
 	refused := make(map[string]bool, len(problems))
 	for _, p := range problems {
 		refused[p.Field] = true
 	}
 	for _, p := range check(s) {
 		if refused[p.Field] {
-			continue // the default stands in for a value that could not be read
+			continue // s has the default in place of the invalid value
 		}
 		p.Line = lines[p.Field]
 		problems = append(problems, p)
@@ -51,7 +50,7 @@
 }
 
 func syntaxProblem(err error) Problem {
-	p := Problem{What: strings.TrimPrefix(err.Error(), "toml: "), Remedy: "write valid TOML"}
+	p := Problem{Message: strings.TrimPrefix(err.Error(), "toml: "), Remedy: "write valid TOML"}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
 		p.Line, _ = decode.Position()
@@ -59,37 +58,37 @@
 	return p
 }
 
-// decodeEach decodes every setting by itself, because the decoder stops at the
-// first value of a wrong type and an operator wants to see all of them.
-func decodeEach(s *Settings, document map[string]any, lines map[string]int) []Problem {
+// decodeLeaves decodes each setting separately, because the decoder stops at the first value of a
+// wrong type and operators want to see all errors at once.
+func decodeLeaves(s *Settings, document map[string]any, lines map[string]int) []Problem {
 	var problems []Problem
 	known := Reference()
-	for _, leaf := range leaves(nil, document) {
+	for _, leaf := range leavesOf(nil, document) {
 		field := strings.Join(leaf.path, ".")
 		p := Problem{Line: lines[field], Field: field}
-		at := slices.IndexFunc(known, func(e Entry) bool { return e.Field == field })
+		index := slices.IndexFunc(known, func(e ReferenceRow) bool { return e.Field == field })
 		switch {
-		case at >= 0:
-			if leaf.decode(s) == nil {
+		case index >= 0:
+			if leaf.decodeInto(s) == nil {
 				continue
 			}
-			p.What, p.Remedy = fmt.Sprintf("%#v is no value for it", leaf.value), "write "+form(known[at])
+			p.Message, p.Remedy = fmt.Sprintf("%#v is not a valid value", leaf.value), "write "+valueForm(known[index])
 		case isTable(known, field):
-			p.What, p.Remedy = "it is a table", fmt.Sprintf("write [%s] and the settings below it", field)
+			p.Message, p.Remedy = "it is a table", fmt.Sprintf("write [%s] and the settings below it", field)
 		default:
-			p.What, p.Remedy = "there is no such setting", "remove it or correct its name"
+			p.Message, p.Remedy = "there is no such setting", "remove it or correct its name"
 		}
 		problems = append(problems, p)
 	}
 	return problems
 }
 
-func isTable(known []Entry, field string) bool {
-	return slices.ContainsFunc(known, func(e Entry) bool { return strings.HasPrefix(e.Field, field+".") })
+func isTable(known []ReferenceRow, field string) bool {
+	return slices.ContainsFunc(known, func(e ReferenceRow) bool { return strings.HasPrefix(e.Field, field+".") })
 }
 
-// form says how the value of a setting is written.
-func form(e Entry) string {
+// valueForm describes the form of a setting's value.
+func valueForm(e ReferenceRow) string {
 	switch {
 	case e.Unit == "duration":
 		return `a duration such as "250ms", "90s" or "1m30s"`
@@ -105,14 +104,14 @@
 	return "a whole number"
 }
 
-// leaf is one setting of a decoded document.
+// leaf is one setting of a parsed document.
 type leaf struct {
 	path  []string
 	value any
 }
 
-// nested returns the document that holds only this leaf.
-func (l leaf) nested() map[string]any {
+// asDocument returns a document that contains only this setting.
+func (l leaf) asDocument() map[string]any {
 	value := l.value
 	for _, key := range slices.Backward(l.path) {
 		value = map[string]any{key: value}
@@ -120,26 +119,26 @@
 	return value.(map[string]any)
 }
 
-// decode puts this setting alone into s.
-func (l leaf) decode(s *Settings) error {
-	single, err := toml.Marshal(l.nested())
+// decodeInto decodes this setting into s.
+func (l leaf) decodeInto(s *Settings) error {
+	single, err := toml.Marshal(l.asDocument())
 	if err != nil {
 		return err
 	}
 	return toml.NewDecoder(bytes.NewReader(single)).DisallowUnknownFields().Decode(s)
 }
 
-// leaves lists the settings of a table in the order of their names. An empty
-// table counts as a setting, so that a table with an unknown name is noticed.
-func leaves(path []string, table map[string]any) []leaf {
+// leavesOf returns the settings of a table in the order of their names. An empty table counts as a
+// setting, so that a table with an unknown name is reported.
+func leavesOf(path []string, table map[string]any) []leaf {
 	var out []leaf
 	for _, key := range slices.Sorted(maps.Keys(table)) {
-		at := append(slices.Clone(path), key)
+		keyPath := append(slices.Clone(path), key)
 		if inner, ok := table[key].(map[string]any); ok && len(inner) > 0 {
-			out = append(out, leaves(at, inner)...)
+			out = append(out, leavesOf(keyPath, inner)...)
 			continue
 		}
-		out = append(out, leaf{path: at, value: table[key]})
+		out = append(out, leaf{path: keyPath, value: table[key]})
 	}
 	return out
 }
@@ -154,27 +153,27 @@
 		node := parser.Expression()
 		switch node.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = noteKey(&parser, lines, nil, node)
+			table = recordKey(&parser, lines, nil, node)
 		case unstable.KeyValue:
-			noteKeyValue(&parser, lines, table, node)
+			recordKeyValue(&parser, lines, table, node)
 		}
 	}
 	return lines
 }
 
-func noteKeyValue(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) {
-	path := noteKey(parser, lines, table, node)
+func recordKeyValue(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) {
+	path := recordKey(parser, lines, table, node)
 	if node.Value().Kind != unstable.InlineTable {
 		return
 	}
 	children := node.Value().Children()
 	for children.Next() {
-		noteKeyValue(parser, lines, path, children.Node())
+		recordKeyValue(parser, lines, path, children.Node())
 	}
 }
 
-// noteKey notes the line of a key below the given table and returns its path.
-func noteKey(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) []string {
+// recordKey records the line of a key in the given table and returns the key's path.
+func recordKey(parser *unstable.Parser, lines map[string]int, table []string, node *unstable.Node) []string {
 	path := slices.Clone(table)
 	line := 0
 	for keys := node.Key(); keys.Next(); {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,9 +14,9 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// TestLoad runs whole documents: "load" prints the problems of a document, or
-// some of the values that it leads to.
-func TestLoad(t *testing.T) {
+// TestLoadReportsEveryProblem loads the documents in testdata/load and compares the reported
+// problems, or some of the resulting values.
+func TestLoadReportsEveryProblem(t *testing.T) {
 	datadriven.RunTest(t, "testdata/load", func(t *testing.T, d *datadriven.TestData) string {
 		s, err := Load([]byte(d.Input))
 		if err == nil {
@@ -28,28 +28,28 @@
 		}
 		var list *Error
 		if !errors.As(err, &list) {
-			t.Fatalf("%s: %v is no *Error", d.Pos, err)
+			t.Fatalf("%s: %v wraps no *Error", d.Pos, err)
 		}
-		// The names of the policies belong to package balance.
+		// The list of policies belongs to package balance and may change there.
 		return strings.ReplaceAll(list.Error(), strings.Join(balance.Policies(), ", "), "POLICIES")
 	})
 }
 
-// A setting that the reference leaves out, or gives another default, misleads
-// the operator who looks it up; this comparison fails in the same commit.
-func TestReferencePageMatchesTheCode(t *testing.T) {
+// Guards against a reference page that lacks a setting or states another default than the code,
+// which would mislead operators.
+func TestReferencePageMatchesDefaults(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var documented []Entry
+	var documented []ReferenceRow
 	for line := range strings.Lines(string(page)) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		if len(cells) < 4 || !strings.HasPrefix(strings.TrimSpace(cells[0]), "`") {
 			continue
 		}
 		cell := func(i int) string { return strings.Trim(strings.TrimSpace(cells[i]), "`") }
-		documented = append(documented, Entry{Field: cell(0), Unit: cell(1), Default: cell(2)})
+		documented = append(documented, ReferenceRow{Field: cell(0), Unit: cell(1), Default: cell(2)})
 		if cell(3) == "" {
 			t.Errorf("%s has no description", cell(0))
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestExampleOfThePageLoads(t *testing.T) {
+func TestExampleOnReferencePageLoads(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
