--- a/internal/ctl/audit.go
+++ b/internal/ctl/audit.go
@@ -17,11 +17,11 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// followTimeout is after which silence a followed trail counts as lost: the
-// entry writes at least every admin.KeepAlive.
+// followTimeout is how long a followed trail may stay silent before the stream counts as lost. The
+// entry writes at least once every admin.KeepAlive.
 const followTimeout = 3 * admin.KeepAlive
 
-// maxLineBytes bounds one record.
+// maxLineBytes is the largest size of one record.
 const maxLineBytes = 4 << 20
 
 func auditCommand(o *options) *cobra.Command {
@@ -30,13 +30,13 @@
 	cmd := &cobra.Command{
 		Use:   "audit",
 		Short: "Show the trail of changes: who changed what, from what to what, and why",
-		Long: "Show the trail of changes that an entry holds in memory: who changed what, from\n" +
+		Long: "Show the trail of changes that an entry keeps in memory: who changed what, from\n" +
 			"what to what, at which revision and why. With --output json, one record a line.",
 		Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.audit(cmd.Context(), since, follow) },
 	}
 	cmd.Flags().Uint64Var(&since, "since", 0, "show only records after this number")
-	cmd.Flags().BoolVarP(&follow, "follow", "f", false, "go on with records as they come")
+	cmd.Flags().BoolVarP(&follow, "follow", "f", false, "keep printing new records as they arrive")
 	return cmd
 }
 
@@ -48,7 +48,7 @@
 	}
 	readCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	errSilent := fault.New(fault.Unavailable, "run the command again; give --since to go on", "nothing came for %s", limit)
+	errSilent := fault.New(fault.Unavailable, "run the command again; give --since to continue", "the entry sent nothing for %s", limit)
 	watchdog := time.AfterFunc(limit, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	response, err := o.open(readCtx, admin.AuditPath+"?"+query.Encode())
@@ -59,7 +59,7 @@
 	err = o.copyTrail(response.Body, func() { watchdog.Reset(limit) })
 	switch {
 	case ctx.Err() != nil:
-		return nil // the operator ended it
+		return nil // the operator ended the command
 	case errors.Is(context.Cause(readCtx), errSilent):
 		return errSilent
 	case err == nil && follow:
@@ -68,20 +68,21 @@
 	return err
 }
 
-// copyTrail writes the records of a stream until it ends.
+// copyTrail writes the records of a stream until it ends. It calls onLine for each line, also for the
+// empty lines that keep the stream alive.
 func (o *options) copyTrail(stream io.Reader, onLine func()) error {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		onLine()
 		if len(lines.Bytes()) == 0 {
-			continue // the entry shows that it is there
+			continue // keep-alive
 		}
 		if err := o.writeRecord(lines.Bytes()); err != nil {
 			return err
 		}
 	}
-	return fault.Wrap(lines.Err(), fault.Unavailable, "run the command again; give --since to go on", "the stream broke off")
+	return fault.Wrap(lines.Err(), fault.Unavailable, "run the command again; give --since to continue", "the stream broke off")
 }
 
 func (o *options) writeRecord(text []byte) error {
@@ -91,11 +92,11 @@
 	}
 	var line admin.AuditLine
 	if err := json.Unmarshal(text, &line); err != nil {
-		return fault.Wrap(err, fault.Unavailable, "use the tealhallctl of the entry's release", "a record can't be read")
+		return fault.Wrap(err, fault.Unavailable, "use the tealhallctl of the entry's release", "cannot parse an audit record")
 	}
 	p := &page{out: o.out}
 	if line.Dropped {
-		p.line("(earlier records are no longer held)")
+		p.line("(earlier records are no longer kept)")
 	}
 	p.line("%s", recordText(&line))
 	return nil
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -14,10 +14,10 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// maxResponseBytes bounds a page of the admin interface.
+// maxResponseBytes is the largest response of the admin interface that is read.
 const maxResponseBytes = 64 << 20
 
-// get reads a page into value.
+// get requests a path of the admin interface and decodes the JSON response into value.
 func (o *options) get(ctx context.Context, path string, value any) error {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
@@ -27,10 +27,10 @@
 	}
 	defer response.Body.Close()
 	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(value)
-	return fault.Wrap(err, fault.Unavailable, "use the tealhallctl of the entry's release", "the answer of %s can't be read", o.admin)
+	return fault.Wrap(err, fault.Unavailable, "use the tealhallctl of the entry's release", "cannot parse the response of %s", o.admin)
 }
 
-// open asks for a page and returns the answer, whose body the caller closes.
+// open requests a path of the admin interface and returns the response. The caller closes its body.
 func (o *options) open(ctx context.Context, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, o.url(path), nil)
 	if err != nil {
@@ -65,21 +65,21 @@
 	}
 	text, err := os.ReadFile(o.authorities)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "give a readable PEM file to --authorities", "the authorities can't be read")
+		return nil, fault.Wrap(err, fault.Unavailable, "give a readable PEM file to --authorities", "cannot read the authorities")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, fault.New(fault.Unavailable, "give a PEM file with certificates to --authorities", "%s holds no certificate", o.authorities)
+		return nil, fault.New(fault.Unavailable, "give a PEM file with certificates to --authorities", "%s contains no certificate", o.authorities)
 	}
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}, nil
 }
 
-// responseError returns the error that an answer other than 200 stands for.
+// responseError returns the error that a response with a status other than 200 reports.
 func responseError(response *http.Response) error {
 	var f admin.Failure
 	err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&f)
 	if err != nil || f.Error == "" {
-		return fault.New(fault.Unavailable, "check that --admin is the admin address of an entry", "the answer is %s", response.Status)
+		return fault.New(fault.Unavailable, "check that --admin is the admin address of an entry", "unexpected response: %s", response.Status)
 	}
 	return fault.New(fault.Unavailable, strings.ReplaceAll(printable(f.Remedy), "%", "%%"), "%s", printable(f.Error))
 }
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -1,6 +1,6 @@
-// Package ctl holds the commands of tealhallctl, the operators' tool: it checks
-// and compares profile documents and shows what an entry does. It changes
-// nothing in a fleet; that is done by publishing profiles.
+// Package ctl implements the commands of tealhallctl, the operators' tool. It checks and compares
+// profile documents and shows the state of an entry. It changes nothing in a fleet: operators make
+// changes by publishing profiles.
 package ctl
 
 import (
@@ -16,7 +16,7 @@
 	defaultTimeout = 5 * time.Second
 )
 
-// options are the flags that all commands share.
+// options holds the flags that all commands share.
 type options struct {
 	admin       string
 	authorities string
@@ -26,16 +26,15 @@
 	out io.Writer
 }
 
-// NewCommand returns the root command. Results go to out, usage and help that
-// was not asked for to errOut. It prints no errors: the caller does, and exits
-// with ExitCode.
+// NewCommand returns the root command. Results and requested help go to out, other usage texts to
+// errOut. The command prints no errors: the caller prints them and exits with ExitCode.
 func NewCommand(out, errOut io.Writer) *cobra.Command {
 	o := &options{out: out}
 	root := &cobra.Command{
 		Use:   "tealhallctl",
-		Short: "Look into tealhall and check what is to be published",
-		Long: "tealhallctl checks and compares profile documents and shows what an entry does.\n" +
-			"It changes nothing in a fleet: that is done by publishing profiles.\n\n" + exitCodesText,
+		Short: "Inspect tealhall and check documents before they are published",
+		Long: "tealhallctl checks and compares profile documents and shows the state of an entry.\n" +
+			"It changes nothing in a fleet: changes are made by publishing profiles.\n\n" + exitCodesText,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -44,11 +43,11 @@
 	flags := root.PersistentFlags()
 	flags.StringVar(&o.admin, "admin", defaultAdmin, "address of an entry's admin interface, IP:port or https://HOST:port")
 	flags.StringVar(&o.authorities, "authorities", "", "PEM file with the authorities to trust for an https address")
-	flags.StringVarP(&o.output, "output", "o", outputTable, "form of the result: table or json")
-	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "bound on the time to get an answer")
+	flags.StringVarP(&o.output, "output", "o", outputTable, "output format: table or json")
+	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "longest time to wait for a response")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return asUsageError(err) })
 	root.PersistentPreRunE = func(*cobra.Command, []string) error { return o.check() }
-	// The only error is a flag that does not exist.
+	// It fails only for a flag that does not exist.
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp))
 	makeGroup(root)
 	root.AddCommand(
@@ -74,8 +73,8 @@
 	return nil
 }
 
-// makeGroup makes a command that only holds others: without one of them it shows
-// its help, and a name that it does not hold is a usage error.
+// makeGroup turns cmd into a command that only groups subcommands: without a subcommand it prints its
+// help, and the name of an unknown subcommand is a usage error.
 func makeGroup(cmd *cobra.Command) {
 	cmd.SuggestionsMinimumDistance = 2
 	cmd.Args = func(cmd *cobra.Command, args []string) error {
@@ -91,7 +90,7 @@
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return cmd.Help() }
 }
 
-// exactArgs returns a check for the number of arguments.
+// exactArgs requires n arguments; any other number is a usage error.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error { return asUsageError(cobra.ExactArgs(n)(cmd, args)) }
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -18,7 +18,7 @@
 	"github.com/tealhall/tealhall/internal/audit"
 )
 
-// startSampleEntry serves a made-up entry and returns its address.
+// startSampleEntry serves the admin interface with sample data and returns its address.
 func startSampleEntry(t *testing.T) string {
 	t.Helper()
 	trail := audit.New(2, func() time.Time { return admintest.Wall }, nil)
@@ -32,7 +32,7 @@
 	return server.Listener.Addr().String()
 }
 
-// runCommand runs a command line and returns what it prints, its error and exit code.
+// runCommand runs a command line and returns its output, its error and its exit code as text.
 func runCommand(ctx context.Context, args []string) string {
 	var out, errOut bytes.Buffer
 	cmd := NewCommand(&out, &errOut)
@@ -45,9 +45,9 @@
 	return text + fmt.Sprintf("exit %d\n", ExitCode(err))
 }
 
-// TestCommands runs whole command lines. ADMIN stands for the address of the
-// sample entry, DOWN for one where nothing listens, OTHER for another program,
-// and files are in testdata. "ends" shows only the ends of what is printed.
+// TestCommands runs the command lines in testdata/commands. ADMIN stands for the address of the
+// sample entry, DOWN for an address where nothing listens and OTHER for the address of a server that
+// is not an entry. "ends" shows only the first and the last lines of the output.
 func TestCommands(t *testing.T) {
 	address := startSampleEntry(t)
 	notAnEntry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// lineWriter hands over what is written, piece by piece.
+// lineWriter sends each write to a channel.
 type lineWriter chan string
 
 func (w lineWriter) Write(b []byte) (int, error) {
@@ -107,14 +107,14 @@
 			}
 			c.end(cancel)
 			if err := <-ended; ExitCode(err) != c.exit {
-				t.Errorf("ended with %v", err)
+				t.Errorf("the command returned the error %v", err)
 			}
 		})
 	}
 }
 
-// An operator who follows a new profile asks one of hundreds of entries. It hears the revisions
-// of its neighbours only; the others were shown as having none, as if they had lost theirs.
+// In a fleet of hundreds of entries, an entry hears the revisions of its neighbours only. The other
+// entries must not be shown with revision "none", as if they had lost their profiles.
 func TestUnreportedRevisionIsNotShownAsNone(t *testing.T) {
 	for _, c := range []struct {
 		entry    admin.EntryView
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -7,24 +7,24 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// The exit codes.
+// Exit codes of tealhallctl.
 const (
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailure: the command could not do its work, for example because the
-	// entry did not answer.
+	// ExitFailure means that the command failed, for example because the entry did not answer.
 	ExitFailure = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitRefused: a profile document would be refused.
+	// ExitRefused means that entries would refuse a profile document.
 	ExitRefused = 3
-	// ExitNotCalm: "status --require-calm" found a concern.
+	// ExitNotCalm means that "status --require-calm" found a concern.
 	ExitNotCalm = 4
 )
 
 const exitCodesText = `Exit codes:
   0  done
-  1  the command could not do its work, for example because the entry did not answer
-  2  the command line is wrong
+  1  the command failed, for example because the entry did not answer
+  2  the command line is invalid
   3  a profile document would be refused
   4  status --require-calm found a concern`
 
@@ -46,7 +46,7 @@
 
 var errNotCalm = errors.New("the fleet is not calm; see the concerns above")
 
-// usageError is a wrong command line.
+// usageError reports an invalid command line.
 type usageError struct{ cause error }
 
 func (e *usageError) Error() string { return e.cause.Error() + "; see --help" }
--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// list shows a page that is a list.
+// list requests a list from the admin interface and shows it.
 func list[T any](ctx context.Context, o *options, path string, render func(*page, []T)) error {
 	var rows []T
 	if err := o.get(ctx, path, &rows); err != nil {
@@ -65,8 +65,8 @@
 	return o.show(rows, func(p *page) { render(p, rows) })
 }
 
-// reportedRevision is a revision that an entry said to hold. In a large fleet only its neighbours
-// say so to the entry that is asked.
+// reportedRevision renders a revision that an entry reports as its own. In a large fleet the entry
+// that is asked hears the revisions of its neighbours only, so 0 means "none" only for itself.
 func reportedRevision(v *admin.EntryView, n uint64) string {
 	if n == 0 && !v.Self {
 		return "not told"
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -13,13 +13,13 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// The forms of a result.
+// Output formats, the values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// show writes value as JSON, or what the page function makes of it.
+// show writes value as JSON or, in table format, the text that the page function renders.
 func (o *options) show(value any, page func(*page)) error {
 	var buffer bytes.Buffer
 	if o.output == outputJSON {
@@ -35,18 +35,18 @@
 	return err
 }
 
-// page writes text for people into a buffer.
+// page renders human-readable text.
 type page struct{ out io.Writer }
 
 func newPage(out *bytes.Buffer) *page { return &page{out: out} }
 
-// line writes one line. What comes from the network is made printable: a name
-// with control sequences must not act on the operator's terminal.
+// line writes one line. It replaces unprintable characters, because a name from the network may have
+// control sequences that must not reach the operator's terminal.
 func (p *page) line(format string, args ...any) {
 	fmt.Fprintln(p.out, printable(fmt.Sprintf(format, args...)))
 }
 
-// table writes rows below a header, in aligned columns.
+// table writes a header and rows in aligned columns, without unprintable characters.
 func (p *page) table(header []string, rows [][]string) {
 	w := tabwriter.NewWriter(p.out, 0, 0, 2, ' ', 0)
 	for _, row := range append([][]string{header}, rows...) {
@@ -59,6 +59,7 @@
 	w.Flush()
 }
 
+// printable replaces line breaks by spaces and other unprintable characters by question marks.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
@@ -71,7 +72,7 @@
 	}, text)
 }
 
-// age renders seconds as people read them; a negative number means never.
+// age renders an age in seconds; a negative one means never.
 func age(seconds float64) string {
 	if seconds < 0 {
 		return "never"
@@ -79,7 +80,7 @@
 	return span(seconds)
 }
 
-// span renders seconds with the precision that matters at their size.
+// span renders a duration in seconds, rounded according to its magnitude.
 func span(seconds float64) string {
 	d := time.Duration(seconds * float64(time.Second))
 	switch {
@@ -99,7 +100,7 @@
 
 func number[T int | int64 | uint32 | uint64](n T) string { return fmt.Sprint(n) }
 
-// revision renders a revision; 0 means that there is none.
+// revision renders a revision; 0 means none.
 func revision(n uint64) string {
 	if n == 0 {
 		return "none"
@@ -107,7 +108,7 @@
 	return published.RevisionText(n)
 }
 
-// joinNotes joins the texts whose condition holds.
+// joinNotes joins the texts of the notes that apply.
 func joinNotes(pairs ...note) string {
 	var texts []string
 	for _, m := range pairs {
@@ -118,6 +119,7 @@
 	return strings.Join(texts, ", ")
 }
 
+// note is a text that is shown if it applies.
 type note struct {
 	applies bool
 	text    string
--- a/internal/ctl/profile.go
+++ b/internal/ctl/profile.go
@@ -36,7 +36,7 @@
 	return []string{"toml"}, cobra.ShellCompDirectiveFilterFileExt
 }
 
-// checkResult is the result of a check.
+// checkResult is the result of "profile check".
 type checkResult struct {
 	File     string        `json:"file"`
 	Accepted bool          `json:"accepted"`
@@ -46,7 +46,7 @@
 	Warnings []problemView `json:"warnings"`
 }
 
-// problemView is a problem of a document.
+// problemView is the JSON form of a profile.Problem.
 type problemView struct {
 	Line    int    `json:"line"`
 	Path    string `json:"path"`
@@ -62,12 +62,12 @@
 	return views
 }
 
-// readProfile reads a document. Revisions are given when it is published; the
-// check does not depend on it.
+// readProfile reads and parses a document. It passes revision 1, since a document gets its revision
+// when it is published and the check does not depend on it.
 func readProfile(file string) (*profile.Snapshot, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "give the name of a readable file", "the document can't be read")
+		return nil, fault.Wrap(err, fault.Unavailable, "give the name of a readable file", "cannot read the document")
 	}
 	return profile.Parse(data, 1)
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// changeView is one difference between two documents.
+// changeView is the JSON form of a profile.Change.
 type changeView struct {
 	Subject string `json:"subject"`
 	Name    string `json:"name"`
@@ -133,7 +133,7 @@
 	return o.show(views, func(p *page) { diffPage(p, changes) })
 }
 
-// readValidProfile reads a document and names the file in its error.
+// readValidProfile reads a document. If it would be refused, the error names the file.
 func readValidProfile(file string) (*profile.Snapshot, error) {
 	snapshot, err := readProfile(file)
 	if fault.KindOf(err) == fault.BadProfile {
