--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,8 @@
-// Package client is for callers of services behind tealhall. It asks an entry
-// for the entries to use, keeps the answer for its time to live, picks one,
-// fails over, makes idempotency keys and reports each outcome as a typed value.
+// Package client sends requests to services behind tealhall. It asks an entry which entries to use,
+// caches the list for its time to live, picks an entry, fails over to others, makes idempotency keys
+// and reports each outcome as a typed value.
 //
-// Callers in other languages can do the same by HTTP: see docs/CALLERS.md.
+// Callers in other languages can use the same HTTP interface: see docs/CALLERS.md.
 package client
 
 import (
@@ -18,42 +18,41 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Outcome is what is known of a request.
+// Outcome says whether a request was run.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// Done: an endpoint answered; the Result holds its answer.
+	// Done means that an endpoint answered; the Result has its response.
 	Done Outcome = "done"
-	// NotRun: no endpoint ran the request and none will.
+	// NotRun means that no endpoint ran the request and none will.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have run. A read can be asked again; for a
-	// request that must run once, ask the application what became of it.
+	// Unknown means that the request may have run. The caller can repeat a read; for a request that
+	// must run once, it has to ask the application whether the request ran.
 	Unknown Outcome = "unknown"
 )
 
 // Options configure a Client.
 type Options struct {
-	// Seeds are addresses (IP:port) of entries to ask first.
+	// Seeds are the addresses (IP:port) of the entries that are asked first which entries to use.
 	Seeds []string
-	// Caller names the caller, for fairness between callers; required.
+	// Caller is the caller's name, by which entries share capacity fairly between callers; required.
 	Caller string
 	// Domain is the caller's failure domain, or "".
 	Domain string
-	// HTTP sends the requests; nil means a client of its own that keeps up to
-	// 64 connections to each entry. Redirects are never followed: they are the
-	// endpoint's answer.
+	// HTTP sends the requests; nil means a new client that keeps up to 64 idle connections to each
+	// entry. Redirects are never followed: they are the endpoint's response.
 	HTTP *http.Client
-	// TLS, if not nil, says that entries serve callers over TLS, and how their
-	// certificates are checked. An HTTP of the caller's own needs the same.
+	// TLS, if not nil, makes the client connect to entries over TLS and says how to verify their
+	// certificates. If HTTP is set, its transport needs the same configuration.
 	TLS *tls.Config
-	// MaxAnswer is the largest answer in bytes; 0 means 64 MiB. Of a larger one
-	// the outcome is Unknown and the Err says so.
+	// MaxAnswer is the largest response body in bytes; 0 means 64 MiB. For a larger one the outcome is
+	// Unknown and Result.Err says why.
 	MaxAnswer int64
 	// Clock returns the time; nil means time.Now.
 	Clock func() time.Time
-	// Wait waits before another try; nil waits on a timer. It returns early
-	// with the context's error.
+	// Wait waits for d before another try; nil means a timer. When the context ends, Wait returns
+	// early with the context's error.
 	Wait func(ctx context.Context, d time.Duration) error
 }
 
@@ -61,16 +60,15 @@
 type Request struct {
 	Service string
 	Method  string
-	// Path with query, as the endpoint will see it.
+	// Path is the path with the query, as the endpoint receives it.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once asks for an idempotency key: the request runs at most once over all
-	// tries of one Do.
+	// Once sends the request with an idempotency key: it runs at most once over all tries of one Do.
 	Once bool
 }
 
-// body returns a fresh reader of the body, nil for none.
+// body returns a new reader of the body, or nil if there is none.
 func (r *Request) body() io.Reader {
 	if len(r.Body) == 0 {
 		return nil
@@ -78,36 +76,36 @@
 	return bytes.NewReader(r.Body)
 }
 
-// Result is what became of a request.
+// Result is the result of a request.
 type Result struct {
 	Outcome Outcome
-	// Status, Header and Body are the answer: the endpoint's if Outcome is
-	// Done, else tealhall's own explanation, if one arrived.
+	// Status, Header and Body are the response: the endpoint's if Outcome is Done, otherwise the
+	// entry's explanation, if one arrived.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Reason is tealhall's word for why, "" if an endpoint answered.
+	// Reason is the entry's reason for the outcome, or "" if an endpoint answered.
 	Reason string
-	// RetryAfter says when to come back; 0 if nothing was said.
+	// RetryAfter is the delay after which the caller should try again; 0 if the entry gave none.
 	RetryAfter time.Duration
-	// Entry is the name of the entry that answered.
+	// Entry is the name of the entry that the last try was sent to.
 	Entry string
 	// Key is the idempotency key of the last try, or "".
 	Key string
-	// Tries counts the requests sent to entries.
+	// Tries is the number of requests sent to entries.
 	Tries int
-	// Err says what went wrong between the caller and the entry, nil if an
-	// entry answered whole. Its kind is fault.Truncated if the answer broke off.
+	// Err is the error between the caller and the entry, or nil if an entry's response arrived
+	// complete. Its kind is fault.Truncated if the response broke off.
 	Err error
 }
 
-// The bounds of one Do.
+// Limits of one Do.
 const (
 	maxTries   = 4
 	firstPause = 20 * time.Millisecond
 	maxPause   = time.Second
 	idleConns  = 64
-	// dialTimeout bounds the opening of a connection to an entry.
+	// dialTimeout is the longest time to open a connection to an entry.
 	dialTimeout = time.Second
 	maxAnswer   = 64 << 20
 )
@@ -119,7 +117,7 @@
 	directory *directory
 }
 
-// New returns a client. It contacts nobody yet.
+// New returns a client. It opens no connection yet.
 func New(opts Options) (*Client, error) {
 	if len(opts.Seeds) == 0 {
 		return nil, fault.New(fault.BadSettings, "give the address of at least one entry", "no seeds")
@@ -144,8 +142,8 @@
 	return &Client{opts: opts, http: &httpClient, directory: newDirectory(opts, &httpClient)}, nil
 }
 
-// newHTTP returns the client that is used where Options name none. Answers are
-// given as they come, so that their length and digest headers fit.
+// newHTTP returns the HTTP client that is used if Options has none. It does not decompress responses,
+// so that their length and digest headers match the body.
 func newHTTP(tlsConfig *tls.Config) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		TLSClientConfig:     tlsConfig,
@@ -174,10 +172,10 @@
 	}
 }
 
-// Do sends a request and tries again where that is safe: through another
-// entry when the request was not run or may run twice, and with the same key
-// when the answer of a request that must run once was lost. The error is nil
-// whenever the Result tells the outcome, also when that is NotRun or Unknown.
+// Do sends a request and tries again where that is safe: through another entry when the request was
+// not run or may run twice, and with the same key when the response to a request that must run once
+// was lost. Do returns an error only if it knows no entry to use; NotRun and Unknown are outcomes, not
+// errors.
 func (c *Client) Do(ctx context.Context, req Request) (Result, error) {
 	entries, err := c.directory.entries(ctx, req.Service)
 	if err != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,10 +19,10 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// A steward's waste entry is counted twice, or is told "not run" and was run.
-// Both begin with a try whose answer is lost; then another entry says "not run"
-// of the second try, and the caller's package believes it of the whole request.
-// The table has every order of such tries that led there, with the keys used.
+// Guards against a request that runs twice and against one that is reported as "not run" although it
+// ran. In both cases the response to the first try is lost, another entry answers "not run" to the
+// second try, and the client takes this answer for the whole request. The table has every order of
+// tries that led to these faults, with the keys used.
 func TestDo(t *testing.T) {
 	once := Request{Service: "s", Method: http.MethodPost, Path: "/", Body: []byte("x"), Once: true}
 	post := Request{Service: "s", Method: http.MethodPost, Path: "/", Body: []byte("x")}
@@ -37,31 +37,31 @@
 		arrived []string
 	}{
 		{"answered", get, [][]string{{"done"}, {}}, Done, []string{"A"}},
-		{"once has a key of the entry", once, [][]string{{"done"}, {}}, Done, []string{"A k1"}},
-		{"entry gone, next one answers", post, [][]string{nil, {"done"}}, Done, []string{"B"}},
-		{"all entries gone", once, [][]string{nil, nil}, NotRun, nil},
+		{"once uses a key with the entry's prefix", once, [][]string{{"done"}, {}}, Done, []string{"A k1"}},
+		{"entry down, next one answers", post, [][]string{nil, {"done"}}, Done, []string{"B"}},
+		{"all entries down", once, [][]string{nil, nil}, NotRun, nil},
 		{"entry overloaded, next one with a new key", once, [][]string{{overload}, {"done"}}, Done, []string{"A k1", "B k2"}},
-		{"service overloaded, not asked again", once, [][]string{{queueFull}, {}}, NotRun, []string{"A k1"}},
-		{"read lost, asked again", get, [][]string{{"lost"}, {"done"}}, Done, []string{"A", "B"}},
-		{"read cut, asked again", get, [][]string{{"cut"}, {"done"}}, Done, []string{"A", "B"}},
-		{"plain POST lost, never again", post, [][]string{{"lost"}, {}}, Unknown, []string{"A"}},
-		{"plain POST cut, never again", post, [][]string{{"cut"}, {}}, Unknown, []string{"A"}},
-		{"once lost, same key again", once, [][]string{{"lost"}, {"done"}}, Done, []string{"A k1", "B k1"}},
-		{"once lost, then overload proves nothing", once, [][]string{{"lost", "done"}, {overload}}, Done, []string{"A k1", "B k1", "A k1"}},
-		{"once lost, then overload everywhere", once, [][]string{{"lost", overload}, {overload, overload}}, Unknown, []string{"A k1", "B k1", "A k1", "B k1"}},
-		{"once lost, then home says queue full", once, [][]string{{"lost"}, {queueFull}}, NotRun, []string{"A k1", "B k1"}},
+		{"service overloaded, no retry", once, [][]string{{queueFull}, {}}, NotRun, []string{"A k1"}},
+		{"read lost, retried", get, [][]string{{"lost"}, {"done"}}, Done, []string{"A", "B"}},
+		{"read truncated, retried", get, [][]string{{"cut"}, {"done"}}, Done, []string{"A", "B"}},
+		{"plain POST lost, no retry", post, [][]string{{"lost"}, {}}, Unknown, []string{"A"}},
+		{"plain POST truncated, no retry", post, [][]string{{"cut"}, {}}, Unknown, []string{"A"}},
+		{"once lost, retried with the same key", once, [][]string{{"lost"}, {"done"}}, Done, []string{"A k1", "B k1"}},
+		{"once lost, overload does not settle it", once, [][]string{{"lost", "done"}, {overload}}, Done, []string{"A k1", "B k1", "A k1"}},
+		{"once lost, then overload at every entry", once, [][]string{{"lost", overload}, {overload, overload}}, Unknown, []string{"A k1", "B k1", "A k1", "B k1"}},
+		{"once lost, then queue full at the home", once, [][]string{{"lost"}, {queueFull}}, NotRun, []string{"A k1", "B k1"}},
 		{"once lost, then key spent", once, [][]string{{"lost"}, {"409 not-run reason=key-spent"}}, NotRun, []string{"A k1", "B k1"}},
-		{"once lost, then home gone without it", once, [][]string{{"lost", "done"}, {"503 not-run reason=home-stopped"}}, Done, []string{"A k1", "B k1", "A k2"}},
-		{"once lost, then every entry gone", once, [][]string{{"lost", "lost"}, nil}, Unknown, []string{"A k1", "A k1"}},
+		{"once lost, then home stopped without running it", once, [][]string{{"lost", "done"}, {"503 not-run reason=home-stopped"}}, Done, []string{"A k1", "B k1", "A k2"}},
+		{"once lost, then every entry down", once, [][]string{{"lost", "lost"}, nil}, Unknown, []string{"A k1", "A k1"}},
 		{"home unreachable from one entry", once, [][]string{{"504 unknown reason=home-unreachable"}, {"done"}}, Done, []string{"A k1", "B k1"}},
-		{"upload lost, then not run proves nothing", put, [][]string{{"lost"}, {queueFull}}, Unknown, []string{"A", "B"}},
-		{"unknown of the service is final", once, [][]string{{"502 unknown reason=endpoint-lost"}, {}}, Unknown, []string{"A k1"}},
-		{"no outcome stated", post, [][]string{{"200"}, {}}, Unknown, []string{"A"}},
-		{"two outcomes stated", post, [][]string{{"200 done not-run"}, {}}, Unknown, []string{"A"}},
+		{"upload lost, not run does not settle it", put, [][]string{{"lost"}, {queueFull}}, Unknown, []string{"A", "B"}},
+		{"unknown from the service is final", once, [][]string{{"502 unknown reason=endpoint-lost"}, {}}, Unknown, []string{"A k1"}},
+		{"no outcome header", post, [][]string{{"200"}, {}}, Unknown, []string{"A"}},
+		{"two outcome headers", post, [][]string{{"200 done not-run"}, {}}, Unknown, []string{"A"}},
 		{"outcome of another product", post, [][]string{{"200 ok"}, {}}, Unknown, []string{"A"}},
-		{"not run with a good status", post, [][]string{{"200 not-run"}, {}}, Unknown, []string{"A"}},
-		{"answer too large to hold", once, [][]string{{"large"}, {}}, Unknown, []string{"A k1"}},
-		{"redirect is the endpoint's answer", once, [][]string{{"redirect"}, {}}, Done, []string{"A k1"}},
+		{"not run with a success status", post, [][]string{{"200 not-run"}, {}}, Unknown, []string{"A"}},
+		{"response too large", once, [][]string{{"large"}, {}}, Unknown, []string{"A k1"}},
+		{"redirect is the endpoint's response", once, [][]string{{"redirect"}, {}}, Done, []string{"A k1"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,15 +74,15 @@
 				t.Errorf("arrivals (-want +got):\n%s", diff)
 			}
 			if r.Outcome != Done && r.Status == 0 && r.Err == nil {
-				t.Error("no answer and no error that says why")
+				t.Error("neither a response nor an error")
 			}
 		})
 	}
 }
 
-// A booking is told "not run" although it ran. The entry takes the request on a
-// kept connection and dies; net/http sends a request with an Idempotency-Key
-// again by itself, now finds the port closed, and reports that second failure.
+// Guards against "not run" for a request that ran. The entry reads the request from a reused
+// connection and dies; net/http retries a request with an Idempotency-Key by itself, finds the port
+// closed and returns only the second failure.
 func TestTransportRetryIsNotReportedAsNotRun(t *testing.T) {
 	f, c := startFleet(t, []string{"done", "lost"})
 	dials := 0
@@ -101,7 +101,7 @@
 		}
 	}
 	if got := f.log(); len(got) != 2 || dials < 2 {
-		t.Errorf("arrivals %q, %d dials: the case did not come about", got, dials)
+		t.Errorf("arrivals %q, %d dials: net/http did not retry the request", got, dials)
 	}
 }
 
@@ -119,7 +119,7 @@
 			t.Fatalf("%+v, %v", r, err)
 		}
 		if f.listRequests != step.asked {
-			t.Errorf("at %v: asked %d times, want %d", now.Sub(time.Unix(1000, 0)), f.listRequests, step.asked)
+			t.Errorf("at %v: %d requests for the list, want %d", now.Sub(time.Unix(1000, 0)), f.listRequests, step.asked)
 		}
 	}
 }
@@ -132,12 +132,12 @@
 	}
 	group.Wait()
 	if f.listRequests != 1 {
-		t.Errorf("asked %d times", f.listRequests)
+		t.Errorf("%d requests for the list of entries", f.listRequests)
 	}
 }
 
-// Users would be turned away while entries serve: the answer has run out and
-// nobody answers the question for a new one. The old answer must go on serving.
+// When the list of entries has expired and no entry answers with a new one, the client must keep using
+// the old list: otherwise requests fail although entries serve.
 func TestExpiredEntriesAreUsedWhenRefreshFails(t *testing.T) {
 	f, c := startFleet(t, []string{"done", "done"})
 	now := time.Unix(1000, 0)
@@ -147,16 +147,16 @@
 		t.Fatal(err)
 	}
 	now = now.Add(time.Minute)
-	f.list.Entries = nil // every entry answers the question with an empty list
+	f.list.Entries = nil // every entry answers with an empty list
 	if r, err := c.Do(t.Context(), get); err != nil || r.Outcome != Done {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
-// A caller books rarely and reads all the time. An entry stops in a planned way; the
-// answer for its bookings, long run out, still names it first, while the one for its reads
-// does not. It asked the stopped entry for a new answer on a connection that was being
-// closed, which showed as a question cut off by a planned stop.
+// A caller writes rarely and reads all the time. After the planned stop of an entry, the expired list
+// for the writes still names this entry first, while the list for the reads does not. The client
+// requested a new list from the stopped entry on a connection that was being closed, and the request
+// was cut off. It must ask the entries of the newest list first.
 func TestNewestEntriesAreAskedFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(Options{Seeds: []string{"seed", "stopped"}, Clock: func() time.Time { return now }}, nil)
@@ -170,7 +170,7 @@
 	cache("bookings", -2*time.Second, "stopped", "a")
 	cache("reads", time.Second, "b", "a")
 	if diff := cmp.Diff([]string{"b", "a", "stopped", "seed"}, d.addresses()); diff != "" {
-		t.Errorf("asked in another order (-want +got):\n%s", diff)
+		t.Errorf("addresses in another order (-want +got):\n%s", diff)
 	}
 }
 
@@ -185,14 +185,14 @@
 			t.Fatalf("order %v", ordered)
 		}
 	}
-	// Twelve standard deviations around 3000: a failure is no accident.
+	// 12 standard deviations around 3000: chance does not explain a failure.
 	if first["A"] < 2670 || first["A"] > 3330 || first["C"] > 0 {
-		t.Errorf("first places %v", first)
+		t.Errorf("times in first place: %v", first)
 	}
 }
 
-// A caller that gives up must not blame the entry: the next request of a page
-// that was closed too early would go to a farther entry for no reason.
+// A caller that cancels its request must not mark the entry as failed: otherwise the next request, for
+// example after a page was closed early, goes to a farther entry for no reason.
 func TestCallerCancellationDoesNotMarkEntryFailed(t *testing.T) {
 	f, c := startFleet(t, []string{"hang", "done"}, []string{})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/client/dial.go
+++ b/client/dial.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// A connection can be dead although both ends hold it open: something in between
-// has lost track of it. It shows as a request that gets no answer until its
-// deadline. These times bound how long that takes; an entry answers within its
-// own deadlines, and its kernel acknowledges at once.
+// A connection can be dead although it is open at both ends, because a device on the path has lost its
+// state. A request on it gets no response until its deadline. These times limit how long it takes to
+// detect this; the kernel of a live entry acknowledges at once.
 const (
-	// unackedTimeout is how long sent bytes may stay without an acknowledgement.
+	// unackedTimeout is how long sent bytes may stay unacknowledged.
 	unackedTimeout = 2 * time.Second
-	// While an answer is awaited, the kernel asks the entry's kernel now and then.
+	// While a response is awaited, the kernel sends keep-alive probes.
 	keepAliveIdle  = 2 * time.Second
 	keepAliveEvery = time.Second
 	keepAliveCount = 3
 )
 
-// dial opens a connection that the kernel ends when it went silent.
+// dial opens a connection that the kernel closes when the other end falls silent.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
--- a/client/dial_other.go
+++ b/client/dial_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// setUserTimeout leaves silent connections to the deadlines of the requests.
+// setUserTimeout does nothing: only the deadlines of the requests end silent connections.
 func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/client/directory.go
+++ b/client/directory.go
@@ -16,17 +16,17 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// The limits of asking for entries.
+// Limits of requests for the list of entries.
 const (
 	fetchTimeout   = 2 * time.Second
 	maxEntriesBody = 256 << 10
-	// avoidDuration is how long an entry that failed is tried last.
+	// avoidDuration is how long an entry is tried last after it failed.
 	avoidDuration = 2 * time.Second
-	// refreshRetryDelay is when entries are asked again after none of them answered.
+	// refreshRetryDelay is the delay before the next refresh after no entry answered.
 	refreshRetryDelay = time.Second
 )
 
-// directory keeps the entries to use for each service for their time to live.
+// directory caches the entries to use for each service for their time to live.
 type directory struct {
 	opts Options
 	http *http.Client
@@ -37,12 +37,12 @@
 	latestRevision uint64
 }
 
-// serviceEntries is what is known of the entries for one service.
+// serviceEntries is the cached list of entries for one service.
 type serviceEntries struct {
-	// refreshing holds a token; whoever takes it asks for all that need an answer.
+	// refreshing is a lock: the goroutine that fills it refreshes the list for all that wait.
 	refreshing chan struct{}
 	entries    []contract.EntryAddress
-	// expires is when entries have to be asked for again.
+	// expires is when the list has to be refreshed.
 	expires time.Time
 }
 
@@ -50,8 +50,8 @@
 	return &directory{opts: opts, http: httpClient, services: make(map[string]*serviceEntries), avoidUntil: make(map[string]time.Time)}
 }
 
-// entries returns the entries for a service in the order to try them. Of many
-// callers at the same time one asks and the others wait for it.
+// entries returns the entries for a service in the order to try them. Of concurrent calls one
+// refreshes an expired list and the others wait for it.
 func (d *directory) entries(ctx context.Context, service string) ([]contract.EntryAddress, error) {
 	k := d.entriesFor(service)
 	if list, ok := d.cached(k); ok {
@@ -61,7 +61,7 @@
 	case k.refreshing <- struct{}{}:
 		defer func() { <-k.refreshing }()
 	case <-ctx.Done():
-		return nil, fault.Wrap(ctx.Err(), fault.Unavailable, "allow more time", "no entry was asked yet")
+		return nil, fault.Wrap(ctx.Err(), fault.Unavailable, "allow more time", "the context ended before an entry was asked")
 	}
 	if list, ok := d.cached(k); ok {
 		return list, nil
@@ -80,7 +80,7 @@
 	return k
 }
 
-// cached returns the entries that may still be used without asking.
+// cached returns the entries of a list that has not expired.
 func (d *directory) cached(k *serviceEntries) ([]contract.EntryAddress, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,9 +90,8 @@
 	return d.ordered(k.entries), true
 }
 
-// refresh asks for the entries of a service. Where nobody answers, an answer that
-// has run out is better than none: entries that are gone refuse the connection,
-// which is a safe failure.
+// refresh requests the entries of a service. If no entry answers, it returns the expired list: entries
+// that have stopped refuse the connection, which is a safe failure.
 func (d *directory) refresh(ctx context.Context, service string, k *serviceEntries) ([]contract.EntryAddress, error) {
 	sent := d.opts.Clock()
 	answer, err := d.fetch(ctx, service)
@@ -106,19 +105,19 @@
 		return d.ordered(k.entries), nil
 	}
 	k.entries = answer.Entries
-	// The entry counts the time to live from its answer; counted from the
-	// question it can't end later here than there.
+	// The entry counts the time to live from its response. Counted from the request, the list cannot
+	// expire later here than at the entry.
 	k.expires = sent.Add(time.Duration(answer.TTLMillis) * time.Millisecond)
 	d.latestRevision = max(d.latestRevision, answer.Revision)
 	return d.ordered(k.entries), nil
 }
 
-// addresses returns whom to ask which entries to use: those that the newest answers name
-// first, whatever service they were for, then the seeds.
+// addresses returns the addresses to ask which entries to use: the entries of all lists, whatever
+// their service, those of the newest list first, then the seeds.
 //
-// Guards against a caller that rests for longer than its answer lasts, and then asks an
-// entry that has stopped meanwhile, on a connection whose end it has not noticed yet: the
-// question breaks off, although an answer for another service tells who serves.
+// Guards against a caller that is idle for longer than its list is valid and then asks an entry that
+// has stopped meanwhile, on a connection whose end it has not noticed yet: the request breaks off,
+// although the list for another service has entries that serve.
 func (d *directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,8 +146,8 @@
 	return d.latestRevision
 }
 
-// markFailed remembers that an entry did not answer, so that it is tried last for
-// a while.
+// markFailed records that an entry did not answer, so that it is tried last for avoidDuration. It also
+// removes expired records.
 func (d *directory) markFailed(entry contract.EntryAddress) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +160,7 @@
 	}
 }
 
-// fetch gets an answer from the first entry that gives one.
+// fetch requests the list from one address after the other until one answers.
 func (d *directory) fetch(ctx context.Context, service string) (contract.EntriesAnswer, error) {
 	var last error
 	for _, address := range d.addresses() {
@@ -191,13 +190,13 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxEntriesBody))
 	if err != nil {
-		return answer, fault.Wrap(err, fault.Truncated, "ask again", "the answer of entry %s broke off", address)
+		return answer, fault.Wrap(err, fault.Truncated, "ask again", "the response of entry %s broke off", address)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return answer, fault.New(fault.Unavailable, "ask another entry", "entry %s answered %d: %s", address, resp.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return answer, fault.Wrap(err, fault.BadMessage, "check that a tealhall entry runs at this address", "entry %s gave no list", address)
+		return answer, fault.Wrap(err, fault.BadMessage, "check that a tealhall entry runs at this address", "entry %s sent no valid list of entries", address)
 	}
 	if len(answer.Entries) == 0 {
 		return answer, fault.New(fault.Unavailable, "ask another entry", "entry %s knows no entry for %s", address, service)
@@ -205,9 +204,8 @@
 	return answer, nil
 }
 
-// ordered returns the entries in the order to try them: first one drawn by
-// weight, then the others in the order of the answer, those that just failed
-// last. The lock is held.
+// ordered returns the entries in the order to try them: first one drawn by weight, then the others in
+// the order of the list, and last the entries that failed recently. The caller holds d.mu.
 func (d *directory) ordered(entries []contract.EntryAddress) []contract.EntryAddress {
 	now := d.opts.Clock()
 	var good, bad []contract.EntryAddress
--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -15,7 +15,7 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// fakeFleet is a row of entries that answer by a script and log what arrives.
+// fakeFleet is a set of entries that answer by scripts and log the requests that arrive.
 type fakeFleet struct {
 	t *testing.T
 
@@ -28,8 +28,8 @@
 	arrived      chan struct{}
 }
 
-// startFleet starts one entry for each script; a nil script is an entry that
-// refuses connections. The first entry has all the weight.
+// startFleet starts one entry for each script; an entry with a nil script refuses connections. The
+// first entry has all the weight.
 func startFleet(t *testing.T, scripts ...[]string) (*fakeFleet, *Client) {
 	f := &fakeFleet{t: t, keyNames: make(map[string]string), scripts: make(map[string][]string), arrived: make(chan struct{}, 64)}
 	f.list = contract.EntriesAnswer{Service: "s", Revision: 7, TTLMillis: 8000}
@@ -59,9 +59,8 @@
 	return f, c
 }
 
-// closedAddress returns an address at which nobody listens: these ports belong
-// to services that no machine runs. A port that was just closed would not do,
-// since the next listener may get it.
+// closedAddress returns an address where nothing listens: the lowest ports belong to services that are
+// not in use. A port that was just closed would not do, since the next listener may get it.
 func closedAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }
 
 func (f *fakeFleet) handler(name string) http.Handler {
@@ -77,14 +76,14 @@
 	})
 }
 
-// log returns what arrived so far.
+// log returns the requests that have arrived so far.
 func (f *fakeFleet) log() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.arrivals)
 }
 
-// nextStep logs an arrival and returns what the entry's script says to it.
+// nextStep logs a request and returns the next step of the entry's script.
 func (f *fakeFleet) nextStep(name string, r *http.Request) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,15 +95,15 @@
 	f.arrivals = append(f.arrivals, strings.TrimSpace(name+" "+f.keyNames[key]))
 	script := f.scripts[name]
 	if len(script) == 0 {
-		f.t.Errorf("entry %s got a request that its script does not have", name)
+		f.t.Errorf("entry %s got more requests than its script has steps", name)
 		return "done"
 	}
 	f.scripts[name] = script[1:]
 	return script[0]
 }
 
-// respond carries out one word of a script: "done", "lost", "cut", "large",
-// "redirect", "hang", or a status with any outcomes and a reason.
+// respond carries out one step of a script: "done", "lost", "cut", "large", "redirect", "hang", or a
+// status with any number of outcomes and a reason.
 func (f *fakeFleet) respond(w http.ResponseWriter, r *http.Request, step string) {
 	switch step {
 	case "lost":
--- a/client/page_test.go
+++ b/client/page_test.go
@@ -10,7 +10,7 @@
 	"github.com/tealhall/tealhall/internal/core"
 )
 
-var rewrite = flag.Bool("rewrite", false, "write the table of reasons in docs/CALLERS.md anew")
+var rewrite = flag.Bool("rewrite", false, "rewrite the table of reasons in docs/CALLERS.md")
 
 const (
 	callersPage  = "../docs/CALLERS.md"
@@ -18,7 +18,7 @@
 	reasonsEnd   = "<!-- reasons: end -->\n"
 )
 
-// reasonTable lists every reason of an entry as callers see it.
+// reasonTable returns a Markdown table of every reason that an entry gives to callers.
 func reasonTable() string {
 	var b strings.Builder
 	b.WriteString("\n| Reason | Status | Another entry | Settles the key | Remedy |\n|---|---|---|---|---|\n")
@@ -37,9 +37,8 @@
 	return ""
 }
 
-// Callers in other languages write their rules from the page. A reason that is
-// missing there, or one that this package names and no entry gives, would make
-// them and this package decide differently about the same answer.
+// Callers in other languages follow the rules in docs/CALLERS.md. If a reason is missing there, or this
+// package has a reason that no entry gives, they and this package treat the same response differently.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile(callersPage)
 	if err != nil {
@@ -48,7 +47,7 @@
 	head, rest, found := strings.Cut(string(page), reasonsBegin)
 	table, tail, ended := strings.Cut(rest, reasonsEnd)
 	if !found || !ended {
-		t.Fatal("the marks around the reasons are missing")
+		t.Fatal("the comments that mark the table of reasons are missing")
 	}
 	want := reasonTable()
 	if table != want && *rewrite {
--- a/client/sendtracker.go
+++ b/client/sendtracker.go
@@ -8,16 +8,14 @@
 	"sync/atomic"
 )
 
-// sendTracker is set once a part of a request may have left.
+// sendTracker records whether any part of a request may have been sent.
 //
-// Guards against a false "not run": net/http sends a request with an
-// Idempotency-Key, or one with a safe method, a second time on its own when a
-// kept connection dies under it. If the second time no connection can be opened
-// at all, the error looks as if nothing had been sent. The first header that is
-// written, to whatever connection, sets the mark.
+// Guards against a false "not run": net/http retries a request with an Idempotency-Key or a safe method
+// by itself when a reused connection breaks. If the retry cannot open a connection, its error looks as
+// if nothing had been sent. The tracker is set when the first header is written to any connection.
 type sendTracker struct{ sent atomic.Bool }
 
-// withTrace returns a context that makes net/http set the mark.
+// withTrace returns a context that makes net/http set the tracker.
 func (m *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaderField: func(string, []string) { m.sent.Store(true) },
@@ -26,7 +24,7 @@
 
 func (m *sendTracker) load() bool { return m.sent.Load() }
 
-// isDialError reports whether err is that of opening a connection.
+// isDialError reports whether err occurred while a connection was opened.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/client/session.go
+++ b/client/session.go
@@ -11,14 +11,14 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// session is one Do.
+// session is the state of one Do.
 type session struct {
 	client  *Client
 	request Request
 	entries []contract.EntryAddress
 	key     string
-	// mayHaveRun is set while an earlier try may have run, or may still run, and
-	// nothing has settled since what became of it.
+	// mayHaveRun is set while an earlier try may have run or may still run, and no later response has
+	// settled whether it did.
 	mayHaveRun bool
 }
 
@@ -45,7 +45,7 @@
 	return result
 }
 
-// ensureKey makes a key whose home is entry, unless one is in use.
+// ensureKey makes a key whose home is entry, unless the request has a key or needs none.
 func (s *session) ensureKey(entry contract.EntryAddress) error {
 	if !s.request.Once || s.key != "" {
 		return nil
@@ -55,13 +55,12 @@
 	return err
 }
 
-// reconcile weighs the result of one try with the tries before it.
+// reconcile corrects the result of a try by the results of the tries before it.
 //
-// Guards against a false "not run" and against a second run: a try whose answer
-// was lost may have run, and "not run" from another entry speaks of the later
-// try only. If it were believed, the caller would repeat its request, or this
-// package would with a new key. So after a lost answer "not run" counts only
-// when the home of the key gave it after looking the key up.
+// Guards against a false "not run" and against a second run: a try whose response was lost may have
+// run, and "not run" from another entry is about the later try only. Otherwise the caller would repeat
+// its request, or this package would repeat it with a new key. So after a lost response, "not run" is
+// accepted only for reasons that the home of the key gives after it has looked the key up.
 func (s *session) reconcile(r Result) Result {
 	switch r.Outcome {
 	case Done:
@@ -79,8 +78,8 @@
 	return r
 }
 
-// settlesKey holds the reasons of "not run" that an entry gives only after the
-// home of the key has looked it up: the key did not run there and never will.
+// settlesKey has the reasons of "not run" that an entry gives only after the home of the key has looked
+// the key up: the request with this key did not run there and never will.
 var settlesKey = map[string]bool{
 	"key-spent":        true,
 	"home-stopped":     true,
@@ -92,9 +91,9 @@
 	"endpoints-refuse": true,
 }
 
-// otherEntryMayHelp holds the reasons for which another entry may do better. For all
-// others the answer is the service's, and asking again at once adds load. The
-// empty reason is that of an entry that could not be reached.
+// otherEntryMayHelp has the reasons for which another entry may be able to serve the request. All other
+// reasons concern the service, and an immediate retry would only add load. The empty reason stands for
+// an entry that could not be reached.
 var otherEntryMayHelp = map[string]bool{
 	"":               true,
 	"starting":       true,
@@ -105,7 +104,7 @@
 	"key-table-full": true,
 }
 
-// shouldRetry decides whether another try can help and is safe.
+// shouldRetry reports whether another try is safe and may succeed.
 func (s *session) shouldRetry(r Result) bool {
 	switch {
 	case r.Outcome == Done:
@@ -119,8 +118,8 @@
 	}
 }
 
-// homeUnreachable is the reason of an entry that could not reach the home of a
-// key. Another entry may reach it.
+// homeUnreachable is the reason of an entry that could not reach the home of a key. Another entry may
+// reach it.
 const homeUnreachable = "home-unreachable"
 
 // idempotent reports whether HTTP defines the method as safe to repeat.
@@ -148,37 +147,37 @@
 	if err != nil {
 		r := Result{Outcome: Unknown, Entry: entry.Name, Key: s.key, Err: err}
 		if fault.KindOf(err) == fault.BadMessage {
-			r.Status = resp.StatusCode // asking again would bring as much again
+			r.Status = resp.StatusCode // prevents a retry, whose response would be as large
 		}
 		return r
 	}
 	return s.resultOf(resp, body, entry)
 }
 
-// failed tells what a failed exchange proves: that the request was not sent
-// only if no connection could be opened and no header was written before, since
-// net/http may have tried an old connection first.
+// failedResult returns the result of a try that got no response. The outcome is NotRun only if no
+// connection could be opened and no header was written before, since net/http may have tried a reused
+// connection first. It marks the entry as failed unless the caller's context ended.
 func (s *session) failedResult(ctx context.Context, entry contract.EntryAddress, sent *sendTracker, err error) Result {
 	if ctx.Err() == nil {
 		s.client.directory.markFailed(entry)
 	}
 	r := Result{Outcome: Unknown, Entry: entry.Name, Key: s.key}
-	r.Err = fault.Wrap(err, fault.Unavailable, "check that the entry runs and can be reached", "entry %s gave no answer", entry.Name)
+	r.Err = fault.Wrap(err, fault.Unavailable, "check that the entry runs and can be reached", "entry %s did not respond", entry.Name)
 	if isDialError(err) && !sent.load() {
 		r.Outcome = NotRun
 	}
 	return r
 }
 
-// readAnswer reads a whole body of at most limit bytes. An error of kind
-// fault.BadMessage means that it is larger.
+// readAnswer reads a whole response body of at most limit bytes. It returns an error of kind
+// fault.BadMessage if the body is larger.
 func readAnswer(body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Truncated, "ask again if running the request twice is harmless", "the answer broke off")
+		return nil, fault.Wrap(err, fault.Truncated, "try again if the request may run twice", "the response broke off")
 	}
 	if int64(len(data)) > limit {
-		return nil, fault.New(fault.BadMessage, "raise Options.MaxAnswer", "the answer is larger than %d bytes", limit)
+		return nil, fault.New(fault.BadMessage, "raise Options.MaxAnswer", "the response is larger than %d bytes", limit)
 	}
 	return data, nil
 }
@@ -205,9 +204,8 @@
 	return req, nil
 }
 
-// resultOf turns an entry's answer into a Result. An answer without exactly one
-// outcome that fits its status is from something that is no entry, and proves
-// nothing.
+// resultOf converts an entry's response to a Result. A response without exactly one outcome that is
+// consistent with its status does not come from an entry, so its outcome is Unknown.
 func (s *session) resultOf(resp *http.Response, body []byte, entry contract.EntryAddress) Result {
 	r := Result{
 		Outcome: outcomeOf(resp),
