--- a/cmd/tealhallctl/main.go
+++ b/cmd/tealhallctl/main.go
@@ -11,8 +11,8 @@
 	"github.com/tealhall/tealhall/internal/program"
 )
 
-// exitBroken is the exit code of a demo that broke a promise. It follows those
-// of package ctl.
+// exitBroken is the exit code of a demo in which a promise was broken. It follows the exit codes of
+// package ctl.
 const exitBroken = 5
 
 func main() {
--- a/cmd/tealhalld/main.go
+++ b/cmd/tealhalld/main.go
@@ -1,4 +1,4 @@
-// Command tealhalld is the daemon of an entry VM. See docs/SETTINGS.md and
+// Command tealhalld is the daemon that runs one entry on a VM. See docs/SETTINGS.md and
 // docs/OPERATIONS.md.
 package main
 
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	// The daemon offers no heap profile; the table of the runtime's own takes up to 1.4 MB.
+	// The daemon serves no heap profile, and the runtime's table for it takes up to 1.4 MB.
 	runtime.MemProfileRate = 0
 	os.Exit(daemon.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/tealhallstandin/endpoint.go
+++ b/cmd/tealhallstandin/endpoint.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// endpointFlags are the settings of an endpoint stand-in.
+// endpointFlags holds the flags of the endpoint stand-in.
 type endpointFlags struct {
 	config       standin.EndpointConfig
 	control      string
@@ -38,23 +38,23 @@
 	set.StringVar(&config.Listen, "listen", standin.DefaultListen, "IP:port to serve on")
 	set.StringVar(&config.Name, "name", "endpoint", "name of the VM in the platform's list")
 	set.Uint64Var(&config.Incarnation, "incarnation", standin.DefaultIncarnation, "incarnation of the VM")
-	set.IntVar(&config.Slots, "slots", standin.DefaultSlots, "requests worked on at a time")
+	set.IntVar(&config.Slots, "slots", standin.DefaultSlots, "requests processed at the same time")
 	set.IntVar(&config.QueueLimit, "queue", standin.DefaultQueueLimit, "longest queue; -1 for none")
 	set.DurationVar(&config.ProbeTime, "probe-time", standin.DefaultProbeTime, "slot time of a probe")
-	set.Float64Var(&config.ColdFactor, "cold-factor", 1, "how much slower the endpoint starts")
-	set.DurationVar(&config.ColdTime, "cold-time", 0, "how long it stays slower")
-	set.DurationVar(&config.ConnectTime, "connect-time", 0, "cost of each new connection")
+	set.Float64Var(&config.ColdFactor, "cold-factor", 1, "factor on service times at the start")
+	set.DurationVar(&config.ColdTime, "cold-time", 0, "time over which the cold factor falls to 1")
+	set.DurationVar(&config.ConnectTime, "connect-time", 0, "delay of the first byte of each new connection")
 	set.DurationVar(&flags.serviceTime, "service-time", standin.DefaultServiceTime, "mean service time")
 	set.StringVar(&flags.distribution, "distribution", "constant", "constant, exponential or log-normal")
 	set.Float64Var(&flags.sigma, "sigma", 0.5, "spread of the log-normal distribution")
 	set.Uint64Var(&flags.seed, "seed", 1, "seed of the distribution")
 	set.StringVar(&flags.control, "control", "", "IP:port of the control interface; none by default")
-	set.DurationVar(&flags.linger, "linger", 5*time.Second, "how long to go on refusing new work after a drain")
-	set.DurationVar(&flags.stopTimeout, "stop-timeout", time.Minute, "how long requests in flight may take at the end")
+	set.DurationVar(&flags.linger, "linger", 5*time.Second, "how long to keep refusing new requests after the drain began")
+	set.DurationVar(&flags.stopTimeout, "stop-timeout", time.Minute, "longest time to wait for requests in flight before stopping")
 	return command
 }
 
-// serviceTimeOf returns the distribution that the flags name.
+// serviceTimeOf returns the distribution of service times that the flags select.
 func serviceTimeOf(flags endpointFlags) (standin.ServiceTime, error) {
 	switch flags.distribution {
 	case "constant":
@@ -90,8 +90,8 @@
 	return drain(endpoint, flags)
 }
 
-// drain refuses new work for the linger time, so that entries that have not
-// heard of the drain are told, and then stops once the last request finished.
+// drain refuses new requests for the linger time, so that entries that have not heard of the drain learn
+// of it from the refusals, and then stops once the last request has finished.
 func drain(endpoint *standin.Endpoint, flags endpointFlags) error {
 	endpoint.Drain()
 	klog.InfoS("Draining", "name", flags.config.Name, "load", endpoint.Load().String())
--- a/cmd/tealhallstandin/main.go
+++ b/cmd/tealhallstandin/main.go
@@ -1,6 +1,5 @@
-// Command tealhallstandin plays what surrounds tealhall, to try it out with
-// separate processes: the platform's configuration service and application
-// endpoints. It is no part of an installation.
+// Command tealhallstandin simulates the environment of tealhall in separate processes, for trials: the
+// platform's configuration service and application endpoints. It is not part of an installation.
 package main
 
 import (
--- a/cmd/tealhallstandin/platform.go
+++ b/cmd/tealhallstandin/platform.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// pollPeriod is how often the published files are looked at.
+	// pollPeriod is how often the published files are checked for changes.
 	pollPeriod = time.Second
 )
 
-// platformFlags are the settings of the platform stand-in.
+// platformFlags holds the flags of the platform stand-in.
 type platformFlags struct {
 	listen        string
 	control       string
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// publishedFile is a file whose content is published under a name.
+// publishedFile is a file whose content is published as a named value.
 type publishedFile struct {
 	name string
 	path string
@@ -92,11 +92,11 @@
 	return files
 }
 
-// publish puts the file's content into service if it is new.
+// publish publishes the file's content if it has changed since the last call.
 func (f *publishedFile) publish(service *standin.Platform) error {
 	data, err := os.ReadFile(f.path)
 	if err != nil {
-		return fault.Wrap(err, fault.BadSettings, "name a readable file", "reading what is to be published failed")
+		return fault.Wrap(err, fault.BadSettings, "name a readable file", "cannot read a file to publish")
 	}
 	if f.last != nil && bytes.Equal(data, f.last) {
 		return nil
@@ -108,13 +108,13 @@
 		return nil
 	}
 	if _, err := published.ParseVMs(published.Value{Name: f.name, Revision: revision, Data: data}); err != nil {
-		klog.ErrorS(err, "Entries will refuse this list")
+		klog.ErrorS(err, "Entries will refuse this VM list")
 	}
 	return nil
 }
 
-// republish looks at the files until ctx ends. A file that can't be read for a
-// moment, as while an editor replaces it, leaves the last content published.
+// republish publishes changes of the files until ctx ends. While a file cannot be read, for example
+// because an editor is replacing it, its last content stays published.
 func republish(ctx context.Context, service *standin.Platform, files []publishedFile) {
 	ticker := time.NewTicker(pollPeriod)
 	defer ticker.Stop()
@@ -126,7 +126,7 @@
 		}
 		for i := range files {
 			if err := files[i].publish(service); err != nil {
-				klog.ErrorS(err, "Keeping what was published", "value", files[i].name)
+				klog.ErrorS(err, "Keeping the published content", "value", files[i].name)
 			}
 		}
 	}
