--- a/internal/daemon/auxservers.go
+++ b/internal/daemon/auxservers.go
@@ -26,7 +26,7 @@
 
 // startAuxServers starts the auxiliary servers that have an address in the settings.
 func startAuxServers(s *settings.Settings, e *entry.Entry) (*auxServers, error) {
-	f := &auxServers{}
+	a := &auxServers{}
 	for _, listener := range []struct {
 		address string
 		handler http.Handler
@@ -37,15 +37,15 @@
 		if listener.address == "" {
 			continue
 		}
-		if err := f.serve(listener.address, listener.handler); err != nil {
-			f.close()
+		if err := a.serve(listener.address, listener.handler); err != nil {
+			a.close()
 			return nil, err
 		}
 	}
-	return f, nil
+	return a, nil
 }
 
-func (f *auxServers) serve(address string, handler http.Handler) error {
+func (a *auxServers) serve(address string, handler http.Handler) error {
 	l, err := socket.Listen(address)
 	if err != nil {
 		return fault.Wrap(err, fault.Unavailable, "free the port or set another one", "cannot listen on %s", address)
@@ -56,7 +56,7 @@
 		IdleTimeout:       auxIdleTimeout,
 		MaxHeaderBytes:    auxHeaderBytes,
 	}
-	f.servers = append(f.servers, server)
+	a.servers = append(a.servers, server)
 	go func() {
 		if err := server.Serve(l); err != http.ErrServerClosed {
 			klog.ErrorS(err, "auxiliary server failed; requests are still served, restart the entry to restore it", "address", address)
@@ -66,8 +66,8 @@
 }
 
 // close shuts all servers down.
-func (f *auxServers) close() {
-	for _, server := range f.servers {
+func (a *auxServers) close() {
+	for _, server := range a.servers {
 		_ = server.Close()
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,9 +71,9 @@
 		}
 	}
 	text := "[tls.peer]\nauthorities = \"DIR/ca.pem\"\n"
-	for _, side := range []string{"tls.peer", "tls.caller", "tls.admin"} {
-		if side != "tls.peer" {
-			text += "[" + side + "]\n"
+	for _, section := range []string{"tls.peer", "tls.caller", "tls.admin"} {
+		if section != "tls.peer" {
+			text += "[" + section + "]\n"
 		}
 		text += "certificate = \"DIR/cert.pem\"\nkey = \"DIR/key.pem\"\n"
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -48,19 +48,19 @@
 // runUntilStopped reloads the settings when they change, and stops the entry on a signal or when a
 // server of the entry fails. A failed server comes back only with a new process; the planned stop
 // lets the requests in flight finish.
-func runUntilStopped(e stopper, settings *reloader, signals <-chan os.Signal) error {
+func runUntilStopped(e stopper, r *reloader, signals <-chan os.Signal) error {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
 	for {
 		select {
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				settings.reload(sig.String())
+				r.reload(sig.String())
 				continue
 			}
 			return stop(e, sig.String(), signals)
 		case <-poll.C:
-			settings.poll()
+			r.poll()
 		case failure := <-e.Failed():
 			klog.ErrorS(failure, "a server of the entry failed; stopping the entry")
 			// Ignores errCut: stop logs the number of cut requests, and the failure decides the exit code.
