--- a/client/client.go
+++ b/client/client.go
@@ -34,7 +34,7 @@
 
 // Options configure a Client.
 type Options struct {
-	// Seeds are the addresses (IP:port) of the entries that are asked first which entries to use.
+	// Seeds are addresses (IP:port) of entries from which the client requests its first list.
 	Seeds []string
 	// Caller is the caller's name, by which entries share capacity fairly between callers; required.
 	Caller string
--- a/client/session.go
+++ b/client/session.go
@@ -58,9 +58,10 @@
 // reconcile corrects the result of a try by the results of the tries before it.
 //
 // Guards against a false "not run" and against a second run: a try whose response was lost may have
-// run, and "not run" from another entry is about the later try only. Otherwise the caller would repeat
-// its request, or this package would repeat it with a new key. So after a lost response, "not run" is
-// accepted only for reasons that the home of the key gives after it has looked the key up.
+// run, and "not run" from another entry is about the later try only. If it counted for
+// the whole request, the caller would repeat the request, or this package would repeat it with a new
+// key. So after a lost response, "not run" is accepted only with a reason that is given after the home
+// of the key has looked the key up.
 func (s *session) reconcile(r Result) Result {
 	switch r.Outcome {
 	case Done:
