--- a/cmd/tealhallstandin/platform.go
+++ b/cmd/tealhallstandin/platform.go
@@ -50,7 +50,7 @@
 
 func runPlatform(ctx context.Context, flags platformFlags) error {
 	service := standin.NewPlatform(standin.RealClock())
-	service.StartAt(flags.first)
+	service.SetFirstRevision(flags.first)
 	files := publishedFiles(flags)
 	for i := range files {
 		if err := files[i].publish(service); err != nil {
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -30,14 +30,14 @@
 	EndpointHeader = "X-Endpoint"
 )
 
-// answerBlock is about how much of an answer is written at a time.
-const answerBlock = 16 << 10
+// answerBlockSize is about how much of an answer is written at a time.
+const answerBlockSize = 16 << 10
 
 // WriteAnswer writes the body that answers the request with the given id: the
 // id and a newline, over and over, up to size bytes.
 func WriteAnswer(w io.Writer, id string, size int64) error {
 	line := id + "\n"
-	block := strings.Repeat(line, 1+int(min(answerBlock, size))/len(line))
+	block := strings.Repeat(line, 1+int(min(answerBlockSize, size))/len(line))
 	for size > 0 {
 		part := block[:min(size, int64(len(block)))]
 		written, err := io.WriteString(w, part)
--- a/internal/standin/clock.go
+++ b/internal/standin/clock.go
@@ -14,10 +14,10 @@
 	After(d time.Duration) (fired <-chan struct{}, stop func())
 }
 
-// coarseTimer is by how much the runtime's timer may come late: an idle process
+// timerSlack is by how much the runtime's timer may come late: an idle process
 // waits for it in whole milliseconds. At service times of a few milliseconds
 // that would be a tenth of what is measured.
-const coarseTimer = 1200 * time.Microsecond
+const timerSlack = 1200 * time.Microsecond
 
 // RealClock is the process's own clock. Its timers are as accurate as the
 // operating system's sleep, without busy waiting: the runtime's timer covers
@@ -33,7 +33,7 @@
 func (c realClock) After(d time.Duration) (<-chan struct{}, func()) {
 	fired := make(chan struct{})
 	due := time.Now().Add(d)
-	timer := time.AfterFunc(d-coarseTimer, func() {
+	timer := time.AfterFunc(d-timerSlack, func() {
 		sleepUntil(due)
 		close(fired)
 	})
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wrapped := &conn{Conn: accepted, conns: l.conns, closed: make(chan struct{}), nudged: make(chan struct{}, 1)}
+	wrapped := &conn{Conn: accepted, conns: l.conns, closed: make(chan struct{}), readDeadlineSet: make(chan struct{}, 1)}
 	l.conns.accepted.Add(1)
 	l.conns.mu.Lock()
 	l.conns.open[wrapped] = struct{}{}
@@ -83,13 +83,13 @@
 // how it looks to both ends when something between them has lost track of it.
 type conn struct {
 	net.Conn
-	conns  *connections
-	silent atomic.Bool
-	ready  atomic.Bool // the set-up cost was paid
+	conns     *connections
+	silent    atomic.Bool
+	setUpDone atomic.Bool // the set-up cost was paid
 
-	closeOnce sync.Once
-	closed    chan struct{}
-	nudged    chan struct{} // a read deadline was set
+	closeOnce       sync.Once
+	closed          chan struct{}
+	readDeadlineSet chan struct{} // a read deadline was set
 }
 
 // Read drops what arrives once the connection is silent. It still obeys Close
@@ -110,7 +110,7 @@
 		select {
 		case <-c.closed:
 			return 0, net.ErrClosed
-		case <-c.nudged:
+		case <-c.readDeadlineSet:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
@@ -127,7 +127,7 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && c.silent.Load() {
 		select {
-		case c.nudged <- struct{}{}:
+		case c.readDeadlineSet <- struct{}{}:
 		default:
 		}
 	}
@@ -147,7 +147,7 @@
 
 // setUp waits once for the cost of a new connection.
 func (c *conn) setUp() {
-	if c.conns.delay <= 0 || c.ready.Swap(true) {
+	if c.conns.delay <= 0 || c.setUpDone.Swap(true) {
 		return
 	}
 	fired, stop := c.conns.clock.After(c.conns.delay)
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,10 +9,10 @@
 
 // Paths of the control interface, for stand-ins that run as programs.
 const (
-	StatsPath  = "/stats"
-	FaultsPath = "/faults"
-	DrainPath  = "/drain"
-	SilentPath = "/black-hole"
+	StatsPath     = "/stats"
+	FaultsPath    = "/faults"
+	DrainPath     = "/drain"
+	BlackHolePath = "/black-hole"
 )
 
 // maxControlBytes bounds the body of a control call.
@@ -47,7 +47,7 @@
 	router.HandleFunc(DrainPath, func(http.ResponseWriter, *http.Request) {
 		e.Drain()
 	}).Methods(http.MethodPost)
-	router.HandleFunc(SilentPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(BlackHolePath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, map[string]int{"silenced": e.Server().BlackHole()})
 	}).Methods(http.MethodPost)
 	return router
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -15,17 +15,17 @@
 // (docs/ENDPOINTS.md), or breaks it where its faults say so. It is safe for
 // concurrent use.
 type Endpoint struct {
-	cfg    EndpointConfig
-	server *Server
-	slots  *slots
-	born   time.Duration
+	cfg       EndpointConfig
+	server    *Server
+	slots     *slots
+	startedAt time.Duration
 
 	faults   atomic.Pointer[EndpointFaults]
 	draining atomic.Bool
 
-	mu      sync.Mutex // guards the fields below and cfg.ServiceTime
-	stats   EndpointStats
-	changed chan struct{} // closed at the next change of faults
+	mu            sync.Mutex // guards the fields below and cfg.ServiceTime
+	stats         EndpointStats
+	faultsChanged chan struct{} // closed at the next change of faults
 }
 
 // EndpointStats is what an Endpoint counted. Requests don't include probes.
@@ -58,10 +58,10 @@
 func NewEndpoint(cfg EndpointConfig) (*Endpoint, error) {
 	cfg = cfg.withDefaults()
 	e := &Endpoint{
-		cfg:     cfg,
-		slots:   newSlots(cfg.Slots, cfg.QueueLimit),
-		born:    cfg.Clock.Now(),
-		changed: make(chan struct{}),
+		cfg:           cfg,
+		slots:         newSlots(cfg.Slots, cfg.QueueLimit),
+		startedAt:     cfg.Clock.Now(),
+		faultsChanged: make(chan struct{}),
 	}
 	e.stats.NotRun = make(map[contract.NotRunReason]int64)
 	e.faults.Store(&EndpointFaults{})
@@ -100,8 +100,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.Store(&faults)
-	close(e.changed)
-	e.changed = make(chan struct{})
+	close(e.faultsChanged)
+	e.faultsChanged = make(chan struct{})
 }
 
 // Drain announces that the endpoint leaves: it finishes what it has and refuses
@@ -141,19 +141,19 @@
 	change(&e.stats)
 }
 
-// holdTime returns how long the next request or probe holds its slot.
-func (e *Endpoint) holdTime(probe bool, work time.Duration) time.Duration {
-	hold := work
+// nextSlotTime returns how long the next request or probe holds its slot.
+func (e *Endpoint) nextSlotTime(probe bool, work time.Duration) time.Duration {
+	slotTime := work
 	switch {
 	case probe:
-		hold = e.cfg.ProbeTime
+		slotTime = e.cfg.ProbeTime
 	case work <= 0:
-		hold = e.nextServiceTime()
+		slotTime = e.nextServiceTime()
 	}
 	if straggle := e.faults.Load().Straggle; straggle > 0 {
-		hold = scale(hold, straggle)
+		slotTime = scale(slotTime, straggle)
 	}
-	return scale(hold, e.cfg.coldFactor(e.cfg.Clock.Now()-e.born))
+	return scale(slotTime, e.cfg.coldFactor(e.cfg.Clock.Now()-e.startedAt))
 }
 
 func (e *Endpoint) nextServiceTime() time.Duration {
@@ -162,8 +162,8 @@
 	return e.cfg.ServiceTime()
 }
 
-// announce sets the headers that every answer carries.
-func (e *Endpoint) announce(header http.Header) {
+// setLoadHeaders sets the headers that every answer carries.
+func (e *Endpoint) setLoadHeaders(header http.Header) {
 	load := e.slots.load()
 	if reported := e.faults.Load().Load; reported != nil {
 		load = *reported
--- a/internal/standin/endpoint_test.go
+++ b/internal/standin/endpoint_test.go
@@ -16,20 +16,20 @@
 
 const (
 	serviceTime = 5 * time.Millisecond
-	// soon ends waits that must end without an answer.
-	soon = 50 * time.Millisecond
+	// noAnswerWait ends waits that must end without an answer.
+	noAnswerWait = 50 * time.Millisecond
 )
 
-// subject is an endpoint with a client of its own: the address may have been
+// testEndpoint is an endpoint with a client of its own: the address may have been
 // another test's, to which a shared client would still hold dead connections.
-type subject struct {
+type testEndpoint struct {
 	*Endpoint
 	client *http.Client
 }
 
-// start returns an endpoint of one slot and one place in the queue, on a clock
+// startEndpoint returns an endpoint of one slot and one place in the queue, on a clock
 // that only the test moves.
-func start(t *testing.T, change func(*EndpointConfig)) (subject, *ManualClock) {
+func startEndpoint(t *testing.T, change func(*EndpointConfig)) (testEndpoint, *ManualClock) {
 	t.Helper()
 	clock := NewManualClock()
 	cfg := EndpointConfig{Name: "one", Incarnation: 7, Slots: 1, QueueLimit: 1, ServiceTime: Constant(serviceTime), Clock: clock}
@@ -43,7 +43,7 @@
 	transport := &http.Transport{}
 	t.Cleanup(endpoint.Server().Kill)
 	t.Cleanup(transport.CloseIdleConnections)
-	return subject{endpoint, &http.Client{Transport: transport}}, clock
+	return testEndpoint{endpoint, &http.Client{Transport: transport}}, clock
 }
 
 // reply is an answer as its caller got it; err says how it was cut off.
@@ -55,7 +55,7 @@
 }
 
 // send sends one request in the background.
-func send(ctx context.Context, e subject, path string, header ...string) <-chan reply {
+func send(ctx context.Context, e testEndpoint, path string, header ...string) <-chan reply {
 	replies := make(chan reply, 1)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.Server().URL()+path, strings.NewReader("body"))
 	if err != nil {
@@ -79,8 +79,8 @@
 	return replies
 }
 
-// TestContract sends one request to an endpoint in each of its states.
-func TestContract(t *testing.T) {
+// TestEndpointContract sends one request to an endpoint in each of its states.
+func TestEndpointContract(t *testing.T) {
 	idle := "in-flight=0,queued=0,slots=1"
 	bodyDigest := "230d8358dc8e8890b4c58deeb62912ee2f20357ae92a5cc861b98e68fe31acb5"
 	cases := map[string]struct {
@@ -89,35 +89,35 @@
 		drain    bool
 		path     string
 		deadline string
-		hold     time.Duration // the slot time that the clock is moved by
+		slotTime time.Duration // the slot time that the clock is moved by
 		status   int           // zero: the connection breaks
 		header   map[string]string
 		counted  EndpointStats
 	}{
 		"answers": {
-			hold: serviceTime, status: 200,
+			slotTime: serviceTime, status: 200,
 			header:  map[string]string{contract.HeaderLoad: idle, contract.HeaderIncarnation: "7", BodyDigestHeader: bodyDigest},
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: serviceTime},
 		},
 		"answers in chunks": {
-			path: "/echo?id=own&bytes=100000&chunked=1&status=409&work=1ms", hold: time.Millisecond, status: 409,
+			path: "/echo?id=own&bytes=100000&chunked=1&status=409&work=1ms", slotTime: time.Millisecond, status: 409,
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: time.Millisecond},
 		},
 		"probe": {
-			path: contract.ProbePath, hold: DefaultProbeTime, status: 200,
+			path: contract.ProbePath, slotTime: DefaultProbeTime, status: 200,
 			counted: EndpointStats{Probes: 1, ProbeSlotTime: DefaultProbeTime},
 		},
 		"cold": {
-			change: func(c *EndpointConfig) { c.ColdFactor, c.ColdTime = 4, time.Minute },
-			hold:   4 * serviceTime, status: 200,
+			change:   func(c *EndpointConfig) { c.ColdFactor, c.ColdTime = 4, time.Minute },
+			slotTime: 4 * serviceTime, status: 200,
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: 4 * serviceTime},
 		},
 		"straggles": {
-			faults: EndpointFaults{Straggle: 10}, hold: 10 * serviceTime, status: 200,
+			faults: EndpointFaults{Straggle: 10}, slotTime: 10 * serviceTime, status: 200,
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: 10 * serviceTime},
 		},
 		"lies about its load": {
-			faults: EndpointFaults{Load: &contract.Load{InFlight: 9, Slots: 8}}, hold: serviceTime, status: 200,
+			faults: EndpointFaults{Load: &contract.Load{InFlight: 9, Slots: 8}}, slotTime: serviceTime, status: 200,
 			header:  map[string]string{contract.HeaderLoad: "in-flight=9,queued=0,slots=8"},
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: serviceTime},
 		},
@@ -142,19 +142,19 @@
 			counted: EndpointStats{Requests: 1, NotRun: map[contract.NotRunReason]int64{contract.NotRunDeadline: 1}},
 		},
 		"deadline while it runs": { // what was begun is never said to be not run
-			deadline: "2", hold: 2 * time.Millisecond, status: 504,
+			deadline: "2", slotTime: 2 * time.Millisecond, status: 504,
 			header:  map[string]string{contract.HeaderNotRun: ""},
 			counted: EndpointStats{Requests: 1, Runs: 1, Late: 1, SlotTime: 2 * time.Millisecond},
 		},
 		"deadline malformed": {deadline: "soon", status: 400, counted: EndpointStats{Failed: 1}},
 		"cuts its answer": {
-			faults: EndpointFaults{CutAnswer: true}, hold: serviceTime,
+			faults: EndpointFaults{CutAnswer: true}, slotTime: serviceTime,
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: serviceTime},
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			endpoint, clock := start(t, c.change)
+			endpoint, clock := startEndpoint(t, c.change)
 			endpoint.SetFaults(c.faults)
 			if c.drain {
 				endpoint.Drain()
@@ -169,7 +169,7 @@
 				header, timers = append(header, contract.HeaderDeadline, c.deadline), 2
 			}
 			replies := send(t.Context(), endpoint, path, header...)
-			got := replyAfter(clock, timers, c.hold, replies)
+			got := replyAfter(clock, timers, c.slotTime, replies)
 			if (got.err != nil) != (c.status == 0) || (got.err == nil && got.status != c.status) {
 				t.Fatalf("status %d, error %v; want status %d", got.status, got.err, c.status)
 			}
@@ -201,20 +201,20 @@
 // replyAfter moves the clock once the request runs, and returns the reply. A
 // request that fails before it runs, such as on a broken connection, starts no
 // timer, and a plain wait for one would never end.
-func replyAfter(clock *ManualClock, timers int, hold time.Duration, replies <-chan reply) reply {
-	if hold <= 0 {
+func replyAfter(clock *ManualClock, timers int, slotTime time.Duration, replies <-chan reply) reply {
+	if slotTime <= 0 {
 		return <-replies
 	}
-	runs := make(chan struct{})
+	running := make(chan struct{})
 	go func() {
 		clock.AwaitTimers(timers)
-		close(runs)
+		close(running)
 	}()
 	select {
 	case early := <-replies:
 		return early
-	case <-runs:
-		clock.Advance(hold)
+	case <-running:
+		clock.Advance(slotTime)
 		return <-replies
 	}
 }
@@ -223,13 +223,13 @@
 // was one before it that asked for an idle slot; the waiting one is refused when
 // its deadline passes, all truthfully as not run. The endpoint drains meanwhile
 // and still finishes what it has.
-func TestQueueWhileDraining(t *testing.T) {
-	endpoint, clock := start(t, nil)
+func TestDrainingEndpointFinishesAcceptedRequests(t *testing.T) {
+	endpoint, clock := startEndpoint(t, nil)
 	first := send(t.Context(), endpoint, "/?work=1h", contract.HeaderIdempotencyKey, "first")
 	clock.AwaitTimers(1)
-	hurried := <-send(t.Context(), endpoint, "/", contract.HeaderIdleOnly, "1")
-	if reason, ok := contract.ProvedNotRun(hurried.status, hurried.header); reason != contract.NotRunBusy || !ok {
-		t.Errorf("a request for an idle slot got %+v", hurried)
+	idleOnly := <-send(t.Context(), endpoint, "/", contract.HeaderIdleOnly, "1")
+	if reason, ok := contract.ProvedNotRun(idleOnly.status, idleOnly.header); reason != contract.NotRunBusy || !ok {
+		t.Errorf("a request for an idle slot got %+v", idleOnly)
 	}
 	second := send(t.Context(), endpoint, "/", contract.HeaderIdempotencyKey, "second", contract.HeaderDeadline, "20")
 	clock.AwaitTimers(2)
@@ -260,15 +260,15 @@
 // A booking is sent over a connection that something on the way has forgotten:
 // it never arrives. One that was running when that happened did run, and its
 // answer never comes. New connections work throughout.
-func TestBlackHole(t *testing.T) {
-	endpoint, clock := start(t, nil)
+func TestBlackHoleSilencesOpenConnections(t *testing.T) {
+	endpoint, clock := startEndpoint(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	running := send(ctx, endpoint, "/", contract.HeaderIdempotencyKey, "running")
 	clock.AwaitTimers(1)
 	endpoint.Server().BlackHole()
 	clock.Advance(serviceTime)
 	endpoint.AwaitIdle()
-	late, cancelLate := context.WithTimeout(t.Context(), soon)
+	late, cancelLate := context.WithTimeout(t.Context(), noAnswerWait)
 	defer cancelLate()
 	select {
 	case got := <-running:
@@ -284,7 +284,7 @@
 		t.Fatalf("over a new connection: %+v", got)
 	}
 	endpoint.Server().BlackHole() // the connection is idle in the pool now
-	lost, cancelLost := context.WithTimeout(t.Context(), soon)
+	lost, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
 	defer cancelLost()
 	if got := <-send(lost, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
 		t.Errorf("over the silent connection: %+v", got)
@@ -299,8 +299,8 @@
 
 // The three ways in which a run ends without an answer: the caller goes away,
 // the machine dies, the program hangs. Each is known to the ledger.
-func TestRunsWithoutAnswer(t *testing.T) {
-	endpoint, clock := start(t, nil)
+func TestLedgerCountsRunsWithoutAnswer(t *testing.T) {
+	endpoint, clock := startEndpoint(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := send(ctx, endpoint, "/", contract.HeaderIdempotencyKey, "gone")
 	clock.AwaitTimers(1)
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -16,13 +16,13 @@
 
 // call is one request as an Endpoint handles it.
 type call struct {
-	id       identity
-	probe    bool
-	idleOnly bool          // refuse it rather than queue it
-	limited  bool          // it has a deadline
-	deadline time.Duration // on the endpoint's clock
-	answer   answerSpec
-	work     time.Duration // replaces the service time when above zero
+	id          identity
+	probe       bool
+	idleOnly    bool          // refuse it rather than queue it
+	hasDeadline bool          // it has a deadline
+	deadline    time.Duration // on the endpoint's clock
+	answer      answerSpec
+	work        time.Duration // replaces the service time when above zero
 }
 
 // answerSpec is the answer that the request asked for.
@@ -41,7 +41,7 @@
 		return
 	}
 	faults := e.faults.Load() // before the request is seen to have arrived
-	e.arrive(call)
+	e.countArrival(call)
 	switch {
 	case faults.Hang:
 		e.hang(r.Context())
@@ -68,7 +68,7 @@
 		if !ok {
 			return c, errors.New("malformed deadline")
 		}
-		c.limited, c.deadline = true, e.cfg.Clock.Now()+left
+		c.hasDeadline, c.deadline = true, e.cfg.Clock.Now()+left
 	}
 	var err error
 	if query.Has(WorkParameter) {
@@ -106,7 +106,7 @@
 	return spec, nil
 }
 
-func (e *Endpoint) arrive(c call) {
+func (e *Endpoint) countArrival(c call) {
 	if c.probe {
 		e.count(func(s *EndpointStats) { s.Probes++ })
 		return
@@ -118,7 +118,7 @@
 // refuse states that the request was not run.
 func (e *Endpoint) refuse(w http.ResponseWriter, reason contract.NotRunReason) {
 	e.count(func(s *EndpointStats) { s.NotRun[reason]++ })
-	e.announce(w.Header())
+	e.setLoadHeaders(w.Header())
 	w.Header().Set(contract.HeaderNotRun, string(reason))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -126,7 +126,7 @@
 // fail answers with a status that proves nothing.
 func (e *Endpoint) fail(w http.ResponseWriter, status int) {
 	e.count(func(s *EndpointStats) { s.Failed++ })
-	e.announce(w.Header())
+	e.setLoadHeaders(w.Header())
 	w.WriteHeader(status)
 }
 
@@ -134,7 +134,7 @@
 func (e *Endpoint) hang(ctx context.Context) {
 	for e.faults.Load().Hang {
 		e.mu.Lock()
-		changed := e.changed
+		changed := e.faultsChanged
 		e.mu.Unlock()
 		if !e.faults.Load().Hang {
 			return
@@ -153,16 +153,16 @@
 		e.refuse(w, contract.NotRunDeadline)
 		return
 	}
-	waiter, entered := e.slots.enter(c.idleOnly && !e.faults.Load().IgnoreIdleOnly)
-	if !entered {
+	waiter, admitted := e.slots.acquire(c.idleOnly && !e.faults.Load().IgnoreIdleOnly)
+	if !admitted {
 		e.refuse(w, contract.NotRunBusy)
 		return
 	}
-	if waiter != nil && !e.await(w, r, c, waiter) {
+	if waiter != nil && !e.awaitSlot(w, r, c, waiter) {
 		return
 	}
 	if e.expired(c) {
-		e.slots.leave()
+		e.slots.release()
 		e.refuse(w, contract.NotRunDeadline)
 		return
 	}
@@ -170,29 +170,29 @@
 }
 
 func (e *Endpoint) expired(c call) bool {
-	return c.limited && e.cfg.Clock.Now() >= c.deadline
+	return c.hasDeadline && e.cfg.Clock.Now() >= c.deadline
 }
 
-// await waits in the queue and reports whether the request got a slot.
-func (e *Endpoint) await(w http.ResponseWriter, r *http.Request, c call, queued *waiter) bool {
-	expired, stop := e.timeout(c)
+// awaitSlot waits in the queue and reports whether the request got a slot.
+func (e *Endpoint) awaitSlot(w http.ResponseWriter, r *http.Request, c call, queued *waiter) bool {
+	expired, stop := e.deadlineTimer(c)
 	defer stop()
 	select {
 	case <-queued.granted:
 		return true
 	case <-expired:
-		e.slots.abandon(queued)
+		e.slots.cancelWait(queued)
 		e.refuse(w, contract.NotRunDeadline)
 	case <-r.Context().Done():
-		e.slots.abandon(queued)
+		e.slots.cancelWait(queued)
 		e.count(func(s *EndpointStats) { s.CancelledQueued++ })
 	}
 	return false
 }
 
-// timeout fires at the deadline of c, never when it has none.
-func (e *Endpoint) timeout(c call) (<-chan struct{}, func()) {
-	if !c.limited {
+// deadlineTimer fires at the deadline of c, never when it has none.
+func (e *Endpoint) deadlineTimer(c call) (<-chan struct{}, func()) {
+	if !c.hasDeadline {
 		return nil, func() {}
 	}
 	return e.cfg.Clock.After(c.deadline - e.cfg.Clock.Now())
@@ -206,67 +206,67 @@
 		e.count(func(s *EndpointStats) { s.Runs++ })
 	}
 	digest, bytes, err := readBody(r)
-	ended := endedBroken
+	ended := endedAborted
 	if err == nil {
 		ended = e.work(r.Context(), c)
 	}
-	e.slots.leave()
-	e.account(c, e.cfg.Clock.Now()-started, ended)
+	e.slots.release()
+	e.recordRun(c, e.cfg.Clock.Now()-started, ended)
 	switch ended {
-	case endedWhole:
+	case endedComplete:
 		w.Header().Set(BodyDigestHeader, digest)
 		w.Header().Set(BodyBytesHeader, strconv.FormatInt(bytes, 10))
 		e.answer(w, c)
-	case endedLate:
-		e.announce(w.Header())
+	case endedPastDeadline:
+		e.setLoadHeaders(w.Header())
 		w.WriteHeader(http.StatusGatewayTimeout)
-	case endedBroken:
+	case endedAborted:
 		panic(http.ErrAbortHandler) // nobody is there to answer
 	}
 }
 
-// ending says how a run ended.
-type ending int
+// runEnd says how a run ended.
+type runEnd int
 
 const (
-	endedWhole ending = iota
-	endedLate
-	endedBroken
+	endedComplete runEnd = iota
+	endedPastDeadline
+	endedAborted
 )
 
 // work takes the request's time, but ends with the client or at the deadline.
-func (e *Endpoint) work(ctx context.Context, c call) ending {
-	done, stop := e.cfg.Clock.After(e.holdTime(c.probe, c.work))
+func (e *Endpoint) work(ctx context.Context, c call) runEnd {
+	done, stop := e.cfg.Clock.After(e.nextSlotTime(c.probe, c.work))
 	defer stop()
-	expired, stopDeadline := e.timeout(c)
+	expired, stopDeadline := e.deadlineTimer(c)
 	defer stopDeadline()
 	select {
 	case <-done:
-		return endedWhole
+		return endedComplete
 	case <-expired:
-		return endedLate
+		return endedPastDeadline
 	case <-ctx.Done():
-		return endedBroken
+		return endedAborted
 	}
 }
 
-// account counts a run's slot time and how it ended.
-func (e *Endpoint) account(c call, held time.Duration, ended ending) {
-	if !c.probe && ended == endedWhole {
+// recordRun counts a run's slot time and how it ended.
+func (e *Endpoint) recordRun(c call, slotTime time.Duration, ended runEnd) {
+	if !c.probe && ended == endedComplete {
 		e.cfg.Ledger.finished(c.id)
 	}
 	e.count(func(s *EndpointStats) {
 		if c.probe {
-			s.ProbeSlotTime += held
+			s.ProbeSlotTime += slotTime
 			return
 		}
-		s.SlotTime += held
+		s.SlotTime += slotTime
 		switch ended {
-		case endedWhole:
+		case endedComplete:
 			s.Finished++
-		case endedLate:
+		case endedPastDeadline:
 			s.Late++
-		case endedBroken:
+		case endedAborted:
 			s.CancelledRunning++
 		}
 	})
@@ -276,7 +276,7 @@
 func (e *Endpoint) answer(w http.ResponseWriter, c call) {
 	spec := c.answer
 	header := w.Header()
-	e.announce(header)
+	e.setLoadHeaders(header)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if c.id.request != "" {
 		header.Set(contract.HeaderRequest, c.id.request)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -72,21 +72,21 @@
 func (l *Ledger) ran(id identity)      { l.add(id, Count{Runs: 1}) }
 func (l *Ledger) finished(id identity) { l.add(id, Count{Finished: 1}) }
 
-func (l *Ledger) add(id identity, more Count) {
+func (l *Ledger) add(id identity, delta Count) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if id.key != "" {
-		l.keys[id.key] = l.keys[id.key].plus(more)
+		l.keys[id.key] = l.keys[id.key].plus(delta)
 	}
 	if id.request != "" {
-		l.requests[id.request] = l.requests[id.request].plus(more)
+		l.requests[id.request] = l.requests[id.request].plus(delta)
 	}
 }
 
-func (c Count) plus(more Count) Count {
+func (c Count) plus(delta Count) Count {
 	return Count{
-		Arrivals: c.Arrivals + more.Arrivals,
-		Runs:     c.Runs + more.Runs,
-		Finished: c.Finished + more.Finished,
+		Arrivals: c.Arrivals + delta.Arrivals,
+		Runs:     c.Runs + delta.Runs,
+		Finished: c.Finished + delta.Finished,
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,8 +13,8 @@
 const (
 	// keptRevisions bounds how far back a lagging replica can be.
 	keptRevisions = 8
-	// maxWait bounds how long a watch may wait.
-	maxWait = time.Minute
+	// maxWatchWait bounds how long a watch may wait.
+	maxWatchWait = time.Minute
 )
 
 // Platform plays the configuration service. It implements http.Handler for the
@@ -22,32 +22,32 @@
 type Platform struct {
 	clock Clock
 
-	mu      sync.Mutex
-	first   uint64                       // the revision of each name's first value
-	values  map[string][]published.Value // the last revisions, oldest first
-	faults  PlatformFaults
-	frozen  map[string]uint64 // revisions served while Stale
-	changed chan struct{}     // closed at the next change of values or faults
-	lagging bool              // the next call goes to the replica that lags
-	stats   callCounter
+	mu            sync.Mutex
+	firstRevision uint64                       // the revision of each name's first value
+	values        map[string][]published.Value // the last revisions, oldest first
+	faults        PlatformFaults
+	frozen        map[string]uint64 // revisions served while Stale
+	changed       chan struct{}     // closed at the next change of values or faults
+	lastLagging   bool              // the next call goes to the replica that lags
+	stats         callCounter
 }
 
 // NewPlatform returns a service that holds nothing.
 func NewPlatform(clock Clock) *Platform {
 	return &Platform{
-		clock:   clock,
-		first:   1,
-		values:  make(map[string][]published.Value),
-		changed: make(chan struct{}),
+		clock:         clock,
+		firstRevision: 1,
+		values:        make(map[string][]published.Value),
+		changed:       make(chan struct{}),
 	}
 }
 
-// StartAt sets the revision that values get which are not there yet; default 1.
+// SetFirstRevision sets the revision that values get which are not there yet; default 1.
 // A service that replaces another continues above the other's revisions.
-func (p *Platform) StartAt(revision uint64) {
+func (p *Platform) SetFirstRevision(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.first = max(1, revision)
+	p.firstRevision = max(1, revision)
 }
 
 // Put publishes data under name and returns its revision. It takes values above
@@ -56,7 +56,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.values[name]
-	revision := p.first
+	revision := p.firstRevision
 	if len(kept) > 0 {
 		revision = kept[len(kept)-1].Revision + 1
 	}
@@ -65,7 +65,7 @@
 		kept = kept[1:]
 	}
 	p.values[name] = kept
-	p.wake()
+	p.notifyWatches()
 	return revision
 }
 
@@ -80,8 +80,8 @@
 	return p.Put(published.VMsValue, published.EncodeVMs(published.VMList{VMs: vms, Evacuated: domains}))
 }
 
-// wake lets waiting watches look again.
-func (p *Platform) wake() {
+// notifyWatches lets waiting watches look again.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -102,66 +102,66 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	lagging := p.begin(watch.waits)
-	defer p.end(watch.waits)
+	lagging := p.begin(watch.isWatch)
+	defer p.end(watch.isWatch)
 	p.delay(r)
-	if watch.waits {
+	if watch.isWatch {
 		p.serveWatch(w, r, name, watch, lagging)
 		return
 	}
-	p.write(w, p.look(name, lagging))
+	p.write(w, p.currentAnswer(name, lagging))
 }
 
-// watch holds the parameters of a call.
-type watch struct {
-	waits bool
-	after uint64
-	wait  time.Duration
+// watchParams holds the parameters of a call.
+type watchParams struct {
+	isWatch bool
+	after   uint64
+	wait    time.Duration
 }
 
-func parseWatch(r *http.Request) (watch, error) {
+func parseWatch(r *http.Request) (watchParams, error) {
 	query := r.URL.Query()
 	if !query.Has(published.AfterParameter) {
-		return watch{}, nil
+		return watchParams{}, nil
 	}
 	after, err := strconv.ParseUint(query.Get(published.AfterParameter), 10, 64)
 	if err != nil {
-		return watch{}, err
+		return watchParams{}, err
 	}
 	wait, err := time.ParseDuration(query.Get(published.WaitParameter))
 	if err != nil {
-		return watch{}, err
+		return watchParams{}, err
 	}
-	return watch{waits: true, after: after, wait: min(max(0, wait), maxWait)}, nil
+	return watchParams{isWatch: true, after: after, wait: min(max(0, wait), maxWatchWait)}, nil
 }
 
 // begin counts a call and says which replica answers it.
-func (p *Platform) begin(waits bool) (lagging bool) {
+func (p *Platform) begin(isWatch bool) (lagging bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stats.begin(p.clock.Now(), waits)
+	p.stats.begin(p.clock.Now(), isWatch)
 	if !p.faults.OlderReplica {
 		return false
 	}
-	p.lagging = !p.lagging
-	return p.lagging
+	p.lastLagging = !p.lastLagging
+	return p.lastLagging
 }
 
-func (p *Platform) end(waits bool) {
+func (p *Platform) end(isWatch bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stats.end(waits)
+	p.stats.end(isWatch)
 }
 
 // delay holds the call back while the service is slow.
 func (p *Platform) delay(r *http.Request) {
 	p.mu.Lock()
-	slow := p.faults.Delay
+	delay := p.faults.Delay
 	p.mu.Unlock()
-	if slow <= 0 {
+	if delay <= 0 {
 		return
 	}
-	fired, stop := p.clock.After(slow)
+	fired, stop := p.clock.After(delay)
 	defer stop()
 	select {
 	case <-fired:
@@ -171,11 +171,11 @@
 
 // serveWatch answers once a later revision is there, the wait is over or the
 // service goes down. A lagging replica answers at once with what it has.
-func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, name string, watch watch, lagging bool) {
+func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, name string, watch watchParams, lagging bool) {
 	fired, stop := p.clock.After(watch.wait)
 	defer stop()
 	for {
-		answer := p.look(name, lagging)
+		answer := p.currentAnswer(name, lagging)
 		if answer.status != http.StatusOK || answer.value.Revision > watch.after || lagging {
 			p.write(w, answer)
 			return
@@ -212,26 +212,26 @@
 
 // callCounter keeps PlatformStats.
 type callCounter struct {
-	total  PlatformStats
-	second time.Duration
-	calls  int64 // in that second
+	total         PlatformStats
+	second        time.Duration
+	callsInSecond int64 // in that second
 }
 
-func (c *callCounter) begin(now time.Duration, waits bool) {
+func (c *callCounter) begin(now time.Duration, isWatch bool) {
 	if second := now.Truncate(time.Second); second != c.second {
-		c.second, c.calls = second, 0
+		c.second, c.callsInSecond = second, 0
 	}
-	c.calls++
+	c.callsInSecond++
 	c.total.Calls++
-	c.total.PeakPerSecond = max(c.total.PeakPerSecond, c.calls)
-	if waits {
+	c.total.PeakPerSecond = max(c.total.PeakPerSecond, c.callsInSecond)
+	if isWatch {
 		c.total.Watches++
 		c.total.PeakWatches = max(c.total.PeakWatches, c.total.Watches)
 	}
 }
 
-func (c *callCounter) end(waits bool) {
-	if waits {
+func (c *callCounter) end(isWatch bool) {
+	if isWatch {
 		c.total.Watches--
 	}
 }
--- a/internal/standin/platformfaults.go
+++ b/internal/standin/platformfaults.go
@@ -49,23 +49,23 @@
 		}
 	}
 	p.faults = faults
-	p.wake()
+	p.notifyWatches()
 }
 
-// answer is what one call gets.
-type answer struct {
+// platformAnswer is what one call gets.
+type platformAnswer struct {
 	status  int
 	value   published.Value
 	cut     Cut
 	changed <-chan struct{} // closed when looking again may give another answer
 }
 
-// look returns the answer for name as it is now.
-func (p *Platform) look(name string, lagging bool) answer {
+// currentAnswer returns the answer for name as it is now.
+func (p *Platform) currentAnswer(name string, lagging bool) platformAnswer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found := answer{status: http.StatusOK, cut: p.faults.Cut, changed: p.changed}
-	kept := p.visible(name)
+	found := platformAnswer{status: http.StatusOK, cut: p.faults.Cut, changed: p.changed}
+	kept := p.visibleRevisions(name)
 	switch {
 	case p.faults.Down:
 		found.status = http.StatusServiceUnavailable
@@ -82,8 +82,8 @@
 	return found
 }
 
-// visible returns the revisions of name that a stale service has heard of.
-func (p *Platform) visible(name string) []published.Value {
+// visibleRevisions returns the revisions of name that a stale service has heard of.
+func (p *Platform) visibleRevisions(name string) []published.Value {
 	kept := p.values[name]
 	if !p.faults.Stale {
 		return kept
@@ -95,7 +95,7 @@
 }
 
 // write sends an answer, or the part of it that the fault lets through.
-func (p *Platform) write(w http.ResponseWriter, a answer) {
+func (p *Platform) write(w http.ResponseWriter, a platformAnswer) {
 	if a.status != http.StatusOK {
 		http.Error(w, http.StatusText(a.status), a.status)
 		return
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -22,12 +22,12 @@
 	handler http.Handler
 	conns   *connections
 
-	mu      sync.Mutex
-	address string
-	port    *os.File     // keeps the port while stopped; nil where it can't
-	http    *http.Server // nil while stopped
-	served  chan struct{}
-	cancel  context.CancelFunc // ends all requests
+	mu           sync.Mutex
+	address      string
+	reservedPort *os.File     // keeps the port while stopped; nil where it can't
+	http         *http.Server // nil while stopped
+	served       chan struct{}
+	cancel       context.CancelFunc // ends all requests
 }
 
 // NewServer listens on address and serves handler until it is stopped. Each new
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, listenError(err, address)
 	}
-	s := &Server{handler: handler, conns: newConnections(clock, delay), address: bound, port: port}
+	s := &Server{handler: handler, conns: newConnections(clock, delay), address: bound, reservedPort: port}
 	if err := s.Start(); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 
 // Shutdown refuses new connections and waits for the requests in flight.
 func (s *Server) Shutdown(ctx context.Context) error {
-	server, served, cancel := s.take()
+	server, served, cancel := s.detach()
 	if server == nil {
 		return nil
 	}
@@ -102,7 +102,7 @@
 
 // Kill stops at once: new connections are refused and open ones reset.
 func (s *Server) Kill() {
-	server, served, cancel := s.take()
+	server, served, cancel := s.detach()
 	if server == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 // AcceptedConnections returns how many connections were accepted so far.
 func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
-func (s *Server) take() (*http.Server, chan struct{}, context.CancelFunc) {
+func (s *Server) detach() (*http.Server, chan struct{}, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := s.http
