--- a/cmd/tealhallctl/main.go
+++ b/cmd/tealhallctl/main.go
@@ -23,7 +23,7 @@
 }
 
 func exitCode(err error) int {
-	var broken *demo.BrokenError
+	var broken *demo.ViolationError
 	if errors.As(err, &broken) {
 		return exitBroken
 	}
--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -16,17 +16,17 @@
 
 // changeLog learns from the audit trails when profiles come into force.
 type changeLog struct {
-	mu       sync.Mutex
-	at       map[string]map[uint64]time.Time // by entry and revision
-	latest   map[string]uint64
-	wentBack []string
+	mu        sync.Mutex
+	inForceAt map[string]map[uint64]time.Time // by entry and revision
+	latest    map[string]uint64
+	reverted  []string
 
 	revision  uint64
 	published time.Time
 }
 
 func newChangeLog() *changeLog {
-	return &changeLog{at: make(map[string]map[uint64]time.Time), latest: make(map[string]uint64)}
+	return &changeLog{inForceAt: make(map[string]map[uint64]time.Time), latest: make(map[string]uint64)}
 }
 
 // add takes a record of an entry's trail.
@@ -37,13 +37,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Revision < c.latest[entry] {
-		c.wentBack = append(c.wentBack, fmt.Sprintf("%s from revision %d to %d", entry, c.latest[entry], r.Revision))
+		c.reverted = append(c.reverted, fmt.Sprintf("%s from revision %d to %d", entry, c.latest[entry], r.Revision))
 	}
 	c.latest[entry] = r.Revision
-	if c.at[entry] == nil {
-		c.at[entry] = make(map[uint64]time.Time)
+	if c.inForceAt[entry] == nil {
+		c.inForceAt[entry] = make(map[uint64]time.Time)
 	}
-	c.at[entry][r.Revision] = r.Wall
+	c.inForceAt[entry][r.Revision] = r.Wall
 }
 
 // expect names the revision whose coming into force is reported.
@@ -57,9 +57,9 @@
 func (c *changeLog) report(entries []string) ChangeReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := ChangeReport{Revision: c.revision, WentBack: c.wentBack}
+	r := ChangeReport{Revision: c.revision, Reverted: c.reverted}
 	for _, name := range entries {
-		at, ok := c.at[name][c.revision]
+		at, ok := c.inForceAt[name][c.revision]
 		if !ok {
 			r.Missing = append(r.Missing, name)
 			continue
@@ -69,9 +69,9 @@
 	return r
 }
 
-// leavingWatch counts the requests that a leaving endpoint gets after the grace
+// lateRequestCounter counts the requests that a leaving endpoint gets after the grace
 // time.
-type leavingWatch struct {
+type lateRequestCounter struct {
 	endpoint *Endpoint
 	how      string
 
@@ -80,14 +80,14 @@
 	before   int64
 }
 
-func (w *leavingWatch) startCounting() {
+func (w *lateRequestCounter) startCounting() {
 	requests := w.endpoint.Stats().Requests
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counting, w.before = true, requests
 }
 
-func (w *leavingWatch) report() LeavingReport {
+func (w *lateRequestCounter) report() LeavingReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := LeavingReport{Endpoint: w.endpoint.VM.Name, How: w.how, Counted: w.counting}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -58,7 +58,7 @@
 		Domains:  []string{"domain-a", "domain-b"},
 		Entries:  demoEntries,
 		Pools:    pools(opts.Seed),
-		Adjust:   adjust,
+		Adjust:   adjustSettings,
 		Audit:    changes.add,
 	})
 	if err != nil {
@@ -81,10 +81,10 @@
 	}
 	report.Print(opts.Out)
 	if opts.Stay {
-		fmt.Fprint(opts.Out, tryLines(fleet))
+		fmt.Fprint(opts.Out, curlExamples(fleet))
 		<-ctx.Done()
 	}
-	return report.Broken()
+	return report.Check()
 }
 
 // pools are the endpoints of the demo.
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -44,18 +44,18 @@
 	// ServiceTime, if not nil, makes the service times of the i-th endpoint.
 	// Endpoints can't share one that is random.
 	ServiceTime func(i int) standin.ServiceTime
-	// Path, if not nil, returns the address in the platform's list for the
+	// ListedAddress, if not nil, returns the address in the platform's list for the
 	// address at which an endpoint listens: that of something in between.
-	Path func(listens string) string
+	ListedAddress func(listens string) string
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	cfg      FleetConfig
-	Platform *standin.Platform
-	Server   *standin.Server
-	Ledger   *standin.Ledger
-	began    time.Time
+	cfg       FleetConfig
+	Platform  *standin.Platform
+	Server    *standin.Server
+	Ledger    *standin.Ledger
+	startedAt time.Time
 
 	mu        sync.Mutex
 	Entries   []*entry.Entry
@@ -77,10 +77,10 @@
 // NewFleet starts a fleet. Close it also after an error.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{
-		cfg:      cfg,
-		Platform: standin.NewPlatform(standin.RealClock()),
-		Ledger:   standin.NewLedger(),
-		began:    time.Now(),
+		cfg:       cfg,
+		Platform:  standin.NewPlatform(standin.RealClock()),
+		Ledger:    standin.NewLedger(),
+		startedAt: time.Now(),
 	}
 	server, err := standin.NewServer(standin.DefaultListen, f.Platform, standin.RealClock(), 0)
 	if err != nil {
@@ -118,8 +118,8 @@
 			return err
 		}
 		vm := e.VM(p.Name, region, f.domain(i))
-		if p.Path != nil {
-			vm.Address = p.Path(vm.Address)
+		if p.ListedAddress != nil {
+			vm.Address = p.ListedAddress(vm.Address)
 		}
 		f.Endpoints = append(f.Endpoints, &Endpoint{Endpoint: e, VM: vm})
 		f.vms = append(f.vms, vm)
@@ -128,7 +128,7 @@
 }
 
 // AddEntry starts one more entry, in the failure domain of the given place.
-func (f *Fleet) AddEntry(name string, place int) (*entry.Entry, error) {
+func (f *Fleet) AddEntry(name string, index int) (*entry.Entry, error) {
 	callers, err := socket.Listen(standin.DefaultListen)
 	if err != nil {
 		return nil, err
@@ -138,10 +138,10 @@
 		_ = callers.Close()
 		return nil, err
 	}
-	s := f.settings(name, place, callers, peers)
+	s := f.settings(name, index, callers, peers)
 	e, err := entry.New(s, entry.Options{
 		Platform:       published.NewClient(published.ClientConfig{BaseURL: s.Platform.URL}),
-		Audit:          f.trail(name, s.Audit.Records),
+		Audit:          f.newTrail(name, s.Audit.Records),
 		CallerListener: callers,
 		PeerListener:   peers,
 	})
@@ -155,11 +155,11 @@
 	return e, e.Start()
 }
 
-func (f *Fleet) settings(name string, place int, callers, peers *net.TCPListener) *settings.Settings {
+func (f *Fleet) settings(name string, index int, callers, peers *net.TCPListener) *settings.Settings {
 	s := settings.Default()
 	s.Name = name
 	s.Region = region
-	s.FailureDomain = f.domain(place)
+	s.FailureDomain = f.domain(index)
 	s.Addresses.Caller = callers.Addr().String()
 	s.Addresses.Peer = peers.Addr().String()
 	s.Platform.URL = f.Server.URL()
@@ -180,7 +180,7 @@
 	return out
 }
 
-func (f *Fleet) trail(name string, size int) *audit.Trail {
+func (f *Fleet) newTrail(name string, size int) *audit.Trail {
 	return audit.New(size, time.Now, func(r audit.Record) {
 		if f.cfg.Audit != nil {
 			f.cfg.Audit(name, r)
@@ -254,12 +254,12 @@
 // back.
 func (f *Fleet) Evacuate(domains ...string) { f.Platform.SetVMsEvacuated(domains, f.vms...) }
 
-// Forget takes a stopped entry out of the fleet.
-func (f *Fleet) Forget(gone *entry.Entry) {
+// RemoveEntry takes a stopped entry out of the fleet.
+func (f *Fleet) RemoveEntry(stopped *entry.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, e := range f.Entries {
-		if e == gone {
+		if e == stopped {
 			f.Entries = append(f.Entries[:i], f.Entries[i+1:]...)
 			return
 		}
--- a/internal/demo/fleet_test.go
+++ b/internal/demo/fleet_test.go
@@ -47,7 +47,7 @@
 
 // The whole path: a caller asks which entries to use, a read and a once-only
 // request go through an entry to an endpoint, and each gets its own answer.
-func TestWholePath(t *testing.T) {
+func TestRequestsThroughFleet(t *testing.T) {
 	endpoint := standin.EndpointConfig{ServiceTime: standin.Constant(time.Millisecond)}
 	f := startFleet(t, FleetConfig{
 		Profiles: exampleProfiles(t, "mermaconteo.toml"),
--- a/internal/demo/gather.go
+++ b/internal/demo/gather.go
@@ -13,7 +13,7 @@
 		Added:  s.pairs.report(),
 		Change: s.changes.report(s.fleet.names),
 		Stop:   s.stop,
-		CutOff: s.wire.count(),
+		CutOff: s.transport.count(),
 	}
 	for _, t := range s.tallies {
 		r.Services = append(r.Services, t.report(s.fleet.Ledger))
@@ -21,21 +21,21 @@
 			r.RanTwice = append(t.ranTwice(s.fleet.Ledger), s.fleet.Ledger.RanTwice()...)
 		}
 	}
-	for _, w := range s.leaving {
+	for _, w := range s.lateRequests {
 		r.Leaving = append(r.Leaving, w.report())
 	}
-	r.Watching = s.fleet.Watching()
+	r.Probes = s.fleet.ProbeReports()
 	return r
 }
 
 // Watching adds up what probes took of each pool's slot time since the fleet
 // started, as the endpoints counted it.
-func (f *Fleet) Watching() []WatchReport {
-	took := time.Since(f.began)
+func (f *Fleet) ProbeReports() []ProbeReport {
+	took := time.Since(f.startedAt)
 	budgets := f.watchBudgets()
-	var out []WatchReport
+	var out []ProbeReport
 	for _, p := range f.cfg.Pools {
-		w := WatchReport{Pool: p.Name, Budget: budgets[p.Name]}
+		w := ProbeReport{Pool: p.Name, Budget: budgets[p.Name]}
 		for _, e := range f.endpointsOf(p.Name) {
 			stats := e.Stats()
 			w.Probes += stats.Probes
--- a/internal/demo/pairs.go
+++ b/internal/demo/pairs.go
@@ -14,30 +14,30 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// pairEvery is the time between two pairs of calls.
-const pairEvery = 50 * time.Millisecond
+// pairInterval is the time between two pairs of calls.
+const pairInterval = 50 * time.Millisecond
 
-// pairs measures what an entry adds to a call: the same call is made straight
+// pairedCalls measures what an entry adds to a call: the same call is made straight
 // to an endpoint and through an entry to that endpoint, in turn, so that both
 // see the same machine.
-type pairs struct {
+type pairedCalls struct {
 	http   *http.Client
 	direct string
 	entry  string
 
-	mu     sync.Mutex
-	count  int
-	failed int
-	alone  *hdrhistogram.Histogram
-	via    *hdrhistogram.Histogram
+	mu            sync.Mutex
+	count         int
+	failed        int
+	directLatency *hdrhistogram.Histogram
+	entryLatency  *hdrhistogram.Histogram
 }
 
-func newPairs(c *http.Client, endpoint, entry string) *pairs {
-	return &pairs{http: c, direct: endpoint, entry: entry, alone: newHistogram(), via: newHistogram()}
+func newPairedCalls(c *http.Client, endpoint, entry string) *pairedCalls {
+	return &pairedCalls{http: c, direct: endpoint, entry: entry, directLatency: newHistogram(), entryLatency: newHistogram()}
 }
 
-func (p *pairs) run(ctx context.Context) {
-	ticker := time.NewTicker(pairEvery)
+func (p *pairedCalls) run(ctx context.Context) {
+	ticker := time.NewTicker(pairInterval)
 	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -50,7 +50,7 @@
 }
 
 // pair makes one pair of calls; which goes first changes every time.
-func (p *pairs) pair(n int) {
+func (p *pairedCalls) pair(n int) {
 	order := []string{p.direct, p.entry}
 	if n%2 == 0 {
 		order[0], order[1] = order[1], order[0]
@@ -67,18 +67,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count++
-	_ = p.alone.RecordValue(took[p.direct].Microseconds())
-	_ = p.via.RecordValue(took[p.entry].Microseconds())
+	_ = p.directLatency.RecordValue(took[p.direct].Microseconds())
+	_ = p.entryLatency.RecordValue(took[p.entry].Microseconds())
 }
 
-func (p *pairs) fail() {
+func (p *pairedCalls) fail() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed++
 }
 
-func (p *pairs) call(address, id string) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+func (p *pairedCalls) call(address, id string) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/?"+standin.IDParameter+"="+id, nil)
 	if err != nil {
@@ -99,15 +99,15 @@
 	return took, standin.CheckAnswer(body, id, standin.AnswerSize(id))
 }
 
-func (p *pairs) report() AddedReport {
+func (p *pairedCalls) report() AddedReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return AddedReport{
 		Pairs:     p.count,
 		Failed:    p.failed,
-		DirectP50: micros(p.alone, 50),
-		DirectP99: micros(p.alone, 99),
-		EntryP50:  micros(p.via, 50),
-		EntryP99:  micros(p.via, 99),
+		DirectP50: quantileLatency(p.directLatency, 50),
+		DirectP99: quantileLatency(p.directLatency, 99),
+		EntryP50:  quantileLatency(p.entryLatency, 50),
+		EntryP99:  quantileLatency(p.entryLatency, 99),
 	}
 }
--- a/internal/demo/print.go
+++ b/internal/demo/print.go
@@ -33,8 +33,8 @@
 		}
 	}
 	r.printAdded(out)
-	r.printWatching(out)
-	r.printPromises(out)
+	r.printProbes(out)
+	r.printGuarantees(out)
 }
 
 func (r *Report) printAdded(out io.Writer) {
@@ -48,17 +48,17 @@
 	})
 }
 
-func (r *Report) printWatching(out io.Writer) {
+func (r *Report) printProbes(out io.Writer) {
 	fmt.Fprintln(out, "\nwatching: slot time spent on probes, as counted by the endpoints")
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "  pool\tprobes\tspent\tof the slot time\tbudget")
-		for _, p := range r.Watching {
+		for _, p := range r.Probes {
 			fmt.Fprintf(w, "  %s\t%d\t%s\t%.3f%%\t%.3f%%\n", p.Pool, p.Probes, millis(p.Spent), 100*p.share(), 100*p.Budget)
 		}
 	})
 }
 
-func (r *Report) printPromises(out io.Writer) {
+func (r *Report) printGuarantees(out io.Writer) {
 	fmt.Fprintln(out, "\npromises")
 	table(out, func(w io.Writer) {
 		wrong, falseNotRun := 0, 0
@@ -66,8 +66,8 @@
 			wrong += len(s.Wrong)
 			falseNotRun += len(s.FalseNotRun)
 		}
-		line := func(what string, format string, args ...any) {
-			fmt.Fprintf(w, "  %s\t%s\n", what, fmt.Sprintf(format, args...))
+		line := func(name string, format string, args ...any) {
+			fmt.Fprintf(w, "  %s\t%s\n", name, fmt.Sprintf(format, args...))
 		}
 		line("once-only requests that ran twice", "%d", len(r.RanTwice))
 		line("wrong answers", "%d", wrong)
@@ -79,11 +79,11 @@
 		for _, f := range r.Change.InForce {
 			line(fmt.Sprintf("revision %d in force on %s", r.Change.Revision, f.Entry), "after %s", millis(f.After))
 		}
-		line("entries that went back to older profiles", "%d", len(r.Change.WentBack))
+		line("entries that went back to older profiles", "%d", len(r.Change.Reverted))
 		line("cut off by the planned stop of "+r.Stop.Entry, "%d", r.Stop.Cut)
 	})
-	if broken := r.Broken(); broken != nil {
-		fmt.Fprintln(out, "\nBROKEN:", broken)
+	if err := r.Check(); err != nil {
+		fmt.Fprintln(out, "\nBROKEN:", err)
 		return
 	}
 	fmt.Fprintln(out, "\nevery promise was kept")
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("%.2f ms", float64(d)/float64(time.Millisecond))
 }
 
-// tryLines returns curl lines that work against the fleet as it runs.
-func tryLines(f *Fleet) string {
+// curlExamples returns curl lines that work against the fleet as it runs.
+func curlExamples(f *Fleet) string {
 	entry := "http://" + f.Seeds()[0]
 	return fmt.Sprintf(`
 the fleet keeps running; try, and end it with Ctrl-C:
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -11,7 +11,7 @@
 	Took     time.Duration
 	Services []ServiceReport
 	Added    AddedReport
-	Watching []WatchReport
+	Probes   []ProbeReport
 	Change   ChangeReport
 	Leaving  []LeavingReport
 	Stop     StopReport
@@ -43,8 +43,8 @@
 	EntryP50, EntryP99   time.Duration
 }
 
-// WatchReport is what watching a pool's endpoints took of their slot time.
-type WatchReport struct {
+// ProbeReport is what watching a pool's endpoints took of their slot time.
+type ProbeReport struct {
 	Pool   string
 	Probes int64
 	// Spent of SlotTime went to probes; Budget of it was allowed.
@@ -53,7 +53,7 @@
 }
 
 // share is the share of the slot time that was spent.
-func (w WatchReport) share() float64 {
+func (w ProbeReport) share() float64 {
 	if w.SlotTime <= 0 {
 		return 0
 	}
@@ -64,10 +64,10 @@
 type ChangeReport struct {
 	Revision uint64
 	InForce  []InForce
-	// Missing are entries on which it is not in force, WentBack those that
+	// Missing are entries on which it is not in force, Reverted those that
 	// fell back to an older revision.
 	Missing  []string
-	WentBack []string
+	Reverted []string
 }
 
 // InForce says when a change came into force on an entry.
@@ -96,23 +96,23 @@
 // force on every entry.
 const inForceLimit = 10 * time.Second
 
-// BrokenError says which promises a run broke.
-type BrokenError struct {
-	Promises []string
+// ViolationError says which promises a run broke.
+type ViolationError struct {
+	Violations []string
 }
 
 // Error lists the promises.
-func (e *BrokenError) Error() string {
-	return "promises were broken: " + strings.Join(e.Promises, "; ") +
+func (e *ViolationError) Error() string {
+	return "promises were broken: " + strings.Join(e.Violations, "; ") +
 		"; run the demo again with the same seed and look into the audit trail of the entry concerned"
 }
 
-// Broken returns a *BrokenError if the run broke a promise, else nil.
-func (r *Report) Broken() error {
-	var broken []string
-	add := func(isBroken bool, format string, args ...any) {
-		if isBroken {
-			broken = append(broken, fmt.Sprintf(format, args...))
+// Check returns a *ViolationError if the run broke a promise, else nil.
+func (r *Report) Check() error {
+	var violations []string
+	add := func(violated bool, format string, args ...any) {
+		if violated {
+			violations = append(violations, fmt.Sprintf(format, args...))
 		}
 	}
 	for _, s := range r.Services {
@@ -124,7 +124,7 @@
 	add(len(r.RanTwice) > 0, "%d once-only requests ran more than once, first: %s", len(r.RanTwice), first(r.RanTwice))
 	add(r.CutOff > 0, "%d answers were cut off", r.CutOff)
 	add(r.Stop.Cut > 0, "the planned stop of %s cut off %d requests", r.Stop.Entry, r.Stop.Cut)
-	for _, w := range r.Watching {
+	for _, w := range r.Probes {
 		add(w.share() > w.Budget, "watching %s took %.3f%% of its slot time, %.3f%% were allowed", w.Pool, 100*w.share(), 100*w.Budget)
 	}
 	for _, l := range r.Leaving {
@@ -132,14 +132,14 @@
 		add(l.LateRequests > 0, "%s got %d requests later than %v after it left", l.Endpoint, l.LateRequests, leavingGrace)
 	}
 	add(len(r.Change.Missing) > 0, "revision %d is not in force on %s", r.Change.Revision, strings.Join(r.Change.Missing, ", "))
-	add(len(r.Change.WentBack) > 0, "profiles went back: %s", strings.Join(r.Change.WentBack, ", "))
+	add(len(r.Change.Reverted) > 0, "profiles went back: %s", strings.Join(r.Change.Reverted, ", "))
 	for _, f := range r.Change.InForce {
 		add(f.After > inForceLimit, "revision %d took %v to come into force on %s", r.Change.Revision, f.After, f.Entry)
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		return nil
 	}
-	return &BrokenError{Promises: broken}
+	return &ViolationError{Violations: violations}
 }
 
 func first(list []string) string {
--- a/internal/demo/report_test.go
+++ b/internal/demo/report_test.go
@@ -13,8 +13,8 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// kept is the report of a run that broke no promise.
-func kept() *Report {
+// passingReport is the report of a run that broke no promise.
+func passingReport() *Report {
 	return &Report{
 		Took: 15 * time.Second,
 		Services: []ServiceReport{{
@@ -23,20 +23,20 @@
 		}},
 		Added: AddedReport{Pairs: 300, DirectP50: 2 * time.Millisecond, DirectP99: 3 * time.Millisecond,
 			EntryP50: 2200 * time.Microsecond, EntryP99: 3300 * time.Microsecond},
-		Watching: []WatchReport{{Pool: onceService, Probes: 2, Spent: 12 * time.Millisecond, SlotTime: 90 * time.Second, Budget: 0.02}},
-		Change:   ChangeReport{Revision: 2, InForce: []InForce{{Entry: "entry-1", After: 800 * time.Microsecond}}},
-		Leaving:  []LeavingReport{{Endpoint: "waste-entries-1", How: "marked in the list", Counted: true}},
-		Stop:     StopReport{Entry: "entry-3", Keys: 60, Successors: 2, Took: 12500 * time.Millisecond},
+		Probes:  []ProbeReport{{Pool: onceService, Probes: 2, Spent: 12 * time.Millisecond, SlotTime: 90 * time.Second, Budget: 0.02}},
+		Change:  ChangeReport{Revision: 2, InForce: []InForce{{Entry: "entry-1", After: 800 * time.Microsecond}}},
+		Leaving: []LeavingReport{{Endpoint: "waste-entries-1", How: "marked in the list", Counted: true}},
+		Stop:    StopReport{Entry: "entry-3", Keys: 60, Successors: 2, Took: 12500 * time.Millisecond},
 	}
 }
 
-func TestBroken(t *testing.T) {
-	if err := kept().Broken(); err != nil {
+func TestReportNamesEachViolation(t *testing.T) {
+	if err := passingReport().Check(); err != nil {
 		t.Fatal(err)
 	}
 	cases := map[string]struct {
-		change func(r *Report)
-		says   string
+		change    func(r *Report)
+		wantError string
 	}{
 		"ran twice":        {func(r *Report) { r.RanTwice = []string{"w-7"} }, "1 once-only requests ran more than once, first: w-7"},
 		"wrong answer":     {func(r *Report) { r.Services[0].Wrong = []string{"another's"} }, "1 wrong answers, first: another's"},
@@ -44,20 +44,20 @@
 		"nothing answered": {func(r *Report) { r.Services[0].Done = 0 }, "answered nothing"},
 		"cut off":          {func(r *Report) { r.CutOff = 4 }, "4 answers were cut off"},
 		"cut by the stop":  {func(r *Report) { r.Stop.Cut = 1 }, "the planned stop of entry-3 cut off 1"},
-		"over budget":      {func(r *Report) { r.Watching[0].Spent = 2 * time.Second }, "took 2.222% of its slot time, 2.000% were allowed"},
+		"over budget":      {func(r *Report) { r.Probes[0].Spent = 2 * time.Second }, "took 2.222% of its slot time, 2.000% were allowed"},
 		"late work":        {func(r *Report) { r.Leaving[0].LateRequests = 1 }, "got 1 requests later than 3s"},
 		"not watched":      {func(r *Report) { r.Leaving[0].Counted = false }, "was not watched"},
 		"not in force":     {func(r *Report) { r.Change.Missing = []string{"entry-2"} }, "revision 2 is not in force on entry-2"},
 		"in force late":    {func(r *Report) { r.Change.InForce[0].After = time.Minute }, "took 1m0s"},
-		"went back":        {func(r *Report) { r.Change.WentBack = []string{"entry-1 from 2 to 1"} }, "profiles went back: entry-1"},
+		"went back":        {func(r *Report) { r.Change.Reverted = []string{"entry-1 from 2 to 1"} }, "profiles went back: entry-1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := kept()
+			r := passingReport()
 			c.change(r)
-			var broken *BrokenError
-			if err := r.Broken(); !errors.As(err, &broken) || len(broken.Promises) != 1 || !strings.Contains(err.Error(), c.says) {
-				t.Fatalf("%v does not say %q alone", err, c.says)
+			var violation *ViolationError
+			if err := r.Check(); !errors.As(err, &violation) || len(violation.Violations) != 1 || !strings.Contains(err.Error(), c.wantError) {
+				t.Fatalf("%v does not say %q alone", err, c.wantError)
 			}
 			var out strings.Builder
 			if r.Print(&out); !strings.Contains(out.String(), "BROKEN: ") {
@@ -69,7 +69,7 @@
 
 // What callers were told is held against what endpoints did: the demo must not
 // pass because it never looked.
-func TestTallyHoldsAnswersAgainstTheLedger(t *testing.T) {
+func TestTallyComparesOutcomesWithLedger(t *testing.T) {
 	e, err := standin.NewEndpoint(standin.EndpointConfig{Name: "e", ServiceTime: standin.Constant(time.Millisecond)})
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	ran := newTally("ran", "read")
 	for n, outcome := range []client.Outcome{client.NotRun, client.Done, client.Unknown} {
 		id := requestID("ran", n+1)
-		ran.sending()
+		ran.countSent()
 		if outcome != client.Done {
 			call(id)
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestChangeLog(t *testing.T) {
+func TestChangeLogReportsRevisionInForce(t *testing.T) {
 	c := newChangeLog()
 	start := time.Unix(100, 0)
 	add := func(entry string, revision uint64, after time.Duration) {
@@ -118,12 +118,12 @@
 	add("b", 2, 2*time.Second)
 	add("b", 1, 3*time.Second)
 	r := c.report([]string{"a", "b", "c"})
-	if len(r.InForce) != 2 || r.InForce[1].After != 2*time.Second || len(r.Missing) != 1 || len(r.WentBack) != 1 {
+	if len(r.InForce) != 2 || r.InForce[1].After != 2*time.Second || len(r.Missing) != 1 || len(r.Reverted) != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestProfilesOfTheDemo(t *testing.T) {
+func TestDemoProfileChangeHasEffect(t *testing.T) {
 	first, err := profile.Parse(firstProfiles, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -24,7 +24,7 @@
 	drainAt       = 4 * time.Second
 	markLeavingAt = 6 * time.Second
 	uploadsFrom   = 7 * time.Second
-	shortest      = 15 * time.Second
+	minDuration   = 15 * time.Second
 	progressEvery = 1 * time.Second
 	// leavingGrace is how long after the word that it leaves an endpoint may
 	// still get new work.
@@ -32,14 +32,14 @@
 )
 
 const (
-	// callers is how many callers send the requests.
-	callers = 6
+	// callerCount is how many callers send the requests.
+	callerCount = 6
 	// largestFleet divides the watching budget; the demo never runs more entries.
 	largestFleet = 4
 )
 
-// adjust sets what differs from an installation: the fleet is small for sure.
-func adjust(s *settings.Settings) { s.Limits.LargestFleet = largestFleet }
+// adjustSettings sets what differs from an installation: the fleet is small for sure.
+func adjustSettings(s *settings.Settings) { s.Limits.LargestFleet = largestFleet }
 
 // session is one run of the demo.
 type session struct {
@@ -48,23 +48,23 @@
 	out     io.Writer
 	seed    uint64
 
-	began   time.Time
-	wire    *cutCounter
-	callers []*client.Client
-	tallies []*tally
-	pairs   *pairs
-	leaving []*leavingWatch
-	stop    StopReport
+	began        time.Time
+	transport    *cutCounter
+	callers      []*client.Client
+	tallies      []*tally
+	pairs        *pairedCalls
+	lateRequests []*lateRequestCounter
+	stop         StopReport
 }
 
 func newSession(f *Fleet, changes *changeLog, opts Options) (*session, error) {
-	s := &session{fleet: f, changes: changes, out: opts.Out, seed: opts.Seed, wire: newCutCounter()}
-	for i := range callers {
+	s := &session{fleet: f, changes: changes, out: opts.Out, seed: opts.Seed, transport: newCutCounter()}
+	for i := range callerCount {
 		c, err := client.New(client.Options{
 			Seeds:  f.Seeds(),
 			Caller: fmt.Sprintf("caller-%d", i+1),
 			Domain: f.domain(i),
-			HTTP:   &http.Client{Transport: s.wire},
+			HTTP:   &http.Client{Transport: s.transport},
 		})
 		if err != nil {
 			return nil, err
@@ -72,7 +72,7 @@
 		s.callers = append(s.callers, c)
 	}
 	endpoint := f.endpointsOf(pairedService)[0]
-	s.pairs = newPairs(&http.Client{Transport: s.wire}, endpoint.Server().Address(), f.Seeds()[0])
+	s.pairs = newPairedCalls(&http.Client{Transport: s.transport}, endpoint.Server().Address(), f.Seeds()[0])
 	return s, nil
 }
 
@@ -98,63 +98,63 @@
 
 // script makes the changes on the way, one after the other.
 func (s *session) script(ctx context.Context) error {
-	s.at(ctx, publishAt)
+	s.waitUntil(ctx, publishAt)
 	revision := s.fleet.Publish(changedProfiles())
 	published := time.Now()
-	s.say("published the profiles with %s as revision %d", changedHedge, revision)
+	s.printProgress("published the profiles with %s as revision %d", changedHedge, revision)
 	s.changes.expect(revision, published)
 
-	s.at(ctx, stopEntryAt)
+	s.waitUntil(ctx, stopEntryAt)
 	var stopping sync.WaitGroup
 	stopping.Go(func() { s.stopEntry(ctx) })
 	defer stopping.Wait()
 
-	s.at(ctx, drainAt)
+	s.waitUntil(ctx, drainAt)
 	announcing := s.fleet.endpointsOf(readService)[0]
-	s.watchLeaving(ctx, announcing, "announced by the endpoint")
+	s.countLateRequests(ctx, announcing, "announced by the endpoint")
 	announcing.Drain()
 
-	s.at(ctx, markLeavingAt)
+	s.waitUntil(ctx, markLeavingAt)
 	marked := s.fleet.endpointsOf(onceService)[0]
-	s.watchLeaving(ctx, marked, "marked in the platform's list")
+	s.countLateRequests(ctx, marked, "marked in the platform's list")
 	s.fleet.MarkLeaving(announcing.VM.Name)
 	s.fleet.MarkLeaving(marked.VM.Name)
 
 	stopping.Wait()
-	s.at(ctx, shortest)
+	s.waitUntil(ctx, minDuration)
 	return ctx.Err()
 }
 
-// at waits until d after the first request.
-func (s *session) at(ctx context.Context, d time.Duration) {
+// waitUntil waits until d after the first request.
+func (s *session) waitUntil(ctx context.Context, d time.Duration) {
 	wait.For(ctx, time.Until(s.began.Add(d)))
 }
 
-// say prints a line of progress.
-func (s *session) say(format string, args ...any) {
+// printProgress prints a line of progress.
+func (s *session) printProgress(format string, args ...any) {
 	fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // stopEntry stops the last entry gracefully.
 func (s *session) stopEntry(ctx context.Context) {
 	entries := s.fleet.entries()
-	leaver := entries[len(entries)-1]
-	s.say("%s begins a planned stop; callers may keep answers that name it for some seconds", leaver.Name())
-	s.fleet.Forget(leaver)
-	summary := leaver.Stop(ctx)
-	s.stop = StopReport{Entry: leaver.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
-	s.say("%s stopped after %.1f s: %d requests cut off, %d idempotency keys handed to %d entries",
-		leaver.Name(), summary.Took.Seconds(), summary.Cut, summary.HandedOver, summary.Successors)
-}
-
-// watchLeaving counts what an endpoint gets after the grace time.
-func (s *session) watchLeaving(ctx context.Context, e *Endpoint, how string) {
-	s.say("%s leaves: %s", e.VM.Name, how)
-	w := &leavingWatch{endpoint: e, how: how}
-	s.leaving = append(s.leaving, w)
-	told := time.Now()
+	leaving := entries[len(entries)-1]
+	s.printProgress("%s begins a planned stop; callers may keep answers that name it for some seconds", leaving.Name())
+	s.fleet.RemoveEntry(leaving)
+	summary := leaving.Stop(ctx)
+	s.stop = StopReport{Entry: leaving.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
+	s.printProgress("%s stopped after %.1f s: %d requests cut off, %d idempotency keys handed to %d entries",
+		leaving.Name(), summary.Took.Seconds(), summary.Cut, summary.HandedOver, summary.Successors)
+}
+
+// countLateRequests counts what an endpoint gets after the grace time.
+func (s *session) countLateRequests(ctx context.Context, e *Endpoint, how string) {
+	s.printProgress("%s leaves: %s", e.VM.Name, how)
+	w := &lateRequestCounter{endpoint: e, how: how}
+	s.lateRequests = append(s.lateRequests, w)
+	announcedAt := time.Now()
 	go func() {
-		wait.For(ctx, time.Until(told.Add(leavingGrace)))
+		wait.For(ctx, time.Until(announcedAt.Add(leavingGrace)))
 		w.startCounting()
 	}()
 }
@@ -168,7 +168,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.say("%s", s.progressLine())
+			s.printProgress("%s", s.progressLine())
 		}
 	}
 }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -21,7 +21,7 @@
 	return hdrhistogram.New(1, longestLatency, latencyDigits)
 }
 
-func micros(h *hdrhistogram.Histogram, quantile float64) time.Duration {
+func quantileLatency(h *hdrhistogram.Histogram, quantile float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
@@ -47,7 +47,7 @@
 	return &tally{service: service, kind: kind, counts: make(map[client.Outcome]int), reasons: make(map[string]int), latency: newHistogram()}
 }
 
-func (t *tally) sending() {
+func (t *tally) countSent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent++
@@ -106,8 +106,8 @@
 		NotRun:  t.counts[client.NotRun],
 		Unknown: t.counts[client.Unknown],
 		Retried: t.retried,
-		P50:     micros(t.latency, 50),
-		P99:     micros(t.latency, 99),
+		P50:     quantileLatency(t.latency, 50),
+		P99:     quantileLatency(t.latency, 99),
 		Reasons: t.reasons,
 		Wrong:   t.wrong,
 	}
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -17,14 +17,14 @@
 
 // The rates and sizes of the traffic.
 const (
-	readEvery    = 10 * time.Millisecond
-	onceEvery    = 40 * time.Millisecond
-	uploadEvery  = 250 * time.Millisecond
-	readBytes    = 600
-	uploadBytes  = 300 << 10
-	mostInFlight = 64
-	// requestLimit bounds one request with all its tries.
-	requestLimit = 10 * time.Second
+	readEvery   = 10 * time.Millisecond
+	onceEvery   = 40 * time.Millisecond
+	uploadEvery = 250 * time.Millisecond
+	readBytes   = 600
+	uploadBytes = 300 << 10
+	maxInFlight = 64
+	// requestTimeout bounds one request with all its tries.
+	requestTimeout = 10 * time.Second
 )
 
 // stream sends requests to one service at a steady rate.
@@ -84,16 +84,16 @@
 	defer ticker.Stop()
 	var sent sync.WaitGroup
 	defer sent.Wait()
-	places := make(chan struct{}, mostInFlight)
+	tokens := make(chan struct{}, maxInFlight)
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		places <- struct{}{}
+		tokens <- struct{}{}
 		sent.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-tokens }()
 			s.send(n)
 		})
 	}
@@ -102,11 +102,11 @@
 // send makes one request. It does not end with the stream: what was begun is
 // answered.
 func (s *stream) send(n int) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	id := requestID(s.tally.service, n)
 	request, size := s.make(id, n)
-	s.tally.sending()
+	s.tally.countSent()
 	began := time.Now()
 	result, err := s.callers[n%len(s.callers)].Do(ctx, request)
 	s.tally.add(id, result, time.Since(began), checkAnswer(id, size, request, result, err))
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -54,7 +54,7 @@
 	between := &paths{t: t}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
 		for i := range cfg.Pools {
-			cfg.Pools[i].Path = between.through
+			cfg.Pools[i].ListedAddress = between.through
 		}
 	})
 	l := startTraffic(t, f)
@@ -208,7 +208,7 @@
 func TestBookingsOnDyingConnectionsArriveOnce(t *testing.T) {
 	dying := &dyingEndpoint{arrivals: make(map[string]int)}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
-		cfg.Pools[1].Path = func(string) string { return dying.start(t) }
+		cfg.Pools[1].ListedAddress = func(string) string { return dying.start(t) }
 	})
 	l := &traffic{callers: []*client.Client{newCaller(t, f, newWire(), "tablet")}}
 	for n := range 60 {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -119,7 +119,7 @@
 // stop makes a planned stop of an entry that has to cut off nothing.
 func (f *fleet) stop(t *testing.T, e *entry.Entry) entry.StopSummary {
 	t.Helper()
-	f.Forget(e)
+	f.RemoveEntry(e)
 	summary := e.Stop(t.Context())
 	if summary.Cut != 0 {
 		t.Errorf("%s cut off %d requests", e.Name(), summary.Cut)
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -219,7 +219,7 @@
 	home, newKey := homeOf(t, f)
 	ran, unused := newKey("ran"), newKey("unused")
 	ran.expect(t, home, "done", "")
-	f.Forget(home)
+	f.RemoveEntry(home)
 	home.Kill()
 	for _, e := range f.Entries {
 		ran.expect(t, e, "unknown", "home-unreachable")
@@ -242,7 +242,7 @@
 	for i := range 2 {
 		l.awaitMore(t, 200)
 		home, _ := homeOf(t, f)
-		f.Forget(home)
+		f.RemoveEntry(home)
 		home.Kill()
 		l.awaitMore(t, 200)
 		f.replace(t, home.Name(), i)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Forget(short)
+		f.RemoveEntry(short)
 		if i%2 == 0 {
 			short.Kill()
 			continue
@@ -61,7 +61,7 @@
 	f := newFleet(t, 1)
 	_, newKey := homeOf(t, f)
 	only := f.Entries[0]
-	f.Forget(only)
+	f.RemoveEntry(only)
 	only.Kill()
 	f.Server.Kill()
 	fresh, err := f.AddEntry("fresh", 0)
@@ -87,7 +87,7 @@
 	})
 	e := f.Entries[0]
 	scan := startUpload(t, f, e, "scan")
-	f.Forget(e)
+	f.RemoveEntry(e)
 	summary := e.Stop(t.Context())
 	_ = scan.body.Close()
 	if summary.Cut != 1 {
