--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Parameters that a request to an endpoint may carry in its query.
+// Query parameters of a request to an endpoint.
 const (
-	// IDParameter is the caller's own id of the request; the answer repeats it.
+	// IDParameter is the id that the caller gives the request; the answer's body repeats it.
 	IDParameter = "id"
-	// BytesParameter is the size of the answer's body.
+	// BytesParameter is the size of the answer's body in bytes.
 	BytesParameter = "bytes"
-	// WorkParameter is a Go duration that replaces the service time.
+	// WorkParameter is a Go duration that replaces the endpoint's service time.
 	WorkParameter = "work"
-	// ChunkedParameter makes the endpoint answer without a Content-Length.
+	// ChunkedParameter makes the endpoint send a chunked body without a Content-Length.
 	ChunkedParameter = "chunked"
-	// StatusParameter is the status of the answer instead of 200.
+	// StatusParameter is the status of the answer; the default is 200.
 	StatusParameter = "status"
 )
 
-// Headers of an endpoint's answer that let a caller check it.
+// Headers of an endpoint's answer with which a caller checks the answer.
 const (
 	// BodyDigestHeader is the SHA-256 of the request's body in hex.
 	BodyDigestHeader = "X-Body-Sha256"
@@ -30,11 +30,11 @@
 	EndpointHeader = "X-Endpoint"
 )
 
-// answerBlockSize is about how much of an answer is written at a time.
+// answerBlockSize is the approximate number of bytes of an answer per write.
 const answerBlockSize = 16 << 10
 
-// WriteAnswer writes the body that answers the request with the given id: the
-// id and a newline, over and over, up to size bytes.
+// WriteAnswer writes the body of the answer to the request with the given id: the id and a newline,
+// repeated up to size bytes.
 func WriteAnswer(w io.Writer, id string, size int64) error {
 	line := id + "\n"
 	block := strings.Repeat(line, 1+int(min(answerBlockSize, size))/len(line))
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// AnswerSize is the size of an answer for which no size was asked.
+// AnswerSize returns the size of an answer's body if the request has no BytesParameter.
 func AnswerSize(id string) int64 {
 	return int64(len(id)) + 1
 }
 
-// CheckAnswer says how body differs from the whole answer that WriteAnswer
-// writes: too short, too long, or another request's.
+// CheckAnswer returns an error if body is not exactly what WriteAnswer writes: if it is too short,
+// too long or the answer to another request.
 func CheckAnswer(body []byte, id string, size int64) error {
 	if int64(len(body)) != size {
 		return fmt.Errorf("answer to %q has %d bytes instead of %d", id, len(body), size)
--- a/internal/standin/clock.go
+++ b/internal/standin/clock.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Clock is the time that the stand-ins live by.
+// Clock is the source of time of the stand-ins.
 type Clock interface {
-	// Now is monotonic.
+	// Now returns the monotonic time since the start of the clock.
 	Now() time.Duration
-	// After returns a channel that receives once d has passed, and a function
-	// that releases the timer early.
+	// After returns a channel that is closed once d has passed, and a function that stops the timer
+	// early.
 	After(d time.Duration) (fired <-chan struct{}, stop func())
 }
 
-// timerSlack is by how much the runtime's timer may come late: an idle process
-// waits for it in whole milliseconds. At service times of a few milliseconds
-// that would be a tenth of what is measured.
+// timerSlack is the most by which the runtime's timer is expected to fire late: an idle process
+// waits for timers in whole milliseconds. With service times of a few milliseconds, that delay
+// would be a tenth of the measured time.
 const timerSlack = 1200 * time.Microsecond
 
-// RealClock is the process's own clock. Its timers are as accurate as the
-// operating system's sleep, without busy waiting: the runtime's timer covers
-// all but the last millisecond, a sleep of the thread the rest.
+// RealClock returns the clock of the process. Its timers are as accurate as the operating system's
+// sleep, without busy waiting: the runtime's timer covers all but the last timerSlack, and a sleep
+// of the thread covers the rest.
 func RealClock() Clock {
 	return realClock{start: time.Now()}
 }
@@ -40,7 +40,7 @@
 	return fired, func() { timer.Stop() }
 }
 
-// ManualClock stands still until a test moves it. It is safe for concurrent use.
+// ManualClock is a clock that only Advance moves. It is safe for concurrent use.
 type ManualClock struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -53,7 +53,7 @@
 	fired chan struct{}
 }
 
-// NewManualClock returns a clock that shows zero.
+// NewManualClock returns a clock whose time is zero.
 func NewManualClock() *ManualClock {
 	c := &ManualClock{timers: make(map[*manualTimer]struct{})}
 	c.changed = sync.NewCond(&c.mu)
@@ -88,7 +88,7 @@
 	c.changed.Broadcast()
 }
 
-// Advance moves the clock and fires every timer that is due by then.
+// Advance moves the clock forward by d and fires every timer that is due.
 func (c *ManualClock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// connections are the connections accepted by one server, so that faults can be
-// caused on all that are open at one moment.
+// connections tracks the open connections of one server, so that a fault can be injected into all
+// of them at once.
 type connections struct {
 	clock Clock
-	// delay holds back the first byte of each new connection: its set-up cost.
+	// delay postpones the first read of each new connection. It simulates the set-up cost.
 	delay time.Duration
 
 	accepted atomic.Int64
@@ -25,8 +25,8 @@
 	return &connections{clock: clock, delay: delay, open: make(map[*conn]struct{})}
 }
 
-// blackHole silences every open connection for good. New ones work. It returns
-// how many were silenced.
+// blackHole silences every open connection permanently and returns their number. New connections
+// work.
 func (c *connections) blackHole() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 	return len(c.open)
 }
 
-// reset ends every open connection at once, without the usual farewell.
+// reset closes every open connection with a TCP reset.
 func (c *connections) reset() {
 	c.mu.Lock()
 	open := make([]*conn, 0, len(c.open))
@@ -59,7 +59,7 @@
 	return len(c.open)
 }
 
-// listener hands out connections that can be silenced.
+// listener wraps each accepted connection in a conn.
 type listener struct {
 	net.Listener
 	conns *connections
@@ -78,22 +78,22 @@
 	return wrapped, nil
 }
 
-// conn is a connection that can go silent: what arrives is dropped, what is
-// written disappears, and that the far end closed it goes unnoticed. This is
-// how it looks to both ends when something between them has lost track of it.
+// conn is a connection that can be silenced: it then drops incoming and outgoing data and hides
+// that the peer closed it. Both sides see the same when a device between them, such as a NAT
+// gateway, has lost the state of the connection.
 type conn struct {
 	net.Conn
 	conns     *connections
 	silent    atomic.Bool
-	setUpDone atomic.Bool // the set-up cost was paid
+	setUpDone atomic.Bool // the set-up delay is over
 
 	closeOnce       sync.Once
 	closed          chan struct{}
 	readDeadlineSet chan struct{} // a read deadline was set
 }
 
-// Read drops what arrives once the connection is silent. It still obeys Close
-// and read deadlines, by which the HTTP server stops its own pending reads.
+// Read drops incoming data while the connection is silent. It still returns after Close and at a
+// read deadline, because the HTTP server uses these to interrupt its own pending reads.
 func (c *conn) Read(p []byte) (int, error) {
 	c.setUp()
 	for {
@@ -123,7 +123,7 @@
 	return c.Conn.Write(p)
 }
 
-// SetReadDeadline also interrupts a Read that waits after the far end closed.
+// SetReadDeadline also interrupts a Read that keeps waiting after the peer closed the connection.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && c.silent.Load() {
 		select {
@@ -145,7 +145,7 @@
 	return c.Conn.Close()
 }
 
-// setUp waits once for the cost of a new connection.
+// setUp waits for the set-up delay before the first read.
 func (c *conn) setUp() {
 	if c.conns.delay <= 0 || c.setUpDone.Swap(true) {
 		return
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -7,7 +7,7 @@
 	"github.com/gorilla/mux"
 )
 
-// Paths of the control interface, for stand-ins that run as programs.
+// Paths of the control interface of a stand-in that runs as a separate process.
 const (
 	StatsPath     = "/stats"
 	FaultsPath    = "/faults"
@@ -15,10 +15,10 @@
 	BlackHolePath = "/black-hole"
 )
 
-// maxControlBytes bounds the body of a control call.
+// maxControlBytes limits the size of the body of a control request.
 const maxControlBytes = 4 << 10
 
-// PlatformControl serves the counters of p and sets its faults.
+// PlatformControl returns a handler that serves the counters of p and sets its faults.
 func PlatformControl(p *Platform) http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(StatsPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 	return router
 }
 
-// EndpointControl serves the counters of e, sets its faults, drains it and
+// EndpointControl returns a handler that serves the counters of e, sets its faults, drains it and
 // silences its open connections.
 func EndpointControl(e *Endpoint) http.Handler {
 	router := mux.NewRouter()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin plays what surrounds tealhall, for tests, the demo and
-// benchmarks: the platform's configuration service and application endpoints,
-// both over real HTTP on TCP, with faults that can be switched while they run.
-// Nothing in the daemon depends on it.
+// Package standin simulates the environment of tealhall for tests, the demo and benchmarks: the
+// platform's configuration service and application endpoints. Both serve real HTTP over TCP and
+// have faults that can be switched on and off at run time. The daemon does not depend on this
+// package.
 package standin
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -11,9 +11,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Endpoint plays one application endpoint that keeps the endpoint contract
-// (docs/ENDPOINTS.md), or breaks it where its faults say so. It is safe for
-// concurrent use.
+// Endpoint simulates one application endpoint that follows the endpoint contract
+// (docs/ENDPOINTS.md), except where its faults violate the contract. It is safe for concurrent use.
 type Endpoint struct {
 	cfg       EndpointConfig
 	server    *Server
@@ -25,36 +24,37 @@
 
 	mu            sync.Mutex // guards the fields below and cfg.ServiceTime
 	stats         EndpointStats
-	faultsChanged chan struct{} // closed at the next change of faults
+	faultsChanged chan struct{} // closed when the faults change
 }
 
-// EndpointStats is what an Endpoint counted. Requests don't include probes.
+// EndpointStats are the counters of an Endpoint. Requests do not include probes.
 type EndpointStats struct {
-	// Requests arrived; Runs of them got a slot, Finished came to their end.
+	// Requests counts the requests that arrived, Runs those that got a slot and Finished those that
+	// ran to completion.
 	Requests int64 `json:"requests"`
 	Runs     int64 `json:"runs"`
 	Finished int64 `json:"finished"`
-	// NotRun were refused with the statement that they were not run.
+	// NotRun counts the requests that were refused with contract.HeaderNotRun, by reason.
 	NotRun map[contract.NotRunReason]int64 `json:"not_run"`
-	// Failed were turned away without such a statement.
+	// Failed counts the requests that were refused without contract.HeaderNotRun.
 	Failed int64 `json:"failed"`
-	// CancelledQueued and CancelledRunning went away before a slot or in one;
-	// Late passed their deadline in a slot.
+	// CancelledQueued counts the requests that were cancelled in the queue, CancelledRunning those
+	// cancelled in a slot. Late counts the requests whose deadline passed in a slot.
 	CancelledQueued  int64 `json:"cancelled_queued"`
 	CancelledRunning int64 `json:"cancelled_running"`
 	Late             int64 `json:"late"`
-	// Probes arrived; ProbeSlotTime and SlotTime are the slot time spent on
-	// probes and on requests.
+	// Probes counts the probes that arrived. ProbeSlotTime and SlotTime are the slot time used by
+	// probes and by requests.
 	Probes        int64         `json:"probes"`
 	ProbeSlotTime time.Duration `json:"probe_slot_time_ns"`
 	SlotTime      time.Duration `json:"slot_time_ns"`
-	// Connections were accepted so far.
+	// Connections counts the accepted connections.
 	Connections int64 `json:"connections"`
-	// LongestQueue is the longest queue seen.
+	// LongestQueue is the greatest length of the queue so far.
 	LongestQueue int `json:"longest_queue"`
 }
 
-// NewEndpoint starts an endpoint.
+// NewEndpoint returns a running endpoint.
 func NewEndpoint(cfg EndpointConfig) (*Endpoint, error) {
 	cfg = cfg.withDefaults()
 	e := &Endpoint{
@@ -73,14 +73,14 @@
 	return e, nil
 }
 
-// Server gives access to the endpoint's address and its network faults: Kill,
-// Start, BlackHole.
+// Server returns the endpoint's server, which has the address and the network faults: Kill, Start
+// and BlackHole.
 func (e *Endpoint) Server() *Server { return e.server }
 
-// Ledger counts the endpoint's requests by key and id.
+// Ledger returns the counts of the endpoint's requests by idempotency key and by request id.
 func (e *Endpoint) Ledger() *Ledger { return e.cfg.Ledger }
 
-// VM describes the endpoint as the platform's list would.
+// VM returns the endpoint's row in the platform's list of VMs.
 func (e *Endpoint) VM(pool, region, domain string) published.VM {
 	return published.VM{
 		Name:        e.cfg.Name,
@@ -95,7 +95,7 @@
 	}
 }
 
-// SetFaults replaces the faults. Requests that hang are let go when Hang ends.
+// SetFaults replaces the faults. Clearing Hang closes the connections of the requests that hang.
 func (e *Endpoint) SetFaults(faults EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,20 +104,20 @@
 	e.faultsChanged = make(chan struct{})
 }
 
-// Drain announces that the endpoint leaves: it finishes what it has and refuses
-// new work as not run. There is no way back.
+// Drain marks the endpoint as draining for good: it finishes the requests that it has accepted and
+// refuses new ones as not run.
 func (e *Endpoint) Drain() { e.draining.Store(true) }
 
-// AwaitIdle returns once nothing holds a slot or waits for one.
+// AwaitIdle waits until no request uses a slot or is queued.
 func (e *Endpoint) AwaitIdle() { e.slots.awaitIdle() }
 
-// Close drains and stops the endpoint; requests in flight finish until ctx ends.
+// Close drains and stops the endpoint. It waits for the requests in flight until ctx ends.
 func (e *Endpoint) Close(ctx context.Context) error {
 	e.Drain()
 	return e.server.Shutdown(ctx)
 }
 
-// Stats returns what the endpoint counted so far.
+// Stats returns a copy of the counters.
 func (e *Endpoint) Stats() EndpointStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,17 +131,18 @@
 	return stats
 }
 
-// Load is the real load of the endpoint.
+// Load returns the real load of the endpoint, whatever load its faults make it report.
 func (e *Endpoint) Load() contract.Load { return e.slots.load() }
 
-// count changes the counters under the lock.
+// count applies change to the counters under the lock.
 func (e *Endpoint) count(change func(*EndpointStats)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(&e.stats)
 }
 
-// nextSlotTime returns how long the next request or probe holds its slot.
+// nextSlotTime returns how long the next request or probe uses its slot. A positive work replaces
+// the service time of a request.
 func (e *Endpoint) nextSlotTime(probe bool, work time.Duration) time.Duration {
 	slotTime := work
 	switch {
@@ -162,7 +163,7 @@
 	return e.cfg.ServiceTime()
 }
 
-// setLoadHeaders sets the headers that every answer carries.
+// setLoadHeaders sets the headers that every answer has: load, incarnation, name and draining.
 func (e *Endpoint) setLoadHeaders(header http.Header) {
 	load := e.slots.load()
 	if reported := e.faults.Load().Load; reported != nil {
--- a/internal/standin/endpoint_test.go
+++ b/internal/standin/endpoint_test.go
@@ -16,19 +16,18 @@
 
 const (
 	serviceTime = 5 * time.Millisecond
-	// noAnswerWait ends waits that must end without an answer.
+	// noAnswerWait is how long a test waits to establish that no answer arrives.
 	noAnswerWait = 50 * time.Millisecond
 )
 
-// testEndpoint is an endpoint with a client of its own: the address may have been
-// another test's, to which a shared client would still hold dead connections.
+// testEndpoint is an endpoint with its own client. A shared client might still have dead connections
+// to the same address from another test.
 type testEndpoint struct {
 	*Endpoint
 	client *http.Client
 }
 
-// startEndpoint returns an endpoint of one slot and one place in the queue, on a clock
-// that only the test moves.
+// startEndpoint returns an endpoint with one slot and a queue of one, on a manual clock.
 func startEndpoint(t *testing.T, change func(*EndpointConfig)) (testEndpoint, *ManualClock) {
 	t.Helper()
 	clock := NewManualClock()
@@ -46,7 +45,7 @@
 	return testEndpoint{endpoint, &http.Client{Transport: transport}}, clock
 }
 
-// reply is an answer as its caller got it; err says how it was cut off.
+// reply is the answer that a caller got; err is set if there was none or it was cut off.
 type reply struct {
 	status int
 	header http.Header
@@ -62,7 +61,7 @@
 		replies <- reply{err: err}
 		return replies
 	}
-	request.GetBody = nil // the transport must not send it again
+	request.GetBody = nil // prevents the transport from retrying the request
 	for i := 0; i < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
@@ -79,7 +78,8 @@
 	return replies
 }
 
-// TestEndpointContract sends one request to an endpoint in each of its states.
+// TestEndpointContract sends one request to an endpoint in each state and checks the answer and the
+// counters.
 func TestEndpointContract(t *testing.T) {
 	idle := "in-flight=0,queued=0,slots=1"
 	bodyDigest := "230d8358dc8e8890b4c58deeb62912ee2f20357ae92a5cc861b98e68fe31acb5"
@@ -89,8 +89,8 @@
 		drain    bool
 		path     string
 		deadline string
-		slotTime time.Duration // the slot time that the clock is moved by
-		status   int           // zero: the connection breaks
+		slotTime time.Duration // how far the clock is advanced
+		status   int           // zero: the connection is closed
 		header   map[string]string
 		counted  EndpointStats
 	}{
@@ -116,7 +116,7 @@
 			faults: EndpointFaults{Straggle: 10}, slotTime: 10 * serviceTime, status: 200,
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: 10 * serviceTime},
 		},
-		"lies about its load": {
+		"reports a false load": {
 			faults: EndpointFaults{Load: &contract.Load{InFlight: 9, Slots: 8}}, slotTime: serviceTime, status: 200,
 			header:  map[string]string{contract.HeaderLoad: "in-flight=9,queued=0,slots=8"},
 			counted: EndpointStats{Requests: 1, Runs: 1, Finished: 1, SlotTime: serviceTime},
@@ -141,7 +141,7 @@
 			header:  map[string]string{contract.HeaderNotRun: "deadline"},
 			counted: EndpointStats{Requests: 1, NotRun: map[contract.NotRunReason]int64{contract.NotRunDeadline: 1}},
 		},
-		"deadline while it runs": { // what was begun is never said to be not run
+		"deadline while it runs": { // a request that has started is never reported as not run
 			deadline: "2", slotTime: 2 * time.Millisecond, status: 504,
 			header:  map[string]string{contract.HeaderNotRun: ""},
 			counted: EndpointStats{Requests: 1, Runs: 1, Late: 1, SlotTime: 2 * time.Millisecond},
@@ -198,9 +198,9 @@
 	}
 }
 
-// replyAfter moves the clock once the request runs, and returns the reply. A
-// request that fails before it runs, such as on a broken connection, starts no
-// timer, and a plain wait for one would never end.
+// replyAfter advances the clock by slotTime once the request runs, and returns the reply. A request
+// that fails before it runs, such as on a broken connection, starts no timer; waiting only for the
+// timer would block forever.
 func replyAfter(clock *ManualClock, timers int, slotTime time.Duration, replies <-chan reply) reply {
 	if slotTime <= 0 {
 		return <-replies
@@ -219,17 +219,17 @@
 	}
 }
 
-// One request holds the only slot and one waits: the next is refused as busy, as
-// was one before it that asked for an idle slot; the waiting one is refused when
-// its deadline passes, all truthfully as not run. The endpoint drains meanwhile
-// and still finishes what it has.
+// One request uses the only slot and another is queued. A request that asks for an idle slot and a
+// request that finds the queue full are refused as busy, the queued request is refused when its
+// deadline passes, and a request that arrives after Drain is refused as draining. None of them ran.
+// The endpoint still finishes the running request.
 func TestDrainingEndpointFinishesAcceptedRequests(t *testing.T) {
 	endpoint, clock := startEndpoint(t, nil)
 	first := send(t.Context(), endpoint, "/?work=1h", contract.HeaderIdempotencyKey, "first")
 	clock.AwaitTimers(1)
 	idleOnly := <-send(t.Context(), endpoint, "/", contract.HeaderIdleOnly, "1")
 	if reason, ok := contract.ProvedNotRun(idleOnly.status, idleOnly.header); reason != contract.NotRunBusy || !ok {
-		t.Errorf("a request for an idle slot got %+v", idleOnly)
+		t.Errorf("request for an idle slot got %+v", idleOnly)
 	}
 	second := send(t.Context(), endpoint, "/", contract.HeaderIdempotencyKey, "second", contract.HeaderDeadline, "20")
 	clock.AwaitTimers(2)
@@ -244,11 +244,11 @@
 		}
 	}
 	if load := third.header.Get(contract.HeaderLoad); load != "in-flight=1,queued=1,slots=1" {
-		t.Errorf("load of the full endpoint: %s", load)
+		t.Errorf("load of the full endpoint: %s, want 1 in flight and 1 queued", load)
 	}
 	clock.Advance(time.Hour)
 	if got := <-first; got.status != http.StatusOK || got.header.Get(contract.HeaderDraining) == "" {
-		t.Errorf("the request in flight got %+v", got)
+		t.Errorf("request in flight got %+v", got)
 	}
 	endpoint.AwaitIdle()
 	want := map[string]Count{"first": {1, 1, 1}, "second": {Arrivals: 1}, "third": {Arrivals: 1}, "fourth": {Arrivals: 1}}
@@ -257,9 +257,8 @@
 	}
 }
 
-// A booking is sent over a connection that something on the way has forgotten:
-// it never arrives. One that was running when that happened did run, and its
-// answer never comes. New connections work throughout.
+// After BlackHole, a request sent over an old connection never arrives. A request that was running
+// at that moment completes, but its answer is lost. New connections work throughout.
 func TestBlackHoleSilencesOpenConnections(t *testing.T) {
 	endpoint, clock := startEndpoint(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -272,7 +271,7 @@
 	defer cancelLate()
 	select {
 	case got := <-running:
-		t.Errorf("an answer came over the silent connection: %+v", got)
+		t.Errorf("got an answer over the silent connection: %+v", got)
 	case <-late.Done():
 	}
 	cancel()
@@ -281,13 +280,13 @@
 	clock.AwaitTimers(1)
 	clock.Advance(serviceTime)
 	if got := <-fresh; got.status != http.StatusOK {
-		t.Fatalf("over a new connection: %+v", got)
+		t.Fatalf("request over a new connection got %+v", got)
 	}
 	endpoint.Server().BlackHole() // the connection is idle in the pool now
 	lost, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
 	defer cancelLost()
 	if got := <-send(lost, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
-		t.Errorf("over the silent connection: %+v", got)
+		t.Errorf("request over the silent connection got %+v", got)
 	}
 	if err := endpoint.Close(t.Context()); err != nil {
 		t.Fatal(err)
@@ -297,8 +296,8 @@
 	}
 }
 
-// The three ways in which a run ends without an answer: the caller goes away,
-// the machine dies, the program hangs. Each is known to the ledger.
+// A request gets no answer because its caller disconnects, the endpoint hangs or the VM is killed.
+// The ledger counts the arrivals and runs in each case.
 func TestLedgerCountsRunsWithoutAnswer(t *testing.T) {
 	endpoint, clock := startEndpoint(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -315,14 +314,14 @@
 	}
 	cancel()
 	if got := <-hung; got.err == nil {
-		t.Errorf("a hanging endpoint answered %+v", got)
+		t.Errorf("hanging endpoint answered %+v", got)
 	}
 	endpoint.SetFaults(EndpointFaults{})
 	dead := send(t.Context(), endpoint, "/", contract.HeaderIdempotencyKey, "dead")
 	clock.AwaitTimers(1)
 	endpoint.Server().Kill()
 	if got := <-dead; got.err == nil {
-		t.Errorf("a killed endpoint answered %+v", got)
+		t.Errorf("killed endpoint answered %+v", got)
 	}
 	clock.AwaitTimers(0) // the run has ended
 	if err := endpoint.Server().Start(); err != nil {
--- a/internal/standin/endpointconfig.go
+++ b/internal/standin/endpointconfig.go
@@ -16,27 +16,27 @@
 	DefaultIncarnation = 1
 )
 
-// EndpointConfig describes an Endpoint. Zero values stand for defaults, but for
-// Name, which is needed.
+// EndpointConfig configures an Endpoint. Name is required; zero values of the other fields stand
+// for defaults.
 type EndpointConfig struct {
 	Name        string
 	Incarnation uint64
-	// Listen is the IP:port to serve on; default a free one on loopback.
+	// Listen is the IP:port to serve on. The default is a free port on loopback.
 	Listen string
 	Slots  int
-	// QueueLimit is the longest queue before the slots; negative is none.
+	// QueueLimit is the maximum length of the queue; a negative value disables the queue.
 	QueueLimit int
-	// ServiceTime gives the time that each request holds a slot.
+	// ServiceTime returns how long each request uses a slot.
 	ServiceTime ServiceTime
-	// ProbeTime is how long a probe holds a slot.
+	// ProbeTime is how long a probe uses a slot.
 	ProbeTime time.Duration
-	// ColdFactor multiplies service times at the start and falls to one over
-	// ColdTime in a straight line. Values below one mean no cold start.
+	// ColdFactor multiplies the slot times of requests and probes at the start; the factor falls
+	// linearly to 1 over ColdTime. A value of at most 1 means no cold start.
 	ColdFactor float64
 	ColdTime   time.Duration
-	// ConnectTime holds back the first byte of each new connection.
+	// ConnectTime postpones the first read of each new connection.
 	ConnectTime time.Duration
-	// Ledger may be shared with other endpoints; default one of its own.
+	// Ledger may be shared with other endpoints. By default the endpoint has its own.
 	Ledger *Ledger
 	Clock  Clock
 }
@@ -70,7 +70,7 @@
 	return c
 }
 
-// coldFactor returns by how much a request takes longer at the given age of the
+// coldFactor returns the factor by which slot times are multiplied at the given age of the
 // endpoint.
 func (c EndpointConfig) coldFactor(age time.Duration) float64 {
 	if c.ColdFactor <= 1 || age >= c.ColdTime {
@@ -80,21 +80,21 @@
 	return 1 + (c.ColdFactor-1)*left
 }
 
-// EndpointFaults are the faults of an Endpoint. The zero value is a healthy one.
+// EndpointFaults are the faults of an Endpoint. The zero value is a healthy endpoint.
 type EndpointFaults struct {
-	// Straggle multiplies the time of every request and probe when above zero.
+	// Straggle, if above zero, multiplies the slot time of every request and probe.
 	Straggle float64 `json:"straggle,omitempty"`
-	// FailFast answers every request at once with this status, which proves
-	// nothing about whether it ran. Probes succeed.
+	// FailFast, if above zero, is the status with which the endpoint answers every request at once.
+	// The answer does not tell whether the request ran. Probes succeed.
 	FailFast int `json:"fail_fast,omitempty"`
-	// Shed refuses every request with the statement that it was not run.
+	// Shed refuses every request and probe as not run.
 	Shed bool `json:"shed,omitempty"`
-	// Hang runs nothing and never answers.
+	// Hang keeps every request and probe waiting: the endpoint neither runs nor answers it.
 	Hang bool `json:"hang,omitempty"`
-	// CutAnswer breaks the connection in the middle of each answer.
+	// CutAnswer closes the connection in the middle of each answer.
 	CutAnswer bool `json:"cut_answer,omitempty"`
-	// IgnoreIdleOnly queues requests that ask for an idle slot only.
+	// IgnoreIdleOnly queues requests that are to be refused unless a slot is idle.
 	IgnoreIdleOnly bool `json:"ignore_idle_only,omitempty"`
-	// Load is reported instead of the real load.
+	// Load, if not nil, is reported instead of the real load.
 	Load *contract.Load `json:"load,omitempty"`
 }
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -14,18 +14,18 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// call is one request as an Endpoint handles it.
+// call is one parsed request or probe.
 type call struct {
 	id          identity
 	probe       bool
-	idleOnly    bool          // refuse it rather than queue it
-	hasDeadline bool          // it has a deadline
+	idleOnly    bool          // refuse it if no slot is idle
+	hasDeadline bool          // deadline is set
 	deadline    time.Duration // on the endpoint's clock
 	answer      answerSpec
 	work        time.Duration // replaces the service time when above zero
 }
 
-// answerSpec is the answer that the request asked for.
+// answerSpec describes the answer that the request asks for.
 type answerSpec struct {
 	id      string
 	size    int64
@@ -40,7 +40,7 @@
 		e.fail(w, http.StatusBadRequest)
 		return
 	}
-	faults := e.faults.Load() // before the request is seen to have arrived
+	faults := e.faults.Load() // before the arrival is counted: tests change faults after the count
 	e.countArrival(call)
 	switch {
 	case faults.Hang:
@@ -101,7 +101,7 @@
 		}
 	}
 	if spec.status == http.StatusNoContent || spec.status == http.StatusNotModified {
-		spec.size, spec.chunked = 0, true // no body, so no length either
+		spec.size, spec.chunked = 0, true // these statuses have neither a body nor a Content-Length
 	}
 	return spec, nil
 }
@@ -115,7 +115,7 @@
 	e.count(func(s *EndpointStats) { s.Requests++ })
 }
 
-// refuse states that the request was not run.
+// refuse answers that the request was not run.
 func (e *Endpoint) refuse(w http.ResponseWriter, reason contract.NotRunReason) {
 	e.count(func(s *EndpointStats) { s.NotRun[reason]++ })
 	e.setLoadHeaders(w.Header())
@@ -123,14 +123,14 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// fail answers with a status that proves nothing.
+// fail answers with status and does not state whether the request ran.
 func (e *Endpoint) fail(w http.ResponseWriter, status int) {
 	e.count(func(s *EndpointStats) { s.Failed++ })
 	e.setLoadHeaders(w.Header())
 	w.WriteHeader(status)
 }
 
-// hang waits until the client goes or the fault ends.
+// hang waits until the client disconnects or the fault ends.
 func (e *Endpoint) hang(ctx context.Context) {
 	for e.faults.Load().Hang {
 		e.mu.Lock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// admit gets the request a slot or refuses it.
+// admit runs the request once it has a slot, or refuses it.
 func (e *Endpoint) admit(w http.ResponseWriter, r *http.Request, c call) {
 	if e.expired(c) {
 		e.refuse(w, contract.NotRunDeadline)
@@ -173,7 +173,8 @@
 	return c.hasDeadline && e.cfg.Clock.Now() >= c.deadline
 }
 
-// awaitSlot waits in the queue and reports whether the request got a slot.
+// awaitSlot waits in the queue and reports whether the request got a slot. It refuses the request
+// when its deadline passes.
 func (e *Endpoint) awaitSlot(w http.ResponseWriter, r *http.Request, c call, queued *waiter) bool {
 	expired, stop := e.deadlineTimer(c)
 	defer stop()
@@ -190,7 +191,7 @@
 	return false
 }
 
-// deadlineTimer fires at the deadline of c, never when it has none.
+// deadlineTimer returns a timer that fires at the deadline of c; without a deadline it never fires.
 func (e *Endpoint) deadlineTimer(c call) (<-chan struct{}, func()) {
 	if !c.hasDeadline {
 		return nil, func() {}
@@ -198,7 +199,7 @@
 	return e.cfg.Clock.After(c.deadline - e.cfg.Clock.Now())
 }
 
-// run holds a slot for the request's time and answers.
+// run uses the slot for the request's slot time, releases it and answers.
 func (e *Endpoint) run(w http.ResponseWriter, r *http.Request, c call) {
 	started := e.cfg.Clock.Now()
 	if !c.probe {
@@ -221,11 +222,11 @@
 		e.setLoadHeaders(w.Header())
 		w.WriteHeader(http.StatusGatewayTimeout)
 	case endedAborted:
-		panic(http.ErrAbortHandler) // nobody is there to answer
+		panic(http.ErrAbortHandler) // the client is gone
 	}
 }
 
-// runEnd says how a run ended.
+// runEnd is the way in which a run ended.
 type runEnd int
 
 const (
@@ -234,7 +235,7 @@
 	endedAborted
 )
 
-// work takes the request's time, but ends with the client or at the deadline.
+// work waits for the request's slot time, or until the client disconnects or the deadline passes.
 func (e *Endpoint) work(ctx context.Context, c call) runEnd {
 	done, stop := e.cfg.Clock.After(e.nextSlotTime(c.probe, c.work))
 	defer stop()
@@ -250,7 +251,7 @@
 	}
 }
 
-// recordRun counts a run's slot time and how it ended.
+// recordRun adds a run's slot time and end to the counters and the ledger.
 func (e *Endpoint) recordRun(c call, slotTime time.Duration, ended runEnd) {
 	if !c.probe && ended == endedComplete {
 		e.cfg.Ledger.finished(c.id)
@@ -272,7 +273,7 @@
 	})
 }
 
-// answer writes the answer that the request asked for.
+// answer writes the answer that the request asks for.
 func (e *Endpoint) answer(w http.ResponseWriter, c call) {
 	spec := c.answer
 	header := w.Header()
@@ -291,10 +292,10 @@
 	}
 	_ = WriteAnswer(w, spec.id, spec.size/2)
 	_ = http.NewResponseController(w).Flush()
-	panic(http.ErrAbortHandler) // the server's way to break the connection
+	panic(http.ErrAbortHandler) // makes the server close the connection
 }
 
-// readBody reads the request's body as a stream and returns its digest and size.
+// readBody reads the request's body without keeping it and returns its digest and size.
 func readBody(r *http.Request) (digest string, bytes int64, err error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return "", 0, nil
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// Count is what a Ledger knows of one idempotency key or one request id.
+// Count has the counts of a Ledger for one idempotency key or one request id.
 type Count struct {
-	// Arrivals counts the attempts that reached an endpoint's program.
+	// Arrivals counts the attempts that reached an endpoint's handler.
 	Arrivals int
-	// Runs counts the attempts that got a slot and so had their effect.
+	// Runs counts the attempts that got a slot and thus took effect.
 	Runs int
-	// Finished counts the runs that came to their end.
+	// Finished counts the runs that completed.
 	Finished int
 }
 
-// Ledger counts what endpoints did for each request. Several endpoints may
-// share one, which then sees duplicates across all of them. It is safe for
-// concurrent use and grows with the number of requests.
+// Ledger counts the attempts of each request at the endpoints. Endpoints that share a Ledger also
+// detect a request that ran at two of them. It is safe for concurrent use and grows with the number
+// of requests.
 type Ledger struct {
 	mu       sync.Mutex
 	keys     map[string]Count
@@ -37,7 +37,7 @@
 	return l.keys[key]
 }
 
-// Request returns the counts for a value of contract.HeaderRequest.
+// Request returns the counts for a request id, the value of contract.HeaderRequest.
 func (l *Ledger) Request(id string) Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,7 @@
 	return twice
 }
 
-// identity names a request in a Ledger; either part may be empty.
+// identity identifies a request in a Ledger; either field may be empty.
 type identity struct{ key, request string }
 
 func (l *Ledger) arrived(id identity)  { l.add(id, Count{Arrivals: 1}) }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// keptRevisions bounds how far back a lagging replica can be.
+	// keptRevisions is the number of revisions kept of each value, for the faults that serve old
+	// ones.
 	keptRevisions = 8
-	// maxWatchWait bounds how long a watch may wait.
+	// maxWatchWait is the longest wait of a watch.
 	maxWatchWait = time.Minute
 )
 
-// Platform plays the configuration service. It implements http.Handler for the
-// documented calls and is safe for concurrent use.
+// Platform simulates the configuration service. It implements http.Handler for the documented calls
+// and is safe for concurrent use.
 type Platform struct {
 	clock Clock
 
 	mu            sync.Mutex
 	firstRevision uint64                       // the revision of each name's first value
-	values        map[string][]published.Value // the last revisions, oldest first
+	values        map[string][]published.Value // the latest revisions, oldest first
 	faults        PlatformFaults
 	frozen        map[string]uint64 // revisions served while Stale
-	changed       chan struct{}     // closed at the next change of values or faults
-	lastLagging   bool              // the next call goes to the replica that lags
+	changed       chan struct{}     // closed when values or faults change
+	lastLagging   bool              // the last call under OlderReplica went to the lagging replica
 	stats         callCounter
 }
 
-// NewPlatform returns a service that holds nothing.
+// NewPlatform returns a service without values.
 func NewPlatform(clock Clock) *Platform {
 	return &Platform{
 		clock:         clock,
@@ -42,16 +43,16 @@
 	}
 }
 
-// SetFirstRevision sets the revision that values get which are not there yet; default 1.
-// A service that replaces another continues above the other's revisions.
+// SetFirstRevision sets the revision of the first value of each name that has no value yet. The
+// default is 1. A service that replaces another one continues above the other's revisions.
 func (p *Platform) SetFirstRevision(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.firstRevision = max(1, revision)
 }
 
-// Put publishes data under name and returns its revision. It takes values above
-// the size that the real service holds, so that tests can serve them.
+// Put publishes data under name and returns its revision. It accepts values larger than the real
+// service does, so that tests can serve them.
 func (p *Platform) Put(name string, data []byte) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,13 +75,13 @@
 	return p.Put(published.VMsValue, published.EncodeVMs(published.VMList{VMs: vms}))
 }
 
-// SetVMsEvacuated publishes the list of VMs with failure domains that are evacuated, and returns
+// SetVMsEvacuated publishes the list of VMs together with the evacuated failure domains and returns
 // its revision.
 func (p *Platform) SetVMsEvacuated(domains []string, vms ...published.VM) uint64 {
 	return p.Put(published.VMsValue, published.EncodeVMs(published.VMList{VMs: vms, Evacuated: domains}))
 }
 
-// notifyWatches lets waiting watches look again.
+// notifyWatches makes waiting watches check for a new answer.
 func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -94,7 +95,7 @@
 		return
 	}
 	if r.Method != http.MethodGet {
-		http.Error(w, "values can only be read", http.StatusMethodNotAllowed)
+		http.Error(w, "values are read-only", http.StatusMethodNotAllowed)
 		return
 	}
 	watch, err := parseWatch(r)
@@ -112,7 +113,7 @@
 	p.write(w, p.currentAnswer(name, lagging))
 }
 
-// watchParams holds the parameters of a call.
+// watchParams are the parameters of a call. The zero value is a plain read.
 type watchParams struct {
 	isWatch bool
 	after   uint64
@@ -135,7 +136,7 @@
 	return watchParams{isWatch: true, after: after, wait: min(max(0, wait), maxWatchWait)}, nil
 }
 
-// begin counts a call and says which replica answers it.
+// begin counts a call and reports whether the lagging replica answers it.
 func (p *Platform) begin(isWatch bool) (lagging bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +154,7 @@
 	p.stats.end(isWatch)
 }
 
-// delay holds the call back while the service is slow.
+// delay waits for the Delay fault, or until the client disconnects.
 func (p *Platform) delay(r *http.Request) {
 	p.mu.Lock()
 	delay := p.faults.Delay
@@ -169,8 +170,8 @@
 	}
 }
 
-// serveWatch answers once a later revision is there, the wait is over or the
-// service goes down. A lagging replica answers at once with what it has.
+// serveWatch answers once a later revision exists, the wait is over or the service goes down. A
+// lagging replica answers at once with its current revision.
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, name string, watch watchParams, lagging bool) {
 	fired, stop := p.clock.After(watch.wait)
 	defer stop()
@@ -192,29 +193,29 @@
 	}
 }
 
-// Stats returns what the service counted so far.
+// Stats returns a copy of the counters.
 func (p *Platform) Stats() PlatformStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats.total
 }
 
-// PlatformStats is what a Platform counted.
+// PlatformStats are the counters of a Platform.
 type PlatformStats struct {
-	// Calls counts every call; a watch is one however long it waits.
+	// Calls counts all calls. A watch is one call, however long it waits.
 	Calls int64 `json:"calls"`
-	// Watches is how many watches wait now, PeakWatches the most at a time.
+	// Watches is the number of watches that wait now, PeakWatches the highest number so far.
 	Watches     int `json:"watches"`
 	PeakWatches int `json:"peak_watches"`
-	// PeakPerSecond is the most calls begun in one second of the clock.
+	// PeakPerSecond is the highest number of calls that began in one second of the clock.
 	PeakPerSecond int64 `json:"peak_per_second"`
 }
 
-// callCounter keeps PlatformStats.
+// callCounter maintains PlatformStats.
 type callCounter struct {
 	total         PlatformStats
 	second        time.Duration
-	callsInSecond int64 // in that second
+	callsInSecond int64 // calls that began in that second
 }
 
 func (c *callCounter) begin(now time.Duration, isWatch bool) {
--- a/internal/standin/platformfaults.go
+++ b/internal/standin/platformfaults.go
@@ -8,37 +8,37 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// PlatformFaults are the faults of a Platform. The zero value is a healthy
-// service. A refused connection is caused at its Server, by Kill and Start.
+// PlatformFaults are the faults of a Platform. The zero value is a healthy service. To have
+// connections refused, use Kill and Start of its Server.
 type PlatformFaults struct {
-	// Down answers every call with 503, waiting watches too.
+	// Down answers every call with 503, including watches that are waiting.
 	Down bool `json:"down,omitempty"`
-	// Delay holds every call back.
+	// Delay postpones the answer to every call.
 	Delay time.Duration `json:"delay_ns,omitempty"`
-	// Stale serves what was current when the fault began, whatever is published.
+	// Stale keeps serving the revisions that were current when the fault began.
 	Stale bool `json:"stale,omitempty"`
-	// OlderReplica sends every other call to a replica one revision behind.
+	// OlderReplica has every other call answered by a replica that is one revision behind.
 	OlderReplica bool `json:"older_replica,omitempty"`
-	// Cut breaks the connection in the middle of each body.
+	// Cut closes the connection in the middle of each body.
 	Cut Cut `json:"cut,omitempty"`
-	// HalveLists serves the first half of the VM list as if it were whole, with
-	// a matching length.
+	// HalveLists serves the first half of the VM list as if it were complete, with a matching
+	// Content-Length.
 	HalveLists bool `json:"halve_lists,omitempty"`
 }
 
-// Cut says how a body that breaks off was announced.
+// Cut is the framing of a body that is cut off.
 type Cut string
 
 // The kinds of Cut.
 const (
 	CutNone Cut = ""
-	// CutSized breaks off a body with a Content-Length.
+	// CutSized cuts off a body that has a Content-Length.
 	CutSized Cut = "sized"
-	// CutChunked breaks off a chunked body.
+	// CutChunked cuts off a chunked body.
 	CutChunked Cut = "chunked"
 )
 
-// SetFaults replaces the faults. Watches that wait see the change at once.
+// SetFaults replaces the faults. Waiting watches see the change at once.
 func (p *Platform) SetFaults(faults PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,15 +52,15 @@
 	p.notifyWatches()
 }
 
-// platformAnswer is what one call gets.
+// platformAnswer is the answer to one call.
 type platformAnswer struct {
 	status  int
 	value   published.Value
 	cut     Cut
-	changed <-chan struct{} // closed when looking again may give another answer
+	changed <-chan struct{} // closed when the answer may have changed
 }
 
-// currentAnswer returns the answer for name as it is now.
+// currentAnswer returns the present answer for name.
 func (p *Platform) currentAnswer(name string, lagging bool) platformAnswer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +82,7 @@
 	return found
 }
 
-// visibleRevisions returns the revisions of name that a stale service has heard of.
+// visibleRevisions returns the kept revisions of name, without those newer than a Stale fault.
 func (p *Platform) visibleRevisions(name string) []published.Value {
 	kept := p.values[name]
 	if !p.faults.Stale {
@@ -94,7 +94,7 @@
 	return kept
 }
 
-// write sends an answer, or the part of it that the fault lets through.
+// write sends an answer, or the first half of its body if the Cut fault is set.
 func (p *Platform) write(w http.ResponseWriter, a platformAnswer) {
 	if a.status != http.StatusOK {
 		http.Error(w, http.StatusText(a.status), a.status)
@@ -113,5 +113,5 @@
 	}
 	_, _ = w.Write(data[:len(data)/2])
 	_ = http.NewResponseController(w).Flush()
-	panic(http.ErrAbortHandler) // the server's way to break the connection
+	panic(http.ErrAbortHandler) // makes the server close the connection
 }
--- a/internal/standin/port_linux.go
+++ b/internal/standin/port_linux.go
@@ -6,13 +6,12 @@
 	"syscall"
 )
 
-// reservePort binds address with a socket that never listens, and returns the
-// socket and the address with its port. A server that was killed must refuse
-// connections and come back on the same port; without the reservation the
-// kernel may meanwhile give the port to any connection on the machine, and the
-// restart fails. The server's own listener can still bind, because both sockets
-// set SO_REUSEADDR and this one does not listen, and a second server on the
-// port is still refused, because the first one's listener does.
+// reservePort binds a socket that never listens to address, and returns the socket and the address
+// with its port. A killed server must refuse connections and restart on the same port; without the
+// reservation, the kernel may give the port to any connection on the machine in the meantime, and
+// the restart fails. The server's own listener can still bind, because both sockets set
+// SO_REUSEADDR and this one does not listen. A second server on the port is still refused, because
+// the first server's listener listens.
 func reservePort(address string) (*os.File, string, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -26,7 +25,7 @@
 	if err != nil {
 		return nil, "", os.NewSyscallError("socket", err)
 	}
-	socket := os.NewFile(uintptr(fd), "reserved port") // closes it when unused
+	socket := os.NewFile(uintptr(fd), "reserved port") // its finalizer closes fd on the error paths
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, "", os.NewSyscallError("setsockopt", err)
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,12 +11,12 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// DefaultListen is a free port on loopback.
+// DefaultListen is the address for a free port on loopback.
 const DefaultListen = "127.0.0.1:0"
 
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves a handler on one address and can fail in the ways a machine or
+// Server serves a handler on one address and can fail in the ways in which a VM or
 // a network does. It is safe for concurrent use.
 type Server struct {
 	handler http.Handler
@@ -24,14 +24,14 @@
 
 	mu           sync.Mutex
 	address      string
-	reservedPort *os.File     // keeps the port while stopped; nil where it can't
+	reservedPort *os.File     // reserves the port while stopped; nil if unsupported
 	http         *http.Server // nil while stopped
 	served       chan struct{}
-	cancel       context.CancelFunc // ends all requests
+	cancel       context.CancelFunc // cancels all requests
 }
 
-// NewServer listens on address and serves handler until it is stopped. Each new
-// connection's first byte is held back by delay.
+// NewServer listens on address and serves handler until it is stopped. The first read of each new
+// connection is postponed by delay.
 func NewServer(address string, handler http.Handler, clock Clock, delay time.Duration) (*Server, error) {
 	port, bound, err := reservePort(address)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return s, nil
 }
 
-// Start serves on the address of before again. It does nothing while running.
+// Start restarts a stopped server on its previous address. It does nothing if the server runs.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,17 +75,18 @@
 	return fault.Wrap(err, fault.BadSettings, "choose a free IP:port of this machine", "listening on %q failed", address)
 }
 
-// Address is the IP:port that the server has or last had.
+// Address returns the IP:port of the server, also while it is stopped.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// URL is the server's base URL.
+// URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Shutdown refuses new connections and waits for the requests in flight.
+// Shutdown refuses new connections and waits for the requests in flight. When ctx ends, it closes
+// their connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	server, served, cancel := s.detach()
 	if server == nil {
@@ -100,7 +101,7 @@
 	return err
 }
 
-// Kill stops at once: new connections are refused and open ones reset.
+// Kill stops the server at once: new connections are refused and open ones are reset.
 func (s *Server) Kill() {
 	server, served, cancel := s.detach()
 	if server == nil {
@@ -112,16 +113,18 @@
 	<-served
 }
 
-// BlackHole makes every open connection go silent for good while new ones work.
-// It returns how many were open.
+// BlackHole silences every open connection permanently and returns their number. New connections
+// work.
 func (s *Server) BlackHole() int { return s.conns.blackHole() }
 
 // OpenConnections returns how many connections are open.
 func (s *Server) OpenConnections() int { return s.conns.count() }
 
-// AcceptedConnections returns how many connections were accepted so far.
+// AcceptedConnections returns the total number of accepted connections.
 func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
+// detach marks the server as stopped and returns what its caller needs to end it; the server is nil
+// if it was stopped already.
 func (s *Server) detach() (*http.Server, chan struct{}, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -6,19 +6,19 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// slots is an endpoint's fixed number of places to work, with a first-in
-// first-out queue of limited length before them.
+// slots is an endpoint's fixed number of slots with a bounded first-in first-out queue of requests
+// that wait for one.
 type slots struct {
 	mu         sync.Mutex
 	total      int
-	queueLimit int // longest queue
+	queueLimit int // maximum length of the queue
 	inFlight   int
 	queue      []*waiter // in order of arrival
-	queuePeak  int       // longest queue seen
+	queuePeak  int       // greatest length of the queue so far
 	idle       *sync.Cond
 }
 
-// waiter is one request in the queue. granted is closed when it gets a slot.
+// waiter is a queued request. granted is closed when the request gets a slot.
 type waiter struct{ granted chan struct{} }
 
 func newSlots(total, queueLimit int) *slots {
@@ -27,8 +27,8 @@
 	return s
 }
 
-// acquire takes a slot or, unless idleOnly, a place in the queue. It returns nil,
-// false when there is none, and nil, true when a slot was idle.
+// acquire takes an idle slot and returns nil, true. If no slot is idle, it queues the request and
+// returns its waiter and true; if idleOnly is set or the queue is full, it returns nil, false.
 func (s *slots) acquire(idleOnly bool) (*waiter, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +45,8 @@
 	return w, true
 }
 
-// cancelWait takes w out of the queue. When w was granted a slot meanwhile, the
-// slot goes to the next in the queue.
+// cancelWait removes w from the queue. If w has been granted a slot in the meantime, the slot is
+// released.
 func (s *slots) cancelWait(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +60,15 @@
 	s.releaseLocked()
 }
 
-// release gives a slot back.
+// release returns a slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.releaseLocked()
 }
 
-// releaseLocked hands the slot to the first in the queue, or frees it.
+// releaseLocked grants the slot to the first request in the queue, or makes it idle. The caller
+// holds s.mu.
 func (s *slots) releaseLocked() {
 	if len(s.queue) > 0 {
 		first := s.queue[0]
@@ -79,27 +80,28 @@
 	s.signalIfIdle()
 }
 
+// signalIfIdle wakes awaitIdle if no request uses a slot or is queued.
 func (s *slots) signalIfIdle() {
 	if s.inFlight == 0 && len(s.queue) == 0 {
 		s.idle.Broadcast()
 	}
 }
 
-// load reports the slots and the queue as they are.
+// load returns the present load.
 func (s *slots) load() contract.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return contract.Load{InFlight: s.inFlight, Queued: len(s.queue), Slots: s.total}
 }
 
-// longestQueue returns the longest queue seen.
+// longestQueue returns the greatest length of the queue so far.
 func (s *slots) longestQueue() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queuePeak
 }
 
-// awaitIdle returns once nothing holds a slot or waits for one.
+// awaitIdle waits until no request uses a slot or is queued.
 func (s *slots) awaitIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
