--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -8,16 +8,17 @@
 	"github.com/tealhall/tealhall/internal/audit"
 )
 
-// The audit records that tell which profiles are in force.
+// Subject and action of the audit record that an entry writes when profiles come into force.
 const (
 	profilesSubject = "profiles"
 	inForceAction   = "in-force"
 )
 
-// changeLog learns from the audit trails when profiles come into force.
+// changeLog records from the audit trails when each revision of the profiles came into force on each
+// entry.
 type changeLog struct {
 	mu        sync.Mutex
-	inForceAt map[string]map[uint64]time.Time // by entry and revision
+	inForceAt map[string]map[uint64]time.Time // by entry name and revision
 	latest    map[string]uint64
 	reverted  []string
 
@@ -29,7 +30,7 @@
 	return &changeLog{inForceAt: make(map[string]map[uint64]time.Time), latest: make(map[string]uint64)}
 }
 
-// add takes a record of an entry's trail.
+// add processes a record of an entry's audit trail.
 func (c *changeLog) add(entry string, r audit.Record) {
 	if r.Subject != profilesSubject || r.Action != inForceAction {
 		return
@@ -46,14 +47,14 @@
 	c.inForceAt[entry][r.Revision] = r.Wall
 }
 
-// expect names the revision whose coming into force is reported.
+// expect sets the revision that report covers and the time at which it was published.
 func (c *changeLog) expect(revision uint64, published time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision, c.published = revision, published
 }
 
-// report lists when the expected revision came into force on each entry.
+// report returns when the expected revision came into force on each of the entries.
 func (c *changeLog) report(entries []string) ChangeReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,8 +70,7 @@
 	return r
 }
 
-// lateRequestCounter counts the requests that a leaving endpoint gets after the grace
-// time.
+// lateRequestCounter counts the requests that a leaving endpoint gets after leavingGrace.
 type lateRequestCounter struct {
 	endpoint *Endpoint
 	how      string
--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -13,11 +13,11 @@
 	var opts Options
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole fleet in this process, send it requests and print what came of them",
-		Long: `Run the platform's stand-in, three entries and ten endpoints in this process on
+		Short: "Run a complete fleet in this process, send it requests and print the results",
+		Long: `Run a simulated platform, three entries and ten endpoints in this process on
 loopback, send them a bounded mix of reads, once-only writes and uploads while
-profiles change and VMs leave, and print a table. It takes about 16 seconds and
-exits with 5 if a promise was broken.`,
+profiles change and VMs leave, and print tables of the results. It takes about
+16 seconds and exits with 5 if a guarantee was violated.`,
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			quietLog()
@@ -25,16 +25,16 @@
 			return Run(command.Context(), opts)
 		},
 	}
-	command.Flags().BoolVar(&opts.Stay, "stay", false, "keep the fleet running after the table and print curl lines to try")
-	command.Flags().Uint64Var(&opts.Seed, "seed", 1, "varies the service times")
+	command.Flags().BoolVar(&opts.Stay, "stay", false, "keep the fleet running after the report and print example curl commands")
+	command.Flags().Uint64Var(&opts.Seed, "seed", 1, "seed of the random service times")
 	return command
 }
 
-// quietLog lets only errors of the entries through to standard error.
+// quietLog limits the log of the entries to errors, on standard error.
 func quietLog() {
 	set := flag.NewFlagSet("log", flag.ContinueOnError)
 	klog.InitFlags(set)
-	// These names and values are klog's own; they are always accepted.
+	// Set cannot fail: klog defines these flags and accepts these values.
 	_ = set.Set("logtostderr", "false")
 	_ = set.Set("stderrthreshold", "ERROR")
 	klog.SetOutput(io.Discard)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"context"
-	_ "embed" // for the profiles
+	_ "embed" // for profiles.toml
 	"fmt"
 	"io"
 	"time"
@@ -11,13 +11,13 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// Options say how Run runs.
+// Options configure Run.
 type Options struct {
-	// Out gets the progress and the table.
+	// Out receives the progress lines and the report.
 	Out io.Writer
-	// Stay keeps the fleet running after the table until the context ends.
+	// Stay keeps the fleet running after the report until the context ends.
 	Stay bool
-	// Seed varies service times and the order of requests; any value will do.
+	// Seed is the seed of the random service times.
 	Seed uint64
 }
 
@@ -29,8 +29,7 @@
 	pairedService = "paired-calls"
 )
 
-// firstHedge and changedHedge are the two values of the setting that the
-// profile change on the way is about.
+// firstHedge and changedHedge are the setting before and after the profile change during the run.
 const (
 	firstHedge   = `hedge_after = "150ms"`
 	changedHedge = `hedge_after = "120ms"`
@@ -39,19 +38,19 @@
 //go:embed profiles.toml
 var firstProfiles []byte
 
-// changedProfiles returns the document that is published on the way.
+// changedProfiles returns the profile document that is published during the run.
 func changedProfiles() []byte {
 	return bytes.Replace(firstProfiles, []byte(firstHedge), []byte(changedHedge), 1)
 }
 
-// startTimeout bounds the start of the fleet.
+// startTimeout limits how long the fleet may take to become ready.
 const startTimeout = 20 * time.Second
 
-// Run starts a whole fleet in this process, sends it a bounded mix of requests
-// while profiles change and VMs leave, and prints what came of it. The error is
-// a *BrokenError if a promise was broken.
+// Run starts a complete fleet in this process, sends it a bounded mix of requests while profiles
+// change and VMs leave, and prints a report. The error is a *ViolationError if a guarantee was
+// violated.
 func Run(ctx context.Context, opts Options) error {
-	fmt.Fprintln(opts.Out, "starting the platform's stand-in, 3 entries in 2 failure domains and", totalEndpoints(), "endpoints on loopback")
+	fmt.Fprintln(opts.Out, "starting a simulated platform, 3 entries in 2 failure domains and", totalEndpoints(), "endpoints on loopback")
 	changes := newChangeLog()
 	fleet, err := NewFleet(FleetConfig{
 		Profiles: firstProfiles,
@@ -87,7 +86,7 @@
 	return report.Check()
 }
 
-// pools are the endpoints of the demo.
+// pools returns the endpoint pools of the demo.
 func pools(seed uint64) []PoolConfig {
 	pool := func(name string, endpoints int, mean time.Duration) PoolConfig {
 		return PoolConfig{
@@ -112,11 +111,11 @@
 }
 
 const (
-	// serviceSigma spreads the service times (standard deviation of the logarithm).
+	// serviceSigma is the standard deviation of the logarithm of the service times.
 	serviceSigma = 0.5
 	// pairedTime is the service time of the paired calls.
 	pairedTime = 2 * time.Millisecond
-	// demoEntries is how many entries run.
+	// demoEntries is the number of entries.
 	demoEntries = 3
 )
 
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,6 +1,5 @@
-// Package demo runs a whole fleet on embedded stand-ins in one process: the
-// platform, endpoints and entries on loopback. The demo command and tests of
-// whole sessions use it.
+// Package demo runs a complete fleet in one process, on loopback: entries, with a simulated platform
+// and simulated endpoints from package standin. The demo command and end-to-end tests use it.
 package demo
 
 import (
@@ -18,34 +17,34 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// FleetConfig describes a Fleet.
+// FleetConfig configures a Fleet.
 type FleetConfig struct {
 	// Profiles is the profile document.
 	Profiles []byte
-	// Domains are the failure domains; entries and endpoints are spread over
-	// them in turn.
+	// Domains are the failure domains. Entries and the endpoints of each pool are assigned to them
+	// round-robin.
 	Domains []string
-	// Entries is how many entries run.
+	// Entries is the number of entries to start.
 	Entries int
-	// Pools are the groups of endpoints.
+	// Pools are the endpoint pools.
 	Pools []PoolConfig
-	// Adjust, if not nil, changes the settings of an entry.
+	// Adjust, if not nil, modifies the default settings of each entry.
 	Adjust func(*settings.Settings)
-	// Audit gets the changes of all entries; may be nil.
+	// Audit, if not nil, receives the audit records of all entries.
 	Audit func(entry string, r audit.Record)
 }
 
-// PoolConfig describes a group of endpoints.
+// PoolConfig configures a pool of endpoints.
 type PoolConfig struct {
 	Name      string
 	Endpoints int
-	// Endpoint describes each of them but for its name, incarnation and ledger.
+	// Endpoint configures each endpoint; its name, incarnation and ledger are overwritten.
 	Endpoint standin.EndpointConfig
-	// ServiceTime, if not nil, makes the service times of the i-th endpoint.
-	// Endpoints can't share one that is random.
+	// ServiceTime, if not nil, returns the service times of the i-th endpoint. Endpoints cannot
+	// share random service times, which are not safe for concurrent use.
 	ServiceTime func(i int) standin.ServiceTime
-	// ListedAddress, if not nil, returns the address in the platform's list for the
-	// address at which an endpoint listens: that of something in between.
+	// ListedAddress, if not nil, maps the address at which an endpoint listens to its address in
+	// the platform's list, such as the address of a proxy before the endpoint.
 	ListedAddress func(listens string) string
 }
 
@@ -61,11 +60,11 @@
 	Entries   []*entry.Entry
 	Endpoints []*Endpoint
 	vms       []published.VM
-	// names are all entries that ever ran.
+	// names are the names of all entries ever started, including stopped ones.
 	names []string
 }
 
-// Endpoint is an endpoint of a fleet with its row in the platform's list.
+// Endpoint is an endpoint of a fleet together with its row in the platform's list.
 type Endpoint struct {
 	*standin.Endpoint
 	VM published.VM
@@ -74,7 +73,7 @@
 // region is the only region of a fleet.
 const region = "local"
 
-// NewFleet starts a fleet. Close it also after an error.
+// NewFleet starts a fleet. The caller must close the fleet even if NewFleet returns an error.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{
 		cfg:       cfg,
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// AddEntry starts one more entry, in the failure domain of the given place.
+// AddEntry starts another entry; index selects its failure domain.
 func (f *Fleet) AddEntry(name string, index int) (*entry.Entry, error) {
 	callers, err := socket.Listen(standin.DefaultListen)
 	if err != nil {
@@ -188,7 +187,7 @@
 	})
 }
 
-// Ready waits until every entry is ready and knows all others.
+// Ready waits until every entry is ready and knows all other entries.
 func (f *Fleet) Ready(ctx context.Context) error {
 	for _, e := range f.entries() {
 		for {
@@ -206,7 +205,7 @@
 	return nil
 }
 
-// readyPoll is how often Ready looks again.
+// readyPoll is the interval at which Ready polls an entry.
 const readyPoll = 20 * time.Millisecond
 
 func (f *Fleet) entries() []*entry.Entry {
@@ -215,7 +214,7 @@
 	return append([]*entry.Entry(nil), f.Entries...)
 }
 
-// Seeds returns the addresses at which callers may ask for entries.
+// Seeds returns the caller addresses of the entries, which callers use as seeds.
 func (f *Fleet) Seeds() []string {
 	var out []string
 	for _, e := range f.entries() {
@@ -224,7 +223,7 @@
 	return out
 }
 
-// Publish puts a profile document into the platform.
+// Publish publishes a profile document and returns its revision.
 func (f *Fleet) Publish(document []byte) uint64 {
 	return f.Platform.Put(published.ProfilesValue, document)
 }
@@ -240,7 +239,7 @@
 	return out
 }
 
-// MarkLeaving publishes a list in which the endpoint leaves.
+// MarkLeaving publishes a VM list that marks the endpoint as leaving.
 func (f *Fleet) MarkLeaving(name string) {
 	for i := range f.vms {
 		if f.vms[i].Name == name {
@@ -250,11 +249,11 @@
 	f.Platform.SetVMs(f.vms...)
 }
 
-// Evacuate publishes that the endpoints of these failure domains are to get nothing; none takes all
-// back.
+// Evacuate publishes a VM list in which exactly these failure domains are evacuated, so that their
+// endpoints get no requests. Without arguments it ends all evacuations.
 func (f *Fleet) Evacuate(domains ...string) { f.Platform.SetVMsEvacuated(domains, f.vms...) }
 
-// RemoveEntry takes a stopped entry out of the fleet.
+// RemoveEntry removes an entry that is stopping or stopped from the fleet, without stopping it.
 func (f *Fleet) RemoveEntry(stopped *entry.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -266,7 +265,7 @@
 	}
 }
 
-// Close ends everything at once.
+// Close kills all entries, the endpoints and the platform without a graceful stop.
 func (f *Fleet) Close() {
 	for _, e := range f.entries() {
 		e.Kill()
--- a/internal/demo/fleet_test.go
+++ b/internal/demo/fleet_test.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// The whole path: a caller asks which entries to use, a read and a once-only
-// request go through an entry to an endpoint, and each gets its own answer.
+// A caller asks which entries to use and sends reads and once-only requests through an entry to an
+// endpoint. Each read gets its own answer and each once-only request runs once.
 func TestRequestsThroughFleet(t *testing.T) {
 	endpoint := standin.EndpointConfig{ServiceTime: standin.Constant(time.Millisecond)}
 	f := startFleet(t, FleetConfig{
@@ -72,10 +72,10 @@
 	for i := range 5 {
 		r, err := c.Do(t.Context(), client.Request{Service: "waste-entries", Method: http.MethodPost, Path: fmt.Sprintf("/log?id=w%d", i), Body: []byte("12 kg"), Once: true})
 		if err != nil || r.Outcome != client.Done {
-			t.Fatalf("entry %d: %+v, %v", i, r, err)
+			t.Fatalf("write %d: %+v, %v", i, r, err)
 		}
 		if n := f.Ledger.Key(r.Key).Runs; n != 1 {
-			t.Errorf("entry %d ran %d times", i, n)
+			t.Errorf("write %d ran %d times, want 1", i, n)
 		}
 	}
 }
--- a/internal/demo/pairs.go
+++ b/internal/demo/pairedcalls.go
@@ -14,12 +14,12 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// pairInterval is the time between two pairs of calls.
+// pairInterval is the time between pairs of calls.
 const pairInterval = 50 * time.Millisecond
 
-// pairedCalls measures what an entry adds to a call: the same call is made straight
-// to an endpoint and through an entry to that endpoint, in turn, so that both
-// see the same machine.
+// pairedCalls measures the latency that an entry adds to a call. It makes each call twice in a row,
+// directly to an endpoint and through an entry to that endpoint, so that both calls run under the
+// same load of the machine.
 type pairedCalls struct {
 	http   *http.Client
 	direct string
@@ -49,7 +49,7 @@
 	}
 }
 
-// pair makes one pair of calls; which goes first changes every time.
+// pair makes one pair of calls. The order alternates from pair to pair.
 func (p *pairedCalls) pair(n int) {
 	order := []string{p.direct, p.entry}
 	if n%2 == 0 {
--- a/internal/demo/print.go
+++ b/internal/demo/print.go
@@ -18,7 +18,7 @@
 	cellPadding  = 2
 )
 
-// Print writes the report as tables for people.
+// Print writes the report as human-readable tables.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "\nrequests in %.1f s\n", r.Took.Seconds())
 	table(out, func(w io.Writer) {
@@ -42,16 +42,16 @@
 	fmt.Fprintf(out, "\nlatency added by an entry (%d paired calls, %d failed)\n", a.Pairs, a.Failed)
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "  \tp50\tp99")
-		fmt.Fprintf(w, "  straight to an endpoint\t%s\t%s\n", millis(a.DirectP50), millis(a.DirectP99))
+		fmt.Fprintf(w, "  directly to an endpoint\t%s\t%s\n", millis(a.DirectP50), millis(a.DirectP99))
 		fmt.Fprintf(w, "  through an entry\t%s\t%s\n", millis(a.EntryP50), millis(a.EntryP99))
 		fmt.Fprintf(w, "  added\t%s\t%s\n", millis(a.EntryP50-a.DirectP50), millis(a.EntryP99-a.DirectP99))
 	})
 }
 
 func (r *Report) printProbes(out io.Writer) {
-	fmt.Fprintln(out, "\nwatching: slot time spent on probes, as counted by the endpoints")
+	fmt.Fprintln(out, "\nprobes: slot time used, as counted by the endpoints")
 	table(out, func(w io.Writer) {
-		fmt.Fprintln(w, "  pool\tprobes\tspent\tof the slot time\tbudget")
+		fmt.Fprintln(w, "  pool\tprobes\ttime used\tshare of slot time\tbudget")
 		for _, p := range r.Probes {
 			fmt.Fprintf(w, "  %s\t%d\t%s\t%.3f%%\t%.3f%%\n", p.Pool, p.Probes, millis(p.Spent), 100*p.share(), 100*p.Budget)
 		}
@@ -59,7 +59,7 @@
 }
 
 func (r *Report) printGuarantees(out io.Writer) {
-	fmt.Fprintln(out, "\npromises")
+	fmt.Fprintln(out, "\nguarantees")
 	table(out, func(w io.Writer) {
 		wrong, falseNotRun := 0, 0
 		for _, s := range r.Services {
@@ -74,19 +74,19 @@
 		line("answers cut off", "%d", r.CutOff)
 		line(`"not run" that was false`, "%d", falseNotRun)
 		for _, l := range r.Leaving {
-			line(fmt.Sprintf("new work for %s later than %v", l.Endpoint, leavingGrace), "%d (%s)", l.LateRequests, l.How)
+			line(fmt.Sprintf("requests to %s more than %v after it left", l.Endpoint, leavingGrace), "%d (%s)", l.LateRequests, l.How)
 		}
 		for _, f := range r.Change.InForce {
 			line(fmt.Sprintf("revision %d in force on %s", r.Change.Revision, f.Entry), "after %s", millis(f.After))
 		}
-		line("entries that went back to older profiles", "%d", len(r.Change.Reverted))
-		line("cut off by the planned stop of "+r.Stop.Entry, "%d", r.Stop.Cut)
+		line("entries that reverted to older profiles", "%d", len(r.Change.Reverted))
+		line("requests cut off by the planned stop of "+r.Stop.Entry, "%d", r.Stop.Cut)
 	})
 	if err := r.Check(); err != nil {
-		fmt.Fprintln(out, "\nBROKEN:", err)
+		fmt.Fprintln(out, "\nFAILED:", err)
 		return
 	}
-	fmt.Fprintln(out, "\nevery promise was kept")
+	fmt.Fprintln(out, "\nall guarantees were met")
 }
 
 func table(out io.Writer, fill func(io.Writer)) {
@@ -99,7 +99,7 @@
 	return fmt.Sprintf("%.2f ms", float64(d)/float64(time.Millisecond))
 }
 
-// curlExamples returns curl lines that work against the fleet as it runs.
+// curlExamples returns curl commands that work against the running fleet.
 func curlExamples(f *Fleet) string {
 	entry := "http://" + f.Seeds()[0]
 	return fmt.Sprintf(`
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Took     time.Duration
 	Services []ServiceReport
@@ -15,44 +15,45 @@
 	Change   ChangeReport
 	Leaving  []LeavingReport
 	Stop     StopReport
-	// CutOff counts answers that broke off at a caller.
+	// CutOff counts answers that were cut off before the caller had read them completely.
 	CutOff int
-	// RanTwice are once-only requests that ran more than once.
+	// RanTwice are the ids and keys of once-only requests that ran more than once.
 	RanTwice []string
 }
 
-// ServiceReport is what became of the requests to one service.
+// ServiceReport is the result of the requests to one service.
 type ServiceReport struct {
 	Service, Kind               string
 	Sent, Done, NotRun, Unknown int
-	// Retried counts requests that took the caller more than one try.
+	// Retried counts requests that the caller's client sent more than once.
 	Retried int
-	// Reasons counts why requests were not done.
+	// Reasons counts the requests that were not done, by reason.
 	Reasons  map[string]int
 	P50, P99 time.Duration
-	// Wrong says what is wrong with answers; FalseNotRun are requests that were
-	// said not to be run and that ran.
+	// Wrong describes the wrong answers. FalseNotRun are the ids of requests that were reported as
+	// not run although they ran.
 	Wrong       []string
 	FalseNotRun []string
 }
 
-// AddedReport compares calls through an entry with calls straight to an endpoint.
+// AddedReport compares calls through an entry with calls made directly to an endpoint.
 type AddedReport struct {
 	Pairs, Failed        int
 	DirectP50, DirectP99 time.Duration
 	EntryP50, EntryP99   time.Duration
 }
 
-// ProbeReport is what watching a pool's endpoints took of their slot time.
+// ProbeReport is the slot time that probes of a pool's endpoints used.
 type ProbeReport struct {
 	Pool   string
 	Probes int64
-	// Spent of SlotTime went to probes; Budget of it was allowed.
+	// Spent is the slot time that probes used, SlotTime the total slot time of the pool, and Budget
+	// the share of SlotTime that probes may use.
 	Spent, SlotTime time.Duration
 	Budget          float64
 }
 
-// share is the share of the slot time that was spent.
+// share returns the share of the slot time that probes used.
 func (w ProbeReport) share() float64 {
 	if w.SlotTime <= 0 {
 		return 0
@@ -60,31 +61,31 @@
 	return float64(w.Spent) / float64(w.SlotTime)
 }
 
-// ChangeReport is how a profile change came into force.
+// ChangeReport tells when a profile change came into force.
 type ChangeReport struct {
 	Revision uint64
 	InForce  []InForce
-	// Missing are entries on which it is not in force, Reverted those that
-	// fell back to an older revision.
+	// Missing are the entries on which the change is not in force. Reverted describes each return of
+	// an entry to an older revision.
 	Missing  []string
 	Reverted []string
 }
 
-// InForce says when a change came into force on an entry.
+// InForce is the time between publication of a change and its coming into force on an entry.
 type InForce struct {
 	Entry string
 	After time.Duration
 }
 
-// LeavingReport is what a leaving endpoint got after the grace time.
+// LeavingReport is the number of requests that a leaving endpoint got after leavingGrace.
 type LeavingReport struct {
 	Endpoint, How string
-	// Counted is false if the run ended before the grace time.
+	// Counted is false if the run ended before leavingGrace had passed.
 	Counted      bool
 	LateRequests int
 }
 
-// StopReport is how the planned stop of an entry went.
+// StopReport is the result of the planned stop of an entry.
 type StopReport struct {
 	Entry            string
 	Cut              int
@@ -92,22 +93,22 @@
 	Took             time.Duration
 }
 
-// inForceLimit is how long an accepted profile change may take to come into
-// force on every entry.
+// inForceLimit is the longest time that an accepted profile change may take to come into force on
+// every entry.
 const inForceLimit = 10 * time.Second
 
-// ViolationError says which promises a run broke.
+// ViolationError lists the guarantees that a run violated.
 type ViolationError struct {
 	Violations []string
 }
 
-// Error lists the promises.
+// Error implements error.
 func (e *ViolationError) Error() string {
-	return "promises were broken: " + strings.Join(e.Violations, "; ") +
-		"; run the demo again with the same seed and look into the audit trail of the entry concerned"
+	return "guarantees were violated: " + strings.Join(e.Violations, "; ") +
+		"; run the demo again with the same seed and check the audit trail of the affected entry"
 }
 
-// Check returns a *ViolationError if the run broke a promise, else nil.
+// Check returns a *ViolationError if the run violated a guarantee, and nil otherwise.
 func (r *Report) Check() error {
 	var violations []string
 	add := func(violated bool, format string, args ...any) {
@@ -116,23 +117,23 @@
 		}
 	}
 	for _, s := range r.Services {
-		add(s.Done == 0, "%s answered nothing", s.Service)
+		add(s.Done == 0, "%s completed no request", s.Service)
 		add(len(s.Wrong) > 0, "%s gave %d wrong answers, first: %s", s.Service, len(s.Wrong), first(s.Wrong))
-		add(len(s.FalseNotRun) > 0, "%s: %d requests ran that were said not to be run, first: %s",
+		add(len(s.FalseNotRun) > 0, "%s: %d requests ran although they were reported as not run, first: %s",
 			s.Service, len(s.FalseNotRun), first(s.FalseNotRun))
 	}
 	add(len(r.RanTwice) > 0, "%d once-only requests ran more than once, first: %s", len(r.RanTwice), first(r.RanTwice))
 	add(r.CutOff > 0, "%d answers were cut off", r.CutOff)
 	add(r.Stop.Cut > 0, "the planned stop of %s cut off %d requests", r.Stop.Entry, r.Stop.Cut)
 	for _, w := range r.Probes {
-		add(w.share() > w.Budget, "watching %s took %.3f%% of its slot time, %.3f%% were allowed", w.Pool, 100*w.share(), 100*w.Budget)
+		add(w.share() > w.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", w.Pool, 100*w.share(), 100*w.Budget)
 	}
 	for _, l := range r.Leaving {
-		add(!l.Counted, "%s was not watched after it left", l.Endpoint)
-		add(l.LateRequests > 0, "%s got %d requests later than %v after it left", l.Endpoint, l.LateRequests, leavingGrace)
+		add(!l.Counted, "requests to %s were not counted after it left", l.Endpoint)
+		add(l.LateRequests > 0, "%s got %d requests more than %v after it left", l.Endpoint, l.LateRequests, leavingGrace)
 	}
 	add(len(r.Change.Missing) > 0, "revision %d is not in force on %s", r.Change.Revision, strings.Join(r.Change.Missing, ", "))
-	add(len(r.Change.Reverted) > 0, "profiles went back: %s", strings.Join(r.Change.Reverted, ", "))
+	add(len(r.Change.Reverted) > 0, "profiles reverted: %s", strings.Join(r.Change.Reverted, ", "))
 	for _, f := range r.Change.InForce {
 		add(f.After > inForceLimit, "revision %d took %v to come into force on %s", r.Change.Revision, f.After, f.Entry)
 	}
--- a/internal/demo/report_test.go
+++ b/internal/demo/report_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// passingReport is the report of a run that broke no promise.
+// passingReport returns the report of a run that violated no guarantee.
 func passingReport() *Report {
 	return &Report{
 		Took: 15 * time.Second,
@@ -40,16 +40,16 @@
 	}{
 		"ran twice":        {func(r *Report) { r.RanTwice = []string{"w-7"} }, "1 once-only requests ran more than once, first: w-7"},
 		"wrong answer":     {func(r *Report) { r.Services[0].Wrong = []string{"another's"} }, "1 wrong answers, first: another's"},
-		"false not run":    {func(r *Report) { r.Services[0].FalseNotRun = []string{"w-8"} }, "were said not to be run, first: w-8"},
-		"nothing answered": {func(r *Report) { r.Services[0].Done = 0 }, "answered nothing"},
+		"false not run":    {func(r *Report) { r.Services[0].FalseNotRun = []string{"w-8"} }, "1 requests ran although they were reported as not run, first: w-8"},
+		"nothing answered": {func(r *Report) { r.Services[0].Done = 0 }, "completed no request"},
 		"cut off":          {func(r *Report) { r.CutOff = 4 }, "4 answers were cut off"},
 		"cut by the stop":  {func(r *Report) { r.Stop.Cut = 1 }, "the planned stop of entry-3 cut off 1"},
-		"over budget":      {func(r *Report) { r.Probes[0].Spent = 2 * time.Second }, "took 2.222% of its slot time, 2.000% were allowed"},
-		"late work":        {func(r *Report) { r.Leaving[0].LateRequests = 1 }, "got 1 requests later than 3s"},
-		"not watched":      {func(r *Report) { r.Leaving[0].Counted = false }, "was not watched"},
+		"over budget":      {func(r *Report) { r.Probes[0].Spent = 2 * time.Second }, "took 2.222% of its slot time, more than the budget of 2.000%"},
+		"late requests":    {func(r *Report) { r.Leaving[0].LateRequests = 1 }, "got 1 requests more than 3s"},
+		"not counted":      {func(r *Report) { r.Leaving[0].Counted = false }, "were not counted after it left"},
 		"not in force":     {func(r *Report) { r.Change.Missing = []string{"entry-2"} }, "revision 2 is not in force on entry-2"},
 		"in force late":    {func(r *Report) { r.Change.InForce[0].After = time.Minute }, "took 1m0s"},
-		"went back":        {func(r *Report) { r.Change.Reverted = []string{"entry-1 from 2 to 1"} }, "profiles went back: entry-1"},
+		"reverted":         {func(r *Report) { r.Change.Reverted = []string{"entry-1 from 2 to 1"} }, "profiles reverted: entry-1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,18 +57,19 @@
 			c.change(r)
 			var violation *ViolationError
 			if err := r.Check(); !errors.As(err, &violation) || len(violation.Violations) != 1 || !strings.Contains(err.Error(), c.wantError) {
-				t.Fatalf("%v does not say %q alone", err, c.wantError)
+				t.Fatalf("error %v; want one violation with %q", err, c.wantError)
 			}
 			var out strings.Builder
-			if r.Print(&out); !strings.Contains(out.String(), "BROKEN: ") {
-				t.Error("the printed report does not say so")
+			if r.Print(&out); !strings.Contains(out.String(), "FAILED: ") {
+				t.Error("the printed report does not say FAILED")
 			}
 		})
 	}
 }
 
-// What callers were told is held against what endpoints did: the demo must not
-// pass because it never looked.
+// tally.report compares the reported outcomes with the ledger. Without the comparison, the demo would
+// pass although endpoints ran requests that were reported as not run, or never ran requests that
+// were reported as done.
 func TestTallyComparesOutcomesWithLedger(t *testing.T) {
 	e, err := standin.NewEndpoint(standin.EndpointConfig{Name: "e", ServiceTime: standin.Constant(time.Millisecond)})
 	if err != nil {
@@ -133,6 +134,6 @@
 		t.Fatal(err)
 	}
 	if diff := profile.Diff(first, changed); len(diff) == 0 {
-		t.Error("the change on the way changes nothing")
+		t.Error("changedProfiles equals firstProfiles")
 	}
 }
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -15,9 +15,9 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// When things happen, counted from the first request. A planned stop of an
-// entry takes as long as callers may keep answers that name it, so it begins
-// early and the session ends with it.
+// The times of the scripted changes, counted from the start of the session. A planned stop of an
+// entry takes as long as callers may cache answers that name the entry, so it begins early and the
+// session does not end before it.
 const (
 	publishAt     = 1 * time.Second
 	stopEntryAt   = 2 * time.Second
@@ -26,19 +26,19 @@
 	uploadsFrom   = 7 * time.Second
 	minDuration   = 15 * time.Second
 	progressEvery = 1 * time.Second
-	// leavingGrace is how long after the word that it leaves an endpoint may
-	// still get new work.
+	// leavingGrace is how long an endpoint may still get new requests after its leaving is announced.
 	leavingGrace = 3 * time.Second
 )
 
 const (
-	// callerCount is how many callers send the requests.
+	// callerCount is the number of callers that send requests.
 	callerCount = 6
-	// largestFleet divides the watching budget; the demo never runs more entries.
+	// largestFleet is the fleet size by which entries divide the watch budget. The demo never runs
+	// more entries.
 	largestFleet = 4
 )
 
-// adjustSettings sets what differs from an installation: the fleet is small for sure.
+// adjustSettings changes the default settings for the small fleet of the demo.
 func adjustSettings(s *settings.Settings) { s.Limits.LargestFleet = largestFleet }
 
 // session is one run of the demo.
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// run sends the requests, carries out the script and gathers the report.
+// run sends the requests, runs the script and returns the report.
 func (s *session) run(ctx context.Context) (*Report, error) {
 	s.began = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
@@ -96,7 +96,7 @@
 	return s.report(), nil
 }
 
-// script makes the changes on the way, one after the other.
+// script makes the scripted changes in order.
 func (s *session) script(ctx context.Context) error {
 	s.waitUntil(ctx, publishAt)
 	revision := s.fleet.Publish(changedProfiles())
@@ -125,12 +125,12 @@
 	return ctx.Err()
 }
 
-// waitUntil waits until d after the first request.
+// waitUntil waits until d after the start of the session.
 func (s *session) waitUntil(ctx context.Context, d time.Duration) {
 	wait.For(ctx, time.Until(s.began.Add(d)))
 }
 
-// printProgress prints a line of progress.
+// printProgress prints a progress line with the time since the start of the session.
 func (s *session) printProgress(format string, args ...any) {
 	fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
@@ -139,7 +139,7 @@
 func (s *session) stopEntry(ctx context.Context) {
 	entries := s.fleet.entries()
 	leaving := entries[len(entries)-1]
-	s.printProgress("%s begins a planned stop; callers may keep answers that name it for some seconds", leaving.Name())
+	s.printProgress("%s begins a planned stop; callers may cache answers that name it for some seconds", leaving.Name())
 	s.fleet.RemoveEntry(leaving)
 	summary := leaving.Stop(ctx)
 	s.stop = StopReport{Entry: leaving.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
@@ -147,9 +147,9 @@
 		leaving.Name(), summary.Took.Seconds(), summary.Cut, summary.HandedOver, summary.Successors)
 }
 
-// countLateRequests counts what an endpoint gets after the grace time.
+// countLateRequests starts counting the requests that a leaving endpoint gets after leavingGrace.
 func (s *session) countLateRequests(ctx context.Context, e *Endpoint, how string) {
-	s.printProgress("%s leaves: %s", e.VM.Name, how)
+	s.printProgress("%s is leaving: %s", e.VM.Name, how)
 	w := &lateRequestCounter{endpoint: e, how: how}
 	s.lateRequests = append(s.lateRequests, w)
 	announcedAt := time.Now()
@@ -159,7 +159,7 @@
 	}()
 }
 
-// progress prints a line every second.
+// progress prints the counts of all services every progressEvery.
 func (s *session) progress(ctx context.Context) {
 	ticker := time.NewTicker(progressEvery)
 	defer ticker.Stop()
@@ -182,7 +182,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// cutCounter is a transport that counts answers that broke off.
+// cutCounter is an http.RoundTripper that counts answers that were cut off.
 type cutCounter struct {
 	base http.RoundTripper
 
@@ -190,7 +190,7 @@
 	cut int
 }
 
-// idleConnections is how many idle connections are kept to one entry.
+// idleConnections is the maximum number of idle connections to one host.
 const idleConnections = 64
 
 func newCutCounter() *cutCounter {
@@ -219,7 +219,7 @@
 	ctx     context.Context
 }
 
-// Read counts an error that is not the end and not the caller's own doing.
+// Read counts an error other than io.EOF, unless the caller's own context has ended.
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF && b.ctx.Err() == nil {
@@ -230,7 +230,7 @@
 	return n, err
 }
 
-// request headers of the demo's own.
+// requestHeader returns the header that identifies a request in the ledger.
 func requestHeader(id string) http.Header {
 	return http.Header{contract.HeaderRequest: {id}}
 }
--- a/internal/demo/gather.go
+++ b/internal/demo/sessionreport.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// report gathers what was counted. All requests have been answered.
+// report collects the counters. All requests must have ended.
 func (s *session) report() *Report {
 	r := &Report{
 		Took:   time.Since(s.began),
@@ -28,8 +28,8 @@
 	return r
 }
 
-// Watching adds up what probes took of each pool's slot time since the fleet
-// started, as the endpoints counted it.
+// ProbeReports returns, for each pool, the slot time that probes have used since the fleet started,
+// as counted by the endpoints.
 func (f *Fleet) ProbeReports() []ProbeReport {
 	took := time.Since(f.startedAt)
 	budgets := f.watchBudgets()
@@ -47,7 +47,7 @@
 	return out
 }
 
-// watchBudgets returns the smallest watching budget of the services of each pool.
+// watchBudgets returns, for each pool, the smallest watch budget of the pool's services.
 func (f *Fleet) watchBudgets() map[string]float64 {
 	budgets := make(map[string]float64)
 	snapshot, err := profile.Parse(f.cfg.Profiles, 1)
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// The range and precision of latencies.
+// Range (in microseconds) and precision of the latency histograms.
 const (
 	longestLatency = int64(time.Minute / time.Microsecond)
 	latencyDigits  = 3
@@ -25,7 +25,7 @@
 	return time.Duration(h.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// tally counts what became of the requests to one service.
+// tally counts the outcomes of the requests to one service.
 type tally struct {
 	service string
 	kind    string
@@ -33,12 +33,12 @@
 	mu      sync.Mutex
 	sent    int
 	counts  map[client.Outcome]int
-	reasons map[string]int // of outcomes other than done
+	reasons map[string]int // for outcomes other than done
 	retried int
 	latency *hdrhistogram.Histogram
 	wrong   []string
-	// done and notRun are the ids of requests of which this was said; the
-	// ledger tells at the end whether it is true.
+	// done and notRun are the ids of requests that were reported as done or as not run. report
+	// compares them with the ledger.
 	done   []string
 	notRun []string
 }
@@ -53,7 +53,7 @@
 	t.sent++
 }
 
-// add counts one result; wrong says what is wrong with its answer, or nil.
+// add counts one result. wrong describes what is wrong with the answer, or is nil.
 func (t *tally) add(id string, r client.Result, took time.Duration, wrong error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// reasonOf says in a few words why a request is not done.
+// reasonOf returns a short reason why a request is not done.
 func reasonOf(r client.Result) string {
 	switch {
 	case r.Reason != "":
@@ -94,7 +94,7 @@
 	return t.sent, t.counts[client.Done]
 }
 
-// report compares what callers were told with what the endpoints did.
+// report returns the counts and compares the reported outcomes with what the endpoints did.
 func (t *tally) report(ledger *standin.Ledger) ServiceReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 	for _, id := range t.done {
 		if ledger.Request(id).Finished == 0 {
-			r.Wrong = append(r.Wrong, id+" was said to be done, and no endpoint finished it")
+			r.Wrong = append(r.Wrong, id+" was reported as done, but no endpoint finished it")
 		}
 	}
 	for _, id := range t.notRun {
@@ -124,8 +124,8 @@
 	return r
 }
 
-// ranTwice returns the ids of requests that ran more than once. Every request
-// of the service has an id that stays the same over all tries and keys.
+// ranTwice returns the ids of requests that ran more than once. The id of a request stays the same
+// across retries and idempotency keys.
 func (t *tally) ranTwice(ledger *standin.Ledger) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -15,7 +15,7 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// The rates and sizes of the traffic.
+// Rates and sizes of the generated traffic.
 const (
 	readEvery   = 10 * time.Millisecond
 	onceEvery   = 40 * time.Millisecond
@@ -23,7 +23,7 @@
 	readBytes   = 600
 	uploadBytes = 300 << 10
 	maxInFlight = 64
-	// requestTimeout bounds one request with all its tries.
+	// requestTimeout limits one request including its retries.
 	requestTimeout = 10 * time.Second
 )
 
@@ -32,12 +32,12 @@
 	tally *tally
 	from  time.Time
 	every time.Duration
-	// make builds the n-th request and how large the answer must be.
+	// make returns the n-th request and the expected size of the answer's body.
 	make    func(id string, n int) (client.Request, int64)
 	callers []*client.Client
 }
 
-// streams builds the traffic and its tallies.
+// streams returns the streams of requests and adds a tally for each.
 func (s *session) streams() []*stream {
 	build := func(service, kind string, from, every time.Duration, request func(string, int) (client.Request, int64)) *stream {
 		t := newTally(service, kind)
@@ -77,7 +77,7 @@
 	}, standin.AnswerSize(id)
 }
 
-// run sends until ctx ends and waits for the answers.
+// run sends requests until ctx ends and then waits for the answers.
 func (s *stream) run(ctx context.Context) {
 	wait.For(ctx, time.Until(s.from))
 	ticker := time.NewTicker(s.every)
@@ -99,8 +99,8 @@
 	}
 }
 
-// send makes one request. It does not end with the stream: what was begun is
-// answered.
+// send sends one request and counts its result. It does not use the stream's context, so that the
+// end of the stream cancels no request.
 func (s *stream) send(n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -112,13 +112,14 @@
 	s.tally.add(id, result, time.Since(began), checkAnswer(id, size, request, result, err))
 }
 
-// checkAnswer says what is wrong with an answer that looks like the endpoint's.
+// checkAnswer returns an error if an answer with status 200 is not the answer that the endpoint must
+// give to the request. It ignores failed requests and other statuses.
 func checkAnswer(id string, size int64, request client.Request, result client.Result, err error) error {
 	if err != nil || result.Status != http.StatusOK {
 		return nil
 	}
 	if result.Outcome != client.Done {
-		return fmt.Errorf("the answer to %q has status %d and states no outcome", id, result.Status)
+		return fmt.Errorf("the answer to %q has status %d but the outcome is not done", id, result.Status)
 	}
 	if err := standin.CheckAnswer(result.Body, id, size); err != nil {
 		return err
@@ -128,10 +129,10 @@
 	}
 	sum := sha256.Sum256(request.Body)
 	if got := result.Header.Get(standin.BodyDigestHeader); got != hex.EncodeToString(sum[:]) {
-		return fmt.Errorf("the endpoint got another body for %q than was sent", id)
+		return fmt.Errorf("the endpoint received a different body for %q than was sent", id)
 	}
 	return nil
 }
 
-// requestID names the n-th request to a service.
+// requestID returns the id of the n-th request to a service.
 func requestID(service string, n int) string { return fmt.Sprintf("%s-%d", service, n) }
