--- a/internal/demo/print.go
+++ b/internal/demo/print.go
@@ -72,9 +72,9 @@
 		line("once-only requests that ran twice", "%d", len(r.RanTwice))
 		line("wrong answers", "%d", wrong)
 		line("answers cut off", "%d", r.CutOff)
-		line(`"not run" that was false`, "%d", falseNotRun)
+		line(`requests reported as "not run" that ran`, "%d", falseNotRun)
 		for _, l := range r.Leaving {
-			line(fmt.Sprintf("requests to %s more than %v after it left", l.Endpoint, leavingGrace), "%d (%s)", l.LateRequests, l.How)
+			line(fmt.Sprintf("requests to %s more than %v after it began to leave", l.Endpoint, leavingGrace), "%d (%s)", l.LateRequests, l.How)
 		}
 		for _, f := range r.Change.InForce {
 			line(fmt.Sprintf("revision %d in force on %s", r.Change.Revision, f.Entry), "after %s", millis(f.After))
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -129,8 +129,8 @@
 		add(w.share() > w.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", w.Pool, 100*w.share(), 100*w.Budget)
 	}
 	for _, l := range r.Leaving {
-		add(!l.Counted, "requests to %s were not counted after it left", l.Endpoint)
-		add(l.LateRequests > 0, "%s got %d requests more than %v after it left", l.Endpoint, l.LateRequests, leavingGrace)
+		add(!l.Counted, "requests to %s were not counted after it began to leave", l.Endpoint)
+		add(l.LateRequests > 0, "%s got %d requests more than %v after it began to leave", l.Endpoint, l.LateRequests, leavingGrace)
 	}
 	add(len(r.Change.Missing) > 0, "revision %d is not in force on %s", r.Change.Revision, strings.Join(r.Change.Missing, ", "))
 	add(len(r.Change.Reverted) > 0, "profiles reverted: %s", strings.Join(r.Change.Reverted, ", "))
--- a/internal/demo/report_test.go
+++ b/internal/demo/report_test.go
@@ -46,7 +46,7 @@
 		"cut by the stop":  {func(r *Report) { r.Stop.Cut = 1 }, "the planned stop of entry-3 cut off 1"},
 		"over budget":      {func(r *Report) { r.Probes[0].Spent = 2 * time.Second }, "took 2.222% of its slot time, more than the budget of 2.000%"},
 		"late requests":    {func(r *Report) { r.Leaving[0].LateRequests = 1 }, "got 1 requests more than 3s"},
-		"not counted":      {func(r *Report) { r.Leaving[0].Counted = false }, "were not counted after it left"},
+		"not counted":      {func(r *Report) { r.Leaving[0].Counted = false }, "were not counted after it began to leave"},
 		"not in force":     {func(r *Report) { r.Change.Missing = []string{"entry-2"} }, "revision 2 is not in force on entry-2"},
 		"in force late":    {func(r *Report) { r.Change.InForce[0].After = time.Minute }, "took 1m0s"},
 		"reverted":         {func(r *Report) { r.Change.Reverted = []string{"entry-1 from 2 to 1"} }, "profiles reverted: entry-1"},
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -26,7 +26,7 @@
 	uploadsFrom   = 7 * time.Second
 	minDuration   = 15 * time.Second
 	progressEvery = 1 * time.Second
-	// leavingGrace is how long an endpoint may still get new requests after its leaving is announced.
+	// leavingGrace is how long an endpoint may still get new requests after it began to leave.
 	leavingGrace = 3 * time.Second
 )
 
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -64,7 +64,7 @@
 	for at := 0; at < len(body); at += len(line) {
 		part := body[at:min(at+len(line), len(body))]
 		if string(part) != line[:len(part)] {
-			return fmt.Errorf("answer to %q holds %q at byte %d", id, part, at)
+			return fmt.Errorf("answer to %q has %q at byte %d", id, part, at)
 		}
 	}
 	return nil
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -104,8 +104,8 @@
 	e.faultsChanged = make(chan struct{})
 }
 
-// Drain marks the endpoint as draining for good: it finishes the requests that it has accepted and
-// refuses new ones as not run.
+// Drain permanently marks the endpoint as draining: it finishes the requests that it has accepted
+// and refuses new ones as not run.
 func (e *Endpoint) Drain() { e.draining.Store(true) }
 
 // AwaitIdle waits until no request uses a slot or is queued.
--- a/internal/standin/port_linux.go
+++ b/internal/standin/port_linux.go
@@ -11,7 +11,7 @@
 // reservation, the kernel may give the port to any connection on the machine in the meantime, and
 // the restart fails. The server's own listener can still bind, because both sockets set
 // SO_REUSEADDR and this one does not listen. A second server on the port is still refused, because
-// the first server's listener listens.
+// the socket of the first server listens.
 func reservePort(address string) (*os.File, string, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,8 +16,8 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves a handler on one address and can fail in the ways in which a VM or
-// a network does. It is safe for concurrent use.
+// Server serves a handler on one address and can fail in the ways in which a VM or a network
+// fails. It is safe for concurrent use.
 type Server struct {
 	handler http.Handler
 	conns   *connections
