--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -15,21 +15,21 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// fakeFleet is a row of entries that answer by a script and log what arrives.
+// fakeFleet is a set of entries that answer by scripts and log the requests that arrive.
 type fakeFleet struct {
 	t *testing.T
 
-	mu       sync.Mutex
-	list     contract.EntriesAnswer
-	asked    int
-	arrivals []string          // "entry key", in order
-	keyNames map[string]string // keys in order of appearance: k1, k2 ...
-	scripts  map[string][]string
-	arrived  chan struct{}
+	mu           sync.Mutex
+	list         contract.EntriesAnswer
+	listRequests int
+	arrivals     []string          // "entry key", in order
+	keyNames     map[string]string // keys in order of appearance: k1, k2 ...
+	scripts      map[string][]string
+	arrived      chan struct{}
 }
 
-// startFleet starts one entry for each script; a nil script is an entry that
-// refuses connections. The first entry has all the weight.
+// startFleet starts one entry for each script; an entry with a nil script refuses connections. The
+// first entry has all the weight.
 func startFleet(t *testing.T, scripts ...[]string) (*fakeFleet, *Client) {
 	f := &fakeFleet{t: t, keyNames: make(map[string]string), scripts: make(map[string][]string), arrived: make(chan struct{}, 64)}
 	f.list = contract.EntriesAnswer{Service: "s", Revision: 7, TTLMillis: 8000}
@@ -59,9 +59,8 @@
 	return f, c
 }
 
-// closedAddress returns an address at which nobody listens: these ports belong
-// to services that no machine runs. A port that was just closed would not do,
-// since the next listener may get it.
+// closedAddress returns an address where nothing listens: the lowest ports belong to services that are
+// not in use. A port that was just closed would not do, since the next listener may get it.
 func closedAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }
 
 func (f *fakeFleet) handler(name string) http.Handler {
@@ -69,23 +68,23 @@
 		if r.URL.Path == contract.EntriesPath {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.asked++
+			f.listRequests++
 			_ = json.NewEncoder(w).Encode(f.list)
 			return
 		}
-		f.play(w, r, f.next(name, r))
+		f.respond(w, r, f.nextStep(name, r))
 	})
 }
 
-// log returns what arrived so far.
+// log returns the requests that have arrived so far.
 func (f *fakeFleet) log() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.arrivals)
 }
 
-// next logs an arrival and returns what the entry's script says to it.
-func (f *fakeFleet) next(name string, r *http.Request) string {
+// nextStep logs a request and returns the next step of the entry's script.
+func (f *fakeFleet) nextStep(name string, r *http.Request) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := r.Header.Get(contract.HeaderIdempotencyKey)
@@ -96,17 +95,17 @@
 	f.arrivals = append(f.arrivals, strings.TrimSpace(name+" "+f.keyNames[key]))
 	script := f.scripts[name]
 	if len(script) == 0 {
-		f.t.Errorf("entry %s got a request that its script does not have", name)
+		f.t.Errorf("entry %s got more requests than its script has steps", name)
 		return "done"
 	}
 	f.scripts[name] = script[1:]
 	return script[0]
 }
 
-// play carries out one word of a script: "done", "lost", "cut", "large",
-// "redirect", "hang", or a status with any outcomes and a reason.
-func (f *fakeFleet) play(w http.ResponseWriter, r *http.Request, word string) {
-	switch word {
+// respond carries out one step of a script: "done", "lost", "cut", "large", "redirect", "hang", or a
+// status with any number of outcomes and a reason.
+func (f *fakeFleet) respond(w http.ResponseWriter, r *http.Request, step string) {
+	switch step {
 	case "lost":
 		panic(http.ErrAbortHandler)
 	case "cut":
@@ -118,16 +117,16 @@
 		<-r.Context().Done()
 		return
 	case "done":
-		word = "200 done"
+		step = "200 done"
 	case "large":
 		w.Header().Set(contract.HeaderOutcome, "done")
 		fmt.Fprint(w, strings.Repeat("x", 101))
 		return
 	case "redirect":
 		w.Header().Set("Location", "/elsewhere")
-		word = "307 done"
+		step = "307 done"
 	}
-	fields := strings.Fields(word)
+	fields := strings.Fields(step)
 	var status int
 	fmt.Sscan(fields[0], &status)
 	for _, field := range fields[1:] {
--- /dev/null
+++ b/client/sendtracker.go
@@ -0,0 +1,31 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http/httptrace"
+	"sync/atomic"
+)
+
+// sendTracker records whether any part of a request may have been sent.
+//
+// Guards against a false "not run": net/http retries a request with an Idempotency-Key or a safe method
+// by itself when a reused connection breaks. If the retry cannot open a connection, its error looks as
+// if nothing had been sent. The tracker is set when the first header is written to any connection.
+type sendTracker struct{ sent atomic.Bool }
+
+// withTrace returns a context that makes net/http set the tracker.
+func (m *sendTracker) withTrace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		WroteHeaderField: func(string, []string) { m.sent.Store(true) },
+	})
+}
+
+func (m *sendTracker) load() bool { return m.sent.Load() }
+
+// isDialError reports whether err occurred while a connection was opened.
+func isDialError(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial"
+}
--- a/internal/ctl/profile.go
+++ b/internal/ctl/profile.go
@@ -12,19 +12,19 @@
 
 func profileCommand(o *options) *cobra.Command {
 	cmd := &cobra.Command{Use: "profile", Short: "Check and compare profile documents before they are published"}
-	group(cmd)
+	makeGroup(cmd)
 	cmd.AddCommand(
 		&cobra.Command{
 			Use:               "check FILE",
 			Short:             "Check a document as an entry would; exit with 3 if it would be refused",
-			Args:              exactly(1),
+			Args:              exactArgs(1),
 			ValidArgsFunction: completeFiles,
 			RunE:              func(_ *cobra.Command, args []string) error { return o.checkProfile(args[0]) },
 		},
 		&cobra.Command{
 			Use:               "diff OLD NEW",
 			Short:             "Show what changes for which service when NEW replaces OLD",
-			Args:              exactly(2),
+			Args:              exactArgs(2),
 			ValidArgsFunction: completeFiles,
 			RunE:              func(_ *cobra.Command, args []string) error { return o.diffProfiles(args[0], args[1]) },
 		},
@@ -36,7 +36,7 @@
 	return []string{"toml"}, cobra.ShellCompDirectiveFilterFileExt
 }
 
-// checkResult is the result of a check.
+// checkResult is the result of "profile check".
 type checkResult struct {
 	File     string        `json:"file"`
 	Accepted bool          `json:"accepted"`
@@ -46,7 +46,7 @@
 	Warnings []problemView `json:"warnings"`
 }
 
-// problemView is a problem of a document.
+// problemView is the JSON form of a profile.Problem.
 type problemView struct {
 	Line    int    `json:"line"`
 	Path    string `json:"path"`
@@ -54,7 +54,7 @@
 	Remedy  string `json:"remedy"`
 }
 
-func viewsOf(problems []profile.Problem) []problemView {
+func problemViews(problems []profile.Problem) []problemView {
 	views := make([]problemView, len(problems))
 	for i, p := range problems {
 		views[i] = problemView(p)
@@ -62,12 +62,12 @@
 	return views
 }
 
-// readProfile reads a document. Revisions are given when it is published; the
-// check does not depend on it.
+// readProfile reads and parses a document. It passes revision 1, since a document gets its revision
+// when it is published and the check does not depend on it.
 func readProfile(file string) (*profile.Snapshot, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "give the name of a readable file", "the document can't be read")
+		return nil, fault.Wrap(err, fault.Unavailable, "give the name of a readable file", "cannot read the document")
 	}
 	return profile.Parse(data, 1)
 }
@@ -80,10 +80,10 @@
 	}
 	result := checkResult{File: file, Accepted: err == nil, Problems: []problemView{}, Warnings: []problemView{}}
 	if refused != nil {
-		result.Problems = viewsOf(refused.Problems)
+		result.Problems = problemViews(refused.Problems)
 	} else {
 		result.Services, result.Closes = len(snapshot.Services()), len(snapshot.Closes())
-		result.Warnings = viewsOf(snapshot.Warnings())
+		result.Warnings = problemViews(snapshot.Warnings())
 	}
 	if err := o.show(result, func(p *page) { checkPage(p, &result) }); err != nil {
 		return err
@@ -106,7 +106,7 @@
 	}
 }
 
-// changeView is one difference between two documents.
+// changeView is the JSON form of a profile.Change.
 type changeView struct {
 	Subject string `json:"subject"`
 	Name    string `json:"name"`
@@ -117,11 +117,11 @@
 }
 
 func (o *options) diffProfiles(oldFile, newFile string) error {
-	prev, err := readNamed(oldFile)
+	prev, err := readValidProfile(oldFile)
 	if err != nil {
 		return err
 	}
-	next, err := readNamed(newFile)
+	next, err := readValidProfile(newFile)
 	if err != nil {
 		return err
 	}
@@ -133,8 +133,8 @@
 	return o.show(views, func(p *page) { diffPage(p, changes) })
 }
 
-// readNamed reads a document and names the file in its error.
-func readNamed(file string) (*profile.Snapshot, error) {
+// readValidProfile reads a document. If it would be refused, the error names the file.
+func readValidProfile(file string) (*profile.Snapshot, error) {
 	snapshot, err := readProfile(file)
 	if fault.KindOf(err) == fault.BadProfile {
 		return nil, fault.Wrap(err, fault.BadProfile, "see tealhallctl profile check", "%s would be refused", file)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,25 +11,25 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// settingsPoll is how often the settings file is looked at for a change that no
-// signal announced. A look costs one system call.
+// settingsPoll is how often the daemon checks whether the settings file has changed without a SIGHUP.
+// A check costs one system call.
 const settingsPoll = 2 * time.Second
 
-// running is what a reload changes of an entry.
-type running interface {
+// reloadable is the part of an entry that a reload changes.
+type reloadable interface {
 	SetSeeds(seeds []string)
 }
 
-// reloader takes over settings that change while the entry runs: the seeds and the
-// level of the log. All others hold from the next start on.
+// reloader applies changed settings while the entry runs: the seeds and the log verbosity. All other
+// changes take effect at the next start.
 type reloader struct {
 	path    string
-	entry   running
+	entry   reloadable
 	inForce *settings.Settings
 	stamp   fileStamp
 }
 
-// fileStamp tells one version of a file from another.
+// fileStamp identifies a version of a file by its modification time and size.
 type fileStamp struct {
 	modified time.Time
 	size     int64
@@ -43,7 +43,7 @@
 	return fileStamp{modified: info.ModTime(), size: info.Size()}
 }
 
-func newReloader(path string, e running, inForce *settings.Settings) *reloader {
+func newReloader(path string, e reloadable, inForce *settings.Settings) *reloader {
 	return &reloader{path: path, entry: e, inForce: inForce, stamp: stampOf(path)}
 }
 
@@ -54,13 +54,13 @@
 	}
 }
 
-// reload reads the settings and takes over what may change. Settings that are
-// refused change nothing.
+// reload reads the settings and applies those that may change at run time. Invalid settings change
+// nothing.
 func (r *reloader) reload(cause string) {
 	r.stamp = stampOf(r.path)
 	next, err := readSettings(r.path)
 	if err != nil {
-		klog.ErrorS(err, "the changed settings are refused; those before stay in force", "file", r.path, "cause", cause)
+		klog.ErrorS(err, "the changed settings are invalid; the previous settings stay in force", "file", r.path, "cause", cause)
 		return
 	}
 	if !slices.Equal(next.Peers.Seeds, r.inForce.Peers.Seeds) {
@@ -69,9 +69,9 @@
 	if next.Log.Verbosity != r.inForce.Log.Verbosity {
 		setVerbosity(next.Log.Verbosity)
 	}
-	later := *next
-	later.Peers.Seeds, later.Log.Verbosity = r.inForce.Peers.Seeds, r.inForce.Log.Verbosity
-	waits := !reflect.DeepEqual(&later, r.inForce)
+	others := *next
+	others.Peers.Seeds, others.Log.Verbosity = r.inForce.Peers.Seeds, r.inForce.Log.Verbosity
+	needsRestart := !reflect.DeepEqual(&others, r.inForce)
 	r.inForce.Peers.Seeds, r.inForce.Log.Verbosity = next.Peers.Seeds, next.Log.Verbosity
-	klog.InfoS("settings read again", "file", r.path, "cause", cause, "seeds", next.Peers.Seeds, "moreAtTheNextStart", waits)
+	klog.InfoS("settings reloaded", "file", r.path, "cause", cause, "seeds", next.Peers.Seeds, "moreAtTheNextStart", needsRestart)
 }
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -15,31 +15,31 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// When things happen, counted from the first request. A planned stop of an
-// entry takes as long as callers may keep answers that name it, so it begins
-// early and the session ends with it.
+// The times of the scripted changes, counted from the start of the session. A planned stop of an
+// entry takes as long as callers may cache answers that name the entry, so it begins early and the
+// session does not end before it.
 const (
 	publishAt     = 1 * time.Second
 	stopEntryAt   = 2 * time.Second
 	drainAt       = 4 * time.Second
 	markLeavingAt = 6 * time.Second
 	uploadsFrom   = 7 * time.Second
-	shortest      = 15 * time.Second
+	minDuration   = 15 * time.Second
 	progressEvery = 1 * time.Second
-	// leavingGrace is how long after the word that it leaves an endpoint may
-	// still get new work.
+	// leavingGrace is how long an endpoint may still get new requests after it began to leave.
 	leavingGrace = 3 * time.Second
 )
 
 const (
-	// callers is how many callers send the requests.
-	callers = 6
-	// largestFleet divides the watching budget; the demo never runs more entries.
+	// callerCount is the number of callers that send requests.
+	callerCount = 6
+	// largestFleet is the fleet size by which entries divide the watch budget. The demo never runs
+	// more entries.
 	largestFleet = 4
 )
 
-// adjust sets what differs from an installation: the fleet is small for sure.
-func adjust(s *settings.Settings) { s.Limits.LargestFleet = largestFleet }
+// adjustSettings changes the default settings for the small fleet of the demo.
+func adjustSettings(s *settings.Settings) { s.Limits.LargestFleet = largestFleet }
 
 // session is one run of the demo.
 type session struct {
@@ -48,23 +48,23 @@
 	out     io.Writer
 	seed    uint64
 
-	began   time.Time
-	wire    *cutCounter
-	callers []*client.Client
-	tallies []*tally
-	pairs   *pairs
-	leaving []*leavingWatch
-	stop    StopReport
+	began        time.Time
+	transport    *cutCounter
+	callers      []*client.Client
+	tallies      []*tally
+	pairs        *pairedCalls
+	lateRequests []*lateRequestCounter
+	stop         StopReport
 }
 
 func newSession(f *Fleet, changes *changeLog, opts Options) (*session, error) {
-	s := &session{fleet: f, changes: changes, out: opts.Out, seed: opts.Seed, wire: newCutCounter()}
-	for i := range callers {
+	s := &session{fleet: f, changes: changes, out: opts.Out, seed: opts.Seed, transport: newCutCounter()}
+	for i := range callerCount {
 		c, err := client.New(client.Options{
 			Seeds:  f.Seeds(),
 			Caller: fmt.Sprintf("caller-%d", i+1),
 			Domain: f.domain(i),
-			HTTP:   &http.Client{Transport: s.wire},
+			HTTP:   &http.Client{Transport: s.transport},
 		})
 		if err != nil {
 			return nil, err
@@ -72,11 +72,11 @@
 		s.callers = append(s.callers, c)
 	}
 	endpoint := f.endpointsOf(pairedService)[0]
-	s.pairs = newPairs(&http.Client{Transport: s.wire}, endpoint.Server().Address(), f.Seeds()[0])
+	s.pairs = newPairedCalls(&http.Client{Transport: s.transport}, endpoint.Server().Address(), f.Seeds()[0])
 	return s, nil
 }
 
-// run sends the requests, carries out the script and gathers the report.
+// run sends the requests, runs the script and returns the report.
 func (s *session) run(ctx context.Context) (*Report, error) {
 	s.began = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
@@ -96,70 +96,70 @@
 	return s.report(), nil
 }
 
-// script makes the changes on the way, one after the other.
+// script makes the scripted changes in order.
 func (s *session) script(ctx context.Context) error {
-	s.at(ctx, publishAt)
+	s.waitUntil(ctx, publishAt)
 	revision := s.fleet.Publish(changedProfiles())
 	published := time.Now()
-	s.say("published the profiles with %s as revision %d", changedHedge, revision)
+	s.printProgress("published the profiles with %s as revision %d", changedHedge, revision)
 	s.changes.expect(revision, published)
 
-	s.at(ctx, stopEntryAt)
+	s.waitUntil(ctx, stopEntryAt)
 	var stopping sync.WaitGroup
 	stopping.Go(func() { s.stopEntry(ctx) })
 	defer stopping.Wait()
 
-	s.at(ctx, drainAt)
+	s.waitUntil(ctx, drainAt)
 	announcing := s.fleet.endpointsOf(readService)[0]
-	s.watchLeaving(ctx, announcing, "announced by the endpoint")
+	s.countLateRequests(ctx, announcing, "announced by the endpoint")
 	announcing.Drain()
 
-	s.at(ctx, markLeavingAt)
+	s.waitUntil(ctx, markLeavingAt)
 	marked := s.fleet.endpointsOf(onceService)[0]
-	s.watchLeaving(ctx, marked, "marked in the platform's list")
+	s.countLateRequests(ctx, marked, "marked in the platform's list")
 	s.fleet.MarkLeaving(announcing.VM.Name)
 	s.fleet.MarkLeaving(marked.VM.Name)
 
 	stopping.Wait()
-	s.at(ctx, shortest)
+	s.waitUntil(ctx, minDuration)
 	return ctx.Err()
 }
 
-// at waits until d after the first request.
-func (s *session) at(ctx context.Context, d time.Duration) {
+// waitUntil waits until d after the start of the session.
+func (s *session) waitUntil(ctx context.Context, d time.Duration) {
 	wait.For(ctx, time.Until(s.began.Add(d)))
 }
 
-// say prints a line of progress.
-func (s *session) say(format string, args ...any) {
+// printProgress prints a progress line with the time since the start of the session.
+func (s *session) printProgress(format string, args ...any) {
 	fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // stopEntry stops the last entry gracefully.
 func (s *session) stopEntry(ctx context.Context) {
 	entries := s.fleet.entries()
-	leaver := entries[len(entries)-1]
-	s.say("%s begins a planned stop; callers may keep answers that name it for some seconds", leaver.Name())
-	s.fleet.Forget(leaver)
-	summary := leaver.Stop(ctx)
-	s.stop = StopReport{Entry: leaver.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
-	s.say("%s stopped after %.1f s: %d requests cut off, %d idempotency keys handed to %d entries",
-		leaver.Name(), summary.Took.Seconds(), summary.Cut, summary.HandedOver, summary.Successors)
-}
-
-// watchLeaving counts what an endpoint gets after the grace time.
-func (s *session) watchLeaving(ctx context.Context, e *Endpoint, how string) {
-	s.say("%s leaves: %s", e.VM.Name, how)
-	w := &leavingWatch{endpoint: e, how: how}
-	s.leaving = append(s.leaving, w)
-	told := time.Now()
+	leaving := entries[len(entries)-1]
+	s.printProgress("%s begins a planned stop; callers may cache answers that name it for some seconds", leaving.Name())
+	s.fleet.RemoveEntry(leaving)
+	summary := leaving.Stop(ctx)
+	s.stop = StopReport{Entry: leaving.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
+	s.printProgress("%s stopped after %.1f s: %d requests cut off, %d idempotency keys handed to %d entries",
+		leaving.Name(), summary.Took.Seconds(), summary.Cut, summary.HandedOver, summary.Successors)
+}
+
+// countLateRequests starts counting the requests that a leaving endpoint gets after leavingGrace.
+func (s *session) countLateRequests(ctx context.Context, e *Endpoint, how string) {
+	s.printProgress("%s is leaving: %s", e.VM.Name, how)
+	w := &lateRequestCounter{endpoint: e, how: how}
+	s.lateRequests = append(s.lateRequests, w)
+	announcedAt := time.Now()
 	go func() {
-		wait.For(ctx, time.Until(told.Add(leavingGrace)))
+		wait.For(ctx, time.Until(announcedAt.Add(leavingGrace)))
 		w.startCounting()
 	}()
 }
 
-// progress prints a line every second.
+// progress prints the counts of all services every progressEvery.
 func (s *session) progress(ctx context.Context) {
 	ticker := time.NewTicker(progressEvery)
 	defer ticker.Stop()
@@ -168,7 +168,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.say("%s", s.progressLine())
+			s.printProgress("%s", s.progressLine())
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// cutCounter is a transport that counts answers that broke off.
+// cutCounter is an http.RoundTripper that counts answers that were cut off.
 type cutCounter struct {
 	base http.RoundTripper
 
@@ -190,7 +190,7 @@
 	cut int
 }
 
-// idleConnections is how many idle connections are kept to one entry.
+// idleConnections is the maximum number of idle connections to one host.
 const idleConnections = 64
 
 func newCutCounter() *cutCounter {
@@ -219,7 +219,7 @@
 	ctx     context.Context
 }
 
-// Read counts an error that is not the end and not the caller's own doing.
+// Read counts an error other than io.EOF, unless the caller's own context has ended.
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF && b.ctx.Err() == nil {
@@ -230,7 +230,7 @@
 	return n, err
 }
 
-// request headers of the demo's own.
+// requestHeader returns the header that identifies a request in the ledger.
 func requestHeader(id string) http.Header {
 	return http.Header{contract.HeaderRequest: {id}}
 }
--- a/internal/demo/gather.go
+++ b/internal/demo/sessionreport.go
@@ -6,14 +6,14 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// report gathers what was counted. All requests have been answered.
+// report collects the counters. All requests must have ended.
 func (s *session) report() *Report {
 	r := &Report{
 		Took:   time.Since(s.began),
 		Added:  s.pairs.report(),
 		Change: s.changes.report(s.fleet.names),
 		Stop:   s.stop,
-		CutOff: s.wire.count(),
+		CutOff: s.transport.count(),
 	}
 	for _, t := range s.tallies {
 		r.Services = append(r.Services, t.report(s.fleet.Ledger))
@@ -21,21 +21,21 @@
 			r.RanTwice = append(t.ranTwice(s.fleet.Ledger), s.fleet.Ledger.RanTwice()...)
 		}
 	}
-	for _, w := range s.leaving {
+	for _, w := range s.lateRequests {
 		r.Leaving = append(r.Leaving, w.report())
 	}
-	r.Watching = s.fleet.Watching()
+	r.Probes = s.fleet.ProbeReports()
 	return r
 }
 
-// Watching adds up what probes took of each pool's slot time since the fleet
-// started, as the endpoints counted it.
-func (f *Fleet) Watching() []WatchReport {
-	took := time.Since(f.began)
+// ProbeReports returns, for each pool, the slot time that probes have used since the fleet started,
+// as counted by the endpoints.
+func (f *Fleet) ProbeReports() []ProbeReport {
+	took := time.Since(f.startedAt)
 	budgets := f.watchBudgets()
-	var out []WatchReport
+	var out []ProbeReport
 	for _, p := range f.cfg.Pools {
-		w := WatchReport{Pool: p.Name, Budget: budgets[p.Name]}
+		w := ProbeReport{Pool: p.Name, Budget: budgets[p.Name]}
 		for _, e := range f.endpointsOf(p.Name) {
 			stats := e.Stats()
 			w.Probes += stats.Probes
@@ -47,7 +47,7 @@
 	return out
 }
 
-// watchBudgets returns the smallest watching budget of the services of each pool.
+// watchBudgets returns, for each pool, the smallest watch budget of the pool's services.
 func (f *Fleet) watchBudgets() map[string]float64 {
 	budgets := make(map[string]float64)
 	snapshot, err := profile.Parse(f.cfg.Profiles, 1)
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -53,7 +53,7 @@
 	proxies := &proxySet{t: t}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
 		for i := range cfg.Pools {
-			cfg.Pools[i].Path = proxies.newProxy
+			cfg.Pools[i].ListedAddress = proxies.newProxy
 		}
 	})
 	l := startTraffic(t, f)
@@ -205,7 +205,7 @@
 func TestBookingsOnClosingConnectionsArriveOnce(t *testing.T) {
 	closing := &closingEndpoint{arrivals: make(map[string]int)}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
-		cfg.Pools[1].Path = func(string) string { return closing.start(t) }
+		cfg.Pools[1].ListedAddress = func(string) string { return closing.start(t) }
 	})
 	l := &traffic{callers: []*client.Client{newCaller(t, f, newRecordingTransport(), "tablet")}}
 	for n := range 60 {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -119,7 +119,7 @@
 // stop performs a planned stop of an entry and checks that it cuts off no request.
 func (f *fleet) stop(t *testing.T, e *entry.Entry) entry.StopSummary {
 	t.Helper()
-	f.Forget(e)
+	f.RemoveEntry(e)
 	summary := e.Stop(t.Context())
 	if summary.Cut != 0 {
 		t.Errorf("%s cut off %d requests", e.Name(), summary.Cut)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Forget(short)
+		f.RemoveEntry(short)
 		if i%2 == 0 {
 			short.Kill()
 			continue
@@ -60,7 +60,7 @@
 	f := newFleet(t, 1)
 	_, newKey := homeOf(t, f)
 	known := f.Entries[0]
-	f.Forget(known)
+	f.RemoveEntry(known)
 	known.Kill()
 	f.Server.Kill()
 	fresh, err := f.AddEntry("fresh", 0)
@@ -86,7 +86,7 @@
 	})
 	e := f.Entries[0]
 	scan := startUpload(t, f, e, "scan")
-	f.Forget(e)
+	f.RemoveEntry(e)
 	summary := e.Stop(t.Context())
 	_ = scan.body.Close()
 	if summary.Cut != 1 {
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -7,18 +7,18 @@
 	"github.com/gorilla/mux"
 )
 
-// Paths of the control interface, for stand-ins that run as programs.
+// Paths of the control interface of a stand-in that runs as a separate process.
 const (
-	StatsPath  = "/stats"
-	FaultsPath = "/faults"
-	DrainPath  = "/drain"
-	SilentPath = "/black-hole"
+	StatsPath     = "/stats"
+	FaultsPath    = "/faults"
+	DrainPath     = "/drain"
+	BlackHolePath = "/black-hole"
 )
 
-// maxControlBytes bounds the body of a control call.
+// maxControlBytes limits the size of the body of a control request.
 const maxControlBytes = 4 << 10
 
-// PlatformControl serves the counters of p and sets its faults.
+// PlatformControl returns a handler that serves the counters of p and sets its faults.
 func PlatformControl(p *Platform) http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(StatsPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 	return router
 }
 
-// EndpointControl serves the counters of e, sets its faults, drains it and
+// EndpointControl returns a handler that serves the counters of e, sets its faults, drains it and
 // silences its open connections.
 func EndpointControl(e *Endpoint) http.Handler {
 	router := mux.NewRouter()
@@ -47,7 +47,7 @@
 	router.HandleFunc(DrainPath, func(http.ResponseWriter, *http.Request) {
 		e.Drain()
 	}).Methods(http.MethodPost)
-	router.HandleFunc(SilentPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(BlackHolePath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, map[string]int{"silenced": e.Server().BlackHole()})
 	}).Methods(http.MethodPost)
 	return router
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -14,18 +14,18 @@
 	"github.com/tealhall/tealhall/internal/contract"
 )
 
-// call is one request as an Endpoint handles it.
+// call is one parsed request or probe.
 type call struct {
-	id       identity
-	probe    bool
-	idleOnly bool          // refuse it rather than queue it
-	limited  bool          // it has a deadline
-	deadline time.Duration // on the endpoint's clock
-	answer   answerSpec
-	work     time.Duration // replaces the service time when above zero
+	id          identity
+	probe       bool
+	idleOnly    bool          // refuse it if no slot is idle
+	hasDeadline bool          // deadline is set
+	deadline    time.Duration // on the endpoint's clock
+	answer      answerSpec
+	work        time.Duration // replaces the service time when above zero
 }
 
-// answerSpec is the answer that the request asked for.
+// answerSpec describes the answer that the request asks for.
 type answerSpec struct {
 	id      string
 	size    int64
@@ -40,8 +40,8 @@
 		e.fail(w, http.StatusBadRequest)
 		return
 	}
-	faults := e.faults.Load() // before the request is seen to have arrived
-	e.arrive(call)
+	faults := e.faults.Load() // before the arrival is counted: tests change faults after the count
+	e.countArrival(call)
 	switch {
 	case faults.Hang:
 		e.hang(r.Context())
@@ -68,7 +68,7 @@
 		if !ok {
 			return c, errors.New("malformed deadline")
 		}
-		c.limited, c.deadline = true, e.cfg.Clock.Now()+left
+		c.hasDeadline, c.deadline = true, e.cfg.Clock.Now()+left
 	}
 	var err error
 	if query.Has(WorkParameter) {
@@ -101,12 +101,12 @@
 		}
 	}
 	if spec.status == http.StatusNoContent || spec.status == http.StatusNotModified {
-		spec.size, spec.chunked = 0, true // no body, so no length either
+		spec.size, spec.chunked = 0, true // these statuses have neither a body nor a Content-Length
 	}
 	return spec, nil
 }
 
-func (e *Endpoint) arrive(c call) {
+func (e *Endpoint) countArrival(c call) {
 	if c.probe {
 		e.count(func(s *EndpointStats) { s.Probes++ })
 		return
@@ -115,26 +115,26 @@
 	e.count(func(s *EndpointStats) { s.Requests++ })
 }
 
-// refuse states that the request was not run.
+// refuse answers that the request was not run.
 func (e *Endpoint) refuse(w http.ResponseWriter, reason contract.NotRunReason) {
 	e.count(func(s *EndpointStats) { s.NotRun[reason]++ })
-	e.announce(w.Header())
+	e.setLoadHeaders(w.Header())
 	w.Header().Set(contract.HeaderNotRun, string(reason))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// fail answers with a status that proves nothing.
+// fail answers with status and does not state whether the request ran.
 func (e *Endpoint) fail(w http.ResponseWriter, status int) {
 	e.count(func(s *EndpointStats) { s.Failed++ })
-	e.announce(w.Header())
+	e.setLoadHeaders(w.Header())
 	w.WriteHeader(status)
 }
 
-// hang waits until the client goes or the fault ends.
+// hang waits until the client disconnects or the fault ends.
 func (e *Endpoint) hang(ctx context.Context) {
 	for e.faults.Load().Hang {
 		e.mu.Lock()
-		changed := e.changed
+		changed := e.faultsChanged
 		e.mu.Unlock()
 		if !e.faults.Load().Hang {
 			return
@@ -147,22 +147,22 @@
 	}
 }
 
-// admit gets the request a slot or refuses it.
+// admit runs the request once it has a slot, or refuses it.
 func (e *Endpoint) admit(w http.ResponseWriter, r *http.Request, c call) {
 	if e.expired(c) {
 		e.refuse(w, contract.NotRunDeadline)
 		return
 	}
-	waiter, entered := e.slots.enter(c.idleOnly && !e.faults.Load().IgnoreIdleOnly)
-	if !entered {
+	waiter, admitted := e.slots.acquire(c.idleOnly && !e.faults.Load().IgnoreIdleOnly)
+	if !admitted {
 		e.refuse(w, contract.NotRunBusy)
 		return
 	}
-	if waiter != nil && !e.await(w, r, c, waiter) {
+	if waiter != nil && !e.awaitSlot(w, r, c, waiter) {
 		return
 	}
 	if e.expired(c) {
-		e.slots.leave()
+		e.slots.release()
 		e.refuse(w, contract.NotRunDeadline)
 		return
 	}
@@ -170,35 +170,36 @@
 }
 
 func (e *Endpoint) expired(c call) bool {
-	return c.limited && e.cfg.Clock.Now() >= c.deadline
+	return c.hasDeadline && e.cfg.Clock.Now() >= c.deadline
 }
 
-// await waits in the queue and reports whether the request got a slot.
-func (e *Endpoint) await(w http.ResponseWriter, r *http.Request, c call, queued *waiter) bool {
-	expired, stop := e.timeout(c)
+// awaitSlot waits in the queue and reports whether the request got a slot. It refuses the request
+// when its deadline passes.
+func (e *Endpoint) awaitSlot(w http.ResponseWriter, r *http.Request, c call, queued *waiter) bool {
+	expired, stop := e.deadlineTimer(c)
 	defer stop()
 	select {
 	case <-queued.granted:
 		return true
 	case <-expired:
-		e.slots.abandon(queued)
+		e.slots.cancelWait(queued)
 		e.refuse(w, contract.NotRunDeadline)
 	case <-r.Context().Done():
-		e.slots.abandon(queued)
+		e.slots.cancelWait(queued)
 		e.count(func(s *EndpointStats) { s.CancelledQueued++ })
 	}
 	return false
 }
 
-// timeout fires at the deadline of c, never when it has none.
-func (e *Endpoint) timeout(c call) (<-chan struct{}, func()) {
-	if !c.limited {
+// deadlineTimer returns a timer that fires at the deadline of c; without a deadline it never fires.
+func (e *Endpoint) deadlineTimer(c call) (<-chan struct{}, func()) {
+	if !c.hasDeadline {
 		return nil, func() {}
 	}
 	return e.cfg.Clock.After(c.deadline - e.cfg.Clock.Now())
 }
 
-// run holds a slot for the request's time and answers.
+// run uses the slot for the request's slot time, releases it and answers.
 func (e *Endpoint) run(w http.ResponseWriter, r *http.Request, c call) {
 	started := e.cfg.Clock.Now()
 	if !c.probe {
@@ -206,77 +207,77 @@
 		e.count(func(s *EndpointStats) { s.Runs++ })
 	}
 	digest, bytes, err := readBody(r)
-	ended := endedBroken
+	ended := endedAborted
 	if err == nil {
 		ended = e.work(r.Context(), c)
 	}
-	e.slots.leave()
-	e.account(c, e.cfg.Clock.Now()-started, ended)
+	e.slots.release()
+	e.recordRun(c, e.cfg.Clock.Now()-started, ended)
 	switch ended {
-	case endedWhole:
+	case endedComplete:
 		w.Header().Set(BodyDigestHeader, digest)
 		w.Header().Set(BodyBytesHeader, strconv.FormatInt(bytes, 10))
 		e.answer(w, c)
-	case endedLate:
-		e.announce(w.Header())
+	case endedPastDeadline:
+		e.setLoadHeaders(w.Header())
 		w.WriteHeader(http.StatusGatewayTimeout)
-	case endedBroken:
-		panic(http.ErrAbortHandler) // nobody is there to answer
+	case endedAborted:
+		panic(http.ErrAbortHandler) // the client is gone
 	}
 }
 
-// ending says how a run ended.
-type ending int
+// runEnd is the way in which a run ended.
+type runEnd int
 
 const (
-	endedWhole ending = iota
-	endedLate
-	endedBroken
+	endedComplete runEnd = iota
+	endedPastDeadline
+	endedAborted
 )
 
-// work takes the request's time, but ends with the client or at the deadline.
-func (e *Endpoint) work(ctx context.Context, c call) ending {
-	done, stop := e.cfg.Clock.After(e.holdTime(c.probe, c.work))
+// work waits for the request's slot time, or until the client disconnects or the deadline passes.
+func (e *Endpoint) work(ctx context.Context, c call) runEnd {
+	done, stop := e.cfg.Clock.After(e.nextSlotTime(c.probe, c.work))
 	defer stop()
-	expired, stopDeadline := e.timeout(c)
+	expired, stopDeadline := e.deadlineTimer(c)
 	defer stopDeadline()
 	select {
 	case <-done:
-		return endedWhole
+		return endedComplete
 	case <-expired:
-		return endedLate
+		return endedPastDeadline
 	case <-ctx.Done():
-		return endedBroken
+		return endedAborted
 	}
 }
 
-// account counts a run's slot time and how it ended.
-func (e *Endpoint) account(c call, held time.Duration, ended ending) {
-	if !c.probe && ended == endedWhole {
+// recordRun adds a run's slot time and end to the counters and the ledger.
+func (e *Endpoint) recordRun(c call, slotTime time.Duration, ended runEnd) {
+	if !c.probe && ended == endedComplete {
 		e.cfg.Ledger.finished(c.id)
 	}
 	e.count(func(s *EndpointStats) {
 		if c.probe {
-			s.ProbeSlotTime += held
+			s.ProbeSlotTime += slotTime
 			return
 		}
-		s.SlotTime += held
+		s.SlotTime += slotTime
 		switch ended {
-		case endedWhole:
+		case endedComplete:
 			s.Finished++
-		case endedLate:
+		case endedPastDeadline:
 			s.Late++
-		case endedBroken:
+		case endedAborted:
 			s.CancelledRunning++
 		}
 	})
 }
 
-// answer writes the answer that the request asked for.
+// answer writes the answer that the request asks for.
 func (e *Endpoint) answer(w http.ResponseWriter, c call) {
 	spec := c.answer
 	header := w.Header()
-	e.announce(header)
+	e.setLoadHeaders(header)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if c.id.request != "" {
 		header.Set(contract.HeaderRequest, c.id.request)
@@ -291,10 +292,10 @@
 	}
 	_ = WriteAnswer(w, spec.id, spec.size/2)
 	_ = http.NewResponseController(w).Flush()
-	panic(http.ErrAbortHandler) // the server's way to break the connection
+	panic(http.ErrAbortHandler) // makes the server close the connection
 }
 
-// readBody reads the request's body as a stream and returns its digest and size.
+// readBody reads the request's body without keeping it and returns its digest and size.
 func readBody(r *http.Request) (digest string, bytes int64, err error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return "", 0, nil
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,40 +11,40 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// DefaultListen is a free port on loopback.
+// DefaultListen is the address for a free port on loopback.
 const DefaultListen = "127.0.0.1:0"
 
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves a handler on one address and can fail in the ways a machine or
-// a network does. It is safe for concurrent use.
+// Server serves a handler on one address and can fail in the ways in which a VM or a network
+// fails. It is safe for concurrent use.
 type Server struct {
 	handler http.Handler
 	conns   *connections
 
-	mu      sync.Mutex
-	address string
-	port    *os.File     // keeps the port while stopped; nil where it can't
-	http    *http.Server // nil while stopped
-	served  chan struct{}
-	cancel  context.CancelFunc // ends all requests
+	mu           sync.Mutex
+	address      string
+	reservedPort *os.File     // reserves the port while stopped; nil if unsupported
+	http         *http.Server // nil while stopped
+	served       chan struct{}
+	cancel       context.CancelFunc // cancels all requests
 }
 
-// NewServer listens on address and serves handler until it is stopped. Each new
-// connection's first byte is held back by delay.
+// NewServer listens on address and serves handler until it is stopped. The first read of each new
+// connection is postponed by delay.
 func NewServer(address string, handler http.Handler, clock Clock, delay time.Duration) (*Server, error) {
 	port, bound, err := reservePort(address)
 	if err != nil {
 		return nil, listenError(err, address)
 	}
-	s := &Server{handler: handler, conns: newConnections(clock, delay), address: bound, port: port}
+	s := &Server{handler: handler, conns: newConnections(clock, delay), address: bound, reservedPort: port}
 	if err := s.Start(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Start serves on the address of before again. It does nothing while running.
+// Start restarts a stopped server on its previous address. It does nothing if the server runs.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,19 +75,20 @@
 	return fault.Wrap(err, fault.BadSettings, "choose a free IP:port of this machine", "listening on %q failed", address)
 }
 
-// Address is the IP:port that the server has or last had.
+// Address returns the IP:port of the server, also while it is stopped.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// URL is the server's base URL.
+// URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Shutdown refuses new connections and waits for the requests in flight.
+// Shutdown refuses new connections and waits for the requests in flight. When ctx ends, it closes
+// their connections.
 func (s *Server) Shutdown(ctx context.Context) error {
-	server, served, cancel := s.take()
+	server, served, cancel := s.detach()
 	if server == nil {
 		return nil
 	}
@@ -100,9 +101,9 @@
 	return err
 }
 
-// Kill stops at once: new connections are refused and open ones reset.
+// Kill stops the server at once: new connections are refused and open ones are reset.
 func (s *Server) Kill() {
-	server, served, cancel := s.take()
+	server, served, cancel := s.detach()
 	if server == nil {
 		return
 	}
@@ -112,17 +113,19 @@
 	<-served
 }
 
-// BlackHole makes every open connection go silent for good while new ones work.
-// It returns how many were open.
+// BlackHole silences every open connection permanently and returns their number. New connections
+// work.
 func (s *Server) BlackHole() int { return s.conns.blackHole() }
 
 // OpenConnections returns how many connections are open.
 func (s *Server) OpenConnections() int { return s.conns.count() }
 
-// AcceptedConnections returns how many connections were accepted so far.
+// AcceptedConnections returns the total number of accepted connections.
 func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
-func (s *Server) take() (*http.Server, chan struct{}, context.CancelFunc) {
+// detach marks the server as stopped and returns what its caller needs to end it; the server is nil
+// if it was stopped already.
+func (s *Server) detach() (*http.Server, chan struct{}, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := s.http
