--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -157,7 +157,7 @@
 		expectedDuration: view.ServiceTime(e),
 	}
 	if placement.MakesNearlyFull(e) {
-		p.learned.NoteFill(now)
+		p.placementState.NoteFill(now)
 	}
 	r.tried = r.tried.With(index)
 	quota.Spend(now, &p.Pool, e)
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -28,10 +28,10 @@
 	// do not advance the round.
 	batch   uint32
 	pending int
-	// asked are the indexes of the endpoints probed in this round.
-	asked []int
-	began time.Duration
-	until time.Duration
+	// probed are the indexes of the endpoints probed in this round.
+	probed []int
+	began  time.Duration
+	until  time.Duration
 	// second is true if the round is for a second attempt beside a running one.
 	second bool
 	active bool
@@ -67,13 +67,13 @@
 func (c *Core) placementView(now time.Duration, r *request) placement.View {
 	c.refreshOwnership(now, r.pool)
 	return placement.View{
-		Now:      now,
-		Domain:   c.cfg.Self.Domain,
-		Pool:     &r.pool.Pool,
-		Learned:  &r.pool.learned,
-		SlotTime: r.pool.slotTime(now),
-		Rand:     c.rng,
-		Request:  r.placementRequest(),
+		Now:       now,
+		Domain:    c.cfg.Self.Domain,
+		Pool:      &r.pool.Pool,
+		PoolState: &r.pool.placementState,
+		SlotTime:  r.pool.slotTime(now),
+		Rand:      c.rng,
+		Request:   r.placementRequest(),
 	}
 }
 
@@ -82,7 +82,7 @@
 	return placement.Request{
 		Arrived: r.arrived, Deadline: r.deadline, FirstTry: r.arrived - r.age, Objective: r.policy.Objective,
 		Work: r.typicalWork(), Kilobytes: r.service.kilobytes, Late: r.late,
-		Tried: r.tried, Probed: r.probeRound.asked, RoundStart: r.probeRound.began, OwnDomainOnly: r.probeRound.ownOnly, MaxProbes: r.policy.LoadProbes,
+		Tried: r.tried, Probed: r.probeRound.probed, RoundStart: r.probeRound.began, OwnDomainOnly: r.probeRound.ownOnly, MaxProbes: r.policy.LoadProbes,
 	}
 }
 
@@ -99,7 +99,7 @@
 		r.phase = phaseProbing
 	}
 	view := c.placementView(now, r)
-	r.probeRound = loadProbeRound{batch: r.probeRound.batch, asked: r.probeRound.asked[:0], began: now, second: second, active: true,
+	r.probeRound = loadProbeRound{batch: r.probeRound.batch, probed: r.probeRound.probed[:0], began: now, second: second, active: true,
 		ownOnly: !second && !r.queuedOnce && view.PrefersOwnDomain(probeRoundGap)}
 	c.probing = append(c.probing, r.arrival.ID)
 	if r.queuedOnce && !second {
@@ -116,19 +116,19 @@
 // probe.
 func (c *Core) probeNextBatch(now time.Duration, r *request, out *Actions) {
 	p := r.pool
-	most := r.policy.LoadProbes - len(r.probeRound.asked)
+	most := r.policy.LoadProbes - len(r.probeRound.probed)
 	if r.queuedOnce || now < p.probeAgainAt {
-		most = min(most, maxCrowdedProbes-len(r.probeRound.asked))
+		most = min(most, maxCrowdedProbes-len(r.probeRound.probed))
 	}
 	r.probeRound.batch++
 	r.probeRound.pending = 0
 	r.probeRound.until = now + loadProbeWait
-	if r.probeRound.second && len(r.probeRound.asked) == 0 {
+	if r.probeRound.second && len(r.probeRound.probed) == 0 {
 		c.probeRunning(now, r, out)
 	}
 	view := c.placementView(now, r)
-	for range min(p.learned.Batch(), most) {
-		view.Request.Probed = r.probeRound.asked
+	for range min(p.placementState.Batch(), most) {
+		view.Request.Probed = r.probeRound.probed
 		i := view.NextToProbe()
 		if i < 0 || !p.loadProbes.TrySpend(now, p.countLive(), c.fleet.ownShare) {
 			break
@@ -143,7 +143,7 @@
 // probeLoad sends a load probe to the endpoint at index i on behalf of r.
 func (c *Core) probeLoad(r *request, i int, out *Actions) {
 	e := &r.pool.Endpoints[i]
-	r.probeRound.asked = append(r.probeRound.asked, i)
+	r.probeRound.probed = append(r.probeRound.probed, i)
 	r.probeRound.pending++
 	r.loadProbes++
 	c.counters.LoadProbes++
@@ -153,18 +153,18 @@
 
 // loadProbeEnd processes the result of a load probe.
 func (c *Core) loadProbeEnd(now time.Duration, p *pool, e *table.Endpoint, end ProbeEnd, out *Actions) {
-	p.learned.NoteContact(now, e.Domain, end.OK || end.Unhealthy || end.Misdirected)
+	p.placementState.NoteContact(now, e.Domain, end.OK || end.Unhealthy || end.Misdirected)
 	switch {
 	case end.Misdirected:
 		e.AvoidUntil = now + misdirectedPause
 	case !end.OK || end.Unhealthy:
-		e.AvoidUntil = max(e.AvoidUntil, now+unwellPause)
+		e.AvoidUntil = max(e.AvoidUntil, now+unhealthyPause)
 	case end.Load.Known:
 		p.loadless = 0
 		e.NoteProbed(probedLoadOf(now, end.Load))
 		c.reportedCold(now, p, e, end.Load.Cold)
-		p.learned.NoteProbe(e)
-		p.learned.NoteRoom(now, e)
+		p.placementState.NoteProbe(e)
+		p.placementState.NoteRoom(now, e)
 	default:
 		p.loadless++
 	}
@@ -198,9 +198,9 @@
 	// misdirectedPause is how long an address is avoided at which another endpoint answers. It is
 	// far longer than the platform's list takes to show the change.
 	misdirectedPause = 30 * time.Second
-	// unwellPause is how long an endpoint is avoided that reports itself unwell or does not answer.
+	// unhealthyPause is how long an endpoint is avoided that reports itself unwell or does not answer.
 	// It is short, since the report may be wrong.
-	unwellPause = 500 * time.Millisecond
+	unhealthyPause = 500 * time.Millisecond
 )
 
 // expireLoadProbes continues the probe rounds whose endpoints did not answer in time.
@@ -253,7 +253,7 @@
 	}
 	r.noRoom++
 	if !r.late {
-		r.pool.learned.NoteShort(now)
+		r.pool.placementState.NoteShort(now)
 	}
 	r.pool.probeAgainAt = now + probeRoundGap
 	c.enqueue(now, r, out)
@@ -261,7 +261,7 @@
 
 // anyAnswered reports whether any endpoint probed in this round reported its load.
 func (c *Core) anyAnswered(r *request) bool {
-	for _, i := range r.probeRound.asked {
+	for _, i := range r.probeRound.probed {
 		if i < len(r.pool.Endpoints) {
 			if l := &r.pool.Endpoints[i].Probed; l.Seen && l.At >= r.probeRound.began {
 				return true
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -47,7 +47,7 @@
 			r.service.work.Observe(a.latency(now))
 		}
 		if a.fillsEndpoint {
-			p.learned.NoteSlowdown(a.latency(now), r.service.work.Typical())
+			p.placementState.NoteSlowdown(a.latency(now), r.service.work.Typical())
 		}
 		p.noteServiceTime(now - a.sentAt)
 	}
@@ -59,10 +59,10 @@
 	failed := o != health.Answered && o != health.RefusedNotRun && o != health.ConnSilent
 	placement.NoteOutcome(now, e, failed)
 	if o == health.ConnectFailed && end.DialFailed {
-		r.pool.learned.NoteContact(now, e.Domain, false)
+		r.pool.placementState.NoteContact(now, e.Domain, false)
 	}
 	if o == health.ConnectFailed || o == health.RefusedNotRun {
-		e.AvoidUntil = max(e.AvoidUntil, now+unwellPause)
+		e.AvoidUntil = max(e.AvoidUntil, now+unhealthyPause)
 	}
 	if end.Kind == EndComplete {
 		r.service.noteSize(end.Bytes)
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -11,22 +11,22 @@
 // returns the share of them that were answered within their objective. The work of a request
 // varies.
 func shareInTime(t *testing.T) float64 {
-	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
+	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	works := []time.Duration{70 * ms, 130 * ms, 100 * ms, 85 * ms, 115 * ms}
-	y.serviceTime, y.endpointsQueue = works[2], true
+	h.serviceTime, h.endpointsQueue = works[2], true
 	for range 20 {
-		y.sendRequest(route.Idempotent, 3*sec)
-		y.run(100 * ms)
+		h.sendRequest(route.Idempotent, 3*sec)
+		h.run(100 * ms)
 	}
-	y.traces = nil
+	h.traces = nil
 	const requests, every = 300, 11 * ms
 	for i := range requests {
-		y.serviceTime = works[i%len(works)]
-		y.sendRequest(route.Idempotent, 3*sec)
-		y.run(every)
+		h.serviceTime = works[i%len(works)]
+		h.sendRequest(route.Idempotent, 3*sec)
+		h.run(every)
 	}
-	y.run(sec)
-	return 1 - float64(len(y.traces))/requests
+	h.run(sec)
+	return 1 - float64(len(h.traces))/requests
 }
 
 // For some seconds callers send 1.5 times the requests that the endpoints can run. If the entry
--- a/internal/core/owndomain_test.go
+++ b/internal/core/owndomain_test.go
@@ -14,38 +14,38 @@
 // be in time, and do not delay other requests; then they go to another domain.
 func TestUploadsWaitForTheirOwnDomain(t *testing.T) {
 	near, far := &simEndpoint{name: "near", domain: "d0"}, idleEndpoints(3, "d1")
-	y := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
-	y.learnServiceTime(12)
+	h := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
+	h.learnServiceTime(12)
 	for range 8 {
-		id := y.sendRequest(route.Upload, 3*sec)
-		y.run(100 * ms)
-		y.answer(id, 1, 200)
+		id := h.sendRequest(route.Upload, 3*sec)
+		h.run(100 * ms)
+		h.answer(id, 1, 200)
 	}
-	for _, sv := range y.serviceRows {
+	for _, sv := range h.serviceRows {
 		if sv.policy.Kind == profile.Bulk {
 			sv.kilobytes = 60
 		}
 	}
-	y.sent = nil
+	h.sent = nil
 	near.running, near.waiting = 2, 1
-	first := y.sendRequest(route.Upload, 3*sec)
-	read := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(60 * ms)
-	if len(y.open[first]) > 0 {
-		t.Fatalf("the upload was sent to %v at once", y.sent)
+	first := h.sendRequest(route.Upload, 3*sec)
+	read := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(60 * ms)
+	if len(h.open[first]) > 0 {
+		t.Fatalf("the upload was sent to %v at once", h.sent)
 	}
-	if y.open[read][1].Endpoint == "" {
+	if h.open[read][1].Endpoint == "" {
 		t.Error("the read after the upload had to wait")
 	}
 	near.running, near.waiting = 0, 0
-	y.run(40 * ms)
-	if got := y.open[first][1].Endpoint; got != "near" {
+	h.run(40 * ms)
+	if got := h.open[first][1].Endpoint; got != "near" {
 		t.Errorf("the upload was sent to %q, want near", got)
 	}
 	near.running, near.waiting = 2, 1
-	second := y.sendRequest(route.Upload, 3*sec)
-	y.run(160 * ms)
-	if got := y.open[second][1].Endpoint; !strings.HasPrefix(got, "d1") {
-		t.Errorf("after 160 ms the upload was sent to %q, want an endpoint of d1: %+v", got, y.replies[second])
+	second := h.sendRequest(route.Upload, 3*sec)
+	h.run(160 * ms)
+	if got := h.open[second][1].Endpoint; !strings.HasPrefix(got, "d1") {
+		t.Errorf("after 160 ms the upload was sent to %q, want an endpoint of d1: %+v", got, h.replies[second])
 	}
 }
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -40,7 +40,7 @@
 // leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
 // own domain. A request that can probe all endpoints of the own domain does that first.
 func (v *View) leavesOwnDomain() bool {
-	if !v.Learned.isShort(v.Now) || !v.Learned.isBusy(v.Now, v.Domain) {
+	if !v.PoolState.isShort(v.Now) || !v.PoolState.isBusy(v.Now, v.Domain) {
 		return false
 	}
 	near := 0
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -60,11 +60,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := manyDomains(c.own)
 			for i := range c.probes {
-				v.Learned.NoteRoom(v.Now, &c.probes[i])
+				v.PoolState.NoteRoom(v.Now, &c.probes[i])
 			}
 			v.Now += c.later
 			if c.short {
-				v.Learned.NoteShort(v.Now)
+				v.PoolState.NoteShort(v.Now)
 			}
 			// Two thirds of the endpoints are in other domains.
 			if share := v.shareElsewhere(); c.left && share < 0.5 || !c.left && share > 0 {
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -92,12 +92,12 @@
 func (v *View) worthwhile(e *table.Endpoint, expected time.Duration) bool {
 	r := &v.Request
 	switch {
-	case v.Now+expected >= r.Deadline, v.Learned.overfills(v.Now, e):
+	case v.Now+expected >= r.Deadline, v.PoolState.overfills(v.Now, e):
 		return false
 	case r.Objective == 0:
 		return true
 	case r.Late:
-		return !v.Learned.isShort(v.Now) && e.HasRoom() && (!MakesNearlyFull(e) || v.Learned.slowdown < littleSlowdown) && Pace(&e.Probed) < SlowPace
+		return !v.PoolState.isShort(v.Now) && e.HasRoom() && (!MakesNearlyFull(e) || v.PoolState.slowdown < littleSlowdown) && Pace(&e.Probed) < SlowPace
 	}
 	return v.Now+expected <= r.FirstTry+r.Objective
 }
--- a/internal/core/placement/domain.go
+++ b/internal/core/placement/domain.go
@@ -30,7 +30,7 @@
 }
 
 func (v *View) anyUsableNearby() bool {
-	if v.Learned.isLost(v.Now, v.Domain) {
+	if v.PoolState.isLost(v.Now, v.Domain) {
 		return false
 	}
 	for i := range v.Endpoints {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -74,8 +74,8 @@
 	// Domain is the entry's own failure domain.
 	Domain string
 	*table.Pool
-	// Learned is what the entry has learned about the pool.
-	Learned *PoolState
+	// PoolState is what the entry has learned about the pool.
+	PoolState *PoolState
 	// SlotTime is the usual time for which requests occupy a slot of a full endpoint.
 	SlotTime time.Duration
 	// Rand decides between equal endpoints.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -16,7 +16,7 @@
 func viewOf(endpoints ...table.Endpoint) *View {
 	now := 10 * time.Second
 	pool := NewPoolState()
-	return &View{Now: now, Domain: "a", Pool: &table.Pool{Endpoints: endpoints}, Learned: &pool, SlotTime: 150 * ms, Rand: rand.New(rand.NewPCG(1, 2)),
+	return &View{Now: now, Domain: "a", Pool: &table.Pool{Endpoints: endpoints}, PoolState: &pool, SlotTime: 150 * ms, Rand: rand.New(rand.NewPCG(1, 2)),
 		Request: Request{Arrived: now, FirstTry: now, Deadline: now + 1500*ms, Objective: 400 * ms, Work: 130 * ms, Kilobytes: 0.8, RoundStart: now}}
 }
 
@@ -136,7 +136,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := viewOf(endpoint("a", c.running, c.slots, 100, 0))
 			for range 50 {
-				v.Learned.NoteSlowdown(time.Duration(c.times*float64(v.Request.Work)), v.Request.Work)
+				v.PoolState.NoteSlowdown(time.Duration(c.times*float64(v.Request.Work)), v.Request.Work)
 			}
 			if got := v.Best().Worthwhile; got != c.want {
 				t.Errorf("sent there: %v", got)
@@ -155,7 +155,7 @@
 		late, want bool
 	}{{50 * ms, true, false}, {50 * ms, false, true}, {300 * ms, true, true}} {
 		v := viewOf(endpoint("a", 1, 6, 100, 0))
-		v.Learned.NoteShort(v.Now - c.ago)
+		v.PoolState.NoteShort(v.Now - c.ago)
 		v.Request.Late = c.late
 		if got := v.Best().Worthwhile; got != c.want {
 			t.Errorf("short %v ago, late %v: sent there %v", c.ago, c.late, got)
@@ -187,9 +187,9 @@
 func TestFullnessMatchesPlacement(t *testing.T) {
 	v := viewOf(endpoint("a", 4, 6, 100, ms), endpoint("a", 3, 6, 100, ms), endpoint("a", 6, 6, 100, ms), endpoint("a", 6, 6, 100, 2*time.Second))
 	for range 50 {
-		v.Learned.NoteSlowdown(2*v.Request.Work, v.Request.Work)
+		v.PoolState.NoteSlowdown(2*v.Request.Work, v.Request.Work)
 	}
-	live, known, full := v.Learned.Fullness(v.Now, v.Endpoints)
+	live, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
 	if live != 4 || known != 3 || full != 2 || !v.Crowded() {
 		t.Errorf("%d live, %d known, %d full, crowded %v", live, known, full, v.Crowded())
 	}
@@ -200,7 +200,7 @@
 // requests. Each of 57 entries filled them at the start of the burst, and they stayed full for as
 // long as the load lasted. One request per fillTrialEvery tries a nearly full endpoint until there
 // are enough measurements; then the measured slowdown decides, also where it is none.
-func TestFillingIsMeasuredBeforeItIsUsed(t *testing.T) {
+func TestSlowdownIsMeasuredBeforeEndpointsAreFilled(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		times float64
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -47,7 +47,7 @@
 // prefersConnected reports whether endpoints with a connection rank first in this choice. They
 // don't where requests find no room: each entry would then find its own endpoints full.
 func (v *View) prefersConnected() bool {
-	return !v.Learned.isShort(v.Now) && v.Rand.Float64() >= otherShare
+	return !v.PoolState.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
 
 // busySlotTimes, multiplied by the time in which an endpoint usually frees a slot, is how long a
@@ -98,7 +98,7 @@
 		weight := 1 - float64(age)/float64(RememberedFor)
 		rank += weight * (rankFull*float64(e.Probed.Running+e.Probed.Waiting)/slots + rankPace*(Pace(&e.Probed)-1))
 	}
-	if v.Learned.isLost(v.Now, e.Domain) {
+	if v.PoolState.isLost(v.Now, e.Domain) {
 		rank += rankLost
 	}
 	switch {
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -166,6 +166,6 @@
 // them without a probe would queue there, and all later requests, which could have waited in the
 // entry for the first free slot, would find the endpoints full.
 func (v *View) Crowded() bool {
-	_, known, full := v.Learned.Fullness(v.Now, v.Endpoints)
+	_, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
 	return known > 0 && full*2 >= known
 }
--- a/internal/core/placement/servicetime.go
+++ b/internal/core/placement/servicetime.go
@@ -28,7 +28,7 @@
 	work := float64(v.Request.Work)
 	after := float64(v.ServiceTime(e))
 	if MakesNearlyFull(e) {
-		after += (v.Learned.slowdown - 1) * work
+		after += (v.PoolState.slowdown - 1) * work
 	}
 	after += e.CurrentDoubt(v.Now) * 2 * work
 	if v.Now < e.AvoidUntil || e.Missing {
@@ -46,7 +46,7 @@
 	load, slots := e.Probed.Load(), max(1, e.Probed.Slots)
 	own, wait := float64(v.Request.Work), 0.0
 	if makesNearlyFull(load, slots) {
-		own *= v.Learned.slowdown
+		own *= v.PoolState.slowdown
 	}
 	if ahead := load - slots + 1; ahead > 0 {
 		wait = float64(v.SlotTime) * pace * (float64(ahead-1) + remainingSlotShare) / float64(slots)
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -13,20 +13,20 @@
 // Guards against an entry that reports itself behind forever: it once read an unreadable text from
 // the platform, does not read the platform any more, and has a later revision from a peer.
 func TestEntryIsNotBehindOnceUnreadableTextIsReplaced(t *testing.T) {
-	y := newEntryHarness(t, idleEndpoints(1, "d0")...)
-	y.publish(1, harnessRoutes())
-	reason := func() Reason { return y.AdmitRoute("nowhere", "/x").Reason }
+	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
+	h.publish(1, harnessRoutes())
+	reason := func() Reason { return h.AdmitRoute("nowhere", "/x").Reason }
 	if got := reason(); got != ReasonUnknownService {
 		t.Fatalf("before the unreadable text: %v", got)
 	}
-	y.do(func(out *Actions) { y.Unreadable(published.ProfilesValue, errors.New("cut short"), out) })
+	h.do(func(out *Actions) { h.Unreadable(published.ProfilesValue, errors.New("cut short"), out) })
 	if got := reason(); got != ReasonBehind {
 		t.Errorf("while the platform's text is unreadable: %v", got)
 	}
-	bound := y.snapshot
-	y.do(func(out *Actions) {
+	bound := h.snapshot
+	h.do(func(out *Actions) {
 		mark := message.Mark{Revision: 2, Digest: 2}
-		y.Offer(y.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: bound}, out)
+		h.Offer(h.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: bound}, out)
 	})
 	if got := reason(); got != ReasonUnknownService {
 		t.Errorf("with a later revision from a peer: %v", got)
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -78,7 +78,7 @@
 	if slots <= 0 || sum <= 0 {
 		return time.Duration(p.serviceNanos)
 	}
-	return time.Duration(p.learned.Slowdown() * sum / slots)
+	return time.Duration(p.placementState.Slowdown() * sum / slots)
 }
 
 // estimateAge estimates how long ago the caller first tried: most callers of a service start with
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -13,24 +13,24 @@
 // once.
 func TestFullEndpointsGetNoQueue(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(8)
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(8)
 	setLoad(endpoints, 2, 1)
 	var ids []RequestID
 	for range 6 {
-		ids = append(ids, y.sendRequest(route.Idempotent, 3*sec))
-		y.run(10 * ms)
+		ids = append(ids, h.sendRequest(route.Idempotent, 3*sec))
+		h.run(10 * ms)
 	}
-	if len(y.sent) > 0 {
-		t.Fatalf("requests were sent to full endpoints: %v", y.sent)
+	if len(h.sent) > 0 {
+		t.Fatalf("requests were sent to full endpoints: %v", h.sent)
 	}
 	endpoints[1].running, endpoints[1].waiting = 0, 0
-	y.run(100 * ms)
-	if len(y.sent) == 0 || y.sent[0] != endpoints[1].name {
-		t.Fatalf("a free slot was not used: %v", y.sent)
+	h.run(100 * ms)
+	if len(h.sent) == 0 || h.sent[0] != endpoints[1].name {
+		t.Fatalf("a free slot was not used: %v", h.sent)
 	}
-	if y.replies[ids[0]].Reason != ReasonNone {
-		t.Errorf("the first request was refused: %v", y.replies[ids[0]].Reason)
+	if h.replies[ids[0]].Reason != ReasonNone {
+		t.Errorf("the first request was refused: %v", h.replies[ids[0]].Reason)
 	}
 }
 
@@ -39,28 +39,28 @@
 // Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(8)
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(8)
 	setLoad(endpoints, 2, 4)
-	began := y.now
+	began := h.now
 	var ids []RequestID
 	for range 4 {
-		ids = append(ids, y.sendRequest(route.Idempotent, 3*sec))
+		ids = append(ids, h.sendRequest(route.Idempotent, 3*sec))
 	}
-	y.run(700 * ms)
+	h.run(700 * ms)
 	delays := map[time.Duration]bool{}
 	for _, id := range ids {
-		d, ok := y.replies[id]
+		d, ok := h.replies[id]
 		if !ok || d.Outcome != OutcomeNotRun || d.RetryAfter <= 0 || d.RetryAfter > sec {
-			t.Fatalf("request %d after %v: %+v", id, y.now-began, d)
+			t.Fatalf("request %d after %v: %+v", id, h.now-began, d)
 		}
 		delays[d.RetryAfter] = true
 	}
 	if len(delays) < 3 {
 		t.Errorf("too few different Retry-After values: %v", delays)
 	}
-	if len(y.sent) != 0 {
-		t.Errorf("requests were sent to full endpoints: %v", y.sent)
+	if len(h.sent) != 0 {
+		t.Errorf("requests were sent to full endpoints: %v", h.sent)
 	}
 }
 
@@ -68,19 +68,19 @@
 // slot from a request that can still be in time, although it is older.
 func TestInTimeRequestsGoBeforeLateOnes(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(12)
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(12)
 	setLoad(endpoints, 2, 1)
-	late := y.sendRequest(route.Idempotent, 3*sec-900*ms)
-	y.run(20 * ms)
-	inTime := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(20 * ms)
+	late := h.sendRequest(route.Idempotent, 3*sec-900*ms)
+	h.run(20 * ms)
+	inTime := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(20 * ms)
 	endpoints[0].running, endpoints[0].waiting = 1, 0
-	y.run(80 * ms)
-	if len(y.open[inTime]) == 0 {
+	h.run(80 * ms)
+	if len(h.open[inTime]) == 0 {
 		t.Error("the request that can be in time was not sent")
 	}
-	if len(y.open[late]) > 0 {
+	if len(h.open[late]) > 0 {
 		t.Error("the late request was sent first")
 	}
 }
@@ -96,27 +96,27 @@
 		most    time.Duration
 	}{{"endpoints with room", 0, shortRetryMost}, {"full endpoints", 2, retryMost}} {
 		endpoints := idleEndpoints(4, "d0")
-		y := newEntryHarness(t, endpoints...)
-		y.learnServiceTime(12)
-		y.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // an exhausted budget
+		h := newEntryHarness(t, endpoints...)
+		h.learnServiceTime(12)
+		h.poolRows[0].repeats = budget.NewRepeats(budget.RepeatBound{Share: 1e-6, Window: 10 * sec}, 1, 0) // an exhausted budget
 		delays := map[time.Duration]bool{}
 		for range 8 {
-			id := y.sendRequest(route.NonIdempotent, 3*sec)
-			y.run(5 * ms)
+			id := h.sendRequest(route.NonIdempotent, 3*sec)
+			h.run(5 * ms)
 			for _, b := range endpoints {
 				b.running, b.waiting = c.running, c.running
 			}
-			p := y.poolRows[0]
+			p := h.poolRows[0]
 			for i := range p.Endpoints {
-				p.Endpoints[i].NoteProbed(probedLoadOf(y.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
+				p.Endpoints[i].NoteProbed(probedLoadOf(h.now, Load{Known: true, InFlight: c.running, Queued: c.running, Slots: 2, Pace: 100}))
 			}
-			y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
-			d := y.replies[id]
+			h.do(func(out *Actions) { h.End(h.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
+			d := h.replies[id]
 			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
 			delays[d.RetryAfter] = true
-			y.run(600 * ms)
+			h.run(600 * ms)
 			setLoad(endpoints, 0, 0)
 		}
 		if len(delays) < 4 {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -156,7 +156,7 @@
 	sv.demand.Add(now, sv.expectedWork())
 	r := c.newRequest(now, a, sv)
 	r.pool.repeats.Request(now)
-	r.pool.learned.NoteArrival(now)
+	r.pool.placementState.NoteArrival(now)
 	r.pool.loadProbes.Request(loadProbeEarnFactor * r.policy.LoadProbes)
 	if !c.admitKey(now, r, out) {
 		return
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -90,9 +90,9 @@
 	loadless int
 	// probePath is the path at which the endpoints report their load, "" for the contract's path.
 	probePath string
-	// learned is what package placement has learned of the endpoints.
-	learned placement.PoolState
-	cold    coldOwners
+	// placementState is what package placement has learned of the endpoints.
+	placementState placement.PoolState
+	cold           coldOwners
 	// limited counts the endpoints with a rate limit.
 	limited int
 }
@@ -199,10 +199,10 @@
 			ProbeCost:    c.cfg.ProbeCost,
 			LargestFleet: c.cfg.LargestFleet,
 		}),
-		serviceNanos: float64(initialServiceTime),
-		repeats:      budget.NewRepeats(c.cfg.Repeats, c.cfg.LargestFleet, 0),
-		loadProbes:   budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
-		learned:      placement.NewPoolState(),
+		serviceNanos:   float64(initialServiceTime),
+		repeats:        budget.NewRepeats(c.cfg.Repeats, c.cfg.LargestFleet, 0),
+		loadProbes:     budget.NewLoadProbes(c.cfg.LoadProbesPerEndpoint),
+		placementState: placement.NewPoolState(),
 	}
 	p.repeats.SetFleet(c.fleet.maxEntriesSeen)
 	c.pools[name] = p
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -151,7 +151,7 @@
 	case !loadKnown:
 		// Silence counts only if the endpoint was probed: the bound on load probes may have denied
 		// the probe.
-		return slices.Contains(r.probeRound.asked, a.index)
+		return slices.Contains(r.probeRound.probed, a.index)
 	case e.Probed.Load() == 0:
 		return true // the endpoint has no request, so it lost this one
 	}
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -31,16 +31,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			endpoints := idleEndpoints(4, "d0")
-			y := newEntryHarness(t, endpoints...)
-			y.learnServiceTime(12)
-			id := y.sendRequest(c.kind, 3*sec)
-			y.run(20 * ms)
-			first := y.endpoint(y.open[id][1].Endpoint)
+			h := newEntryHarness(t, endpoints...)
+			h.learnServiceTime(12)
+			id := h.sendRequest(c.kind, 3*sec)
+			h.run(20 * ms)
+			first := h.endpoint(h.open[id][1].Endpoint)
 			others := slices.DeleteFunc(slices.Clone(endpoints), func(b *simEndpoint) bool { return b == first })
 			c.happen(first, others)
-			y.run(320 * ms)
-			if len(y.sent) != c.want || c.want == 2 && y.sent[1] == first.name {
-				t.Errorf("attempts sent to %v, want %d attempts", y.sent, c.want)
+			h.run(320 * ms)
+			if len(h.sent) != c.want || c.want == 2 && h.sent[1] == first.name {
+				t.Errorf("attempts sent to %v, want %d attempts", h.sent, c.want)
 			}
 		})
 	}
@@ -50,14 +50,14 @@
 // is earned by successes is empty at that time, and the read would fail although an idle endpoint
 // is available and the fleet is far below its bound of repeats.
 func TestFirstRequestsOfNewEntryAreRepeated(t *testing.T) {
-	y := newEntryHarness(t, idleEndpoints(3, "d0")...)
-	id := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(20 * ms)
-	y.do(func(out *Actions) { y.End(y.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
-	delete(y.open[id], 1)
-	y.run(20 * ms)
-	if len(y.open[id]) != 1 {
-		t.Errorf("the request was not repeated: %+v", y.replies[id])
+	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
+	id := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(20 * ms)
+	h.do(func(out *Actions) { h.End(h.now, End{ID: id, Attempt: 1, Kind: EndLost, Replayable: true}, out) })
+	delete(h.open[id], 1)
+	h.run(20 * ms)
+	if len(h.open[id]) != 1 {
+		t.Errorf("the request was not repeated: %+v", h.replies[id])
 	}
 }
 
@@ -65,17 +65,17 @@
 // that runs one of them is not probed. Its lack of a report must not count as silence.
 func TestUnprobedEndpointIsNotSilent(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(12)
-	id := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(120 * ms)
-	r := y.requests[id]
-	r.probeRound = loadProbeRound{began: y.now, second: true, active: true}
-	if y.overdue(y.now, r, 100*ms) {
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(12)
+	id := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(120 * ms)
+	r := h.requests[id]
+	r.probeRound = loadProbeRound{began: h.now, second: true, active: true}
+	if h.overdue(h.now, r, 100*ms) {
 		t.Error("the attempt is overdue although its endpoint was not probed")
 	}
-	r.probeRound.asked = append(r.probeRound.asked, r.attempts[1].index)
-	if !y.overdue(y.now, r, 100*ms) {
+	r.probeRound.probed = append(r.probeRound.probed, r.attempts[1].index)
+	if !h.overdue(h.now, r, 100*ms) {
 		t.Error("the attempt is not overdue although its endpoint was probed and is silent")
 	}
 }
@@ -85,17 +85,17 @@
 // at a slow pace that no load probe showed is overdue at twice its expected duration.
 func TestRunningRequestKeepsItsPace(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(12)
-	y.sendRequest(route.Idempotent, 3*sec)
-	y.run(20 * ms)
-	y.endpoint(y.sent[0]).pace = 500
-	y.run(130 * ms)
-	if len(y.sent) != 1 {
-		t.Errorf("a second attempt was sent at 1.5 times the usual work: %v", y.sent)
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(12)
+	h.sendRequest(route.Idempotent, 3*sec)
+	h.run(20 * ms)
+	h.endpoint(h.sent[0]).pace = 500
+	h.run(130 * ms)
+	if len(h.sent) != 1 {
+		t.Errorf("a second attempt was sent at 1.5 times the usual work: %v", h.sent)
 	}
-	y.run(100 * ms)
-	if len(y.sent) != 2 {
-		t.Errorf("no second attempt was sent at 2.5 times the usual work: %v", y.sent)
+	h.run(100 * ms)
+	if len(h.sent) != 2 {
+		t.Errorf("no second attempt was sent at 2.5 times the usual work: %v", h.sent)
 	}
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -96,7 +96,7 @@
 		Outcome: r.outcome, Reason: r.reason, Status: r.status, RetryAfter: r.retryAfter, CallerGone: r.callerGone,
 		CallerAge: r.age, Took: took, Objective: r.policy.Objective, LoadProbes: r.loadProbes, NoRoom: r.noRoom, Late: r.late, Sampled: sampled,
 	}
-	trace.Endpoints, _, trace.Full = r.pool.learned.Fullness(c.now, r.pool.Endpoints)
+	trace.Endpoints, _, trace.Full = r.pool.placementState.Fullness(c.now, r.pool.Endpoints)
 	trace.Queued = r.pool.queue.Len()
 	for i := Attempt(1); i <= r.dispatches; i++ {
 		trace.Attempts = append(trace.Attempts, c.traceAttempt(r, &r.attempts[i]))
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -143,8 +143,8 @@
 	// For is how much longer no ordinary work is sent, TrialIn the time until the next trial
 	// request is allowed.
 	For, TrialIn time.Duration
-	// InARow counts ejections in a row.
-	InARow int
+	// Consecutive counts ejections in a row.
+	Consecutive int
 }
 
 // EntryView describes an entry with its last reported state.
@@ -341,11 +341,11 @@
 	}
 	why := c.explained.ejections[poolRow{p, index}]
 	return &EjectionView{
-		Why:     why.Why,
-		Clears:  why.Clears,
-		For:     max(0, e.Health.EjectedUntil-now),
-		TrialIn: max(0, e.Health.TrialAt-now),
-		InARow:  max(1, int(e.Health.Ejections)),
+		Why:         why.Why,
+		Clears:      why.Clears,
+		For:         max(0, e.Health.EjectedUntil-now),
+		TrialIn:     max(0, e.Health.TrialAt-now),
+		Consecutive: max(1, int(e.Health.Ejections)),
 	}
 }
 
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -10,7 +10,7 @@
 // At endpoints that slow down when they are full, two requests that share an endpoint both lose
 // most of their objective. The pool learns that from answers, and a request that would be late
 // there waits for an idle endpoint.
-func TestSlotSharingCostIsLearned(t *testing.T) {
+func TestSlowdownAtSharedEndpointIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
@@ -21,23 +21,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			endpoints := idleEndpoints(1, "d0")
-			y := newEntryHarness(t, endpoints...)
-			y.learnServiceTime(8)
+			h := newEntryHarness(t, endpoints...)
+			h.learnServiceTime(8)
 			for range 40 {
 				endpoints[0].running = 1
-				id := y.sendRequest(route.Idempotent, 3*sec)
-				y.run(20 * ms)
-				if len(y.open[id]) == 0 {
+				id := h.sendRequest(route.Idempotent, 3*sec)
+				h.run(20 * ms)
+				if len(h.open[id]) == 0 {
 					break
 				}
-				y.run(c.took)
-				y.answer(id, 1, 200)
+				h.run(c.took)
+				h.answer(id, 1, 200)
 			}
 			endpoints[0].running = 1
-			id := y.sendRequest(route.Idempotent, 3*sec)
-			y.run(20 * ms)
-			if got := len(y.open[id]) > 0; got != c.wants {
-				t.Errorf("sent to an endpoint with another request: %v, want %v (sharing factor %.2f)", got, c.wants, y.pools["p"].learned.Slowdown())
+			id := h.sendRequest(route.Idempotent, 3*sec)
+			h.run(20 * ms)
+			if got := len(h.open[id]) > 0; got != c.wants {
+				t.Errorf("sent to an endpoint with another request: %v, want %v (sharing factor %.2f)", got, c.wants, h.pools["p"].placementState.Slowdown())
 			}
 		})
 	}
@@ -50,18 +50,18 @@
 func TestRequestWaitsForSlowVMToRecover(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
 		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
-		y := newEntryHarness(t, idle, full)
-		y.learnServiceTime(12)
+		h := newEntryHarness(t, idle, full)
+		h.learnServiceTime(12)
 		idle.pace, full.running, full.waiting = 500, 2, 1
-		id := y.sendRequest(route.Idempotent, left)
-		y.run(70 * ms)
-		if len(y.sent) != 0 {
-			t.Errorf("request with %v left was sent to %v", left, y.sent)
+		id := h.sendRequest(route.Idempotent, left)
+		h.run(70 * ms)
+		if len(h.sent) != 0 {
+			t.Errorf("request with %v left was sent to %v", left, h.sent)
 		}
 		idle.pace = 100
-		y.run(70 * ms)
-		if d, open := y.open[id][1]; !open || d.Endpoint != "idle" {
-			t.Errorf("request with %v left was not sent after the VM recovered: %+v", left, y.replies[id])
+		h.run(70 * ms)
+		if d, open := h.open[id][1]; !open || d.Endpoint != "idle" {
+			t.Errorf("request with %v left was not sent after the VM recovered: %+v", left, h.replies[id])
 		}
 	}
 }
@@ -72,25 +72,25 @@
 // takes the first slot that becomes free at any endpoint.
 func TestNoWaitBehindLongRequests(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
-	y := newEntryHarness(t, endpoints...)
-	y.learnServiceTime(12)
+	h := newEntryHarness(t, endpoints...)
+	h.learnServiceTime(12)
 	for range 12 {
-		id := y.sendRequest(route.NonIdempotent, 3*sec)
-		y.run(600 * ms)
-		y.answer(id, 1, 200)
+		id := h.sendRequest(route.NonIdempotent, 3*sec)
+		h.run(600 * ms)
+		h.answer(id, 1, 200)
 	}
-	y.sent = nil
+	h.sent = nil
 	for _, b := range endpoints {
 		b.running = 2
 	}
-	short := y.sendRequest(route.Idempotent, 3*sec)
-	y.run(50 * ms)
-	if len(y.sent) != 0 {
-		t.Fatalf("the request was sent to a full endpoint: %v", y.sent)
+	short := h.sendRequest(route.Idempotent, 3*sec)
+	h.run(50 * ms)
+	if len(h.sent) != 0 {
+		t.Fatalf("the request was sent to a full endpoint: %v", h.sent)
 	}
 	endpoints[1].running = 0
-	y.run(60 * ms)
-	if d := y.open[short][1]; d.Endpoint != endpoints[1].name {
-		t.Errorf("the free slot was not used: %+v", y.replies[short])
+	h.run(60 * ms)
+	if d := h.open[short][1]; d.Endpoint != endpoints[1].name {
+		t.Errorf("the free slot was not used: %+v", h.replies[short])
 	}
 }
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -220,7 +220,7 @@
 			Why:     ejection.Why,
 			For:     ejection.For.Seconds(),
 			TrialIn: ejection.TrialIn.Seconds(),
-			InARow:  ejection.InARow,
+			InARow:  ejection.Consecutive,
 			Clears:  ejection.Clears,
 		}
 	}
