--- a/internal/core/budget/healthprobes.go
+++ b/internal/core/budget/healthprobes.go
@@ -33,7 +33,7 @@
 // The bucket starts empty and its capacity is the cost of one probe. A process that runs for the
 // time t of a window therefore spends at most the rate times t, plus the cost of one probe if it ran
 // before the window began. At most LargestFleet processes ran at that time. Each entry's rate is its
-// share of the budget less ProbeCost/Window, which pays for that one probe. Any number of restarts
+// share of the budget less ProbeCost/Window, which covers that one probe. Any number of restarts
 // adds nothing, because the successor of an ended process starts with an empty bucket.
 type HealthProbes struct {
 	config HealthProbeConfig
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,7 +30,7 @@
 	// suspended, so that its knowledge of other entries and endpoints is stale.
 	pauseGap = time.Second
 	// lateTick is the time between two ticks of a busy entry from which a tick counts as late: ten
-	// times the usual distance.
+	// times the usual interval.
 	lateTick = 150 * time.Millisecond
 	// defaultCallsPerSecond is the capacity of a small entry VM.
 	defaultCallsPerSecond = 5000
@@ -76,8 +76,8 @@
 	// CheckEvery is the shortest time between two reads of the platform by an entry that relies on
 	// other readers; 0 means the default of package assign.
 	CheckEvery time.Duration
-	// FirstStart says that the whole fleet starts for the first time, and that no caller comes for
-	// seconds.
+	// FirstStart says that the whole fleet starts for the first time, and that callers send nothing
+	// in the first seconds.
 	FirstStart bool
 	// StartFetchDelay is how long this entry waits after its start before it asks the platform:
 	// peers may already have what it needs, or may be reading it.
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -13,10 +13,10 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// An attempt that ends with a broken connection says little: endpoints also reset connections that
-// are idle or too many. The entry sends the endpoint a crash probe at once. An endpoint that
-// refuses the connection has crashed, and the fleet is notified of the request that it was running
-// (package quarantine).
+// A broken connection does not prove that the endpoint crashed: endpoints also reset idle
+// connections, and connections beyond their limit. The entry sends the endpoint a crash probe at
+// once. An endpoint that refuses the connection has crashed, and the fleet is notified of the
+// request that it was running (package quarantine).
 const (
 	// maxBroken bounds the broken attempts whose endpoint awaits a crash probe.
 	maxBroken = 256
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -232,7 +232,7 @@
 	Endpoint    string
 	Incarnation uint64
 	Address     string
-	// Path is the path at which the endpoint reports its load; empty for the path of the contract.
+	// Path is the path at which the endpoint reports its load; empty for contract.ProbePath.
 	Path    string
 	Request RequestID
 	Round   uint32
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -40,7 +40,7 @@
 	nextCheck        time.Duration
 	// evacuated lists the failure domains whose endpoints get no new work.
 	evacuated []Evacuation
-	// rememberedEntry are the entries that count for the ownership of cold endpoints, by assignID, as of
+	// remembered are the entries that count for the ownership of cold endpoints, by assignID, as of
 	// rememberedVersion of the entries. settled says that this entry knows the state of the others.
 	remembered        map[uint64]rememberedEntry
 	rememberedVersion uint64
@@ -258,8 +258,8 @@
 
 // assignInterval is the shortest time between two assignments of services to the entries. A fleet
 // that starts or is replaced changes with each message, and an assignment walks over all entries
-// for each service. Entries whose assignments differ for a moment only send to some of the same
-// endpoints.
+// for each service. While the assignments of entries differ for a moment, the only effect is that
+// more entries than intended send to the same endpoints.
 const assignInterval = 50 * time.Millisecond
 
 // applyChanges carries membership changes into the pools and the audit trail. The table may also
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against a limit that is dropped because of an answer that does not speak of it: a refusal,
+// Guards against a limit that is dropped because of an answer that does not report it: a refusal,
 // a failure, an answer that was under way before, or an answer to a load probe.
 func TestLimitStaysUntilAnAnswerChangesIt(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(2, "d0")...)
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -195,11 +195,11 @@
 }
 
 const (
-	// misdirectedPause is how long an address is avoided at which another endpoint answers. It is
-	// far longer than the platform's list takes to show the change.
+	// misdirectedPause is how long an endpoint is avoided if another endpoint answers at its
+	// address. It is far longer than the platform's list takes to show the change.
 	misdirectedPause = 30 * time.Second
-	// unhealthyPause is how long an endpoint is avoided that reports itself unwell or does not answer.
-	// It is short, since the report may be wrong.
+	// unhealthyPause is how long an endpoint is avoided after it reported itself unhealthy, refused
+	// a request or could not be reached. It is short, since the report may be wrong.
 	unhealthyPause = 500 * time.Millisecond
 )
 
--- a/internal/core/placement/domain.go
+++ b/internal/core/placement/domain.go
@@ -8,9 +8,9 @@
 
 // Some failure domains have only one or two endpoints for uploads of tens of kilobytes. Whenever
 // these are busy, or other VMs slow theirs down for a moment, an upload would go to another domain
-// at once, although its objective leaves time to wait for an endpoint nearby. On Sabra's quiet day
-// such uploads were a quarter of the bytes between domains (price 0.0239 with them, 0.0172
-// without).
+// at once, although its objective leaves time to wait for an endpoint nearby. On a quiet day such
+// uploads were a quarter of the bytes between domains; the price was 0.0239 with them and 0.0172
+// without them.
 
 // minOwnDomainWait is the shortest wait for an endpoint of the own failure domain that is worth
 // its load probes: that of a request and answer of ten kilobytes.
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// loadProbeEarnFactor multiplies the load probes that a request adds to the budget: one part pays
+// loadProbeEarnFactor multiplies the load probes that a request adds to the budget: one part is
 // for the first choice, the other for a second round when there was no room, or for supervision.
 const loadProbeEarnFactor = 2
 
@@ -95,7 +95,7 @@
 // Retry-After of a refusal is random within these bounds, so that callers who were refused together
 // do not return together. After a refusal under load, the bounds give the peak time to pass. If
 // endpoints refused the request although they have room, there is no queue to wait for, and the
-// shorter bounds only let other requests come between.
+// shorter bounds apply, which only let some other requests go first.
 const (
 	retryLeast      = 150 * time.Millisecond
 	retryMost       = 500 * time.Millisecond
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -88,9 +88,9 @@
 	probeAgainAt time.Duration
 	// loadless counts the successive load probes that were answered without a load.
 	loadless int
-	// probePath is the path at which the endpoints report their load, "" for the contract's path.
+	// probePath is the path at which the endpoints report their load, "" for contract.ProbePath.
 	probePath string
-	// placementState is what package placement has learned of the endpoints.
+	// placementState is what package placement has learned about the endpoints.
 	placementState placement.PoolState
 	cold           coldOwners
 	// limited counts the endpoints with a rate limit.
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against callers that crowd at one of two entries which have just restarted and connected:
+// Guards against callers that all use one of two entries which have just restarted and connected:
 // without the state in the hello, each entry names only itself until the other's first heartbeat,
 // half a second later. The hello does not override an update that was sent before it and arrives
 // later.
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against callers that crowd at an entry which has just begun to serve and may know no other
+// Guards against callers that all use an entry which has just begun to serve and may know no other
 // entry yet. Its first answers have a short TTL so that callers ask again soon; later answers have
 // the configured TTL.
 func TestFirstAnswersHaveShortTTL(t *testing.T) {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -112,7 +112,7 @@
 	Policy *profile.Policy
 	// InUse counts the slots in use by attempts, Waiting the requests in the queue.
 	InUse, Waiting int
-	// RetriesLeft is the retry budget left, in attempts. Retries counts the attempts paid from it,
+	// RetriesLeft is the retry budget left, in attempts. Retries counts the attempts spent from it,
 	// and RetriesDenied the attempts that it did not allow.
 	RetriesLeft            float64
 	Retries, RetriesDenied uint64
@@ -143,7 +143,7 @@
 	// For is how much longer no ordinary work is sent, TrialIn the time until the next trial
 	// request is allowed.
 	For, TrialIn time.Duration
-	// Consecutive counts ejections in a row.
+	// Consecutive is the number of consecutive ejections, this one included.
 	Consecutive int
 }
 
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -8,16 +8,16 @@
 )
 
 // At endpoints that slow down when they are full, two requests that share an endpoint both lose
-// most of their objective. The pool learns that from answers, and a request that would be late
-// there waits for an idle endpoint.
+// most of their objective. The entry measures the slowdown by the latency of answers, and a request
+// that would be late there waits for an idle endpoint.
 func TestSlowdownAtSharedEndpointIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
 		wants bool
 	}{
-		{"sharing costs little", 100 * ms, true},
-		{"sharing costs much", 380 * ms, false},
+		{"small slowdown", 100 * ms, true},
+		{"large slowdown", 380 * ms, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			endpoints := idleEndpoints(1, "d0")
@@ -37,7 +37,7 @@
 			id := h.sendRequest(route.Idempotent, 3*sec)
 			h.run(20 * ms)
 			if got := len(h.open[id]) > 0; got != c.wants {
-				t.Errorf("sent to an endpoint with another request: %v, want %v (sharing factor %.2f)", got, c.wants, h.pools["p"].placementState.Slowdown())
+				t.Errorf("sent to an endpoint with another request: %v, want %v (measured slowdown %.2f)", got, c.wants, h.pools["p"].placementState.Slowdown())
 			}
 		})
 	}
