--- a/cmd/tealhallctl/main.go
+++ b/cmd/tealhallctl/main.go
@@ -11,21 +11,21 @@
 	"github.com/tealhall/tealhall/internal/program"
 )
 
-// exitBroken is the exit code of a demo in which a promise was broken. It follows the exit codes of
+// exitViolation is the exit code of a demo in which a promise was broken. It follows the exit codes of
 // package ctl.
-const exitBroken = 5
+const exitViolation = 5
 
 func main() {
 	root := ctl.NewCommand(os.Stdout, os.Stderr)
-	root.Long += fmt.Sprintf("\n  %d  demo: a promise was broken", exitBroken)
+	root.Long += fmt.Sprintf("\n  %d  demo: a promise was broken", exitViolation)
 	root.AddCommand(demo.NewCommand())
 	os.Exit(program.Run(root, exitCode))
 }
 
 func exitCode(err error) int {
-	var broken *demo.ViolationError
-	if errors.As(err, &broken) {
-		return exitBroken
+	var violation *demo.ViolationError
+	if errors.As(err, &violation) {
+		return exitViolation
 	}
 	return ctl.ExitCode(err)
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -139,7 +139,7 @@
 
 // noteTooLarge records that the body failed because it exceeds its limit.
 func (x *exchange) noteTooLarge(err error) {
-	if beyond := (*front.BodyTooLargeError)(nil); !errors.As(err, &beyond) {
+	if bodyErr := (*front.BodyTooLargeError)(nil); !errors.As(err, &bodyErr) {
 		return
 	}
 	x.mu.Lock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -174,8 +174,8 @@
 		Limits:      front.Limits{HeaderBytes: s.Limits.HeaderBytes, HeaderTimeout: s.Timeouts.Header.Duration, Idle: s.Timeouts.Idle.Duration},
 		Allowed:     func() front.Limits { return *e.routeLimits.Load() },
 		TLS:         opts.TLS.Callers,
-		Refuse:      e.refuseShape,
-		MayPipeline: e.mayBeginAhead,
+		Refuse:      e.refuseMalformedHead,
+		MayPipeline: e.mayPipeline,
 	}, e.callerHandler())
 	return e, nil
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -38,10 +38,10 @@
 // tealhall.
 var badRequest = core.Directive{Outcome: core.OutcomeNotRun, Reason: core.ReasonBadRequest}
 
-// refuseShape answers a request with a malformed head.
-func (e *Entry) refuseShape(w http.ResponseWriter, r *http.Request, shape front.Violation) {
+// refuseMalformedHead answers a request with a malformed head.
+func (e *Entry) refuseMalformedHead(w http.ResponseWriter, r *http.Request, violation front.Violation) {
 	e.instruments.countRefusal(badRequest.Reason, badRequest.Outcome)
-	e.replyAs(w, r, badRequest, shape.Status(), shape.String())
+	e.replyAs(w, r, badRequest, violation.Status(), violation.String())
 }
 
 // refuseWith returns a handler that refuses requests to tealhall's own paths.
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -102,9 +102,9 @@
 	return a
 }
 
-// mayBeginAhead reports whether a request may be started before earlier requests on its connection
+// mayPipeline reports whether a request may be started before earlier requests on its connection
 // are answered.
-func (e *Entry) mayBeginAhead(r *http.Request) bool {
+func (e *Entry) mayPipeline(r *http.Request) bool {
 	if strings.HasPrefix(r.URL.Path, contract.ReservedPrefix) || hasKey(r) {
 		return false
 	}
