--- a/client/dial_linux.go
+++ b/client/dial_linux.go
@@ -10,7 +10,7 @@
 // about 15 minutes.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Ignores an error: the deadlines of the requests still apply.
+		// An error is ignored: the deadlines of the requests still apply.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
--- a/cmd/tealhallctl/main.go
+++ b/cmd/tealhallctl/main.go
@@ -11,13 +11,13 @@
 	"github.com/tealhall/tealhall/internal/program"
 )
 
-// exitViolation is the exit code of a demo in which a promise was broken. It follows the exit codes of
+// exitViolation is the exit code of a demo that violated a guarantee. It follows the exit codes of
 // package ctl.
 const exitViolation = 5
 
 func main() {
 	root := ctl.NewCommand(os.Stdout, os.Stderr)
-	root.Long += fmt.Sprintf("\n  %d  demo: a promise was broken", exitViolation)
+	root.Long += fmt.Sprintf("\n  %d  demo: a guarantee was violated", exitViolation)
 	root.AddCommand(demo.NewCommand())
 	os.Exit(program.Run(root, exitCode))
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -63,7 +63,7 @@
 			r.poll()
 		case failure := <-e.Failed():
 			klog.ErrorS(failure, "a server of the entry failed; stopping the entry")
-			// Ignores errCut: stop logs the number of cut requests, and the failure decides the exit code.
+			// errCut is ignored: stop logs the number of cut requests, and the failure decides the exit code.
 			_ = stop(e, "failure", signals)
 			return failure
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -300,7 +300,7 @@
 func listenTCP(address string) (*net.TCPListener, error) {
 	l, err := socket.Listen(address)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "free the port or set another one", "can't listen on %s", address)
+		return nil, fault.Wrap(err, fault.Unavailable, "free the port or set another one", "cannot listen on %s", address)
 	}
 	return l, nil
 }
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// renewWatch renews the watch if it has not delivered, one whole check later, what the platform had
-// at the previous check. Without this, a profile that was published while the platform dropped its
+// renewWatch renews the watch if it still has not delivered the revision that the platform had at
+// the previous check. Without this, a profile that was published while the platform dropped its
 // history came into force only when the watches ran out, 3 s later, and the list had to be read as
 // well.
 func (e *Entry) renewWatch(result published.Liveness) {
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -88,8 +88,8 @@
 
 // An operator publishes a profile at the moment at which the service drops its history. The service
 // forgets the waiting watches but answers new calls: the profile came into force only when the
-// watches ran out, four seconds later on 126 entries. If a check shows a newer revision than the
-// watches have delivered one check later, the watch must be renewed. If the watches deliver all
+// watches ran out, four seconds later on 126 entries. If the watches still have not delivered a
+// revision one check after a check showed it, the watch must be renewed. If the watches deliver all
 // changes, they must be left alone.
 func TestForgottenWatchIsRenewed(t *testing.T) {
 	platform, e, waitFor := newReadingEntry(t)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -33,9 +33,9 @@
 	until := func(step time.Duration) time.Duration { return step - (e.engine.clock() - began) }
 	e.leave("a planned stop")
 	wait.For(ctx, until(plan.askToClose))
-	// From here on only callers with expired directory answers come. Each answer asks its caller to
-	// close the connection, so that the entry seldom has to close an idle connection, on which a
-	// request may be under way.
+	// From here on, only callers with expired directory answers send requests. Each answer asks its
+	// caller to close the connection, so that the entry seldom has to close an idle connection, on
+	// which a request may be under way.
 	e.front.Leave()
 	wait.For(ctx, until(plan.refuseConnections))
 	var running int
--- a/internal/entry/views_concerns.go
+++ b/internal/entry/views_concerns.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// concerns returns everything that is not as it should be, each with the condition or the action
+// concerns returns the conditions that operators should know of, each with the event or the action
 // that clears it. The status is calm when there are none.
 func (f *facts) concerns() []admin.Concern {
 	l := concernList{}
--- a/internal/front/copy_test.go
+++ b/internal/front/copy_test.go
@@ -122,7 +122,7 @@
 	w.WriteHeader(http.StatusRequestEntityTooLarge)
 }
 
-// Sends bodies through front and forward: bodies that fit the buffer, larger ones, ones that exceed
+// Bodies pass through front and forward: bodies that fit the buffer, larger ones, ones that exceed
 // the limit or are malformed, and one to an endpoint that answers before the upload ends.
 func TestBodiesThroughEntry(t *testing.T) {
 	const kept, most = 100, 5000
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -95,7 +95,7 @@
 		return
 	}
 	if r.Method != http.MethodGet {
-		http.Error(w, "values are read-only", http.StatusMethodNotAllowed)
+		http.Error(w, "values can only be read", http.StatusMethodNotAllowed)
 		return
 	}
 	watch, err := parseWatch(r)
