--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -69,7 +69,7 @@
 // that is asked hears the revisions of its neighbours only, so 0 means "none" only for itself.
 func reportedRevision(v *admin.EntryView, n uint64) string {
 	if n == 0 && !v.Self {
-		return "not told"
+		return "not reported"
 	}
 	return revision(n)
 }
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -161,7 +161,7 @@
 		for i := range fields {
 			value, size := binary.Uvarint(b)
 			if size <= 0 {
-				return nil, badUpdate("ends within a sighting")
+				return nil, badUpdate("ends within a load report")
 			}
 			fields[i], b = value, b[size:]
 		}
@@ -169,7 +169,7 @@
 			return nil, badUpdate("refers to endpoint %d of %d", fields[0], len(p.endpoints))
 		}
 		if max(fields[1], fields[2], fields[3]) > math.MaxUint16 {
-			return nil, badUpdate("holds a number beyond its range")
+			return nil, badUpdate("has a number beyond its range")
 		}
 		id := p.endpoints[fields[0]]
 		out = append(out, message.LoadReport{
