--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -174,8 +174,8 @@
 		Limits:      front.Limits{HeaderBytes: s.Limits.HeaderBytes, HeaderTimeout: s.Timeouts.Header.Duration, Idle: s.Timeouts.Idle.Duration},
 		Allowed:     func() front.Limits { return *e.routeLimits.Load() },
 		TLS:         opts.TLS.Callers,
-		Refuse:      e.refuseShape,
-		MayPipeline: e.mayBeginAhead,
+		Refuse:      e.refuseMalformedHead,
+		MayPipeline: e.mayPipeline,
 	}, e.callerHandler())
 	return e, nil
 }
@@ -300,7 +300,7 @@
 func listenTCP(address string) (*net.TCPListener, error) {
 	l, err := socket.Listen(address)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "free the port or set another one", "can't listen on %s", address)
+		return nil, fault.Wrap(err, fault.Unavailable, "free the port or set another one", "cannot listen on %s", address)
 	}
 	return l, nil
 }
