--- a/internal/daemon/auxservers.go
+++ b/internal/daemon/auxservers.go
@@ -10,7 +10,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 	"github.com/tealhall/tealhall/internal/forward/socket"
 	"github.com/tealhall/tealhall/internal/settings"
-	users "github.com/tealhall/tealhall/platform"
+	"github.com/tealhall/tealhall/platform"
 )
 
 // Limits of the auxiliary servers.
@@ -31,8 +31,8 @@
 		address string
 		handler http.Handler
 	}{
-		{s.Addresses.Health, users.ReadyHandler(e)},
-		{s.Addresses.Directory, users.DirectoryHandler(e)},
+		{s.Addresses.Health, platform.ReadyHandler(e)},
+		{s.Addresses.Directory, platform.DirectoryHandler(e)},
 	} {
 		if listener.address == "" {
 			continue
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,7 +20,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 	"github.com/tealhall/tealhall/internal/logging"
 	"github.com/tealhall/tealhall/internal/settings"
-	users "github.com/tealhall/tealhall/platform"
+	"github.com/tealhall/tealhall/platform"
 )
 
 // Exit codes of the daemon. docs/RUNNING.md lists them for operators.
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	terms, err := users.ParseTerms(s.Platform.Terms)
+	terms, err := platform.ParseTerms(s.Platform.Terms)
 	if err != nil {
 		// The error lists the problems of the terms and of the profiles together.
 		return nil, errors.Join(err, checkProfiles(s))
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/profile"
 	"github.com/tealhall/tealhall/internal/published"
 	"github.com/tealhall/tealhall/internal/settings"
-	users "github.com/tealhall/tealhall/platform"
+	"github.com/tealhall/tealhall/platform"
 )
 
 // serve runs an entry until a signal arrives or one of the entry's servers fails, then stops it.
@@ -88,8 +88,8 @@
 		return options, err
 	}
 	options.RouteProfiles = profiles
-	options.Dialect = users.Dialect{}
-	options.Platform = users.NewService(users.ServiceConfig{
+	options.Dialect = platform.Dialect{}
+	options.Platform = platform.NewService(platform.ServiceConfig{
 		BaseURL:   s.Platform.URL,
 		Timeout:   s.Platform.Timeout.Duration,
 		WatchWait: s.Platform.Watch.Duration,
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/tealhall/tealhall/internal/demo"
 	"github.com/tealhall/tealhall/internal/entry"
-	users "github.com/tealhall/tealhall/platform"
+	"github.com/tealhall/tealhall/platform"
 )
 
 // An operator sends a second signal while an upload is in flight. The stop must end at once and
@@ -82,7 +82,7 @@
 	t.Parallel() // waits most of the time
 	const grace = 6 * time.Second
 	f := newFleet(t, 1, func(cfg *demo.FleetConfig) {
-		cfg.Adjust = users.Terms{StopWithin: grace, AnswersTTL: 5 * time.Second}.Apply
+		cfg.Adjust = platform.Terms{StopWithin: grace, AnswersTTL: 5 * time.Second}.Apply
 	})
 	e := f.Entries[0]
 	scan := startUpload(t, f, e, "scan")
