--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -341,8 +341,8 @@
 	For float64 `json:"for_seconds"`
 	// TrialIn is the time until the next trial request may be sent.
 	TrialIn float64 `json:"trial_in_seconds"`
-	// InARow counts consecutive ejections; the ejection time grows with it.
-	InARow int `json:"in_a_row"`
+	// Consecutive counts consecutive ejections; the ejection time grows with it.
+	Consecutive int `json:"in_a_row"`
 	// Clears says what leads to the readmission of the endpoint.
 	Clears string `json:"clears"`
 }
--- a/internal/core/bounds_test.go
+++ b/internal/core/bounds_test.go
@@ -54,7 +54,7 @@
 	if got := c.fleet.gossip.Stats().Stored; got < endpoints {
 		t.Errorf("only %d pieces of evidence are stored", got)
 	}
-	data, err := wire.MarshalRecords(c.RecordsBeyond(nil))
+	data, err := wire.MarshalRecords(c.UnmarkedRecords(nil))
 	if t.Logf("all records take %d bytes, their marks %d", len(data), 5*len(c.fleet.gossip.Marks(nil))); err != nil || len(data) > 1<<20 {
 		t.Errorf("all records take %d bytes, %v", len(data), err)
 	}
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -104,47 +104,47 @@
 }
 
 func newClusterHarness(t testing.TB, entries int) *clusterHarness {
-	r := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
+	h := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
 		written: map[string]int{}, ran: map[string]int{}}
-	r.config = func(cfg *Config) { cfg.LargestFleet = 8 }
-	r.cut = func(_, _ *node) bool { return false }
-	r.lose = func(_, _ *node, _ *message.Update) bool { return false }
-	r.dial = func() time.Duration { return lag }
-	r.platformDown = func(*node) bool { return false }
-	r.refuses = func(string) bool { return false }
-	r.platformMute = func(*node) bool { return false }
-	r.endpoint = func(string, Arrival) reaction { return reaction{after: 10 * ms} }
+	h.config = func(cfg *Config) { cfg.LargestFleet = 8 }
+	h.cut = func(_, _ *node) bool { return false }
+	h.lose = func(_, _ *node, _ *message.Update) bool { return false }
+	h.dial = func() time.Duration { return lag }
+	h.platformDown = func(*node) bool { return false }
+	h.refuses = func(string) bool { return false }
+	h.platformMute = func(*node) bool { return false }
+	h.endpoint = func(string, Arrival) reaction { return reaction{after: 10 * ms} }
 	text, err := os.ReadFile("testdata/profiles.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.publish(published.ProfilesValue, 1, string(text))
+	h.publish(published.ProfilesValue, 1, string(text))
 	for i := range entries {
-		r.start(i)
+		h.start(i)
 	}
-	return r
+	return h
 }
 
 // start starts an entry's process on VM i; a process that ran there is dead.
-func (r *clusterHarness) start(i int) *node {
-	incarnation := uint64(len(r.nodes) + 1)
-	h := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
+func (h *clusterHarness) start(i int) *node {
+	incarnation := uint64(len(h.nodes) + 1)
+	hello := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
 		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: fmt.Sprintf("10.0.0.%d:81", i+1)}
-	cfg := DefaultConfig(h)
-	r.config(&cfg)
-	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: h, started: r.now,
+	cfg := DefaultConfig(hello)
+	h.config(&cfg)
+	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: hello, started: h.now,
 		arrivals: map[RequestID]Arrival{}, open: map[attemptKey]Directive{}, replies: map[RequestID]reply{},
 		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
-	for _, old := range r.nodes {
-		old.dead = old.dead || old.hello.Name == h.Name
+	for _, old := range h.nodes {
+		old.dead = old.dead || old.hello.Name == hello.Name
 	}
-	r.nodes = append(r.nodes, n)
+	h.nodes = append(h.nodes, n)
 	return n
 }
 
 // publish stores a value on the platform.
-func (r *clusterHarness) publish(name string, revision uint64, text string) {
-	r.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
+func (h *clusterHarness) publish(name string, revision uint64, text string) {
+	h.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
 // addressOf returns the address of an endpoint, whose name is a letter and a number.
@@ -158,9 +158,9 @@
 
 // publishVMs publishes the VM list: all entries, and endpoints given as "pool/name", optionally
 // followed by "#incarnation" or ",leaving".
-func (r *clusterHarness) publishVMs(revision uint64, endpoints ...string) {
+func (h *clusterHarness) publishVMs(revision uint64, endpoints ...string) {
 	var l published.VMList
-	for i, n := range r.nodes {
+	for i, n := range h.nodes {
 		if n.dead {
 			continue
 		}
@@ -179,108 +179,108 @@
 		vm.Address = addressOf(vm.Name)
 		l.VMs = append(l.VMs, vm)
 	}
-	r.publish(published.VMsValue, revision, string(published.EncodeVMs(l)))
+	h.publish(published.VMsValue, revision, string(published.EncodeVMs(l)))
 }
 
 // post schedules a delivery to an entry; a sleeping entry gets it when it wakes up.
-func (r *clusterHarness) post(after time.Duration, to *node, read func()) {
-	r.underWay = append(r.underWay, delivery{r.now + after, to, read})
+func (h *clusterHarness) post(after time.Duration, to *node, read func()) {
+	h.underWay = append(h.underWay, delivery{h.now + after, to, read})
 }
 
 // do passes an event to an entry and carries out the resulting actions.
-func (r *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
+func (h *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
 	var out Actions
-	event(r.now-n.started, &out)
+	event(h.now-n.started, &out)
 	for _, d := range out.Requests {
-		r.carryOut(n, d)
+		h.carryOut(n, d)
 	}
 	for _, u := range out.Updates {
-		r.post(lag, n, func() { r.update(n, u) })
+		h.post(lag, n, func() { h.update(n, u) })
 	}
 	for _, f := range out.Fetches {
-		r.post(lag, n, func() { r.fetch(n, f) })
+		h.post(lag, n, func() { h.fetch(n, f) })
 	}
 	n.notes = append(n.notes, out.Notes...)
 	n.suspects = append(n.suspects, out.SuspectAddresses...)
 	for _, p := range out.Probes {
-		n.probes, r.probedAt = append(n.probes, p), append(r.probedAt, r.now)
-		end := ProbeEnd{Probe: p, OK: true, Latency: r.probeTime, Load: Load{Known: true, Slots: 2}}
-		if r.refuses(p.Endpoint) {
-			end = ProbeEnd{Probe: p, Refused: true, Latency: r.probeTime}
+		n.probes, h.probedAt = append(n.probes, p), append(h.probedAt, h.now)
+		end := ProbeEnd{Probe: p, OK: true, Latency: h.probeTime, Load: Load{Known: true, Slots: 2}}
+		if h.refuses(p.Endpoint) {
+			end = ProbeEnd{Probe: p, Refused: true, Latency: h.probeTime}
 		}
-		r.post(r.probeTime, n, func() {
-			r.do(n, func(now time.Duration, out *Actions) { n.ProbeEnd(now, end, out) })
+		h.post(h.probeTime, n, func() {
+			h.do(n, func(now time.Duration, out *Actions) { n.ProbeEnd(now, end, out) })
 		})
 	}
 	return out
 }
 
 // run advances the simulated time.
-func (r *clusterHarness) run(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += r.tick
-		r.deliver()
-		for _, n := range r.nodes {
+func (h *clusterHarness) run(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += h.tick
+		h.deliver()
+		for _, n := range h.nodes {
 			if n.asleep || n.dead {
 				continue
 			}
-			r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall.Add(r.now), out) })
-			r.pull(n)
-			if !n.Reader() || r.now%(100*ms) != 0 || r.platformMute(n) {
+			h.do(n, func(now time.Duration, out *Actions) { n.Tick(now, h.wall.Add(h.now), out) })
+			h.pull(n)
+			if !n.Reader() || h.now%(100*ms) != 0 || h.platformMute(n) {
 				continue
 			}
-			n.PlatformAnswered(!r.platformDown(n))
-			if !r.platformDown(n) {
-				r.read(n, published.ProfilesValue)
-				r.read(n, published.VMsValue)
+			n.PlatformAnswered(!h.platformDown(n))
+			if !h.platformDown(n) {
+				h.read(n, published.ProfilesValue)
+				h.read(n, published.VMsValue)
 			}
 		}
 	}
 }
 
 // deliver runs the deliveries that are due.
-func (r *clusterHarness) deliver() {
+func (h *clusterHarness) deliver() {
 	var later []delivery
-	for len(r.underWay) > 0 {
-		due := r.underWay
-		r.underWay = nil
+	for len(h.underWay) > 0 {
+		due := h.underWay
+		h.underWay = nil
 		for _, d := range due {
 			switch {
-			case d.at > r.now || d.to.asleep:
+			case d.at > h.now || d.to.asleep:
 				later = append(later, d)
 			case !d.to.dead:
 				d.handle()
 			}
 		}
 	}
-	r.underWay = later
+	h.underWay = later
 }
 
-func (r *clusterHarness) read(n *node, name string) {
-	v := r.docs[name]
+func (h *clusterHarness) read(n *node, name string) {
+	v := h.docs[name]
 	if v.Revision == n.InForce(name).Revision {
-		n.Confirm(r.now-n.started, name)
+		n.Confirm(h.now-n.started, name)
 		return
 	}
-	r.offer(n, v, assign.Platform)
+	h.offer(n, v, assign.Platform)
 }
 
-func (r *clusterHarness) offer(n *node, v published.Value, source uint64) {
+func (h *clusterHarness) offer(n *node, v published.Value, source uint64) {
 	o := Offered{Name: v.Name, Source: source, Mark: message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}}
 	if v.Name == published.VMsValue {
 		o.VMs, o.Problem = published.ParseVMs(v)
 	} else {
 		o.Profiles, o.Problem = profile.Parse(v.Data, v.Revision)
 	}
-	r.do(n, func(now time.Duration, out *Actions) { n.Offer(now, o, out) })
+	h.do(n, func(now time.Duration, out *Actions) { n.Offer(now, o, out) })
 	if n.InForce(v.Name) == o.Mark {
 		n.docs[v.Name] = v
 	}
 }
 
 // nodeAt returns the running process with a peer or caller address, or nil.
-func (r *clusterHarness) nodeAt(address string) *node {
-	for _, n := range r.nodes {
+func (h *clusterHarness) nodeAt(address string) *node {
+	for _, n := range h.nodes {
 		if !n.dead && (n.hello.PeerAddress == address || n.hello.CallerAddress == address) {
 			return n
 		}
@@ -296,60 +296,60 @@
 }
 
 // pull fetches the records that an entry lacks from a peer, if a pull is due.
-func (r *clusterHarness) pull(n *node) {
-	p, due := n.PullDue(r.now - n.started)
+func (h *clusterHarness) pull(n *node) {
+	p, due := n.PullDue(h.now - n.started)
 	if !due {
 		return
 	}
-	r.post(2*lag, n, func() {
+	h.post(2*lag, n, func() {
 		var records []message.Record
-		to := r.nodeAt(p.Address)
-		answered := r.reaches(n, to) && r.reaches(to, n) && !to.asleep
+		to := h.nodeAt(p.Address)
+		answered := h.reaches(n, to) && h.reaches(to, n) && !to.asleep
 		if answered {
-			records = to.RecordsBeyond(p.Marks)
+			records = to.UnmarkedRecords(p.Marks)
 		}
-		r.do(n, func(now time.Duration, out *Actions) { n.Pulled(now, p, records, answered, out) })
+		h.do(n, func(now time.Duration, out *Actions) { n.Pulled(now, p, records, answered, out) })
 	})
 }
 
-func (r *clusterHarness) reaches(from, to *node) bool { return to != nil && !r.cut(from, to) }
+func (h *clusterHarness) reaches(from, to *node) bool { return to != nil && !h.cut(from, to) }
 
-func (r *clusterHarness) update(from *node, u Outgoing) {
-	to := r.nodeAt(u.Address)
-	acked := r.reaches(from, to) && !to.asleep && r.reaches(to, from)
-	if r.reaches(from, to) && !r.lose(from, to, &u.Update) {
-		r.post(0, to, func() {
+func (h *clusterHarness) update(from *node, u Outgoing) {
+	to := h.nodeAt(u.Address)
+	acked := h.reaches(from, to) && !to.asleep && h.reaches(to, from)
+	if h.reaches(from, to) && !h.lose(from, to, &u.Update) {
+		h.post(0, to, func() {
 			known := false
-			r.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
-			if !known && r.reaches(to, from) {
-				r.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.currentHello(), out) })
-				r.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.currentHello(), out) })
+			h.do(to, func(now time.Duration, out *Actions) { known = to.PeerUpdate(now, &u.Update, out) })
+			if !known && h.reaches(to, from) {
+				h.do(to, func(now time.Duration, out *Actions) { to.HelloReceived(now, from.currentHello(), out) })
+				h.do(from, func(now time.Duration, out *Actions) { from.HelloAnswered(now, to.currentHello(), out) })
 			}
 		})
 	}
-	r.post(0, from, func() {
+	h.post(0, from, func() {
 		receipt := message.Receipt{Acked: acked}
 		if acked {
 			receipt.EvidenceDigest, receipt.RecordDigest = to.OwnEvidenceDigest(), to.RecordSet().Digest
 		}
-		from.UpdateDone(r.now-from.started, u.To, u.Update.Sequence, receipt)
+		from.UpdateDone(h.now-from.started, u.To, u.Update.Sequence, receipt)
 	})
 }
 
-func (r *clusterHarness) fetch(n *node, f FetchFrom) {
-	peer := r.nodeAt(f.Address)
-	answered := f.Source == assign.Platform && !r.platformDown(n)
-	v := r.docs[f.Name]
+func (h *clusterHarness) fetch(n *node, f FetchFrom) {
+	peer := h.nodeAt(f.Address)
+	answered := f.Source == assign.Platform && !h.platformDown(n)
+	v := h.docs[f.Name]
 	if f.Source != assign.Platform {
-		answered = r.reaches(n, peer) && r.reaches(peer, n) && !peer.asleep
+		answered = h.reaches(n, peer) && h.reaches(peer, n) && !peer.asleep
 		if answered {
 			v = peer.docs[f.Name]
 		}
 	}
 	if answered && v.Revision > f.After {
-		r.offer(n, v, f.Source)
+		h.offer(n, v, f.Source)
 	}
 	if f.Planned {
-		r.do(n, func(now time.Duration, out *Actions) { n.FetchDone(now, f, answered) })
+		h.do(n, func(now time.Duration, out *Actions) { n.FetchDone(now, f, answered) })
 	}
 }
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -211,15 +211,15 @@
 }
 
 // newCrashHarness returns a fleet whose endpoints crash under reads with content 7.
-func newCrashHarness(t *testing.T, entries int) (r *clusterHarness, endpoints []string) {
+func newCrashHarness(t *testing.T, entries int) (h *clusterHarness, endpoints []string) {
 	var listed []string
 	for i := range 12 {
 		endpoints = append(endpoints, fmt.Sprint("c", i+1))
 		listed = append(listed, "counts/"+endpoints[i])
 	}
-	r = newServingCluster(t, entries, listed...)
+	h = newServingCluster(t, entries, listed...)
 	dead := map[string]bool{}
-	r.endpoint = func(name string, a Arrival) reaction {
+	h.endpoint = func(name string, a Arrival) reaction {
 		switch {
 		case dead[name]:
 			return reaction{end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true}
@@ -229,54 +229,54 @@
 		}
 		return reaction{after: 5 * ms}
 	}
-	r.refuses = func(name string) bool { return dead[name] }
-	return r, endpoints
+	h.refuses = func(name string) bool { return dead[name] }
+	return h, endpoints
 }
 
 // Guards against a request that each entry, or an entry that has just started, treats as unknown.
 // The request arrives at every entry in turn; an entry that is replaced after the quarantine began
 // must learn of it as well.
 func TestQuarantineSpreadsToFleet(t *testing.T) {
-	r, endpoints := newCrashHarness(t, 4)
+	h, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
-		n := r.nodes[i%len(r.nodes)]
+		n := h.nodes[i%len(h.nodes)]
 		if n.dead {
 			return 0
 		}
-		return r.sendRequest(n, Arrival{Service: "counts", Caller: 1, Content: 7})
+		return h.sendRequest(n, Arrival{Service: "counts", Caller: 1, Content: 7})
 	}
 	for i := range 16 {
 		ask(i)
-		r.run(250 * ms)
+		h.run(250 * ms)
 	}
 	crashed := 0
-	for _, runs := range r.written {
+	for _, runs := range h.written {
 		crashed += runs
 	}
 	if crashed > 5 {
 		t.Errorf("the request reached %d endpoints", crashed)
 	}
-	for _, n := range r.nodes {
-		if got := n.quarantine.Quarantined(r.now-n.started, nil); len(got) != 1 || got[0].Content != 7 {
+	for _, n := range h.nodes {
+		if got := n.quarantine.Quarantined(h.now-n.started, nil); len(got) != 1 || got[0].Content != 7 {
 			t.Errorf("%s has in quarantine: %v", n.hello.Name, got)
 		}
 	}
-	fresh := r.start(3)
-	r.run(3 * sec)
-	if got := fresh.quarantine.Quarantined(r.now-fresh.started, nil); len(got) != 1 {
+	fresh := h.start(3)
+	h.run(3 * sec)
+	if got := fresh.quarantine.Quarantined(h.now-fresh.started, nil); len(got) != 1 {
 		t.Errorf("started entry has in quarantine: %v", got)
 	}
 	var living []string
 	for _, name := range endpoints {
-		if !r.refuses(name) {
+		if !h.refuses(name) {
 			living = append(living, "counts/"+name)
 		}
 	}
-	r.publishVMs(2, living...)
-	r.run(sec)
-	id := r.sendRequest(r.nodes[0], Arrival{Service: "counts", Caller: 1, Content: 8})
-	r.run(100 * ms)
-	if got := r.nodes[0].replies[id]; got.Outcome != OutcomeDone {
+	h.publishVMs(2, living...)
+	h.run(sec)
+	id := h.sendRequest(h.nodes[0], Arrival{Service: "counts", Caller: 1, Content: 8})
+	h.run(100 * ms)
+	if got := h.nodes[0].replies[id]; got.Outcome != OutcomeDone {
 		t.Errorf("another request: outcome %v (%v)", got.Outcome, got.Reason)
 	}
 }
@@ -322,30 +322,30 @@
 		endpoints = append(endpoints, "counts/"+name)
 		crashAt[name] = time.Duration(i+1) * every
 	}
-	r := newServingCluster(t, 4, endpoints...)
-	began := r.now
-	untilCrash := func(name string) time.Duration { return crashAt[name] - (r.now - began) }
-	r.refuses = func(name string) bool { left := untilCrash(name); return left <= 0 && left > -down }
-	r.endpoint = func(name string, _ Arrival) reaction {
+	h := newServingCluster(t, 4, endpoints...)
+	began := h.now
+	untilCrash := func(name string) time.Duration { return crashAt[name] - (h.now - began) }
+	h.refuses = func(name string) bool { left := untilCrash(name); return left <= 0 && left > -down }
+	h.endpoint = func(name string, _ Arrival) reaction {
 		switch left := untilCrash(name); {
-		case r.refuses(name):
+		case h.refuses(name):
 			return reaction{end: End{Kind: EndNotWritten, DialFailed: true}, ignores: true}
 		case left > 0 && left <= work:
 			return reaction{after: left, end: End{Kind: EndLost, ConnBroken: true}}
 		}
 		return reaction{after: work}
 	}
-	for i := 0; r.now < began+15*every; i++ {
-		r.sendRequest(r.nodes[i%4], Arrival{Service: "counts", Caller: 1, Content: 7})
-		r.run(10 * ms)
-		for _, n := range r.nodes {
-			if quarantined := n.quarantine.Quarantined(r.now-n.started, nil); len(quarantined) != 0 {
-				t.Fatalf("%s has the request in quarantine %v after the first crash", n.hello.Name, r.now-began-every)
+	for i := 0; h.now < began+15*every; i++ {
+		h.sendRequest(h.nodes[i%4], Arrival{Service: "counts", Caller: 1, Content: 7})
+		h.run(10 * ms)
+		for _, n := range h.nodes {
+			if quarantined := n.quarantine.Quarantined(h.now-n.started, nil); len(quarantined) != 0 {
+				t.Fatalf("%s has the request in quarantine %v after the first crash", n.hello.Name, h.now-began-every)
 			}
 		}
 	}
 	crashes := uint64(0)
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		crashes += n.counters.Crashes
 	}
 	if crashes < 5 {
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -15,9 +15,9 @@
 )
 
 // setReactions makes the named endpoints react with re and all others answer within 10 to 20 ms.
-func (r *clusterHarness) setReactions(re reaction, names ...string) {
+func (h *clusterHarness) setReactions(re reaction, names ...string) {
 	calls := time.Duration(0)
-	r.endpoint = func(name string, _ Arrival) reaction {
+	h.endpoint = func(name string, _ Arrival) reaction {
 		calls++
 		if slices.Contains(names, name) {
 			return re
@@ -45,33 +45,33 @@
 			if drains && name != "straggler" && name != "fails fast" {
 				continue
 			}
-			r := newServingCluster(t, 2, sixCounts...)
-			r.setReactions(reaction{})
-			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
-			r.tick = 2 * ms
-			r.setReactions(re, "c2")
+			h := newServingCluster(t, 2, sixCounts...)
+			h.setReactions(reaction{})
+			h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+			h.tick = 2 * ms
+			h.setReactions(re, "c2")
 			if drains {
-				r.publishVMs(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
+				h.publishVMs(2, "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
 			}
-			r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 5*sec)
-			clear(r.written)
-			all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
-			if share := float64(r.written["c2"]) / float64(len(all)); share > 0.05 {
+			h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 5*sec)
+			clear(h.written)
+			all := h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
+			if share := float64(h.written["c2"]) / float64(len(all)); share > 0.05 {
 				t.Errorf("%s, another drains %v: the endpoint gets %.0f %% of the requests", name, drains, 100*share)
 			}
-			if slots := r.nodes[0].pools["counts"].Slots(); slots > 12 {
+			if slots := h.nodes[0].pools["counts"].Slots(); slots > 12 {
 				t.Errorf("%s: the watch budget is a share of %d slots, there are 12", name, slots)
 			}
 			if done := countReplies(all, OutcomeDone); done < len(all)*99/100 {
 				t.Errorf("%s, another drains %v: only %d of %d reads were answered", name, drains, done, len(all))
 			}
-			r.setReactions(reaction{})
-			r.tick = 20 * ms
-			r.sendTraffic(Arrival{Service: "counts"}, 20*ms, 70*sec)
-			clear(r.written)
-			r.tick = ms
-			all = r.sendTraffic(Arrival{Service: "counts"}, ms, 2*sec) // every slot is needed
-			if share := float64(r.written["c2"]) / float64(len(all)); share < 0.05 {
+			h.setReactions(reaction{})
+			h.tick = 20 * ms
+			h.sendTraffic(Arrival{Service: "counts"}, 20*ms, 70*sec)
+			clear(h.written)
+			h.tick = ms
+			all = h.sendTraffic(Arrival{Service: "counts"}, ms, 2*sec) // every slot is needed
+			if share := float64(h.written["c2"]) / float64(len(all)); share < 0.05 {
 				t.Errorf("%s, another drains %v: the endpoint gets only %.0f %% of the requests after it works again", name, drains, 100*share)
 			}
 		}
@@ -83,22 +83,22 @@
 // entry avoided it for up to a second as a failing endpoint. Once its slots are free it must get
 // requests within 50 ms.
 func TestBusyEndpointIsUsedWhenSlotsAreFree(t *testing.T) {
-	r := newServingCluster(t, 1, sixCounts...)
-	n := r.nodes[0]
-	r.tick = 2 * ms
-	r.setReactions(reaction{})
-	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
-	free, first := r.now+3*sec, time.Duration(0)
-	r.endpoint = func(name string, a Arrival) reaction {
+	h := newServingCluster(t, 1, sixCounts...)
+	n := h.nodes[0]
+	h.tick = 2 * ms
+	h.setReactions(reaction{})
+	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+	free, first := h.now+3*sec, time.Duration(0)
+	h.endpoint = func(name string, a Arrival) reaction {
 		switch {
-		case name == "c1" && r.now < free && n.idleOnly(name, a.ID):
+		case name == "c1" && h.now < free && n.idleOnly(name, a.ID):
 			return reaction{after: ms, head: Head{Status: 503, NotRun: true, Load: Load{Known: true, InFlight: 2, Slots: 2}}}
-		case name == "c1" && r.now >= free && first == 0:
-			first = r.now
+		case name == "c1" && h.now >= free && first == 0:
+			first = h.now
 		}
 		return reaction{after: 18 * ms}
 	}
-	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 4*sec)
+	h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 4*sec)
 	if first == 0 || first-free > 50*ms {
 		t.Errorf("the endpoint got its first request after %v", first-free)
 	}
@@ -125,28 +125,28 @@
 		// policy that doesn't; with that policy also during a partition.
 		for _, policy := range []string{balance.Default, balance.LeastOutstanding} {
 			split := policy != balance.Default && name == "answers 503"
-			r := newClusterHarness(t, 0)
-			r.config = func(cfg *Config) { cfg.Policy, cfg.LargestFleet = policy, 8 }
+			h := newClusterHarness(t, 0)
+			h.config = func(cfg *Config) { cfg.Policy, cfg.LargestFleet = policy, 8 }
 			for vm := range 3 {
-				r.start(vm)
+				h.start(vm)
 			}
-			r.publishVMs(1, sixCounts...)
-			r.run(3 * sec)
-			r.tick = 2 * ms
-			r.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
-			r.setReactions(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
-			r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
-			clear(r.written)
+			h.publishVMs(1, sixCounts...)
+			h.run(3 * sec)
+			h.tick = 2 * ms
+			h.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
+			h.setReactions(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
+			h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
+			clear(h.written)
 			re := reactions[name]
 			re.after = min(re.after, 5*ms)
-			r.setReactions(re, sixNames...)
-			all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
-			if ratio := float64(r.totalWritten("c")) / float64(len(all)); ratio >= 1.1 {
+			h.setReactions(re, sixNames...)
+			all := h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
+			if ratio := float64(h.totalWritten("c")) / float64(len(all)); ratio >= 1.1 {
 				t.Errorf("%s, %s: %.2f arrivals at the endpoints per request", policy, name, ratio)
 			}
-			r.setReactions(reaction{after: 18 * ms}, sixNames...)
-			r.run(sec)
-			all = r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
+			h.setReactions(reaction{after: 18 * ms}, sixNames...)
+			h.run(sec)
+			all = h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
 			if done := countReplies(all, OutcomeDone); done < len(all) {
 				t.Errorf("%s, %s: %d of %d requests were answered after the endpoints work again", policy, name, done, len(all))
 			}
@@ -160,29 +160,29 @@
 // elsewhere, the driver is asked to check the endpoint's other connections, and the endpoint stays
 // in use, even while another endpoint really is a straggler.
 func TestSilentConnectionDoesNotEjectEndpoint(t *testing.T) {
-	r := newServingCluster(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
-	n := r.nodes[0]
-	r.setReactions(reaction{})
-	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
-	first := slices.MaxFunc(sixNames, func(a, b string) int { return r.written[a] - r.written[b] })
+	h := newServingCluster(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
+	n := h.nodes[0]
+	h.setReactions(reaction{})
+	h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
+	first := slices.MaxFunc(sixNames, func(a, b string) int { return h.written[a] - h.written[b] })
 	slow := "c1"
 	if first == slow {
 		slow = "c2"
 	}
-	works := r.now + 3*sec
-	r.endpoint = func(name string, a Arrival) reaction {
+	works := h.now + 3*sec
+	h.endpoint = func(name string, a Arrival) reaction {
 		switch {
-		case (name == first || a.Service == "waste") && r.now < works:
+		case (name == first || a.Service == "waste") && h.now < works:
 			return reaction{after: 200 * ms, end: End{Kind: EndLost, ConnSilent: true}}
 		case name == slow:
 			return reaction{after: 400 * ms}
 		}
 		return reaction{after: 10 * ms}
 	}
-	booking := r.sendRequest(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true})
-	all := r.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
-	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || r.totalWritten("w") != 1 {
-		t.Errorf("booking: reply %+v, sent %d times", got, r.totalWritten("w"))
+	booking := h.sendRequest(n, Arrival{Service: "waste", Key: h.key(n), HasKey: true})
+	all := h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
+	if got := n.replies[booking]; got.Outcome != OutcomeUnknown || h.totalWritten("w") != 1 {
+		t.Errorf("booking: reply %+v, sent %d times", got, h.totalWritten("w"))
 	}
 	if done := countReplies(all, OutcomeDone); done != len(all) {
 		t.Errorf("%d of %d reads were answered", done, len(all))
@@ -190,11 +190,11 @@
 	if !slices.Contains(n.suspects, addressOf(first)) || slices.Contains(n.suspects, addressOf(slow)) {
 		t.Errorf("addresses whose connections are to be checked: %v", n.suspects)
 	}
-	r.run(2 * sec)
-	clear(r.written)
-	r.sendTraffic(Arrival{Service: "counts"}, 2*ms, sec)
-	if r.written[first] < 25 || n.hasNote("endpoint "+first+" ejected") {
-		t.Errorf("%s got %d of 500 requests afterwards", first, r.written[first])
+	h.run(2 * sec)
+	clear(h.written)
+	h.sendTraffic(Arrival{Service: "counts"}, 2*ms, sec)
+	if h.written[first] < 25 || n.hasNote("endpoint "+first+" ejected") {
+		t.Errorf("%s got %d of 500 requests afterwards", first, h.written[first])
 	}
 }
 
--- a/internal/core/evidencecost_test.go
+++ b/internal/core/evidencecost_test.go
@@ -11,22 +11,22 @@
 
 // newHarnessWithFleet returns a harness whose first entry knows a fleet and its endpoints.
 func newHarnessWithFleet(t testing.TB, entries, endpoints int) (*clusterHarness, published.VMList) {
-	r := newClusterHarness(t, entries)
+	h := newClusterHarness(t, entries)
 	list := published.VMList{Revision: 1}
 	for i := range endpoints {
 		list.VMs = append(list.VMs, published.VM{Name: fmt.Sprintf("i-%04d", i), Incarnation: 1, Role: published.EndpointRole,
 			State: published.Live, Region: "r", Domain: fmt.Sprintf("d%d", i%3), Pool: "counts", Slots: 2,
 			Address: fmt.Sprintf("10.1.%d.%d:80", i/200, 1+i%200)})
 	}
-	r.publish(published.VMsValue, 1, string(published.EncodeVMs(list)))
-	n := r.nodes[0]
+	h.publish(published.VMsValue, 1, string(published.EncodeVMs(list)))
+	n := h.nodes[0]
 	for _, name := range []string{published.ProfilesValue, published.VMsValue} {
-		r.offer(n, r.docs[name], 0)
+		h.offer(n, h.docs[name], 0)
 	}
-	for _, other := range r.nodes[1:] {
-		r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.currentHello(), out) })
+	for _, other := range h.nodes[1:] {
+		h.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.currentHello(), out) })
 	}
-	return r, list
+	return h, list
 }
 
 // Guards against evidence on any one VM whose cost grows with the fleet: each piece made an entry
@@ -37,8 +37,8 @@
 // was leaving. The test counts allocations, which don't depend on the machine.
 func TestEvidenceCostDoesNotGrowWithFleet(t *testing.T) {
 	cost := func(entries, endpoints int) float64 {
-		r, list := newHarnessWithFleet(t, entries, endpoints)
-		n, from := r.nodes[0], r.nodes[1].hello.Incarnation
+		h, list := newHarnessWithFleet(t, entries, endpoints)
+		n, from := h.nodes[0], h.nodes[1].hello.Incarnation
 		next := 0
 		var out Actions
 		return testing.AllocsPerRun(20, func() {
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -15,16 +15,16 @@
 
 // until runs the harness until ok holds for all running entries, and returns how long that took, at
 // most limit.
-func (r *clusterHarness) until(limit time.Duration, ok func(n *node) bool) time.Duration {
-	r.Helper()
-	began := r.now
-	for r.now-began < limit {
-		if !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.dead && !ok(n) }) {
+func (h *clusterHarness) until(limit time.Duration, ok func(n *node) bool) time.Duration {
+	h.Helper()
+	began := h.now
+	for h.now-began < limit {
+		if !slices.ContainsFunc(h.nodes, func(n *node) bool { return !n.dead && !ok(n) }) {
 			break
 		}
-		r.run(r.tick)
+		h.run(h.tick)
 	}
-	return r.now - began
+	return h.now - began
 }
 
 // separatesHalves cuts the links between entries with even and odd numbers.
@@ -67,39 +67,39 @@
 		{name: "links lose accepted messages", lost: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newServingCluster(t, 6, "counts/c1", "counts/c2")
-			r.platformDown = func(*node) bool { return true }
+			h := newServingCluster(t, 6, "counts/c1", "counts/c2")
+			h.platformDown = func(*node) bool { return true }
 			var evidence, latest time.Duration
 			lost := map[string]bool{}
-			r.cut = func(from, to *node) bool {
-				return tt.cut != nil && evidence > 0 && r.now < evidence+tt.heal && tt.cut(from, to)
+			h.cut = func(from, to *node) bool {
+				return tt.cut != nil && evidence > 0 && h.now < evidence+tt.heal && tt.cut(from, to)
 			}
-			r.lose = func(from, to *node, u *message.Update) bool {
+			h.lose = func(from, to *node, u *message.Update) bool {
 				link := from.hello.Name + to.hello.Name
 				first := tt.lost && len(u.Evidence) > 0 && !lost[link]
 				lost[link] = lost[link] || first
 				return first
 			}
-			r.endpoint = func(name string, a Arrival) reaction {
+			h.endpoint = func(name string, a Arrival) reaction {
 				re := reaction{after: 20 * ms}
 				if name == "c2" {
-					latest, re.after = r.now, 600*ms
-					if a.CallerDomain == "entry-0" && r.now > 5*sec {
+					latest, re.after = h.now, 600*ms
+					if a.CallerDomain == "entry-0" && h.now > 5*sec {
 						re.head.Draining = true
 						if evidence == 0 {
-							evidence = r.now + re.after
+							evidence = h.now + re.after
 						}
 					}
 				}
 				return re
 			}
-			for r.now < 40*sec {
-				for _, n := range r.nodes {
-					r.sendRequest(n, Arrival{Service: "counts", CallerDomain: n.hello.Name})
-					r.run(10 * ms)
+			for h.now < 40*sec {
+				for _, n := range h.nodes {
+					h.sendRequest(n, Arrival{Service: "counts", CallerDomain: n.hello.Name})
+					h.run(10 * ms)
 				}
 			}
-			r.run(sec)
+			h.run(sec)
 			limit := evidence + 3*sec
 			if tt.cut != nil && tt.heal < time.Hour {
 				limit += tt.heal
@@ -107,7 +107,7 @@
 			if evidence == 0 || latest > limit {
 				t.Errorf("evidence at %v, last new work at %v", evidence, latest)
 			}
-			for _, n := range r.nodes {
+			for _, n := range h.nodes {
 				if n.endpointState("c2") != table.EndpointLeaving {
 					t.Errorf("%s has the endpoint as %v", n.hello.Name, n.endpointState("c2"))
 				}
@@ -126,21 +126,21 @@
 // request goes to the other endpoint, although no success has earned a retry, since the first
 // attempt sent nothing.
 func TestNoWorkSentToEndpointThatDrainsWhileConnecting(t *testing.T) {
-	r := newServingCluster(t, 1, "waste/w1", "waste/w2")
-	n := r.nodes[0]
-	r.dial = func() time.Duration { return 4 * sec }
-	id := r.sendRequest(n, Arrival{Service: "waste", HasKey: true, Key: r.key(n)})
+	h := newServingCluster(t, 1, "waste/w1", "waste/w2")
+	n := h.nodes[0]
+	h.dial = func() time.Duration { return 4 * sec }
+	id := h.sendRequest(n, Arrival{Service: "waste", HasKey: true, Key: h.key(n)})
 	for _, d := range n.open {
 		drains, stays := "w1", "w2"
 		if d.Address == addressOf("w2") {
 			drains, stays = stays, drains
 		}
-		r.publishVMs(2, "waste/"+drains+",leaving", "waste/"+stays)
-		r.run(sec)
-		r.dial = func() time.Duration { return lag }
-		r.run(4 * sec)
-		if got := n.replies[id]; got.Outcome != OutcomeDone || r.written[drains] != 0 {
-			t.Errorf("reply %+v, requests written %v", got, r.written)
+		h.publishVMs(2, "waste/"+drains+",leaving", "waste/"+stays)
+		h.run(sec)
+		h.dial = func() time.Duration { return lag }
+		h.run(4 * sec)
+		if got := n.replies[id]; got.Outcome != OutcomeDone || h.written[drains] != 0 {
+			t.Errorf("reply %+v, requests written %v", got, h.written)
 		}
 	}
 }
@@ -151,14 +151,14 @@
 // until it sees that no reader does, one read, and the spread through the fleet.
 func TestProfileIsInForceEverywhereWithinSeconds(t *testing.T) {
 	for only := -1; only < 15; only++ {
-		r := newServingCluster(t, 15, "counts/c1")
-		r.platformDown = func(n *node) bool { return only >= 0 && n != r.nodes[only] }
-		r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
+		h := newServingCluster(t, 15, "counts/c1")
+		h.platformDown = func(n *node) bool { return only >= 0 && n != h.nodes[only] }
+		h.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 		limit := 2 * sec
 		if only >= 0 {
 			limit = 4 * sec
 		}
-		if took := r.until(20*sec, atRevision(2)); took > limit {
+		if took := h.until(20*sec, atRevision(2)); took > limit {
 			t.Errorf("only entry %d reaches the platform (-1: all do): in force only after %v", only, took)
 		}
 	}
@@ -169,11 +169,11 @@
 // replaced meanwhile and has only peers to ask. A replica that comes back with an older document
 // during the close changes nothing.
 func TestCloseBeginsAndEndsWithoutPlatform(t *testing.T) {
-	r := newServingCluster(t, 4, "counts/c1")
-	r.republish(2, "queue_limit = 96", "queue_limit = 200")
-	r.until(5*sec, atRevision(2))
-	old := r.docs[published.ProfilesValue]
-	r.platformDown = func(*node) bool { return true }
+	h := newServingCluster(t, 4, "counts/c1")
+	h.republish(2, "queue_limit = 96", "queue_limit = 200")
+	h.until(5*sec, atRevision(2))
+	old := h.docs[published.ProfilesValue]
+	h.platformDown = func(*node) bool { return true }
 	limits := func(want int) func(n *node) bool {
 		return func(n *node) bool {
 			sv := n.services["counts"]
@@ -181,31 +181,31 @@
 		}
 	}
 	at := func(hour, minute int) {
-		r.wall = time.Date(2027, 1, 31, hour, minute, 0, 0, time.UTC).Add(-r.now)
-		r.run(sec)
+		h.wall = time.Date(2027, 1, 31, hour, minute, 0, 0, time.UTC).Add(-h.now)
+		h.run(sec)
 	}
 	at(17, 59)
-	if took := r.until(5*sec, limits(64)); took >= 5*sec {
+	if took := h.until(5*sec, limits(64)); took >= 5*sec {
 		t.Error("the close began early")
 	}
 	at(18, 0)
-	if took := r.until(5*sec, limits(200)); took >= 5*sec {
+	if took := h.until(5*sec, limits(200)); took >= 5*sec {
 		t.Error("the close did not begin")
 	}
-	fresh := r.start(1)
-	took := r.until(10*sec, limits(200))
+	fresh := h.start(1)
+	took := h.until(10*sec, limits(200))
 	if took > 3*sec {
 		t.Errorf("a new entry knew of the close after %v", took)
 	}
-	took += r.until(10*sec, func(n *node) bool { ready, _ := n.ReadyReason(r.now); return n != fresh || ready })
-	if _, why := fresh.ReadyReason(r.now); took > 3*sec {
+	took += h.until(10*sec, func(n *node) bool { ready, _ := n.ReadyReason(h.now); return n != fresh || ready })
+	if _, why := fresh.ReadyReason(h.now); took > 3*sec {
 		t.Errorf("the new entry was ready after %v: %s", took, why)
 	}
 	old.Revision, old.Data = 1, []byte("format = 1")
-	for _, n := range r.nodes {
-		r.offer(n, old, assign.Platform)
-		r.offer(n, published.Value{Name: old.Name, Revision: 2, Data: old.Data}, assign.Platform)
-		r.offer(n, published.Value{Name: old.Name, Revision: 3, Data: []byte("format = 99")}, assign.Platform)
+	for _, n := range h.nodes {
+		h.offer(n, old, assign.Platform)
+		h.offer(n, published.Value{Name: old.Name, Revision: 2, Data: old.Data}, assign.Platform)
+		h.offer(n, published.Value{Name: old.Name, Revision: 3, Data: []byte("format = 99")}, assign.Platform)
 		if n.dead {
 			continue
 		}
@@ -214,7 +214,7 @@
 		}
 	}
 	at(19, 0)
-	if took := r.until(5*sec, limits(64)); took >= 5*sec {
+	if took := h.until(5*sec, limits(64)); took >= 5*sec {
 		t.Error("the close did not end")
 	}
 }
@@ -225,35 +225,35 @@
 // back-off, a heartbeat, a fetch) all entries have the profile, hear each other and name all
 // entries to callers.
 func TestPartitionHealsByItself(t *testing.T) {
-	r := newServingCluster(t, 6, "counts/c1", "counts/c2")
-	r.cut = separatesHalves
-	r.platformDown = func(n *node) bool { return separatesHalves(n, r.nodes[0]) }
-	r.run(10 * sec)
-	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
-	r.run(10 * sec)
-	r.platformDown = func(*node) bool { return true }
+	h := newServingCluster(t, 6, "counts/c1", "counts/c2")
+	h.cut = separatesHalves
+	h.platformDown = func(n *node) bool { return separatesHalves(n, h.nodes[0]) }
+	h.run(10 * sec)
+	h.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
+	h.run(10 * sec)
+	h.platformDown = func(*node) bool { return true }
 	for _, vm := range []int{2, 3, 5} {
-		r.start(vm)
+		h.start(vm)
 	}
-	r.run(10 * sec)
-	for _, n := range r.nodes {
+	h.run(10 * sec)
+	for _, n := range h.nodes {
 		if n.dead {
 			continue
 		}
-		even := !separatesHalves(n, r.nodes[0])
+		even := !separatesHalves(n, h.nodes[0])
 		if got := n.InForce(published.ProfilesValue).Revision; (got == 2) != even {
 			t.Errorf("%s has revision %d during the partition", n.hello.Name, got)
 		}
 		if got := n.entriesNamed("counts"); even && got != "0 2 4" || !even && got != "1 3 5" {
 			t.Errorf("%s names %q during the partition", n.hello.Name, got)
 		}
-		id := r.sendRequest(n, Arrival{Service: "counts"})
-		r.run(100 * ms)
+		id := h.sendRequest(n, Arrival{Service: "counts"})
+		h.run(100 * ms)
 		if got := n.replies[id]; got.Outcome != OutcomeDone {
 			t.Errorf("%s: reply %+v during the partition", n.hello.Name, got)
 		}
 	}
-	r.cut = func(_, _ *node) bool { return false }
+	h.cut = func(_, _ *node) bool { return false }
 	healed := func(n *node) bool {
 		for i := range n.fleet.entries {
 			if e := &n.fleet.entries[i]; !e.Usable() {
@@ -262,9 +262,9 @@
 		}
 		return atRevision(2)(n) && n.UsableEntries() == 6
 	}
-	if took := r.until(20*sec, healed); took > 4*sec {
+	if took := h.until(20*sec, healed); took > 4*sec {
 		t.Errorf("all entries agree %v after the network healed, want within 4s", took)
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			t.Log(n.hello.Name, n.dead, n.InForce(published.ProfilesValue).Revision, n.UsableEntries(), n.fleet.entries)
 		}
 	}
@@ -275,22 +275,22 @@
 // suspect it within four seconds and stop naming it. Two seconds after the loss ends they name it
 // again.
 func TestUnheardEntryIsNotNamedToCallers(t *testing.T) {
-	r := newServingCluster(t, 3, "counts/c1")
-	unheard := r.nodes[0]
-	r.cut = func(from, _ *node) bool { return from == unheard }
+	h := newServingCluster(t, 3, "counts/c1")
+	unheard := h.nodes[0]
+	h.cut = func(from, _ *node) bool { return from == unheard }
 	named := func(want bool) func(n *node) bool {
 		return func(n *node) bool { return n == unheard || strings.Contains(n.entriesNamed("counts"), "0") == want }
 	}
-	if took := r.until(20*sec, named(false)); took > 4*sec {
+	if took := h.until(20*sec, named(false)); took > 4*sec {
 		t.Errorf("still named to callers after %v", took)
 	}
-	id := r.sendRequest(unheard, Arrival{Service: "counts"})
-	r.run(30 * sec)
+	id := h.sendRequest(unheard, Arrival{Service: "counts"})
+	h.run(30 * sec)
 	if got := unheard.replies[id]; got.Outcome != OutcomeDone || unheard.entriesNamed("counts") == "0" {
 		t.Errorf("reply %+v, names %q", got, unheard.entriesNamed("counts"))
 	}
-	r.cut = func(_, _ *node) bool { return false }
-	if took := r.until(20*sec, named(true)); took > 2*sec {
+	h.cut = func(_, _ *node) bool { return false }
+	if took := h.until(20*sec, named(true)); took > 2*sec {
 		t.Errorf("named again only after %v", took)
 	}
 }
@@ -299,15 +299,15 @@
 // another VM is added, then it reports that it serves, and this change of state did not reach the
 // lists derived from the member table until yet another VM changed.
 func TestNewEntryIsNamedAsSoonAsItServes(t *testing.T) {
-	r := newServingCluster(t, 2, "counts/c1")
-	n := r.nodes[0]
+	h := newServingCluster(t, 2, "counts/c1")
+	n := h.nodes[0]
 	fresh := message.Hello{Name: "entry-2", Incarnation: 77, Region: "r", Domain: "d2", CallerAddress: "10.0.0.3:80", PeerAddress: "10.0.0.3:81"}
-	r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, fresh, out) })
+	h.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, fresh, out) })
 	for sequence, state := range []message.EntryState{message.EntryStarting, message.EntryServing} {
 		u := message.Update{From: 77, Sequence: uint64(sequence + 1), State: state, Epoch: 1}
-		r.do(n, func(now time.Duration, out *Actions) { n.PeerUpdate(now, &u, out) })
-		r.publishVMs(uint64(2+sequence), "counts/c1", "counts/c2")
-		r.run(200 * ms)
+		h.do(n, func(now time.Duration, out *Actions) { n.PeerUpdate(now, &u, out) })
+		h.publishVMs(uint64(2+sequence), "counts/c1", "counts/c2")
+		h.run(200 * ms)
 		if got, want := n.entriesNamed("counts"), []string{"0 1", "0 1 2"}[sequence]; got != want {
 			t.Errorf("state %v: named %q, want %q", state, got, want)
 		}
@@ -319,37 +319,37 @@
 // platform down it gets the revision from a peer one heartbeat later. A caller that invents
 // revisions causes a few calls to the platform and not one per request.
 func TestLaterRevisionOfCallerIsFetched(t *testing.T) {
-	r := newServingCluster(t, 3, "counts/c1")
-	n := r.nodes[0]
-	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
-	out := r.do(n, func(now time.Duration, out *Actions) {
+	h := newServingCluster(t, 3, "counts/c1")
+	n := h.nodes[0]
+	h.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
+	out := h.do(n, func(now time.Duration, out *Actions) {
 		n.Arrive(now, Arrival{ID: 1 << 40, Service: "counts", Revision: 2}, out)
 	})
 	if len(out.Fetches) != 1 || out.Fetches[0].Name != published.ProfilesValue || out.Fetches[0].After != 1 {
 		t.Errorf("fetches %+v", out.Fetches)
 	}
-	r.until(5*sec, atRevision(2))
-	r.platformDown = func(x *node) bool { return x != r.nodes[2] }
-	r.republish(3, `deadline = "700ms"`, `deadline = "600ms"`)
-	r.until(5*sec, func(x *node) bool { return x != r.nodes[2] || atRevision(3)(x) })
-	r.sendRequest(n, Arrival{Service: "counts", Revision: 3})
-	if took := r.until(5*sec, func(x *node) bool { return x != n || atRevision(3)(x) }); took > sec {
+	h.until(5*sec, atRevision(2))
+	h.platformDown = func(x *node) bool { return x != h.nodes[2] }
+	h.republish(3, `deadline = "700ms"`, `deadline = "600ms"`)
+	h.until(5*sec, func(x *node) bool { return x != h.nodes[2] || atRevision(3)(x) })
+	h.sendRequest(n, Arrival{Service: "counts", Revision: 3})
+	if took := h.until(5*sec, func(x *node) bool { return x != n || atRevision(3)(x) }); took > sec {
 		t.Errorf("from a peer after %v", took)
 	}
-	fresh := r.start(1) // an invented revision must not keep an entry from starting
-	r.sendRequest(fresh, Arrival{Service: "counts", Revision: 99})
-	r.platformDown = func(*node) bool { return true }
-	if took := r.until(20*sec, func(x *node) bool { ready, _ := x.ReadyReason(r.now); return ready }); took > 6*sec {
+	fresh := h.start(1) // an invented revision must not keep an entry from starting
+	h.sendRequest(fresh, Arrival{Service: "counts", Revision: 99})
+	h.platformDown = func(*node) bool { return true }
+	if took := h.until(20*sec, func(x *node) bool { ready, _ := x.ReadyReason(h.now); return ready }); took > 6*sec {
 		t.Errorf("a new entry is ready only after %v", took)
 	}
-	r.platformDown = func(*node) bool { return false }
+	h.platformDown = func(*node) bool { return false }
 	fetches := 0
 	for i := range uint64(1000) {
-		out := r.do(n, func(now time.Duration, out *Actions) {
+		out := h.do(n, func(now time.Duration, out *Actions) {
 			n.Arrive(now, Arrival{ID: RequestID(1<<41 + i), Service: "counts", Revision: 1000 + i}, out)
 		})
 		fetches += len(out.Fetches)
-		r.run(10 * ms)
+		h.run(10 * ms)
 	}
 	if fetches > 12 {
 		t.Errorf("%d fetches in 10 s for invented revisions", fetches)
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -262,8 +262,8 @@
 	return out
 }
 
-// Unmarked returns the stored records whose marks are not in marks.
-func (s *Scheduler) Unmarked(marks []uint32) []message.Record {
+// UnmarkedRecords returns the stored records whose marks are not in marks.
+func (s *Scheduler) UnmarkedRecords(marks []uint32) []message.Record {
 	has := make(map[uint32]bool, len(marks))
 	for _, m := range marks {
 		has[m] = true
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -14,26 +14,26 @@
 func TestHealthProbesStayWithinBudget(t *testing.T) {
 	const entries, share, slots = 8, 0.04, 12
 	for _, slow := range []time.Duration{0, 50 * ms} {
-		r := newClusterHarness(t, entries)
-		r.probeTime = r.probeTime + slow
-		r.publishVMs(1, sixCounts...)
-		r.cut = func(from, to *node) bool { return r.now < 10*sec || r.now > 30*sec && separatesHalves(from, to) }
+		h := newClusterHarness(t, entries)
+		h.probeTime = h.probeTime + slow
+		h.publishVMs(1, sixCounts...)
+		h.cut = func(from, to *node) bool { return h.now < 10*sec || h.now > 30*sec && separatesHalves(from, to) }
 		for range 6 {
-			r.run(5 * sec)
+			h.run(5 * sec)
 		}
-		r.start(3)
-		r.run(30 * sec)
+		h.start(3)
+		h.run(30 * sec)
 		total := 0
-		for first := range r.probedAt {
+		for first := range h.probedAt {
 			spent := time.Duration(0)
-			for _, at := range r.probedAt[first:] {
-				if at-r.probedAt[first] >= 10*sec {
+			for _, at := range h.probedAt[first:] {
+				if at-h.probedAt[first] >= 10*sec {
 					break
 				}
-				spent += r.probeTime
+				spent += h.probeTime
 			}
 			if limit := time.Duration(share * slots * float64(10*sec)); spent > limit {
-				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, r.probedAt[first], limit)
+				t.Fatalf("%v of slot time in 10 s from %v on, the budget is %v", spent, h.probedAt[first], limit)
 			}
 			total++
 		}
@@ -47,15 +47,15 @@
 // against probes that go to the first rows of the table again and again while nothing is known of
 // the last ones: the endpoint seen longest ago is probed first.
 func TestEveryEndpointIsProbedInTurn(t *testing.T) {
-	r := newClusterHarness(t, 1)
+	h := newClusterHarness(t, 1)
 	var names []string
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("waste/w%d", i+1))
 	}
-	r.publishVMs(1, names...)
-	r.run(2 * time.Minute)
+	h.publishVMs(1, names...)
+	h.run(2 * time.Minute)
 	seen := map[string]int{}
-	for _, p := range r.nodes[0].probes {
+	for _, p := range h.nodes[0].probes {
 		seen[p.Endpoint]++
 	}
 	least, most := 1000, 0
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -14,24 +14,24 @@
 // was known to leave, has a slow start, and is affected neither by its predecessor's failures nor
 // by a peer's late evidence about it.
 func TestRestartedEndpointIsANewIncarnation(t *testing.T) {
-	r := newServingCluster(t, 2, "counts/c1#5", "counts/c2#5")
-	r.setReactions(reaction{})
-	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
-	n := r.nodes[0]
+	h := newServingCluster(t, 2, "counts/c1#5", "counts/c2#5")
+	h.setReactions(reaction{})
+	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
+	n := h.nodes[0]
 	p := n.pools["counts"]
 	before := &p.Endpoints[p.find("c1", 5)]
-	placement.NoteOutcome(r.now, before, true)
-	before.NoteProbed(table.ProbedLoad{Running: 2, Slots: 2, Pace: 500, At: r.now, Seen: true})
+	placement.NoteOutcome(h.now, before, true)
+	before.NoteProbed(table.ProbedLoad{Running: 2, Slots: 2, Pace: 500, At: h.now, Seen: true})
 	leaving := message.Evidence{VM: "c1", Incarnation: 5, Kind: message.EvidenceLeaving}
-	r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, leaving) })
-	r.run(sec) // the other entry is notified
-	clear(r.written)
-	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
-	if r.written["c1"] > 0 {
-		t.Fatalf("the leaving endpoint got %d requests", r.written["c1"])
+	h.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(h.now, out, leaving) })
+	h.run(sec) // the other entry is notified
+	clear(h.written)
+	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 2*sec)
+	if h.written["c1"] > 0 {
+		t.Fatalf("the leaving endpoint got %d requests", h.written["c1"])
 	}
-	r.publishVMs(2, "counts/c1#6", "counts/c2#5")
-	r.run(sec)
+	h.publishVMs(2, "counts/c1#6", "counts/c2#5")
+	h.run(sec)
 	i := p.find("c1", 6)
 	if i < 0 {
 		t.Fatalf("the new incarnation is not known: %+v", p.Endpoints)
@@ -41,11 +41,11 @@
 		t.Errorf("the new incarnation has the state of the earlier one: %+v", e)
 	}
 	for _, late := range []message.Evidence{leaving, {VM: "c1", Incarnation: 5, Kind: message.EvidenceStopped, AgeMillis: 3000}} {
-		r.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(r.now, out, late) })
+		h.do(n, func(_ time.Duration, out *Actions) { n.applyEvidence(h.now, out, late) })
 	}
-	clear(r.written)
-	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
-	if r.written["c1"] == 0 {
+	clear(h.written)
+	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 7*sec)
+	if h.written["c1"] == 0 {
 		t.Errorf("the new incarnation gets no requests: %+v", *e)
 	}
 }
@@ -55,18 +55,18 @@
 // the caller of a booking must not get the outcome not-run, and the attempt uses no slot of the new
 // one.
 func TestAttemptBelongsToItsIncarnation(t *testing.T) {
-	r := newServingCluster(t, 1, "counts/c1#5")
-	n := r.nodes[0]
-	r.endpoint = func(string, Arrival) reaction { return reaction{after: 3 * sec, end: End{Kind: EndLost}} }
-	id := r.sendRequest(n, Arrival{Service: "counts"})
-	r.run(200 * ms)
-	r.publishVMs(2, "counts/c1#6")
-	r.run(sec)
+	h := newServingCluster(t, 1, "counts/c1#5")
+	n := h.nodes[0]
+	h.endpoint = func(string, Arrival) reaction { return reaction{after: 3 * sec, end: End{Kind: EndLost}} }
+	id := h.sendRequest(n, Arrival{Service: "counts"})
+	h.run(200 * ms)
+	h.publishVMs(2, "counts/c1#6")
+	h.run(sec)
 	p := n.pools["counts"]
 	if i := p.find("c1", 6); i < 0 || p.Endpoints[i].Outstanding != 0 {
 		t.Errorf("the new incarnation has the attempt of the earlier one: %+v", p.Endpoints)
 	}
-	r.run(5 * sec)
+	h.run(5 * sec)
 	if got := n.replies[id]; got.Outcome == OutcomeNotRun {
 		t.Errorf("reply %+v", got)
 	}
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -300,7 +300,7 @@
 	}
 	f.post(largeLag, func() {
 		f.schedule(to, messageCost, func() {
-			records := to.RecordsBeyond(p.Marks)
+			records := to.UnmarkedRecords(p.Marks)
 			slices.SortFunc(records, func(a, b message.Record) int { return cmp.Compare(a.Name, b.Name) })
 			f.post(largeLag, func() { done(records, true) })
 		})
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -7,10 +7,10 @@
 // endpoints were idle: the retry was charged to the budget that successes earn, and this entry had
 // no successes yet.
 func TestLeavingEndpointRefusalIsRetriedWithoutBudget(t *testing.T) {
-	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3")
-	n := r.nodes[0]
+	h := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3")
+	n := h.nodes[0]
 	refusals := 0
-	r.endpoint = func(name string, _ Arrival) reaction {
+	h.endpoint = func(name string, _ Arrival) reaction {
 		if name != "c1" {
 			return reaction{after: 5 * ms}
 		}
@@ -19,14 +19,14 @@
 	}
 	const together = 6 // as many as all endpoints have slots
 	for range together {
-		r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
+		h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
 	}
-	r.run(200 * ms)
+	h.run(200 * ms)
 	for range together {
-		r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
+		h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
 	}
-	r.run(200 * ms)
-	for id := range r.nextID {
+	h.run(200 * ms)
+	for id := range h.nextID {
 		if got := n.replies[id+1]; got.Outcome != OutcomeDone {
 			t.Errorf("request %d: outcome %v (%v)", id+1, got.Outcome, got.Reason)
 		}
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -109,7 +109,7 @@
 // Guards against entries that are not notified of a limit, or are notified before they know the
 // endpoint, and against older evidence that replaces newer evidence.
 func TestLimitSpreadsToFleet(t *testing.T) {
-	r := newServingCluster(t, 3, "counts/c1", "counts/c2")
+	h := newServingCluster(t, 3, "counts/c1", "counts/c2")
 	limitOf := func(n *node, name string) float64 {
 		ref, found := n.fleet.rows[name]
 		if !found {
@@ -118,22 +118,22 @@
 		return ref.pool.Endpoints[ref.index].Limit.Rate
 	}
 	limit := 2.5
-	r.endpoint = func(name string, _ Arrival) reaction {
+	h.endpoint = func(name string, _ Arrival) reaction {
 		if name == "c1" {
 			return reaction{after: 5 * ms, head: Head{Load: Load{RateLimit: limit}}}
 		}
 		return reaction{after: 5 * ms}
 	}
 	use := func(d time.Duration) {
-		for end := r.now + d; r.now < end; r.run(20 * ms) {
-			for _, n := range r.nodes {
-				r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
+		for end := h.now + d; h.now < end; h.run(20 * ms) {
+			for _, n := range h.nodes {
+				h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
 			}
 		}
 	}
 	want := func(rate float64) {
 		t.Helper()
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			if got := limitOf(n, "c1"); got != rate {
 				t.Errorf("%s: limit %v, want %v", n.hello.Name, got, rate)
 			}
@@ -144,28 +144,28 @@
 	}
 	use(sec)
 	want(2.5)
-	late := r.start(3)
-	r.publishVMs(2, "counts/c1", "counts/c2")
-	r.run(4 * sec)
+	late := h.start(3)
+	h.publishVMs(2, "counts/c1", "counts/c2")
+	h.run(4 * sec)
 	if got := limitOf(late, "c1"); got != 2.5 {
 		t.Errorf("started entry: limit %v", got)
 	}
-	before := r.written["c1"]
+	before := h.written["c1"]
 	use(4 * sec)
-	if got := r.written["c1"] - before; got > 11 || got == 0 {
+	if got := h.written["c1"] - before; got > 11 || got == 0 {
 		t.Errorf("the endpoint got %d requests in four seconds, its limit allows 10", got)
 	}
 	limit = 0.4
 	use(6 * sec)
 	want(0.4)
-	old := message.Update{From: r.nodes[0].hello.Incarnation, Sequence: 1 << 40, Evidence: []message.Evidence{{VM: limitSubject + "c1", Incarnation: 1,
+	old := message.Update{From: h.nodes[0].hello.Incarnation, Sequence: 1 << 40, Evidence: []message.Evidence{{VM: limitSubject + "c1", Incarnation: 1,
 		Kind: message.EvidenceLimit, Limit: message.Limit{Rate: 99, Version: 1}}}}
-	r.do(r.nodes[1], func(now time.Duration, out *Actions) { r.nodes[1].PeerUpdate(now, &old, out) })
+	h.do(h.nodes[1], func(now time.Duration, out *Actions) { h.nodes[1].PeerUpdate(now, &old, out) })
 	want(0.4)
 	limit = 0
 	use(12 * sec)
 	want(0)
-	if r.nodes[1].limits[endpointID{"c1", 1}].Rate != 0 {
+	if h.nodes[1].limits[endpointID{"c1", 1}].Rate != 0 {
 		t.Error("the end of the limit did not reach the entry")
 	}
 }
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -253,7 +253,7 @@
 	}
 	r.noRoom++
 	if !r.late {
-		r.pool.placementState.NoteShort(now)
+		r.pool.placementState.NoteShortage(now)
 	}
 	r.pool.probeAgainAt = now + probeRoundGap
 	c.enqueue(now, r, out)
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -26,15 +26,15 @@
 // runScript gives the attempts of one request these reactions in order and answers every later
 // attempt. It returns the caller's reply and the number of attempts.
 func runScript(t *testing.T, a Arrival, script string) (reply, int) {
-	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
+	h := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
-	n := r.nodes[0]
+	n := h.nodes[0]
 	for range 100 {
 		n.services[a.Service].retry.Earn()
 	}
 	steps := strings.Split(script, ", ")
 	sent := 0
-	r.endpoint = func(string, Arrival) reaction {
+	h.endpoint = func(string, Arrival) reaction {
 		sent++
 		if sent > len(steps) {
 			return reactions["answers"]
@@ -46,13 +46,13 @@
 		return re
 	}
 	if a.Service == "waste" {
-		a.Key, a.HasKey = r.key(n), true
+		a.Key, a.HasKey = h.key(n), true
 	}
-	id := r.sendRequest(n, a)
+	id := h.sendRequest(n, a)
 	if a.Digest[0] == unreplayable {
 		n.arrivals[id] = Arrival{Service: a.Service}
 	}
-	r.run(12 * sec)
+	h.run(12 * sec)
 	got, answered := n.replies[id]
 	if !answered || got.twice || n.InFlight() != 0 {
 		t.Errorf("answered %v, twice %v, %d requests still in flight", answered, got.twice, n.InFlight())
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -11,12 +11,12 @@
 )
 
 // sleep pauses an entry's process for d. On waking, either its timers or its sockets run first.
-func (r *clusterHarness) sleep(n *node, d time.Duration, timersFirst bool) {
+func (h *clusterHarness) sleep(n *node, d time.Duration, timersFirst bool) {
 	n.asleep = true
-	r.run(d)
+	h.run(d)
 	n.asleep = false
 	if timersFirst {
-		r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall.Add(r.now), out) })
+		h.do(n, func(now time.Duration, out *Actions) { n.Tick(now, h.wall.Add(h.now), out) })
 	}
 }
 
@@ -29,41 +29,41 @@
 func TestEntryRecoversAfterPause(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
 		for _, otherFaults := range []bool{false, true} {
-			r := newServingCluster(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
-			n := r.nodes[0]
-			r.endpoint = func(string, Arrival) reaction {
+			h := newServingCluster(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
+			n := h.nodes[0]
+			h.endpoint = func(string, Arrival) reaction {
 				return reaction{after: 100 * ms, head: Head{Load: Load{Known: true, InFlight: 2, Slots: 2}}}
 			}
-			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
-			r.dial = func() time.Duration { return 5 * sec } // attempts are decided but not written yet
+			h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
+			h.dial = func() time.Duration { return 5 * sec } // attempts are decided but not written yet
 			var bookings, reads []RequestID
 			for range 6 {
-				bookings = append(bookings, r.sendRequest(n, Arrival{Service: "waste", Key: r.key(n), HasKey: true}))
+				bookings = append(bookings, h.sendRequest(n, Arrival{Service: "waste", Key: h.key(n), HasKey: true}))
 			}
 			for range 30 {
-				reads = append(reads, r.sendRequest(n, Arrival{Service: "counts"}))
+				reads = append(reads, h.sendRequest(n, Arrival{Service: "counts"}))
 			}
-			batch := r.sendRequest(n, Arrival{Service: "photos"})
-			clear(r.written)
+			batch := h.sendRequest(n, Arrival{Service: "photos"})
+			clear(h.written)
 			if otherFaults {
-				r.publishVMs(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
-				r.republish(2, `deadline = "8s"`, `deadline = "7s"`)
-				r.platformDown = func(n *node) bool { return r.now > 15*sec }
+				h.publishVMs(2, "waste/w1", "shared/s1", "counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6,leaving")
+				h.republish(2, `deadline = "8s"`, `deadline = "7s"`)
+				h.platformDown = func(n *node) bool { return h.now > 15*sec }
 			}
-			r.sleep(n, 30*sec, timersFirst)
-			r.dial = func() time.Duration { return lag }
-			woke := r.now - n.started
+			h.sleep(n, 30*sec, timersFirst)
+			h.dial = func() time.Duration { return lag }
+			woke := h.now - n.started
 			if slices.ContainsFunc(n.fleet.entries, func(e member.Entry) bool { return e.Suspected }) {
 				t.Error("peers are suspected before they could be heard")
 			}
 			for open, d := range n.open {
-				if open.id != batch && n.MaySend(r.now-n.started, open.id, open.n) {
-					t.Errorf("request %d may be sent, its deadline was %v ago", open.id, r.now-n.started-d.Deadline)
+				if open.id != batch && n.MaySend(h.now-n.started, open.id, open.n) {
+					t.Errorf("request %d may be sent, its deadline was %v ago", open.id, h.now-n.started-d.Deadline)
 				}
 			}
-			r.run(sec)
-			if r.totalWritten("c")+r.totalWritten("w") != 0 || r.written["s1"] != 1 {
-				t.Errorf("written after waking: %v", r.written)
+			h.run(sec)
+			if h.totalWritten("c")+h.totalWritten("w") != 0 || h.written["s1"] != 1 {
+				t.Errorf("written after waking: %v", h.written)
 			}
 			for _, id := range append(bookings, reads...) {
 				if got := n.replies[id]; got.Outcome != OutcomeNotRun {
@@ -76,11 +76,11 @@
 			if e := &n.pools["waste"].Endpoints[0]; e.Reported.Seen && e.Reported.At < woke || !n.hasNote("pause") {
 				t.Error("a load report from before the pause still counts, or the pause is not in the audit trail")
 			}
-			r.run(2 * sec)
+			h.run(2 * sec)
 			if otherFaults && (n.endpointState("c6") != table.EndpointLeaving || n.InForce(published.ProfilesValue).Revision != 2) {
 				t.Errorf("c6 is %v, revision %d", n.endpointState("c6"), n.InForce(published.ProfilesValue).Revision)
 			}
-			r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
+			h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 3*sec)
 			if n.counters.Ejections != 0 || n.UsableEntries() != 3 {
 				t.Errorf("%d ejections, %d usable entries", n.counters.Ejections, n.UsableEntries())
 			}
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -64,7 +64,7 @@
 			}
 			v.Now += c.later
 			if c.short {
-				v.PoolState.NoteShort(v.Now)
+				v.PoolState.NoteShortage(v.Now)
 			}
 			// Two thirds of the endpoints are in other domains.
 			if share := v.shareElsewhere(); c.left && share < 0.5 || !c.left && share > 0 {
--- a/internal/core/placement/connected_test.go
+++ b/internal/core/placement/connected_test.go
@@ -24,7 +24,7 @@
 	}
 	v := viewOf(endpoints...)
 	if short {
-		v.PoolState.NoteShort(v.Now)
+		v.PoolState.NoteShortage(v.Now)
 	}
 	probedOnce, first := map[int]bool{}, 0
 	for range choices {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -155,7 +155,7 @@
 		late, want bool
 	}{{50 * ms, true, false}, {50 * ms, false, true}, {300 * ms, true, true}} {
 		v := viewOf(endpoint("a", 1, 6, 100, 0))
-		v.PoolState.NoteShort(v.Now - c.ago)
+		v.PoolState.NoteShortage(v.Now - c.ago)
 		v.Request.Late = c.late
 		if got := v.Best().Worthwhile; got != c.want {
 			t.Errorf("short %v ago, late %v: sent there %v", c.ago, c.late, got)
@@ -174,7 +174,7 @@
 			now += c.every
 			p.NoteArrival(now)
 		}
-		p.NoteShort(now)
+		p.NoteShortage(now)
 		if !p.isShort(now+c.lasts*9/10) || p.isShort(now+c.lasts*11/10) {
 			t.Errorf("a request every %v: short for %v, want %v", c.every, p.shortFor(), c.lasts)
 		}
--- a/internal/core/placement/shortage.go
+++ b/internal/core/placement/shortage.go
@@ -30,8 +30,8 @@
 	return min(max(shortMin, time.Duration(shortArrivals*p.gap)), shortMax)
 }
 
-// NoteShort records that a request that could be in time found no room.
-func (p *PoolState) NoteShort(now time.Duration) { p.shortAt = now }
+// NoteShortage records that a request that could be in time found no room.
+func (p *PoolState) NoteShortage(now time.Duration) { p.shortAt = now }
 
 // isShort reports whether a request that could be in time found no room a moment ago.
 func (p *PoolState) isShort(now time.Duration) bool {
--- a/internal/core/profilechange_test.go
+++ b/internal/core/profilechange_test.go
@@ -9,34 +9,34 @@
 )
 
 // republish publishes the profiles with parts of their text replaced.
-func (r *clusterHarness) republish(revision uint64, oldNew ...string) {
-	text := string(r.docs[published.ProfilesValue].Data)
+func (h *clusterHarness) republish(revision uint64, oldNew ...string) {
+	text := string(h.docs[published.ProfilesValue].Data)
 	changed := strings.NewReplacer(oldNew...).Replace(text)
 	if changed == text {
-		r.Fatalf("no text to replace: %q", oldNew)
+		h.Fatalf("no text to replace: %q", oldNew)
 	}
-	r.publish(published.ProfilesValue, revision, changed)
+	h.publish(published.ProfilesValue, revision, changed)
 }
 
 // Guards against waiting requests that run several times when a published profile moves their
 // service to another pool: the queue of the old pool kept the requests, and requests sent to the
 // new pool were never removed from it.
 func TestServiceMovesToAnotherPoolWhileRequestsWait(t *testing.T) {
-	r := newServingCluster(t, 1, "waste/w1", "counts/c1", "counts/c2", "counts/c3")
-	n := r.nodes[0]
-	r.endpoint = func(string, Arrival) reaction { return reaction{after: 300 * ms} }
+	h := newServingCluster(t, 1, "waste/w1", "counts/c1", "counts/c2", "counts/c3")
+	n := h.nodes[0]
+	h.endpoint = func(string, Arrival) reaction { return reaction{after: 300 * ms} }
 	for caller := range uint64(5) {
-		r.sendRequest(n, Arrival{Service: "waste", Caller: caller, Key: r.key(n), HasKey: true})
+		h.sendRequest(n, Arrival{Service: "waste", Caller: caller, Key: h.key(n), HasKey: true})
 	}
-	r.run(50 * ms)
-	r.republish(2, "[service.waste]\nprofile = \"waste\"", "[service.waste]\nprofile = \"waste\"\npool = \"counts\"")
-	r.run(3 * sec)
-	for id := range r.nextID {
+	h.run(50 * ms)
+	h.republish(2, "[service.waste]\nprofile = \"waste\"", "[service.waste]\nprofile = \"waste\"\npool = \"counts\"")
+	h.run(3 * sec)
+	for id := range h.nextID {
 		if got := n.replies[id+1]; got.Outcome != OutcomeDone || got.twice {
 			t.Errorf("request %d: reply %+v", id+1, got)
 		}
 	}
-	for what, times := range r.ran {
+	for what, times := range h.ran {
 		if times != 1 {
 			t.Errorf("%s ran %d times", what, times)
 		}
@@ -50,23 +50,23 @@
 // nothing passes the head of the queue, so all other requests wait for their deadlines although the
 // endpoints are idle.
 func TestRequestThatTriedAllEndpointsDoesNotBlockQueue(t *testing.T) {
-	r := newServingCluster(t, 1, "counts/c1", "counts/c2")
-	n := r.nodes[0]
+	h := newServingCluster(t, 1, "counts/c1", "counts/c2")
+	n := h.nodes[0]
 	for range 50 { // earn retries
-		r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
-		r.run(20 * ms)
+		h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
+		h.run(20 * ms)
 	}
-	r.endpoint = func(_ string, a Arrival) reaction {
+	h.endpoint = func(_ string, a Arrival) reaction {
 		return reaction{after: 5 * ms, head: Head{NotRun: a.Caller == 2}}
 	}
-	refused := r.sendRequest(n, Arrival{Service: "counts", Caller: 2})
-	r.run(50 * ms)
-	other := r.sendRequest(n, Arrival{Service: "counts", Caller: 1})
-	r.run(50 * ms)
+	refused := h.sendRequest(n, Arrival{Service: "counts", Caller: 2})
+	h.run(50 * ms)
+	other := h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
+	h.run(50 * ms)
 	if _, answered := n.replies[other]; !answered {
 		t.Error("another caller's request waits behind a request that has no endpoint left to try")
 	}
-	r.run(sec)
+	h.run(sec)
 	if got := n.replies[refused]; got.Outcome != OutcomeNotRun || got.Reason != ReasonEndpointsRefuse {
 		t.Errorf("the refused request: reply %+v", got)
 	}
@@ -76,12 +76,12 @@
 // entries then serve the "waste" service, but they don't report their slots in use to each other
 // until some VM changes, and send to the same endpoints.
 func TestCloseReassignsServices(t *testing.T) {
-	r := newServingCluster(t, 6, "waste/w1")
-	r.platformDown = func(*node) bool { return true }
-	before := len(r.nodes[0].pools["waste"].deciders)
-	r.wall = r.wall.Add(6 * time.Hour)
-	r.run(sec)
-	if after := len(r.nodes[0].pools["waste"].deciders); before != 3 || after != 6 {
+	h := newServingCluster(t, 6, "waste/w1")
+	h.platformDown = func(*node) bool { return true }
+	before := len(h.nodes[0].pools["waste"].deciders)
+	h.wall = h.wall.Add(6 * time.Hour)
+	h.run(sec)
+	if after := len(h.nodes[0].pools["waste"].deciders); before != 3 || after != 6 {
 		t.Errorf("%d deciders on ordinary days and %d during the close, want 3 and 6", before, after)
 	}
 }
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -7,9 +7,9 @@
 
 // simulateSlots gives every endpoint two slots and a queue of its own; work returns how long a
 // request takes.
-func (r *clusterHarness) simulateSlots(work func(a Arrival) time.Duration) {
+func (h *clusterHarness) simulateSlots(work func(a Arrival) time.Duration) {
 	free := map[string]*[2]time.Duration{}
-	r.endpoint = func(name string, a Arrival) reaction {
+	h.endpoint = func(name string, a Arrival) reaction {
 		f := free[name]
 		if f == nil {
 			f = new([2]time.Duration)
@@ -17,7 +17,7 @@
 		}
 		busy := 0
 		for _, at := range f {
-			if at > r.now {
+			if at > h.now {
 				busy++
 			}
 		}
@@ -25,8 +25,8 @@
 		if f[1] < f[0] {
 			slot = 1
 		}
-		f[slot] = max(f[slot], r.now) + work(a)
-		return reaction{after: f[slot] - r.now, head: Head{Load: Load{Known: true, InFlight: busy, Slots: 2}}}
+		f[slot] = max(f[slot], h.now) + work(a)
+		return reaction{after: f[slot] - h.now, head: Head{Load: Load{Known: true, InFlight: busy, Slots: 2}}}
 	}
 }
 
@@ -35,17 +35,17 @@
 // auditors are all served, also while one of the two endpoints drains.
 func TestOneCallerCannotTakeTheQueue(t *testing.T) {
 	for _, drains := range []bool{false, true} {
-		r := newServingCluster(t, 1, "counts/c1", "counts/c2")
-		n := r.nodes[0]
-		r.simulateSlots(func(Arrival) time.Duration { return 25 * ms })
-		r.sendTraffic(Arrival{Service: "counts"}, 50*ms, sec)
+		h := newServingCluster(t, 1, "counts/c1", "counts/c2")
+		n := h.nodes[0]
+		h.simulateSlots(func(Arrival) time.Duration { return 25 * ms })
+		h.sendTraffic(Arrival{Service: "counts"}, 50*ms, sec)
 		if drains {
-			r.publishVMs(2, "counts/c1", "counts/c2,leaving")
-			r.run(200 * ms)
+			h.publishVMs(2, "counts/c1", "counts/c2,leaving")
+			h.run(200 * ms)
 		}
 		refused := map[Reason]int{}
 		for range 200 {
-			id := r.sendRequest(n, Arrival{Service: "counts", Caller: 7})
+			id := h.sendRequest(n, Arrival{Service: "counts", Caller: 7})
 			got, at := n.replies[id]
 			if !at {
 				continue
@@ -60,19 +60,19 @@
 		}
 		var others []RequestID
 		for caller := range uint64(8) {
-			others = append(others, r.sendRequest(n, Arrival{Service: "counts", Caller: 100 + caller}))
+			others = append(others, h.sendRequest(n, Arrival{Service: "counts", Caller: 100 + caller}))
 		}
-		shortDeadline := r.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
+		shortDeadline := h.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
 		if got := n.replies[shortDeadline]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
 			t.Errorf("a request that can't be answered in time got %+v", got)
 		}
-		r.run(sec)
+		h.run(sec)
 		for _, id := range others {
 			if got := n.replies[id]; got.Outcome != OutcomeDone {
 				t.Errorf("another auditor got %+v", got)
 			}
 		}
-		for text, times := range r.ran {
+		for text, times := range h.ran {
 			if times != 1 {
 				t.Errorf("%s ran %d times", text, times)
 			}
@@ -88,9 +88,9 @@
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4", "shared/s5", "shared/s6"},
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4"},
 	} {
-		r := newServingCluster(t, 3, endpoints...)
-		r.tick = 5 * ms
-		r.simulateSlots(func(a Arrival) time.Duration {
+		h := newServingCluster(t, 3, endpoints...)
+		h.tick = 5 * ms
+		h.simulateSlots(func(a Arrival) time.Duration {
 			if a.Service == "photos" {
 				return sec
 			}
@@ -100,26 +100,26 @@
 		late, checks := 0, 0
 		for i := range 1500 {
 			if i%10 == 0 && i < 500 {
-				for _, n := range r.nodes {
-					batches = append(batches, r.sendRequest(n, Arrival{Service: "photos", Caller: uint64(i)}))
+				for _, n := range h.nodes {
+					batches = append(batches, h.sendRequest(n, Arrival{Service: "photos", Caller: uint64(i)}))
 				}
 			}
-			n := r.nodes[i%3]
-			id, began := r.sendRequest(n, Arrival{Service: "checks", Caller: uint64(i)}), r.now
-			r.run(10 * ms)
+			n := h.nodes[i%3]
+			id, began := h.sendRequest(n, Arrival{Service: "checks", Caller: uint64(i)}), h.now
+			h.run(10 * ms)
 			if i > 200 && i < 1400 {
 				checks++
-				r.post(300*ms, n, func() {
+				h.post(300*ms, n, func() {
 					if got := n.replies[id]; got.Outcome != OutcomeDone || got.at-began > 200*ms {
 						late++
 					}
 				})
 			}
 		}
-		r.run(60 * sec)
+		h.run(60 * sec)
 		done := 0
 		for i, id := range batches {
-			if r.nodes[i%3].replies[id].Outcome == OutcomeDone {
+			if h.nodes[i%3].replies[id].Outcome == OutcomeDone {
 				done++
 			}
 		}
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -9,9 +9,9 @@
 // out, because the platform has just stopped answering the readers. Their liveness checks fail
 // within 0.7 s, they report that at once, and other entries take over within the rest of 2 s.
 func TestOthersReadWhenReadersGetNoAnswer(t *testing.T) {
-	r := newServingCluster(t, 15, "counts/c1")
+	h := newServingCluster(t, 15, "counts/c1")
 	silent := map[*node]bool{}
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		if n.Reader() {
 			silent[n] = true
 		}
@@ -19,21 +19,21 @@
 	if len(silent) == 0 || len(silent) > 8 {
 		t.Fatalf("%d readers, want 1 to 8", len(silent))
 	}
-	r.platformMute = func(n *node) bool { return silent[n] }
-	r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
-	r.run(700 * ms)
+	h.platformMute = func(n *node) bool { return silent[n] }
+	h.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
+	h.run(700 * ms)
 	for n := range silent {
 		n.PlatformAlive(false)
 	}
-	if took := r.until(20*sec, atRevision(2)); took > 1300*ms {
+	if took := h.until(20*sec, atRevision(2)); took > 1300*ms {
 		t.Errorf("in force %v after the readers noticed", took)
 	}
-	r.platformMute = func(*node) bool { return false }
+	h.platformMute = func(*node) bool { return false }
 	for n := range silent {
 		n.PlatformAlive(true)
 	}
-	r.run(2 * sec)
-	for _, n := range r.nodes {
+	h.run(2 * sec)
+	for _, n := range h.nodes {
 		if n.Reader() != silent[n] {
 			t.Errorf("%s reads: %v, although the assigned readers get answers again", n.hello.Name, n.Reader())
 		}
@@ -45,24 +45,24 @@
 // each failure domain are enough; if they get no answer either, further ones follow a moment later.
 func TestFewEntriesTakeOverFromSilentReaders(t *testing.T) {
 	for _, alsoSilent := range []bool{false, true} {
-		r := newServingCluster(t, 60, "counts/c1")
-		r.run(5 * sec)
+		h := newServingCluster(t, 60, "counts/c1")
+		h.run(5 * sec)
 		silent := map[*node]bool{}
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			silent[n] = n.Reader()
 		}
-		r.platformMute = func(n *node) bool { return silent[n] }
+		h.platformMute = func(n *node) bool { return silent[n] }
 		for n := range silent {
 			if silent[n] {
 				n.PlatformAnswered(false)
 			}
 		}
-		r.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
+		h.republish(2, `deadline = "800ms"`, `deadline = "700ms"`)
 		tried := map[*node]bool{}
-		began := r.now
-		for r.now-began < 2*sec {
-			r.run(r.tick)
-			for _, n := range r.nodes {
+		began := h.now
+		for h.now-began < 2*sec {
+			h.run(h.tick)
+			for _, n := range h.nodes {
 				if n.Reader() && !silent[n] {
 					tried[n] = true
 					if alsoSilent && len(tried) <= 12 {
@@ -72,7 +72,7 @@
 				}
 			}
 		}
-		took, most := r.until(20*sec, atRevision(2)), 12
+		took, most := h.until(20*sec, atRevision(2)), 12
 		if alsoSilent {
 			most = 60
 		}
@@ -87,31 +87,31 @@
 // recovery it first answers an entry that is not an assigned reader, and all 59 others read as
 // well, one after the other, until an assigned reader noticed.
 func TestFewEntriesReadRecoveredPlatform(t *testing.T) {
-	r := newServingCluster(t, 60, "counts/c1")
-	r.run(5 * sec)
+	h := newServingCluster(t, 60, "counts/c1")
+	h.run(5 * sec)
 	assigned := map[*node]bool{}
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		assigned[n] = n.Reader()
 	}
 	silent := func(*node) bool { return true }
-	r.platformMute = silent
-	for _, n := range r.nodes {
+	h.platformMute = silent
+	for _, n := range h.nodes {
 		n.PlatformAnswered(false)
 	}
-	if took := r.until(10*sec, (*node).Reader); took >= 10*sec {
+	if took := h.until(10*sec, (*node).Reader); took >= 10*sec {
 		t.Fatal("not all entries try to read although no reader gets an answer")
 	}
 	var first *node
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		if !assigned[n] {
 			first = n
 			break
 		}
 	}
-	r.platformMute = func(n *node) bool { return n != first }
-	r.run(sec)
+	h.platformMute = func(n *node) bool { return n != first }
+	h.run(sec)
 	reading := 0
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		if n.Reader() && !assigned[n] {
 			reading++
 		}
@@ -120,9 +120,9 @@
 	if reading > few || !first.Reader() {
 		t.Errorf("%d entries that are not assigned read or try to, want at most %d; the entry that gets answers reads: %v", reading, few, first.Reader())
 	}
-	r.platformMute = silent
+	h.platformMute = silent
 	first.PlatformAnswered(false)
-	if took := r.until(5*sec, (*node).Reader); took >= 5*sec {
+	if took := h.until(5*sec, (*node).Reader); took >= 5*sec {
 		t.Error("other entries do not try again although the only reading entry gets no answers any more")
 	}
 }
@@ -133,11 +133,11 @@
 func TestLivenessChecksDoNotGrowWithFleet(t *testing.T) {
 	const usual, earlierGroups, maxRate = 400 * ms, 24, 20.0
 	for _, entries := range []int{6, 15, 60} {
-		r := newServingCluster(t, entries, "counts/c1")
+		h := newServingCluster(t, entries, "counts/c1")
 		rate, spread := 0.0, 0
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
-			pause, last := n.LivenessPause(r.now-n.started, usual)
+			pause, last := n.LivenessPause(h.now-n.started, usual)
 			if !last {
 				if pause != usual {
 					t.Errorf("%d entries: an entry of an early group checks every %v, want %v", entries, pause, usual)
@@ -158,18 +158,18 @@
 // last status, that some of them read the platform, stayed valid, so the entry got a new profile
 // only with its periodic check, a minute or two later.
 func TestIsolatedEntryReadsPlatform(t *testing.T) {
-	r := newServingCluster(t, 60, "counts/c1")
+	h := newServingCluster(t, 60, "counts/c1")
 	var isolated *node
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		n.cfg.ReadersPerDomain, n.fleet.readers.stale = 1, true
-		if _, last := n.LivenessPause(r.now-n.started, 400*ms); last {
+		if _, last := n.LivenessPause(h.now-n.started, 400*ms); last {
 			isolated = n
 		}
 	}
-	r.cut = func(from, to *node) bool { return from == isolated || to == isolated }
-	r.run(4 * sec)
+	h.cut = func(from, to *node) bool { return from == isolated || to == isolated }
+	h.run(4 * sec)
 	const usual = 400 * ms
-	if pause, spread := isolated.LivenessPause(r.now-isolated.started, usual); spread || pause != usual {
+	if pause, spread := isolated.LivenessPause(h.now-isolated.started, usual); spread || pause != usual {
 		t.Errorf("the isolated entry checks every %v, want %v", pause, usual)
 	}
 	if !isolated.Reader() {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -168,8 +168,10 @@
 	c.takeRecords(now, records, out)
 }
 
-// RecordsBeyond returns the stored records that are not among the marked ones.
-func (c *Core) RecordsBeyond(marks []uint32) []message.Record { return c.fleet.gossip.Unmarked(marks) }
+// UnmarkedRecords returns the stored records whose marks are not in marks.
+func (c *Core) UnmarkedRecords(marks []uint32) []message.Record {
+	return c.fleet.gossip.UnmarkedRecords(marks)
+}
 
 // RecordsAgree reports whether the peers from which this entry has heard have the same records.
 func (c *Core) RecordsAgree() bool { return c.fleet.gossip.RecordsAgree() }
--- a/internal/core/silentconnections_test.go
+++ b/internal/core/silentconnections_test.go
@@ -11,19 +11,19 @@
 // successes have earned, five at most, which is too few for these reads.
 func TestReadsOnSilentConnectionsAreRetried(t *testing.T) {
 	const dead = 12
-	r := newServingCluster(t, 1, sixCounts...)
-	r.setReactions(reaction{})
-	r.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
+	h := newServingCluster(t, 1, sixCounts...)
+	h.setReactions(reaction{})
+	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
 	lost := map[string]bool{}
-	r.endpoint = func(_ string, a Arrival) reaction {
+	h.endpoint = func(_ string, a Arrival) reaction {
 		if body := fmt.Sprint(a.ID); !lost[body] && len(lost) < dead {
 			lost[body] = true
 			return reaction{after: 500 * ms, end: End{Kind: EndLost, ConnSilent: true}, ignores: true}
 		}
 		return reaction{after: 10 * ms}
 	}
-	all := r.sendTraffic(Arrival{Service: "counts"}, 5*ms, 200*ms)
-	r.run(2 * sec)
+	all := h.sendTraffic(Arrival{Service: "counts"}, 5*ms, 200*ms)
+	h.run(2 * sec)
 	if len(lost) < dead {
 		t.Fatalf("only %d reads used silent connections", len(lost))
 	}
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -10,27 +10,27 @@
 // first and its full share after the slow start. In a pool that starts as a whole no endpoint is
 // limited.
 func TestNewEndpointStartsSlowly(t *testing.T) {
-	r := newServingCluster(t, 1, "counts/c1", "counts/c2")
-	p := r.nodes[0].pools["counts"]
+	h := newServingCluster(t, 1, "counts/c1", "counts/c2")
+	p := h.nodes[0].pools["counts"]
 	if p.Slots() != 4 {
 		t.Fatalf("a pool that starts as a whole has %d slots, want 4", p.Slots())
 	}
-	r.run(2 * slowStart)
-	r.publishVMs(2, "counts/c1", "counts/c2", "counts/c3")
-	r.run(sec)
+	h.run(2 * slowStart)
+	h.publishVMs(2, "counts/c1", "counts/c2", "counts/c3")
+	h.run(sec)
 	most := int32(0)
-	r.endpoint = func(name string, _ Arrival) reaction {
+	h.endpoint = func(name string, _ Arrival) reaction {
 		if name == "c3" {
 			most = max(most, p.Endpoints[p.find("c3", 0)].Outstanding)
 		}
 		return reaction{after: 30 * ms, head: Head{Load: Load{Known: true, Slots: 2}}}
 	}
-	r.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
+	h.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
 	if most != 1 || p.Slots() != 5 {
 		t.Errorf("the new endpoint had up to %d requests at a time and %d slots in all, want 1 and 5", most, p.Slots())
 	}
-	r.run(slowStart)
-	r.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
+	h.run(slowStart)
+	h.sendTraffic(Arrival{Service: "counts"}, 6*ms, slowStart/4)
 	if most != 2 || p.Slots() != 6 {
 		t.Errorf("after the slow start it had up to %d and %d slots in all, want 2 and 6", most, p.Slots())
 	}
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -14,27 +14,27 @@
 // serves. The platform is always current, so its two answers make an entry ready in the tick that
 // follows them, not only in the next tick of the fleet.
 func TestEntryReadyInOneTickAfterPowerLoss(t *testing.T) {
-	r := newClusterHarness(t, 0)
-	r.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
-	r.publishVMs(1, "counts/c1")
+	h := newClusterHarness(t, 0)
+	h.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
+	h.publishVMs(1, "counts/c1")
 	for vm := range 3 {
-		n := r.start(vm)
+		n := h.start(vm)
 		for peer := range 3 {
-			h := message.Hello{Name: fmt.Sprintf("entry-%d", peer), Incarnation: uint64(peer + 1), Region: "r"}
-			if h.Incarnation != n.hello.Incarnation {
-				r.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, h, out) })
+			hello := message.Hello{Name: fmt.Sprintf("entry-%d", peer), Incarnation: uint64(peer + 1), Region: "r"}
+			if hello.Incarnation != n.hello.Incarnation {
+				h.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, hello, out) })
 			}
 		}
 	}
-	r.run(r.tick)
-	for _, n := range r.nodes {
-		r.offer(n, r.docs[published.ProfilesValue], assign.Platform)
-		r.offer(n, r.docs[published.VMsValue], assign.Platform)
+	h.run(h.tick)
+	for _, n := range h.nodes {
+		h.offer(n, h.docs[published.ProfilesValue], assign.Platform)
+		h.offer(n, h.docs[published.VMsValue], assign.Platform)
 	}
-	r.run(r.tick)
-	for _, n := range r.nodes {
+	h.run(h.tick)
+	for _, n := range h.nodes {
 		if !n.hasNote("ready") {
-			_, why := n.ReadyReason(r.now)
+			_, why := n.ReadyReason(h.now)
 			t.Errorf("%s does not serve yet: %s", n.hello.Name, why)
 		}
 	}
@@ -45,16 +45,16 @@
 // all entries 1,400. An entry waits a quarter of a second for a peer and asks that peer at once.
 func TestStartingEntryAsksPeersFirst(t *testing.T) {
 	start := func(meets bool) (fetches []FetchFrom) {
-		r := newServingCluster(t, 2, "counts/c1")
-		r.config = func(cfg *Config) { cfg.StartFetchDelay = 250 * ms }
-		peer := r.nodes[0].currentHello()
-		n := r.start(2)
+		h := newServingCluster(t, 2, "counts/c1")
+		h.config = func(cfg *Config) { cfg.StartFetchDelay = 250 * ms }
+		peer := h.nodes[0].currentHello()
+		n := h.start(2)
 		for at := ms; at < 400*ms; at += 5 * ms {
 			var out Actions
 			if meets && at == 51*ms {
 				n.HelloReceived(at, peer, &out)
 			}
-			n.Tick(at, r.wall, &out)
+			n.Tick(at, h.wall, &out)
 			fetches = append(fetches, out.Fetches...)
 		}
 		return fetches
@@ -72,22 +72,22 @@
 // of 60 entries read the whole list once it was published, and reported to all others that it
 // reads.
 func TestStartingEntriesAreAssignedAsReaders(t *testing.T) {
-	r := newClusterHarness(t, 0)
-	r.docs = map[string]published.Value{}
-	r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
+	h := newClusterHarness(t, 0)
+	h.docs = map[string]published.Value{}
+	h.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 	for i := range 60 {
-		r.start(i)
+		h.start(i)
 	}
-	for _, a := range r.nodes {
-		for _, b := range r.nodes {
+	for _, a := range h.nodes {
+		for _, b := range h.nodes {
 			if a != b {
-				r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
+				h.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
 			}
 		}
 	}
-	r.run(sec)
+	h.run(sec)
 	readers := 0
-	for _, n := range r.nodes {
+	for _, n := range h.nodes {
 		if n.Reader() {
 			readers++
 		}
@@ -102,29 +102,29 @@
 // half a second later. The hello does not override an update that was sent before it and arrives
 // later.
 func TestHelloCarriesEntryState(t *testing.T) {
-	r := newClusterHarness(t, 2)
-	r.publishVMs(1, "counts/c1")
-	a, b := r.nodes[0], r.nodes[1]
-	for _, n := range r.nodes {
-		r.offer(n, r.docs[published.ProfilesValue], assign.Platform)
-		r.offer(n, r.docs[published.VMsValue], assign.Platform)
-		r.do(n, func(now time.Duration, out *Actions) { n.Tick(now, r.wall, out) })
+	h := newClusterHarness(t, 2)
+	h.publishVMs(1, "counts/c1")
+	a, b := h.nodes[0], h.nodes[1]
+	for _, n := range h.nodes {
+		h.offer(n, h.docs[published.ProfilesValue], assign.Platform)
+		h.offer(n, h.docs[published.VMsValue], assign.Platform)
+		h.do(n, func(now time.Duration, out *Actions) { n.Tick(now, h.wall, out) })
 	}
 	hello := b.currentHello()
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Fatalf("names %v before the hello", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
+	h.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 2 {
 		t.Errorf("names %v after the hello", got)
 	}
 	late := b.OwnStatus()
 	late.Sequence, late.State = 1, message.EntryLeaving
-	r.do(a, func(now time.Duration, out *Actions) { a.PeerUpdate(now, &late, out) })
+	h.do(a, func(now time.Duration, out *Actions) { a.PeerUpdate(now, &late, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Errorf("names %v although the other entry leaves", got)
 	}
-	r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
+	h.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, hello, out) })
 	if got := a.EntriesNear("d0", 9); len(got) != 1 {
 		t.Errorf("names %v after an old hello", got)
 	}
@@ -134,21 +134,21 @@
 // entry yet. Its first answers have a short TTL so that callers ask again soon; later answers have
 // the configured TTL.
 func TestFirstAnswersHaveShortTTL(t *testing.T) {
-	r := newClusterHarness(t, 0)
-	r.config = func(cfg *Config) { cfg.AnswersTTL = 3 * sec }
-	r.publishVMs(1, "counts/c1")
-	n := r.start(0)
+	h := newClusterHarness(t, 0)
+	h.config = func(cfg *Config) { cfg.AnswersTTL = 3 * sec }
+	h.publishVMs(1, "counts/c1")
+	n := h.start(0)
 	if ttl := n.AnswersTTL(0); ttl > 500*ms {
 		t.Errorf("TTL %v before the entry serves, want at most 500ms", ttl)
 	}
-	if r.until(10*sec, func(n *node) bool { return n.hasNote("ready") }) >= 10*sec {
+	if h.until(10*sec, func(n *node) bool { return n.hasNote("ready") }) >= 10*sec {
 		t.Fatal("not ready after 10 s")
 	}
-	if ttl := n.AnswersTTL(r.now); ttl > 500*ms {
+	if ttl := n.AnswersTTL(h.now); ttl > 500*ms {
 		t.Errorf("TTL %v at first, want at most 500ms", ttl)
 	}
-	r.run(2 * sec)
-	if ttl := n.AnswersTTL(r.now); ttl != 3*sec {
+	h.run(2 * sec)
+	if ttl := n.AnswersTTL(h.now); ttl != 3*sec {
 		t.Errorf("TTL %v later on, want 3s", ttl)
 	}
 }
@@ -162,37 +162,37 @@
 		name string
 		mute bool
 	}{{"readers get answers", false}, {"no reader gets an answer", true}} {
-		r := newClusterHarness(t, 0)
-		laterDocs := r.docs
-		r.docs = map[string]published.Value{}
-		r.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
+		h := newClusterHarness(t, 0)
+		laterDocs := h.docs
+		h.docs = map[string]published.Value{}
+		h.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 		asked := map[string]int{}
 		for i := range 15 {
-			r.start(i)
+			h.start(i)
 		}
 		readers := map[uint64]bool{}
-		r.platformMute = func(n *node) bool { return c.mute && readers[n.hello.Incarnation] }
-		r.platformDown = func(n *node) bool {
+		h.platformMute = func(n *node) bool { return c.mute && readers[n.hello.Incarnation] }
+		h.platformDown = func(n *node) bool {
 			if !n.Reader() {
 				asked[n.hello.Name]++
 			}
 			return false
 		}
-		for _, a := range r.nodes {
-			for _, b := range r.nodes {
+		for _, a := range h.nodes {
+			for _, b := range h.nodes {
 				if a != b {
-					r.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
+					h.do(a, func(now time.Duration, out *Actions) { a.HelloReceived(now, b.currentHello(), out) })
 				}
 			}
 		}
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			readers[n.hello.Incarnation] = n.Reader()
 		}
-		r.run(3 * sec)
-		r.docs = laterDocs
-		r.publishVMs(1, sixCounts...)
-		r.run(3 * sec)
-		for _, n := range r.nodes {
+		h.run(3 * sec)
+		h.docs = laterDocs
+		h.publishVMs(1, sixCounts...)
+		h.run(3 * sec)
+		for _, n := range h.nodes {
 			if n.InForce(published.ProfilesValue).Revision == 0 || n.InForce(published.VMsValue).Revision == 0 {
 				t.Fatalf("%s: %s has no profiles or no VM list after 6 s", c.name, n.hello.Name)
 			}
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -12,14 +12,14 @@
 )
 
 // sendRequest sends a caller's request to an entry.
-func (r *clusterHarness) sendRequest(n *node, a Arrival) RequestID {
-	r.nextID++
-	a.ID, a.Replayable = r.nextID, true
+func (h *clusterHarness) sendRequest(n *node, a Arrival) RequestID {
+	h.nextID++
+	a.ID, a.Replayable = h.nextID, true
 	if !a.HasKey {
-		binary.LittleEndian.PutUint64(a.Digest[8:], uint64(r.nextID)) // makes each request distinct
+		binary.LittleEndian.PutUint64(a.Digest[8:], uint64(h.nextID)) // makes each request distinct
 	}
 	n.arrivals[a.ID] = a
-	r.do(n, func(now time.Duration, out *Actions) { n.Arrive(now, a, out) })
+	h.do(n, func(now time.Duration, out *Actions) { n.Arrive(now, a, out) })
 	return a.ID
 }
 
@@ -29,81 +29,81 @@
 }
 
 // carryOut carries out one step of a request.
-func (r *clusterHarness) carryOut(n *node, d Directive) {
+func (h *clusterHarness) carryOut(n *node, d Directive) {
 	t := attemptKey{d.ID, d.Attempt}
 	answer := reply{Outcome: d.Outcome, Reason: d.Reason, after: d.RetryAfter}
 	switch d.Step {
 	case StepDispatch:
 		n.open[t] = d
-		r.post(r.dial(), n, func() { r.write(n, d) })
-		r.post(d.Deadline-(r.now-n.started), n, func() { r.end(n, t, End{Kind: EndLost, TimedOut: true}) })
+		h.post(h.dial(), n, func() { h.write(n, d) })
+		h.post(d.Deadline-(h.now-n.started), n, func() { h.end(n, t, End{Kind: EndLost, TimedOut: true}) })
 	case StepForward:
 		n.open[t] = d
-		r.post(lag, n, func() { r.forward(n, d) })
-		r.post(d.Deadline-(r.now-n.started), n, func() { r.end(n, t, End{Kind: EndLost, TimedOut: true}) })
+		h.post(lag, n, func() { h.forward(n, d) })
+		h.post(d.Deadline-(h.now-n.started), n, func() { h.end(n, t, End{Kind: EndLost, TimedOut: true}) })
 	case StepCancel:
-		r.post(0, n, func() { r.end(n, t, End{Kind: EndCancelled}) })
+		h.post(0, n, func() { h.end(n, t, End{Kind: EndCancelled}) })
 	case StepReply:
-		r.recordReply(n, d.ID, answer)
+		h.recordReply(n, d.ID, answer)
 	case StepReplay:
 		answer.body = string(d.Answer.Body)
-		r.recordReply(n, d.ID, answer)
+		h.recordReply(n, d.ID, answer)
 	}
 }
 
 // recordReply records the reply to a caller and passes it to the entry that forwarded the request,
 // if any.
-func (r *clusterHarness) recordReply(n *node, id RequestID, a reply) {
-	a.at = r.now
+func (h *clusterHarness) recordReply(n *node, id RequestID, a reply) {
+	a.at = h.now
 	_, a.twice = n.replies[id]
 	n.replies[id] = a
 	if relay := n.relays[id]; relay != nil {
-		r.post(lag, n, func() { relay(a) })
+		h.post(lag, n, func() { relay(a) })
 	}
 }
 
 // write runs at the moment before the first byte of an attempt is sent.
-func (r *clusterHarness) write(n *node, d Directive) {
+func (h *clusterHarness) write(n *node, d Directive) {
 	t := attemptKey{d.ID, d.Attempt}
 	if _, open := n.open[t]; !open {
 		return
 	}
-	if !n.MaySend(r.now-n.started, d.ID, d.Attempt) {
-		r.end(n, t, End{Kind: EndNotWritten})
+	if !n.MaySend(h.now-n.started, d.ID, d.Attempt) {
+		h.end(n, t, End{Kind: EndNotWritten})
 		return
 	}
 	name, a := nameOf(d.Address), n.arrivals[d.ID]
-	re := r.endpoint(name, a)
-	r.written[name]++
+	re := h.endpoint(name, a)
+	h.written[name]++
 	if !re.ignores && !re.head.NotRun && re.end.Kind != EndNotWritten {
-		r.ran[requestText(a)]++
+		h.ran[requestText(a)]++
 	}
-	r.post(re.after, n, func() { r.answer(n, t, re, requestText(a)) })
+	h.post(re.after, n, func() { h.answer(n, t, re, requestText(a)) })
 }
 
 // answer delivers an endpoint's answer to an entry.
-func (r *clusterHarness) answer(n *node, t attemptKey, re reaction, text string) {
+func (h *clusterHarness) answer(n *node, t attemptKey, re reaction, text string) {
 	if _, open := n.open[t]; !open {
 		return
 	}
 	end := re.end
 	if end.Kind != 0 && end.Kind != EndTruncated {
-		r.end(n, t, end)
+		h.end(n, t, end)
 		return
 	}
 	re.head.ID, re.head.Attempt = t.id, t.n
 	if re.head.Status == 0 {
 		re.head.Status = http.StatusOK
 	}
-	out := r.do(n, func(now time.Duration, out *Actions) { n.Head(now, re.head, out) })
+	out := h.do(n, func(now time.Duration, out *Actions) { n.Head(now, re.head, out) })
 	for _, d := range out.Requests {
 		if d.Step == StepCommit && d.ID == t.id {
 			if end.Kind == 0 {
 				end.Kind = EndComplete
 			}
 			end.Answer = &idem.Answer{Status: re.head.Status, Body: []byte(text)}
-			r.recordReply(n, t.id, reply{Outcome: d.Outcome, body: text})
-			r.end(n, t, end)
+			h.recordReply(n, t.id, reply{Outcome: d.Outcome, body: text})
+			h.end(n, t, end)
 			return
 		}
 	}
@@ -111,78 +111,78 @@
 	if re.head.NotRun {
 		end.Kind = EndNotRun
 	}
-	r.end(n, t, end)
+	h.end(n, t, end)
 }
 
 // end reports the end of an attempt to an entry.
-func (r *clusterHarness) end(n *node, t attemptKey, e End) {
+func (h *clusterHarness) end(n *node, t attemptKey, e End) {
 	if _, open := n.open[t]; !open {
 		return
 	}
 	delete(n.open, t)
 	e.ID, e.Attempt = t.id, t.n
 	e.Replayable = n.arrivals[t.id].Replayable && !e.BodyFailed
-	r.do(n, func(now time.Duration, out *Actions) { n.End(now, e, out) })
+	h.do(n, func(now time.Duration, out *Actions) { n.End(now, e, out) })
 }
 
 // forward sends a request to another entry and returns that entry's answer.
-func (r *clusterHarness) forward(n *node, d Directive) {
+func (h *clusterHarness) forward(n *node, d Directive) {
 	t := attemptKey{d.ID, d.Attempt}
-	home := r.nodeAt(d.Address)
-	if !r.reaches(n, home) {
-		r.end(n, t, End{Kind: EndNotWritten, DialFailed: true})
+	home := h.nodeAt(d.Address)
+	if !h.reaches(n, home) {
+		h.end(n, t, End{Kind: EndNotWritten, DialFailed: true})
 		return
 	}
 	a := n.arrivals[d.ID]
 	a.Forwarded = true
-	r.post(lag, home, func() {
-		id := r.nextID + 1
+	h.post(lag, home, func() {
+		id := h.nextID + 1
 		home.relays[id] = func(answer reply) {
-			if !r.reaches(home, n) {
+			if !h.reaches(home, n) {
 				return
 			}
-			r.post(0, n, func() { r.relayReply(n, t, answer) })
+			h.post(0, n, func() { h.relayReply(n, t, answer) })
 		}
-		r.sendRequest(home, a)
+		h.sendRequest(home, a)
 	})
 }
 
 // relayReply passes on another entry's answer unchanged.
-func (r *clusterHarness) relayReply(n *node, t attemptKey, answer reply) {
+func (h *clusterHarness) relayReply(n *node, t attemptKey, answer reply) {
 	if _, open := n.open[t]; !open {
 		return
 	}
 	head := Head{ID: t.id, Attempt: t.n, Status: http.StatusOK, HomeLost: answer.Reason == ReasonHomeLost}
 	end := End{Kind: EndDiscarded}
-	out := r.do(n, func(now time.Duration, out *Actions) { n.Head(now, head, out) })
+	out := h.do(n, func(now time.Duration, out *Actions) { n.Head(now, head, out) })
 	for _, d := range out.Requests {
 		if d.Step == StepCommit && d.ID == t.id {
-			r.recordReply(n, t.id, answer)
+			h.recordReply(n, t.id, answer)
 			end.Kind = EndComplete
 		}
 	}
-	r.end(n, t, end)
+	h.end(n, t, end)
 }
 
 // newServingCluster starts a fleet and runs it until all entries serve.
 func newServingCluster(t testing.TB, entries int, endpoints ...string) *clusterHarness {
 	t.Helper()
-	r := newClusterHarness(t, entries)
-	r.publishVMs(1, endpoints...)
+	h := newClusterHarness(t, entries)
+	h.publishVMs(1, endpoints...)
 	for range 100 {
-		r.run(100 * ms)
+		h.run(100 * ms)
 		serving := 0
-		for _, n := range r.nodes {
-			if ready, _ := n.ReadyReason(r.now); ready && n.UsableEntries() == entries {
+		for _, n := range h.nodes {
+			if ready, _ := n.ReadyReason(h.now); ready && n.UsableEntries() == entries {
 				serving++
 			}
 		}
 		if serving == entries {
-			return r
+			return h
 		}
 	}
-	for _, n := range r.nodes {
-		_, why := n.ReadyReason(r.now)
+	for _, n := range h.nodes {
+		_, why := n.ReadyReason(h.now)
 		t.Errorf("%s: %s, %d usable", n.hello.Name, why, n.UsableEntries())
 	}
 	t.FailNow()
@@ -200,26 +200,26 @@
 }
 
 // key makes a new key whose home is an entry.
-func (r *clusterHarness) key(home *node) idem.Key {
-	r.keysMade++
+func (h *clusterHarness) key(home *node) idem.Key {
+	h.keysMade++
 	key := idem.Key{Home: home.hello.Incarnation, Epoch: home.keys.Epoch()}
-	binary.LittleEndian.PutUint64(key.Random[:], r.keysMade)
+	binary.LittleEndian.PutUint64(key.Random[:], h.keysMade)
 	return key
 }
 
 // sendTraffic sends requests to the entries in turn while time passes, and returns the replies.
-func (r *clusterHarness) sendTraffic(a Arrival, every, d time.Duration) (sent []reply) {
+func (h *clusterHarness) sendTraffic(a Arrival, every, d time.Duration) (sent []reply) {
 	type request struct {
 		n  *node
 		id RequestID
 	}
 	var all []request
-	for end := r.now + d; r.now < end; r.run(every) {
-		n := r.nodes[len(all)%len(r.nodes)]
+	for end := h.now + d; h.now < end; h.run(every) {
+		n := h.nodes[len(all)%len(h.nodes)]
 		a.Caller = uint64(len(all))
-		all = append(all, request{n, r.sendRequest(n, a)})
+		all = append(all, request{n, h.sendRequest(n, a)})
 	}
-	r.run(sec)
+	h.run(sec)
 	for _, q := range all {
 		sent = append(sent, q.n.replies[q.id])
 	}
@@ -237,8 +237,8 @@
 }
 
 // totalWritten returns how many attempts were written to endpoints whose name begins with prefix.
-func (r *clusterHarness) totalWritten(prefix string) (n int) {
-	for name, written := range r.written {
+func (h *clusterHarness) totalWritten(prefix string) (n int) {
+	for name, written := range h.written {
 		if strings.HasPrefix(name, prefix) {
 			n += written
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,8 +31,8 @@
 	ExitFailure = 1
 	// ExitSettings means that the command line or the settings are invalid.
 	ExitSettings = 2
-	// ExitCut means that a stop cut off requests in flight.
-	ExitCut = 3
+	// ExitRequestsCutOff means that a stop cut off requests in flight.
+	ExitRequestsCutOff = 3
 )
 
 // signalBuffer is the size of the signal channel: one signal begins a planned stop, a second one
@@ -75,7 +75,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, errCut):
-		return ExitCut
+		return ExitRequestsCutOff
 	case fault.KindOf(err) == fault.BadSettings:
 		return ExitSettings
 	default:
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -158,8 +158,8 @@
 		<-e.stopping
 		signals <- syscall.SIGINT
 	}()
-	if code := exitCode(runUntilStopped(e, newTestReloader(t), signals)); code != ExitCut {
-		t.Errorf("exit code %d, want %d", code, ExitCut)
+	if code := exitCode(runUntilStopped(e, newTestReloader(t), signals)); code != ExitRequestsCutOff {
+		t.Errorf("exit code %d, want %d", code, ExitRequestsCutOff)
 	}
 }
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -60,7 +60,7 @@
 	signals <- syscall.SIGTERM
 	stopped := newSlowEntry()
 	signals <- syscall.SIGINT // ends the stop of the slow entry
-	if code := exitCode(runUntilStopped(stopped, r, signals)); code != ExitCut {
+	if code := exitCode(runUntilStopped(stopped, r, signals)); code != ExitRequestsCutOff {
 		t.Errorf("exit code %d after SIGHUP and SIGTERM", code)
 	}
 	if !slices.Equal(e.seeds, []string{"10.0.0.8:7070"}) {
--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -25,7 +25,7 @@
 			return Run(command.Context(), opts)
 		},
 	}
-	command.Flags().BoolVar(&opts.Stay, "stay", false, "keep the fleet running after the report and print example curl commands")
+	command.Flags().BoolVar(&opts.KeepRunning, "stay", false, "keep the fleet running after the report and print example curl commands")
 	command.Flags().Uint64Var(&opts.Seed, "seed", 1, "seed of the random service times")
 	return command
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,8 +15,8 @@
 type Options struct {
 	// Out receives the progress lines and the report.
 	Out io.Writer
-	// Stay keeps the fleet running after the report until the context ends.
-	Stay bool
+	// KeepRunning keeps the fleet running after the report until the context ends.
+	KeepRunning bool
 	// Seed is the seed of the random service times.
 	Seed uint64
 }
@@ -79,7 +79,7 @@
 		return err
 	}
 	report.Print(opts.Out)
-	if opts.Stay {
+	if opts.KeepRunning {
 		fmt.Fprint(opts.Out, curlExamples(fleet))
 		<-ctx.Done()
 	}
--- a/internal/entry/admin_test.go
+++ b/internal/entry/admin_test.go
@@ -113,7 +113,7 @@
 	await(t, "the document is refused", func() bool { return ask[admin.Status](o, "status").Profiles.Refused == refused })
 
 	const clears = "3 good trial requests"
-	if e := o.endpoint(name).Ejection; e != nil && (!strings.Contains(e.Why, "failed") || !strings.Contains(e.Clears, clears) || e.InARow < 1) {
+	if e := o.endpoint(name).Ejection; e != nil && (!strings.Contains(e.Why, "failed") || !strings.Contains(e.Clears, clears) || e.Consecutive < 1) {
 		t.Errorf("the ejection is not explained: %+v", e)
 	}
 	await(t, "status explains the ejection", func() bool { return o.concern("endpoint "+name+" of pool counts is ejected: ", clears) })
--- a/internal/entry/metrics_gauges.go
+++ b/internal/entry/metrics_gauges.go
@@ -191,7 +191,7 @@
 		total("keys.released", k.Released),
 		total("keys.refused_full", k.RefusedFull),
 		total("keys.refused_mismatch", k.RefusedMismatch),
-		total("keys.refused_spent", k.RefusedSpent),
+		total("keys.refused_spent", k.RefusedAfterNotRun),
 		total("keys.answers_dropped", k.AnswersDropped),
 		total("keys.late_results", k.LateResults),
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -251,7 +251,7 @@
 // Fetch implements peer.Handler.
 func (h *peerHandler) Fetch(f message.Fetch) (message.Document, error) {
 	if f.Name == message.RecordsValue {
-		return (*Entry)(h).recordsBeyond(f.Marks)
+		return (*Entry)(h).unmarkedRecords(f.Marks)
 	}
 	d := (*Entry)(h).documents.since(f)
 	if d.Revision == 0 {
@@ -260,10 +260,10 @@
 	return d, nil
 }
 
-// recordsBeyond returns the records that a peer lacks; marks identify the records that it has.
-func (e *Entry) recordsBeyond(marks []uint32) (message.Document, error) {
+// unmarkedRecords returns the records that a peer lacks; marks identify the records that it has.
+func (e *Entry) unmarkedRecords(marks []uint32) (message.Document, error) {
 	var records []message.Record
-	e.engine.view(func(_ time.Duration, c *core.Core) { records = c.RecordsBeyond(marks) })
+	e.engine.view(func(_ time.Duration, c *core.Core) { records = c.UnmarkedRecords(marks) })
 	data, err := wire.MarshalRecords(records)
 	if err != nil {
 		return message.Document{}, fault.Wrap(err, fault.BadMessage, "report this as a defect", "can't encode the records")
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -217,11 +217,11 @@
 	}
 	if ejection := e.Ejection; ejection != nil {
 		v.Ejection = &admin.EjectionView{
-			Why:     ejection.Why,
-			For:     ejection.For.Seconds(),
-			TrialIn: ejection.TrialIn.Seconds(),
-			InARow:  ejection.Consecutive,
-			Clears:  ejection.Clears,
+			Why:         ejection.Why,
+			For:         ejection.For.Seconds(),
+			TrialIn:     ejection.TrialIn.Seconds(),
+			Consecutive: ejection.Consecutive,
+			Clears:      ejection.Clears,
 		}
 	}
 	return v
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -65,8 +65,8 @@
 	RefusedFull uint64
 	// RefusedMismatch counts the requests whose key belongs to another request or caller.
 	RefusedMismatch uint64
-	// RefusedSpent counts the requests with a key that came again after the reply "not run".
-	RefusedSpent uint64
+	// RefusedAfterNotRun counts the requests with a key that came again after the reply "not run".
+	RefusedAfterNotRun uint64
 	// AnswersDropped counts the answers that were too large or made room for newer ones.
 	AnswersDropped uint64
 	// LateResults counts the results for keys that were neither running nor unknown. A late result
@@ -158,7 +158,7 @@
 func (t *Table) beginNew(rows *epochRows, k Key, caller uint64, d Digest) Decision {
 	switch {
 	case rows != nil && rows.spent.has(k.Random):
-		t.stats.RefusedSpent++
+		t.stats.RefusedAfterNotRun++
 		return Decision{Kind: Spent, Home: k.Home}
 	case k.Epoch < t.OldestEpoch():
 		return Decision{Kind: Expired, Home: k.Home}
