--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -81,7 +81,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
-		klog.ErrorS(err, "a page of the admin interface can't be encoded; report this as a defect")
+		klog.ErrorS(err, "a page of the admin interface cannot be encoded; report this as a defect")
 		http.Error(w, `{"error":"the page can't be written","remedy":"report this as a defect"}`, http.StatusInternalServerError)
 		return
 	}
--- a/internal/admin/text_test.go
+++ b/internal/admin/text_test.go
@@ -8,8 +8,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Guards against a name or a number that collectors can't parse: a collector would then discard all
-// metrics of the page.
+// Guards against a name or a number that collectors cannot parse: a collector would then discard
+// all metrics of the page.
 func TestMetricsTextFormat(t *testing.T) {
 	registry := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("service.r-1/t.done", registry).Inc(3)
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -84,7 +84,7 @@
 const MaxDepth = 6
 
 // maxDeadline is the largest deadline that ParseDeadline accepts: no request may wait longer than a
-// day, and a duration of so many milliseconds doesn't overflow.
+// day, and a duration of so many milliseconds does not overflow.
 const maxDeadline = 24 * time.Hour
 
 // Outcome states to the caller whether its request ran.
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -118,7 +118,7 @@
 	}
 	for _, name := range names {
 		if canonical := http.CanonicalHeaderKey(name); canonical != name {
-			t.Errorf("%q can't index a header; canonical is %q", name, canonical)
+			t.Errorf("%q cannot index a header; canonical is %q", name, canonical)
 		}
 	}
 }
--- a/internal/contract/entries.go
+++ b/internal/contract/entries.go
@@ -33,7 +33,7 @@
 	Outcome Outcome `json:"outcome"`
 	Reason  string  `json:"reason"`
 	Remedy  string  `json:"remedy"`
-	// RetryAfterMillis is the retry delay in milliseconds; 0 if a retry doesn't help.
+	// RetryAfterMillis is the retry delay in milliseconds; 0 if a retry does not help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
--- a/internal/core/balance/claims_test.go
+++ b/internal/core/balance/claims_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards against slots that count as used by a peer that is partitioned away or paused and can't
+// Guards against slots that count as used by a peer that is partitioned away or paused and cannot
 // report that they are free again: requests would wait or queue for as long as the peer is away.
 // An update without changes keeps the peer's counts; silence drops them.
 func TestSilentPeerUsesNoSlots(t *testing.T) {
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -12,7 +12,7 @@
 	// serviceWeight is the weight of a new measurement in Endpoint.ServiceNanos.
 	serviceWeight = 0.1
 	// maxSampleFactor bounds a measurement to a multiple of the present value, so that a few very
-	// long requests don't make an endpoint look slow.
+	// long requests do not make an endpoint look slow.
 	maxSampleFactor = 4
 	// noEndpointWait is how long to wait when no endpoint may be used at all.
 	noEndpointWait = 5 * time.Millisecond
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -127,7 +127,7 @@
 	h.breakConnection(first, 1, true)
 	h.run(20 * ms)
 	if len(h.open[first]) != 1 {
-		t.Error("a request whose endpoint crashed for the first time isn't repeated")
+		t.Error("a request whose endpoint crashed for the first time is not repeated")
 	}
 	h.breakConnection(first, 2, true)
 	second := h.sendContent(7)
@@ -365,7 +365,7 @@
 		h.run(10 * ms)
 	}
 	h.serviceTime = 100 * ms
-	h.now += 333 * time.Microsecond // crashes don't happen at whole milliseconds
+	h.now += 333 * time.Microsecond // crashes do not happen at whole milliseconds
 	for _, id := range ids {
 		h.breakConnection(id, 1, true)
 	}
@@ -395,13 +395,13 @@
 	h.run(20 * ms)
 	both := h.OwnEvidenceDigest()
 	if both == 0 {
-		t.Error("a second crash isn't spread at once")
+		t.Error("a second crash is not spread at once")
 	}
 	once := h.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
 	h.run(20 * ms)
 	h.breakConnection(once, 1, true)
 	h.run(spreadAfter + 100*ms)
 	if h.OwnEvidenceDigest() == both {
-		t.Error("a crash under a request that is not repeated isn't spread")
+		t.Error("a crash under a request that is not repeated is not spread")
 	}
 }
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -30,7 +30,7 @@
 // Alone, and while another endpoint drains, it must get almost no requests after a few seconds.
 // Once it works again it must be readmitted without an operator: trials with real reads do that
 // within an ejection and its growth (5 s, then at most 10 s), and it is used again as soon as the
-// other endpoints don't suffice.
+// other endpoints do not suffice.
 func TestFailingEndpointIsAvoidedAndReadmitted(t *testing.T) {
 	for name, re := range map[string]reaction{
 		"straggler":      {after: 400 * ms},
@@ -122,7 +122,7 @@
 func TestRetryBudgetPreventsRetryStorm(t *testing.T) {
 	for _, name := range []string{"answers 500", "answers 503", "refuses", "lost", "not dialled", "slowly lost"} {
 		// The default policy itself avoids endpoints that fail, so the budget is tested with a
-		// policy that doesn't; with that policy also during a partition.
+		// policy that does not; with that policy also during a partition.
 		for _, policy := range []string{balance.Default, balance.LeastOutstanding} {
 			split := policy != balance.Default && name == "answers 503"
 			h := newClusterHarness(t, 0)
--- a/internal/core/evidencecost_test.go
+++ b/internal/core/evidencecost_test.go
@@ -34,7 +34,7 @@
 // and 421 endpoints, against 0.08 ms at 15 and 33. The departure of 26 endpoints at once, first
 // leaving and then gone, took 1.2 s of an entry with 0.16 of a core. Such an entry spread evidence
 // so late that one of 141 entries sent a read to an endpoint that had reported 2.6 s before that it
-// was leaving. The test counts allocations, which don't depend on the machine.
+// was leaving. The test counts allocations, which do not depend on the machine.
 func TestEvidenceCostDoesNotGrowWithFleet(t *testing.T) {
 	cost := func(entries, endpoints int) float64 {
 		h, list := newHarnessWithFleet(t, entries, endpoints)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -271,7 +271,7 @@
 }
 
 // Entry 0 hears all others but no entry hears entry 0. Callers must not be sent to an entry that
-// its peers can't see alive, but entry 0 must go on serving the callers that it has. The others
+// its peers cannot see alive, but entry 0 must go on serving the callers that it has. The others
 // suspect it within four seconds and stop naming it. Two seconds after the loss ends they name it
 // again.
 func TestUnheardEntryIsNotNamedToCallers(t *testing.T) {
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -136,7 +136,7 @@
 			}
 			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
-		{"timeouts of a cold endpoint don't eject it", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
+		{"timeouts of a cold endpoint do not eject it", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
 			func(f *simulation) { f.pool.Endpoints[0].AdmittedAt = f.now }, 15 * time.Second, ""},
 		{"silent connections eject no endpoint", 6, firstEndpointsBad(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
 		{"no endpoint is ejected while most look bad", 6, firstEndpointsBad(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
--- a/internal/core/health/observe.go
+++ b/internal/core/health/observe.go
@@ -65,7 +65,7 @@
 	// service times vary as much as their mean is not taken for a straggler.
 	latencyWeight = 0.08
 	// maxLatencyStep bounds a latency sample to a multiple of the smoothed value. A single pause,
-	// caused for example by another VM on the host, then doesn't make an endpoint a straggler,
+	// caused for example by another VM on the host, then does not make an endpoint a straggler,
 	// while a lasting change shows after a few samples.
 	maxLatencyStep = 4.0
 	// maxQueueDiscount bounds how far a reported queue explains a latency, so that a slow endpoint
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -26,7 +26,8 @@
 )
 
 // largeFleet simulates hundreds of cores on VMs with a share of a core each, with seeds and with
-// the links that the cores ask for. Time is simulated, so that results don't depend on the machine.
+// the links that the cores ask for. Time is simulated, so that results do not depend on the
+// machine.
 type largeFleet struct {
 	testing.TB
 	now       time.Duration
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -45,7 +45,7 @@
 )
 
 // prefersConnected reports whether endpoints with a connection rank first in this choice. They
-// don't where requests find no room: each entry would then find its own endpoints full.
+// do not where requests find no room: each entry would then find its own endpoints full.
 func (v *View) prefersConnected() bool {
 	return !v.PoolState.isShort(v.Now) && v.Rand.Float64() >= otherShare
 }
--- a/internal/core/profilechange_test.go
+++ b/internal/core/profilechange_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against a close that changes the policies without assigning the services anew. More
-// entries then serve the "waste" service, but they don't report their slots in use to each other
+// entries then serve the "waste" service, but they do not report their slots in use to each other
 // until some VM changes, and send to the same endpoints.
 func TestCloseReassignsServices(t *testing.T) {
 	h := newServingCluster(t, 6, "waste/w1")
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Unreadable records that the value on the platform can't be read. The revision in force stays
+// Unreadable records that the value on the platform cannot be read. The revision in force stays
 // until the platform returns another value.
 func (c *Core) Unreadable(name string, problem error, out *Actions) {
 	text := problemText(problem)
@@ -177,7 +177,7 @@
 }
 
 // periodicCheck reads the platform at a low rate even if other entries are the readers, so that
-// wrong knowledge of who reads can't last.
+// wrong knowledge of who reads cannot last.
 func (c *Core) periodicCheck(now time.Duration, out *Actions) {
 	if now < c.fleet.nextCheck {
 		return
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -340,10 +340,10 @@
 	}
 }
 
-// countSuccessive counts the crashes that are not attributed to another request and whose runs don't
-// overlap, and the callers of these runs. Overlapping runs count once because a frequent request runs
-// on many endpoints when these crash together, as when a failure domain loses power; its next runs
-// complete.
+// countSuccessive counts the crashes that are not attributed to another request and whose runs do
+// not overlap, and the callers of these runs. Overlapping runs count once because a frequent
+// request runs on many endpoints when these crash together, as when a failure domain loses power;
+// its next runs complete.
 func countSuccessive(crashes []Crash, attributed map[endpoint]bool) (n, callers int) {
 	seenCallers := make(map[uint64]bool)
 	previousEnd := time.Duration(0)
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -12,7 +12,7 @@
 )
 
 // pace measures the time between dispatches of a class while requests of it wait. That includes
-// everything that the entry can't observe itself: the slots that other entries use, slow
+// everything that the entry cannot observe itself: the slots that other entries use, slow
 // endpoints, ejected endpoints.
 type pace struct {
 	interval float64
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -64,7 +64,7 @@
 		}
 		shortDeadline := h.sendRequest(n, Arrival{Service: "counts", Caller: 200, Timeout: 30 * ms})
 		if got := n.replies[shortDeadline]; got.Reason != ReasonTooLate || got.Outcome != OutcomeNotRun {
-			t.Errorf("a request that can't be answered in time got %+v", got)
+			t.Errorf("a request that cannot be answered in time got %+v", got)
 		}
 		h.run(sec)
 		for _, id := range others {
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Endpoints stay full. A caller that waits until its deadline can't use another entry, and one that
-// returns at once adds to the load. Such requests are refused early, as not run and with a
+// Endpoints stay full. A caller that waits until its deadline cannot use another entry, and one
+// that returns at once adds to the load. Such requests are refused early, as not run and with a
 // Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
--- a/internal/core/quota/owners.go
+++ b/internal/core/quota/owners.go
@@ -15,7 +15,7 @@
 	burst = 1.0
 	// ownersShare is the part of the bound that the owners of an endpoint share. The rest is for
 	// entries that own it by another view of the fleet. These may send as much again, for example
-	// when a partition lasts until each side has forgotten the other, or when some entries don't
+	// when a partition lasts until each side has forgotten the other, or when some entries do not
 	// know of new entries yet.
 	ownersShare = 0.5
 	// maxOwners is the largest number of entries that own an endpoint, and minOwnerRate the least
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -6,7 +6,7 @@
 // failure domain gets no requests. A cold endpoint, one that was started or emptied a moment ago,
 // can serve a few requests per second from all entries together and crashes at a much higher rate,
 // losing the requests that it is running. Each entry would see it as idle and send requests to it;
-// entries learn late that it is cold, and they can't count requests together. So a few entries own
+// entries learn late that it is cold, and they cannot count requests together. So a few entries own
 // each cold endpoint (see Candidates.Owns) and share the bound, and the others send it nothing
 // while it is cold. The same holds for an endpoint that reports a limit of its own (limit.go).
 //
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -76,7 +76,7 @@
 // saw an endpoint cold and idle, and each of them sent requests at once: 17 reached it in a
 // second, where it can serve 16.7. The entries have at most two different views of the fleet: two
 // sides of a partition that have forgotten each other, or entries that know of new entries and
-// entries that don't. The requests of any second must stay within the bound, even when processes
+// entries that do not. The requests of any second must stay within the bound, even when processes
 // restart, each of which begins with a full quota, and callers send as much as they can.
 func TestColdBoundHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -108,7 +108,7 @@
 
 // LivenessPause returns the time between two liveness checks of this entry. usual is the pause of
 // an entry that is an assigned reader, is not in the last standby group, or is cut off from the
-// others, which then can't notify it. All other entries get a longer pause, with spread true: they
+// others, which then cannot notify it. All other entries get a longer pause, with spread true: they
 // wait for it also before their first liveness check.
 func (c *Core) LivenessPause(now, usual time.Duration) (pause time.Duration, spread bool) {
 	c.assignReaders()
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -73,7 +73,7 @@
 	Stale   bool
 	// Problems lists what was corrected in the document in force or left out of it.
 	Problems []string
-	// Unreadable says why the platform's current value can't be read, "" if it can.
+	// Unreadable says why the platform's current value cannot be read, "" if it can.
 	Unreadable string
 }
 
@@ -168,7 +168,7 @@
 	// older revision of it was last offered.
 	refused map[string]string
 	staleAt map[string]time.Duration
-	// unreadable says why the platform's current value can't be read.
+	// unreadable says why the platform's current value cannot be read.
 	unreadable map[string]string
 }
 
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -45,7 +45,7 @@
 
 // The only idle endpoint is on a VM that is five times as slow at this moment. A request sent there
 // takes five times as long until its end, although the VM recovers within 150 ms: it is late, and
-// five other requests lose the slot. A request that can be in time and one that can't both wait
+// five other requests lose the slot. A request that can be in time and one that cannot both wait
 // until the VM is as fast as usual.
 func TestRequestWaitsForSlowVMToRecover(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -104,7 +104,7 @@
 		end.Refused = forward.FailureOf(err) == forward.RefusedDial
 		return
 	}
-	// A connection with an unread body can't be reused, so each probe would need a new one.
+	// A connection with an unread body cannot be reused, so each probe would need a new one.
 	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody)
 	_ = response.Body.Close()
 	head := e.dialect.ReadHead(end.Probe.Endpoint, request.Header, response.Header, response.StatusCode)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -227,7 +227,7 @@
 	}
 	var random [4]byte
 	if _, err := cryptorand.Read(random[:]); err != nil {
-		return 0, fault.Wrap(err, fault.Unavailable, "check the system's source of randomness", "can't generate an incarnation number")
+		return 0, fault.Wrap(err, fault.Unavailable, "check the system's source of randomness", "cannot generate an incarnation number")
 	}
 	return uint64(opts.Wall().Unix())<<32 | uint64(binary.BigEndian.Uint32(random[:])), nil
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -102,7 +102,7 @@
 	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
 }
 
-// register adds a metric. It can't fail, because names are unique; a failure would only leave the
+// register adds a metric. It cannot fail, because names are unique; a failure would only leave the
 // metric out.
 func (m *instruments) register(name string, metric any) { _ = m.registry.Register(name, metric) }
 
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -52,7 +52,7 @@
 
 // admissionOutcome returns the outcome of a request that is refused before its key is looked up. A
 // request with a key may be a retry of one that has run: "not run" would then be false, and the
-// caller would send it again under a new key. Only a request with a malformed key can't have run.
+// caller would send it again under a new key. Only a request with a malformed key cannot have run.
 func admissionOutcome(r *http.Request, refusal core.Reason) core.Outcome {
 	if hasKey(r) && refusal != core.ReasonKeyBad {
 		return core.OutcomeUnknown
@@ -113,7 +113,7 @@
 	return may
 }
 
-// unknownServiceReason returns the reason for an unknown service: the service isn't published, or
+// unknownServiceReason returns the reason for an unknown service: the service is not published, or
 // this entry has no profiles yet.
 func (e *Entry) unknownServiceReason() core.Reason {
 	if e.revision.Load() == 0 {
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -54,8 +54,8 @@
 }
 
 // An entry starts while the configuration service is down and there is no peer. It must report that
-// it isn't ready, and why. It refuses a read as not run; it must not say so for a booking, since an
-// earlier try may have run elsewhere.
+// it is not ready, and why. It refuses a read as not run; it must not say so for a booking, since
+// an earlier try may have run elsewhere.
 func TestEntryWithoutConfigurationRefusesRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	_, newKey := homeOf(t, f)
--- a/internal/entry/views_platform.go
+++ b/internal/entry/views_platform.go
@@ -24,7 +24,7 @@
 
 // platformCounts are the results of the calls since the start.
 type platformCounts struct {
-	// unusable counts the failures whose cause was an answer that can't be used.
+	// unusable counts the failures whose cause was an answer that cannot be used.
 	calls, failures, unusable uint64
 	// values has the results of the calls for each published value, by its name.
 	values map[string]valueCalls
@@ -83,7 +83,7 @@
 		if fault.KindOf(err) == fault.PlatformAnswer {
 			p.counts.unusable++
 			if cause != value.cause {
-				klog.ErrorS(err, "the answer of the configuration service can't be used", "value", name)
+				klog.ErrorS(err, "the answer of the configuration service cannot be used", "value", name)
 			}
 		}
 		value.cause = cause
--- a/internal/forward/config.go
+++ b/internal/forward/config.go
@@ -45,7 +45,7 @@
 	// informational answers before it. Default 64 KiB.
 	MaxResponseHeaderBytes int64
 	// AllowUnframed passes on answers that have neither a Content-Length nor the chunked coding.
-	// By default they are refused, because their end can't be distinguished from a lost
+	// By default they are refused, because their end cannot be distinguished from a lost
 	// connection.
 	AllowUnframed bool
 	// TLS, if not nil, returns the configuration that encrypts a new connection. If the
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -106,7 +106,7 @@
 func (c *conn) unlimitHead() { c.headLeft = math.MaxInt64 }
 
 // reusable reports whether the idle connection can carry another request. Unsolicited bytes would
-// be taken for the answer to the next request, which may be another caller's. With TLS they can't
+// be taken for the answer to the next request, which may be another caller's. With TLS they cannot
 // be detected, because TLS sends records of its own and buffers bytes that it has read.
 func (c *conn) reusable() bool {
 	return !c.encrypted && c.reader.Buffered() == 0 && c.probe.Arrival() == socket.Nothing
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -41,7 +41,7 @@
 	BadAnswer
 	// BadBody: reading the caller's body failed or returned too few bytes.
 	BadBody
-	// BadRequest: the request can't be written as HTTP/1.1.
+	// BadRequest: the request cannot be written as HTTP/1.1.
 	BadRequest
 	// Cancelled: the context of the request was cancelled.
 	Cancelled
@@ -72,7 +72,7 @@
 	Truncated:    {"answer was cut off", fault.Truncated, "ask again if running twice is harmless"},
 	BadAnswer:    {"answer is not usable", fault.Unavailable, "make the endpoint send a whole HTTP/1.1 answer with a length or in chunks"},
 	BadBody:      {"request body ended early", fault.BadRequest, "send the whole body"},
-	BadRequest:   {"request can't be written", fault.BadRequest, "mend the method, the target or the headers"},
+	BadRequest:   {"request cannot be written", fault.BadRequest, "mend the method, the target or the headers"},
 	Cancelled:    {"request was cancelled", fault.Unavailable, "ask again if the answer is still wanted"},
 	Deadline:     {"deadline passed", fault.Unavailable, "allow more time or lower the load"},
 	Closed:       {"connections are closed", fault.Unavailable, "ask another entry"},
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// The errors of a request that can't be written as HTTP/1.1. A line break in any part would let a
+// The errors of a request that cannot be written as HTTP/1.1. A line break in any part would let a
 // caller inject headers or a whole request.
 var (
 	errMethod = errors.New("the method is not a token")
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -161,7 +161,7 @@
 	p.idle = p.idle[:0]
 }
 
-// suspect closes the idle connections, which can't be distinguished from silent ones without
+// suspect closes the idle connections, which cannot be distinguished from silent ones without
 // sending data, and the busy ones that are already silent.
 func (p *pool) suspect(silentAfter time.Duration) {
 	p.mu.Lock()
--- a/internal/forward/replay_test.go
+++ b/internal/forward/replay_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// If the dial fails or the request can't be written, no byte has been sent, and the Delivery must
+// If the dial fails or the request cannot be written, no byte has been sent, and the Delivery must
 // say so. Otherwise the caller gets the outcome "unknown" although nothing ran, and an operator has
 // to look up by hand whether the request was carried out.
 func TestFailureBeforeWritingReportsNothingWritten(t *testing.T) {
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -48,7 +48,7 @@
 // Delivery describes how far a request got. Times are those of Config.Clock.
 type Delivery struct {
 	// Wrote is set when at least one byte of the request was handed to the kernel. If it is not
-	// set, the endpoint can't have seen the request.
+	// set, the endpoint cannot have seen the request.
 	Wrote bool
 	// NewConn is set when a new connection was dialled for the request, even if the dial failed.
 	NewConn bool
--- a/internal/forward/socket/socket.go
+++ b/internal/forward/socket/socket.go
@@ -23,7 +23,7 @@
 
 // SetUserTimeout limits how long sent bytes may stay unacknowledged, and how long the other end may
 // keep its receive window closed. Without it the kernel retransmits for about 15 minutes, during
-// which a connection whose state a network device has lost can't be distinguished from a slow one.
+// which a connection whose state a network device has lost cannot be distinguished from a slow one.
 func SetUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
@@ -90,7 +90,7 @@
 // Silent, which is safe for concurrent use.
 type Probe struct {
 	raw syscall.RawConn
-	// peek is the method value p.peekFD, created once so that Arrival doesn't allocate.
+	// peek is the method value p.peekFD, created once so that Arrival does not allocate.
 	peek    func(fd uintptr)
 	arrival Arrival
 }
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -134,7 +134,8 @@
 // not modify them.
 func (b *ReplayBody) Bytes() []byte { return b.buffer }
 
-// Streamed reports whether bytes beyond the buffer were read, so that the body can't be sent again.
+// Streamed reports whether bytes beyond the buffer were read, so that the body cannot be sent
+// again.
 func (b *ReplayBody) Streamed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +151,7 @@
 }
 
 // Reader returns a reader of the body from its start for one attempt, or nil for an empty body. It
-// returns false if the body can't be sent again. Concurrent attempts need a whole body.
+// returns false if the body cannot be sent again. Concurrent attempts need a whole body.
 func (b *ReplayBody) Reader() (io.Reader, bool) {
 	if b.whole {
 		if len(b.buffer) == 0 {
--- a/internal/front/copy.go
+++ b/internal/front/copy.go
@@ -16,8 +16,8 @@
 // streaming answer are flushed as they arrive. CopyAnswer returns the number of bytes read from the
 // body, and closes the body.
 //
-// If the answer is cut off or can't be written to the caller, CopyAnswer returns the error, and the
-// caller's connection is aborted once the handler returns, so that the caller never mistakes a
+// If the answer is cut off or cannot be written to the caller, CopyAnswer returns the error, and
+// the caller's connection is aborted once the handler returns, so that the caller never mistakes a
 // partial answer for a complete one.
 func CopyAnswer(w http.ResponseWriter, resp *http.Response) (n int64, err error) {
 	defer resp.Body.Close()
--- a/internal/front/headcheck_test.go
+++ b/internal/front/headcheck_test.go
@@ -16,7 +16,7 @@
 	tests := []struct {
 		name, request string
 		status        int
-		// plain is the status with which net/http alone refuses the request, or 200 if it doesn't.
+		// plain is the status with which net/http alone refuses the request, or 200 if it does not.
 		plain int
 	}{
 		{"both lengths", lines("POST / HTTP/1.1", "Host: a", "Content-Length: 5", "Transfer-Encoding: chunked", "", "0", "", "G"), 400, 200},
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -302,7 +302,7 @@
 // Header implements http.ResponseWriter.
 func (a *pipelinedAnswer) Header() http.Header { return a.header }
 
-// WriteHeader implements http.ResponseWriter. It drops informational answers: they can't be sent
+// WriteHeader implements http.ResponseWriter. It drops informational answers: they cannot be sent
 // while the answers to earlier requests are still outstanding.
 func (a *pipelinedAnswer) WriteHeader(status int) {
 	if status < http.StatusOK {
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -79,7 +79,7 @@
 }
 
 // A caller disappears after it has sent two reads. Both requests must be cancelled, so that
-// endpoints don't work for a caller that is gone. This includes the first request, whose
+// endpoints do not work for a caller that is gone. This includes the first request, whose
 // connection net/http itself no longer watches.
 func TestCallerGoneCancelsPipelinedRequests(t *testing.T) {
 	var started, ended sync.WaitGroup
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -228,7 +228,7 @@
 	s.cfg.Refuse(w, r, violation)
 }
 
-// abort ends the caller's connection so that the caller can't mistake the answer for a complete
+// abort ends the caller's connection so that the caller cannot mistake the answer for a complete
 // one. In HTTP/1.0 an answer without a length ends with the connection; only a reset shows such a
 // caller that the answer was cut off.
 func abort(g *guardedConn, r *http.Request) {
@@ -245,7 +245,7 @@
 	wroteHeader bool
 	// body is set if the request's body is streamed.
 	body *ReplayBody
-	// cutOff is set if the answer was begun but can't be completed.
+	// cutOff is set if the answer was begun but cannot be completed.
 	cutOff bool
 	// pipelined is set for an answer that is buffered until its turn. The writer to which it is
 	// then sent decides whether to close the connection.
--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -37,8 +37,8 @@
 
 // complete reports whether every key that the home ever began, from oldestEpoch on, has a row. It
 // counts rows and not parts, so that a part that is lost, late, duplicated or from an earlier export
-// of the same home can't make a hand-over look complete. This is correct because later exports of a
-// sealed home contain no additional keys, and total is the largest total received.
+// of the same home cannot make a hand-over look complete. This is correct because later exports of
+// a sealed home contain no additional keys, and total is the largest total received.
 func (h *adoptedHome) complete() bool {
 	return len(h.rows) >= h.total
 }
--- a/internal/idem/decision.go
+++ b/internal/idem/decision.go
@@ -9,7 +9,7 @@
 	// or Release.
 	Run DecisionKind = iota + 1
 	// Join means that the same request is running. The driver waits for its end and calls Begin
-	// again. A caller that can't wait so long gets "unknown" as the reply.
+	// again. A caller that cannot wait so long gets "unknown" as the reply.
 	Join
 	// Replay means that the request is done and Decision.Answer is its answer.
 	Replay
@@ -20,7 +20,7 @@
 	// NotHome means that only Decision.Home can decide. The driver forwards the request once, to
 	// the home or its successor; a forwarded request is not forwarded again.
 	NotHome
-	// HomeUnknown means that the home can't be reached and no entry adopted its table. The driver
+	// HomeUnknown means that the home cannot be reached and no entry adopted its table. The driver
 	// sets it in place of NotHome; a Table never returns it.
 	HomeUnknown
 	// Mismatch means that the key belongs to another caller or another request. This request was
@@ -74,7 +74,7 @@
 
 // The outcomes.
 const (
-	// Pending means that there is no outcome yet. A caller that can't wait gets "unknown".
+	// Pending means that there is no outcome yet. A caller that cannot wait gets "unknown".
 	Pending Outcome = iota
 	// ReplyNotRun means that no request with the key has run or ever will.
 	ReplyNotRun
--- a/internal/idem/scenarios_test.go
+++ b/internal/idem/scenarios_test.go
@@ -33,7 +33,7 @@
 		a begin a.1.k4 = full; a release a.1.k1; a begin a.1.k4 = spent; a begin a.1.k5 = run`},
 	// The entry is suspended for ten minutes while a write runs, and skips many epochs. It must still
 	// have the running key, or a retry would run it again. A key of an old epoch that arrives for
-	// the first time can't be distinguished from a dropped one.
+	// the first time cannot be distinguished from a dropped one.
 	{"pause over many epochs", `a begin a.1.old = run; a finish a.1.old done; a begin a.2.k = from-future
 		a at 1m; a begin a.2.k = run; a at 10m; a begin a.2.k = join; a begin a.1.old = expired
 		a begin a.2.first = expired; a finish a.2.k done; a begin a.2.k = replay; a keys = 1
@@ -55,13 +55,13 @@
 		b begin a.1.done = replay; b begin a.1.k = outcome-unknown; b begin a.1.gone = sealed-not-run
 		b begin a.1.new = sealed-not-run; b may a.1.k = false; a finish a.1.k done; a hand b; b begin a.1.k = replay`},
 	// A part of a hand-over is lost in a partition and another one comes twice. Until the partition
-	// heals, a lost key can't be distinguished from one that never began. The successor hands its
+	// heals, a lost key cannot be distinguished from one that never began. The successor hands its
 	// adopted keys over to its own successor.
 	{"hand-over in parts", `a begin a.1.k1 = run; a begin a.1.k2 = run; a begin a.1.k3 = run
 		a part b 0 2; a part b 0 2; b begin a.1.k3 = outcome-unknown; b begin a.1.x = outcome-unknown
 		b hand c; c begin a.1.x = outcome-unknown; a part b 2 3; b begin a.1.k3 = outcome-unknown
 		b begin a.1.x = sealed-not-run; b hand c; c begin a.1.x = sealed-not-run`},
-	// Several entries stop within a minute and hand over to the same successor. Keys that don't fit
+	// Several entries stop within a minute and hand over to the same successor. Keys that do not fit
 	// or are too old are dropped, and their callers are told "unknown".
 	{"many hand-overs", `a begin a.1.k1 = run; a begin a.1.k2 = run; c begin c.1.k1 = run; c begin c.1.k2 = run
 		c begin c.1.k3 = run; a at 3m; a hand b; b begin a.2.x = expired; b begin a.3.x = sealed-not-run
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -186,7 +186,7 @@
 // MayDispatch reports whether k is running, so that its request may be sent to an endpoint. The driver
 // calls it right before sending, because the process may have been suspended since its decision: by
 // then the key may have been released and its caller told "not run". A key runs only once, so true
-// can't mean a later run of the same key.
+// cannot mean a later run of the same key.
 func (t *Table) MayDispatch(k Key) bool {
 	r, _, ok := t.findOwn(k)
 	return ok && r.result == Running
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -213,7 +213,7 @@
 func (c *session) serve() {
 	server := rpc.NewServer()
 	if err := server.RegisterName(wire.ServiceName, &receiver{c}); err != nil {
-		klog.ErrorS(err, "peer calls can't be served; report this as a defect")
+		klog.ErrorS(err, "peer calls cannot be served; report this as a defect")
 		c.codec.Close()
 		return
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -27,5 +27,5 @@
 	return exitCode(err)
 }
 
-// Failure returns the exit code 1 for every error, for programs that don't distinguish errors.
+// Failure returns the exit code 1 for every error, for programs that do not distinguish errors.
 func Failure(error) int { return 1 }
--- a/internal/published/answer.go
+++ b/internal/published/answer.go
@@ -73,7 +73,7 @@
 func (c *Client) readData(name string, response *http.Response) ([]byte, error) {
 	if !hasDetectableEnd(response) {
 		return nil, fault.New(fault.PlatformAnswer, remedyService,
-			"answer for %q announces no length, so truncation can't be detected", name)
+			"answer for %q announces no length, so truncation cannot be detected", name)
 	}
 	if encoding := response.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
 		return nil, fault.New(fault.PlatformAnswer, remedyService,
--- a/internal/published/client.go
+++ b/internal/published/client.go
@@ -184,7 +184,7 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+escapeName(name)+query, nil)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.BadSettings, "set the platform address to http://IP:port",
-			"address %q can't be used", c.cfg.BaseURL)
+			"address %q cannot be used", c.cfg.BaseURL)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
--- a/internal/published/client_test.go
+++ b/internal/published/client_test.go
@@ -82,7 +82,7 @@
 		"stale": {
 			faults:  standin.PlatformFaults{Stale: true},
 			prepare: func(f fixture) { f.service.Put(published.ProfilesValue, []byte("third")) },
-			// The reader can't detect this; only the revision shows that the answer is old.
+			// The reader cannot detect this; only the revision shows that the answer is old.
 			revision: 2, data: "second",
 		},
 		"older replica": {faults: standin.PlatformFaults{OlderReplica: true}, revision: 1, data: "first"},
--- a/internal/route/document.go
+++ b/internal/route/document.go
@@ -27,14 +27,14 @@
 func Encode(d Document) []byte {
 	d.Routes = slices.SortedFunc(slices.Values(d.Routes), func(a, b Route) int { return cmp.Compare(a.Name, b.Name) })
 	d.Services = slices.SortedFunc(slices.Values(d.Services), func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
-	// The types contain only strings and numbers, so encoding can't fail.
+	// The types contain only strings and numbers, so encoding cannot fail.
 	data, _ := json.Marshal(d)
 	return data
 }
 
-// Parse compiles a document into a Table. It refuses only a document that can't be decoded, with an
-// error of kind fault.BadProfile, because the platform has accepted the document and operators rely
-// on it. Invalid routes and services are corrected or left out one by one; see Table.Problems.
+// Parse compiles a document into a Table. It refuses only a document that cannot be decoded, with
+// an error of kind fault.BadProfile, because the platform has accepted the document and operators
+// rely on it. Invalid routes and services are corrected or left out one by one; see Table.Problems.
 // Unknown fields are ignored, so that a later release may add fields.
 func Parse(data []byte) (*Table, error) {
 	var d Document
@@ -48,7 +48,7 @@
 		}
 	}
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadProfile, remedy, "the routes document can't be decoded")
+		return nil, fault.Wrap(err, fault.BadProfile, remedy, "the routes document cannot be decoded")
 	}
 	found := problems{count: len(d.Problems), texts: d.Problems}
 	t := &Table{services: found.usableServices(d.Services), routes: found.usableRoutes(d.Routes), limits: d.Limits, problems: found.list()}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// A document that can't be decoded contains no usable route.
+// A document that cannot be decoded contains no usable route.
 func TestUnreadableDocumentIsRefused(t *testing.T) {
 	for _, text := range []string{"", "{", `{"routes":7}`, string(Encode(sample())) + "x"} {
 		if _, err := Parse([]byte(text)); fault.KindOf(err) != fault.BadProfile {
--- a/internal/settings/certs/certs.go
+++ b/internal/settings/certs/certs.go
@@ -87,14 +87,14 @@
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		return material{}, fault.Wrap(err, fault.BadSettings, "give a PEM certificate chain with its private key",
-			"can't load the certificate %s with the key %s", files.Certificate, files.Key)
+			"cannot load the certificate %s with the key %s", files.Certificate, files.Key)
 	}
 	if files.Authorities == "" {
 		return material{certificate: certificate}, nil
 	}
 	text, err := os.ReadFile(files.Authorities)
 	if err != nil {
-		return material{}, fault.Wrap(err, fault.BadSettings, "give a readable PEM file", "can't read the authorities")
+		return material{}, fault.Wrap(err, fault.BadSettings, "give a readable PEM file", "cannot read the authorities")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
@@ -116,7 +116,7 @@
 		}
 		changed, err := s.Reload()
 		if err != nil {
-			klog.ErrorS(err, "can't load the changed TLS files; the previous certificates stay in use", "certificate", s.files.Certificate)
+			klog.ErrorS(err, "cannot load the changed TLS files; the previous certificates stay in use", "certificate", s.files.Certificate)
 		}
 		if changed {
 			klog.InfoS("reloaded the TLS files; new connections use them", "certificate", s.files.Certificate)
