--- a/internal/core/member/evidence.go
+++ b/internal/core/member/evidence.go
@@ -172,7 +172,7 @@
 		r.heardByOthers = r.heardByOthers || r.suspected && r.watched
 		return append(t.endSuspicion(r, "other entries heard it"), t.takeState(now, r, state)...)
 	}
-	changes := t.addSelfReported(now, r, vm, "a peer told of it")
+	changes := t.addSelfReported(now, r, vm, "a peer reported it")
 	next := t.rows[vm.Name]
 	next.version = version
 	return append(changes, t.takeState(now, next, state)...)
--- a/internal/profile/parse.go
+++ b/internal/profile/parse.go
@@ -54,7 +54,7 @@
 
 func refuse(problems []Problem) error {
 	return fault.Wrap(&DocumentError{Problems: problems}, fault.BadProfile,
-		"mend the document and publish it again", "profile document refused, %d problem(s)", len(problems))
+		"correct the document and publish it again", "profile document refused, %d problem(s)", len(problems))
 }
 
 // checkSize returns a problem if the document exceeds the size limits, or nil.
