--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -26,15 +26,15 @@
 // runScript gives the attempts of one request these reactions in order and answers every later
 // attempt. It returns the caller's reply and the number of attempts.
 func runScript(t *testing.T, a Arrival, script string) (reply, int) {
-	r := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
+	h := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
-	n := r.nodes[0]
+	n := h.nodes[0]
 	for range 100 {
 		n.services[a.Service].retry.Earn()
 	}
 	steps := strings.Split(script, ", ")
 	sent := 0
-	r.endpoint = func(string, Arrival) reaction {
+	h.endpoint = func(string, Arrival) reaction {
 		sent++
 		if sent > len(steps) {
 			return reactions["answers"]
@@ -46,13 +46,13 @@
 		return re
 	}
 	if a.Service == "waste" {
-		a.Key, a.HasKey = r.key(n), true
+		a.Key, a.HasKey = h.key(n), true
 	}
-	id := r.sendRequest(n, a)
+	id := h.sendRequest(n, a)
 	if a.Digest[0] == unreplayable {
 		n.arrivals[id] = Arrival{Service: a.Service}
 	}
-	r.run(12 * sec)
+	h.run(12 * sec)
 	got, answered := n.replies[id]
 	if !answered || got.twice || n.InFlight() != 0 {
 		t.Errorf("answered %v, twice %v, %d requests still in flight", answered, got.twice, n.InFlight())
@@ -89,7 +89,7 @@
 		{"the last error of a read is its answer", read, "answers 500, answers 500, answers 500", OutcomeDone, ReasonNone, 3},
 		{"an error among refusals is unknown", read, "answers 500, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
 		{"a read gets no answer", read, "never", OutcomeUnknown, ReasonDeadline, 1},
-		{"a body that can't be sent again", unsafeBody, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
+		{"a body that cannot be sent again", unsafeBody, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
 		{"a broken body is not sent again", read, "bad body", OutcomeUnknown, ReasonBodyBroken, 1},
 		{"a read is sent again after silent connections", read, "silent, silent", OutcomeDone, ReasonNone, 3},
 		{"a booking that was lost is unknown", once, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
@@ -98,7 +98,7 @@
 		{"a booking that was refused and then lost", once, "refuses, lost", OutcomeUnknown, ReasonEndpointLost, 2},
 		{"a booking refused by all did not run", once, "refuses, not sent, refuses, refuses", OutcomeNotRun, ReasonEndpointsRefuse, 4},
 		{"attempts that never left the entry cost no try", once, "not sent, not sent, refuses, not sent, refuses", OutcomeDone, ReasonNone, 6},
-		{"a read that can't leave the entry did not run", read, strings.Repeat("not sent, ", 7) + "not sent", OutcomeNotRun, ReasonNoEndpoint, 8},
+		{"a read that cannot leave the entry did not run", read, strings.Repeat("not sent, ", 7) + "not sent", OutcomeNotRun, ReasonNoEndpoint, 8},
 		{"an error is the answer to a booking", once, "answers 500", OutcomeDone, ReasonNone, 1},
 		{"a plain 503 does not prove that a booking did not run", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
 		{"a plain 503 after a refusal does not prove that a booking did not run", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,7 +20,7 @@
 	"github.com/tealhall/tealhall/internal/fault"
 	"github.com/tealhall/tealhall/internal/logging"
 	"github.com/tealhall/tealhall/internal/settings"
-	users "github.com/tealhall/tealhall/platform"
+	"github.com/tealhall/tealhall/platform"
 )
 
 // Exit codes of the daemon. docs/RUNNING.md lists them for operators.
@@ -31,8 +31,8 @@
 	ExitFailure = 1
 	// ExitSettings means that the command line or the settings are invalid.
 	ExitSettings = 2
-	// ExitCut means that a stop cut off requests in flight.
-	ExitCut = 3
+	// ExitRequestsCutOff means that a stop cut off requests in flight.
+	ExitRequestsCutOff = 3
 )
 
 // signalBuffer is the size of the signal channel: one signal begins a planned stop, a second one
@@ -75,7 +75,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, errCut):
-		return ExitCut
+		return ExitRequestsCutOff
 	case fault.KindOf(err) == fault.BadSettings:
 		return ExitSettings
 	default:
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	terms, err := users.ParseTerms(s.Platform.Terms)
+	terms, err := platform.ParseTerms(s.Platform.Terms)
 	if err != nil {
 		// The error lists the problems of the terms and of the profiles together.
 		return nil, errors.Join(err, checkProfiles(s))
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -41,7 +41,7 @@
 	BadAnswer
 	// BadBody: reading the caller's body failed or returned too few bytes.
 	BadBody
-	// BadRequest: the request can't be written as HTTP/1.1.
+	// BadRequest: the request cannot be written as HTTP/1.1.
 	BadRequest
 	// Cancelled: the context of the request was cancelled.
 	Cancelled
@@ -69,10 +69,10 @@
 	Died:         {"connection ended before the answer", fault.Unavailable, "look into the endpoint's log for a crash or a restart"},
 	Silent:       {"connection went silent", fault.Unavailable, "try another connection and check the path to the endpoint"},
 	Slow:         {"no answer in time", fault.Unavailable, "look for load on the endpoint"},
-	Truncated:    {"answer was cut off", fault.Truncated, "ask again if running twice is harmless"},
+	Truncated:    {"answer was cut off", fault.Truncated, "ask again if the request may run twice"},
 	BadAnswer:    {"answer is not usable", fault.Unavailable, "make the endpoint send a whole HTTP/1.1 answer with a length or in chunks"},
 	BadBody:      {"request body ended early", fault.BadRequest, "send the whole body"},
-	BadRequest:   {"request can't be written", fault.BadRequest, "mend the method, the target or the headers"},
+	BadRequest:   {"request cannot be written", fault.BadRequest, "correct the method, the target or the headers"},
 	Cancelled:    {"request was cancelled", fault.Unavailable, "ask again if the answer is still wanted"},
 	Deadline:     {"deadline passed", fault.Unavailable, "allow more time or lower the load"},
 	Closed:       {"connections are closed", fault.Unavailable, "ask another entry"},
