--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,13 +15,13 @@
 
 // attempt sends the request once and reports the result to the core. If the core commits to the
 // answer, the exchange gets it.
-func (x *exchange) attempt(ctx context.Context, done context.CancelFunc, d core.Directive) {
+func (x *exchange) attempt(ctx context.Context, cancel context.CancelFunc, d core.Directive) {
 	maySend := func() bool { return x.entry.engine.maySend(d.ID, d.Attempt) }
 	body, ok := x.body.Reader()
 	// maySend is also checked before a connection is taken, since a connection costs the endpoint
 	// something too.
 	if !ok || !maySend() {
-		done()
+		cancel()
 		x.reportEnd(d.Attempt, core.EndNotWritten, nil)
 		return
 	}
@@ -44,11 +44,11 @@
 	})
 	x.entry.instruments.countConnection(delivery)
 	if err != nil {
-		done()
+		cancel()
 		x.entry.engine.end(x.failedEnd(d, delivery, err))
 		return
 	}
-	x.handleHead(d, response, delivery.FirstByte-delivery.Started, done)
+	x.handleHead(d, response, delivery.FirstByte-delivery.Started, cancel)
 }
 
 // extraHeader returns the headers that the entry adds to an attempt.
@@ -68,7 +68,7 @@
 
 // handleHead passes the head of an answer to the core, and then the answer to the exchange or
 // closes it. waited is the time that the endpoint took to its first byte.
-func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, done context.CancelFunc) {
+func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, cancel context.CancelFunc) {
 	head := x.headOf(d, response)
 	commit, outcome := x.entry.engine.head(head)
 	if commit {
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	done()
+	cancel()
 	_ = response.Body.Close()
 	kind := core.EndDiscarded
 	if head.NotRun {
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -212,12 +212,12 @@
 		l.book(n)
 	}
 	unknown := 0
-	for _, about := range l.replies {
-		arrivals := closing.arrived(about.id)
-		if arrivals > 1 || arrivals > 0 && about.result.Outcome == client.NotRun {
-			t.Errorf("%s arrived %d times, outcome %s", about.id, arrivals, about.result.Outcome)
+	for _, r := range l.replies {
+		arrivals := closing.arrived(r.id)
+		if arrivals > 1 || arrivals > 0 && r.result.Outcome == client.NotRun {
+			t.Errorf("%s arrived %d times, outcome %s", r.id, arrivals, r.result.Outcome)
 		}
-		if about.result.Outcome == client.Unknown {
+		if r.result.Outcome == client.Unknown {
 			unknown++
 		}
 	}
--- a/internal/entry/engine.go
+++ b/internal/entry/engine.go
@@ -50,7 +50,7 @@
 	f(e.clock(), e.core, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.executeRest(rest)
+	e.executeOtherActions(rest)
 }
 
 // dispatchLocked passes the directives to their exchanges and returns the other actions, or nil if
@@ -65,7 +65,7 @@
 			x.push(*d)
 		}
 	}
-	if !hasRest(&e.actions) {
+	if !hasOtherActions(&e.actions) {
 		e.actions.Reset()
 		return nil
 	}
@@ -74,11 +74,11 @@
 	return rest
 }
 
-func hasRest(a *core.Actions) bool {
+func hasOtherActions(a *core.Actions) bool {
 	return len(a.Probes)+len(a.Updates)+len(a.Fetches)+len(a.Notes)+len(a.Traces)+len(a.DropAddresses)+len(a.SuspectAddresses) > 0
 }
 
-func (e *engine) executeRest(rest *core.Actions) {
+func (e *engine) executeOtherActions(rest *core.Actions) {
 	if rest == nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	e.core.Arrive(e.clock(), *a, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.executeRest(rest)
+	e.executeOtherActions(rest)
 }
 
 // forget unregisters an exchange: no more directives reach it.
@@ -127,7 +127,7 @@
 	}
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.executeRest(rest)
+	e.executeOtherActions(rest)
 	return commit, outcome
 }
 
@@ -137,7 +137,7 @@
 	e.core.End(e.clock(), end, &e.actions)
 	rest := e.dispatchLocked()
 	e.mu.Unlock()
-	e.executeRest(rest)
+	e.executeOtherActions(rest)
 }
 
 // maySend reports whether an attempt may still be written.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -104,7 +104,7 @@
 	platform        *countedPlatform
 	liveness        livenessChecks
 	instruments     *instruments
-	recent          recent
+	counterSamples  counterSamples
 
 	// revision of the profiles in force, for answers to callers.
 	revision atomic.Uint64
@@ -340,7 +340,7 @@
 			timer.Reset(e.engine.tick())
 			e.updateLinks(&links)
 			e.pullRecords(ctx)
-			e.recent.sample(e.engine.clock(), e.counters)
+			e.counterSamples.sample(e.engine.clock(), e.counters)
 		}
 	}
 }
--- a/internal/entry/fixture_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -168,19 +168,19 @@
 	t.Helper()
 	close(l.stop)
 	l.sending.Wait()
-	for _, about := range l.replies {
+	for _, r := range l.replies {
 		count := &reads
-		if about.once {
+		if r.once {
 			count = &bookings
 		}
-		count.add(about.result.Outcome)
-		if about.result.Outcome != client.Done {
-			t.Logf("%s: outcome %s %q from %s after %d tries: %v", about.id, about.result.Outcome, about.result.Reason,
-				about.result.Entry, about.result.Tries, about.result.Err)
+		count.add(r.result.Outcome)
+		if r.result.Outcome != client.Done {
+			t.Logf("%s: outcome %s %q from %s after %d tries: %v", r.id, r.result.Outcome, r.result.Reason,
+				r.result.Entry, r.result.Tries, r.result.Err)
 		}
-		if problem := about.problem(f.Ledger.Request(about.id)); problem != "" {
-			t.Errorf("%s: %s; got outcome %s %q from %s after %d tries (%v)", about.id, problem, about.result.Outcome,
-				about.result.Reason, about.result.Entry, about.result.Tries, about.result.Err)
+		if problem := r.problem(f.Ledger.Request(r.id)); problem != "" {
+			t.Errorf("%s: %s; got outcome %s %q from %s after %d tries (%v)", r.id, problem, r.result.Outcome,
+				r.result.Reason, r.result.Entry, r.result.Tries, r.result.Err)
 		}
 	}
 	if twice := f.Ledger.RanTwice(); len(twice) > 0 {
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -15,7 +15,7 @@
 // fakePlatform is a configuration service that can stop answering this entry: nothing is answered,
 // and waiting watches get nothing.
 type fakePlatform struct {
-	values
+	fixedPlatform
 	silent                              atomic.Bool
 	reads, livenessChecks, endedWatches atomic.Int64
 	// latest and delivered are the results of a liveness check, renewed counts the renewed watches.
@@ -29,11 +29,11 @@
 		<-ctx.Done()
 		return published.Value{}, ctx.Err()
 	}
-	return p.values.Read(ctx, name)
+	return p.fixedPlatform.Read(ctx, name)
 }
 
 func (p *fakePlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
-	v, err := p.values.Watch(ctx, name, after)
+	v, err := p.fixedPlatform.Watch(ctx, name, after)
 	if err != nil {
 		p.endedWatches.Add(1)
 	}
@@ -54,7 +54,7 @@
 // waits for a condition.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
-	platform := &fakePlatform{values: values{
+	platform := &fakePlatform{fixedPlatform: fixedPlatform{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 		published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: published.EncodeVMs(published.VMList{})},
 	}}
--- a/internal/entry/overhead_test.go
+++ b/internal/entry/overhead_test.go
@@ -38,12 +38,14 @@
 time_zone = "UTC"
 `
 
-// values is a configuration service with fixed values.
-type values map[string]published.Value
+// fixedPlatform is a configuration service with fixed values.
+type fixedPlatform map[string]published.Value
 
-func (v values) Read(_ context.Context, name string) (published.Value, error) { return v[name], nil }
+func (v fixedPlatform) Read(_ context.Context, name string) (published.Value, error) {
+	return v[name], nil
+}
 
-func (v values) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
+func (v fixedPlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
 	if value := v[name]; value.Revision > after {
 		return value, nil
 	}
@@ -87,7 +89,7 @@
 	callers, peers := listen(b), listen(b)
 	s.Addresses.Caller, s.Addresses.Peer = callers.Addr().String(), peers.Addr().String()
 	e, err := entry.New(s, entry.Options{
-		Platform: values{
+		Platform: fixedPlatform{
 			published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 			published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: vms},
 		},
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -110,35 +110,35 @@
 }
 
 // startWait is how long a starting entry waits to learn of others before it reads the platform:
-// otherwise each entry of a starting fleet would read as if it were alone. meetingWait replaces
+// otherwise each entry of a starting fleet would read as if it were alone. discoveryWait replaces
 // startWait while the entry and its peers have different records, which lasts seconds when hundreds
-// start together, and at the first start of a whole fleet, when no other entry may appear for
-// longer.
+// of entries start together. It also replaces startWait at the first start of a whole fleet, when
+// it may take longer until another entry appears.
 const (
-	startWait   = time.Second
-	meetingWait = 3 * time.Second
+	startWait     = time.Second
+	discoveryWait = 3 * time.Second
 )
 
-// meeting detects when a starting entry has met the others: its records agree with those of its
-// peers, and the number of known entries no longer changes. An entry that assigned the readers
-// among the first two entries that it met, or among a part of a large fleet, would begin to read,
-// and so would most others.
-type meeting struct {
+// discovery detects when a starting entry has discovered the others: its records agree with those
+// of its peers, and the number of known entries no longer changes. An entry that assigned the
+// readers among the first two entries that it knows, or among a part of a large fleet, would begin
+// to read, and so would most others.
+type discovery struct {
 	known, unchanged int
 	// unchangedNeeded is the number of checks during which the number of entries must not change.
 	unchangedNeeded int
 }
 
-// meetingChecks is the number of checks during which the number of entries must not change, and
+// discoveryChecks is the number of checks during which the number of entries must not change, and
 // firstStartChecks the same at the first start of a whole fleet.
 const (
-	meetingChecks    = 4
+	discoveryChecks  = 4
 	firstStartChecks = 12
 )
 
 // observe records the number of known entries and whether peers have the same records. It reports
-// whether the meeting is over.
-func (m *meeting) observe(known int, agree bool) bool {
+// whether the discovery is over.
+func (m *discovery) observe(known int, agree bool) bool {
 	if known != m.known || !agree {
 		m.known, m.unchanged = known, 0
 	}
@@ -149,21 +149,21 @@
 	return known >= 2 && m.unchanged > m.unchangedNeeded
 }
 
-// awaitPeers waits until this entry has met the others, if it knows any addresses.
+// awaitPeers waits until this entry has discovered the others, if it knows any addresses.
 func (e *Entry) awaitPeers(ctx context.Context) {
 	if e.knownAddresses.currentVersion() == 0 {
 		return
 	}
-	limit, m := startWait, meeting{unchangedNeeded: meetingChecks}
+	limit, m := startWait, discovery{unchangedNeeded: discoveryChecks}
 	if e.settings.Platform.FirstStart {
-		limit, m.unchangedNeeded = meetingWait, firstStartChecks
+		limit, m.unchangedNeeded = discoveryWait, firstStartChecks
 	}
 	began := e.engine.clock()
 	for ctx.Err() == nil {
 		known, agree := 0, false
 		e.engine.view(func(_ time.Duration, c *core.Core) { known, agree = c.UsableEntries(), c.RecordsAgree() })
 		waited := e.engine.clock() - began
-		if m.observe(known, agree) || waited >= meetingWait || agree && waited >= limit {
+		if m.observe(known, agree) || waited >= discoveryWait || agree && waited >= limit {
 			return
 		}
 		wait.For(ctx, readerCheckInterval/4)
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -21,7 +21,7 @@
 )
 
 // startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP address.
-func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
+func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published fixedPlatform, seeds ...string) *entry.Entry {
 	t.Helper()
 	dir := t.TempDir()
 	files := certs.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "ca")}
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(endpoint.Server().Kill)
-	published := values{
+	published := fixedPlatform{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(fleetProfiles)},
 		published.VMsValue: {Name: published.VMsValue, Revision: 1,
 			Data: published.EncodeVMs(published.VMList{VMs: []published.VM{endpoint.VM("bookings", "r", "a")}})},
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -71,7 +71,7 @@
 	e.engine.view(func(now time.Duration, c *core.Core) { f.now, f.view = now, c.View(now) })
 	f.view.Sort()
 	e.instruments.addRefusals(&f.view.Counters)
-	f.recent = e.recent.sinceOldestSample(&f.view.Counters)
+	f.recent = e.counterSamples.sinceOldestSample(&f.view.Counters)
 	in, out := e.links.Traffic()
 	f.peerBytesIn, f.peerBytesOut = in+f.peerServer.BytesIn, out+f.peerServer.BytesOut
 	for i := range f.view.Endpoints {
@@ -102,7 +102,7 @@
 // counters returns the core's counters, with requests included that were refused before they
 // reached the core.
 func (e *Entry) counters() (c core.Counters) {
-	e.engine.view(func(_ time.Duration, known *core.Core) { c = known.Counters() })
+	e.engine.view(func(_ time.Duration, current *core.Core) { c = current.Counters() })
 	e.instruments.addRefusals(&c)
 	return c
 }
--- a/internal/entry/views_concerns.go
+++ b/internal/entry/views_concerns.go
@@ -37,14 +37,14 @@
 	*l = append(*l, admin.Concern{What: fmt.Sprintf(format, args...), Clears: clears})
 }
 
-// addEach calls add for each of n items up to maxConcernsPerKind, and adds one concern that counts
-// the rest.
-func (l *concernList) addEach(n int, what string, add func(i int)) {
+// addEach calls add for each of the n items up to maxConcernsPerKind, and adds one concern that
+// counts the rest.
+func (l *concernList) addEach(n int, items string, add func(i int)) {
 	for i := range min(n, maxConcernsPerKind) {
 		add(i)
 	}
 	if n > maxConcernsPerKind {
-		l.add("see tealhallctl "+what, "%d more %s with the same concern", n-maxConcernsPerKind, what)
+		l.add("see tealhallctl "+items, "%d more %s with the same concern", n-maxConcernsPerKind, items)
 	}
 }
 
@@ -61,7 +61,7 @@
 	f.endpointConcerns(&l)
 	f.poolConcerns(&l)
 	f.requestConcerns(&l)
-	f.boundConcerns(&l)
+	f.limitConcerns(&l)
 	return l
 }
 
@@ -273,7 +273,7 @@
 	return "by itself; see the reasons below"
 }
 
-func (f *facts) boundConcerns(l *concernList) {
+func (f *facts) limitConcerns(l *concernList) {
 	near := func(n, limit int, what, setting string) {
 		if limit > 0 && float64(n) >= nearLimitShare*float64(limit) {
 			l.add("by itself when the load falls; add entries or raise "+setting, "%d of %d %s", n, limit, what)
--- a/internal/entry/views_recent.go
+++ b/internal/entry/views_recent.go
@@ -14,16 +14,16 @@
 	recentSamples = 13
 )
 
-// recent keeps samples of the counters of the last minute, so that concerns are based on recent
-// events only. It is safe for concurrent use.
-type recent struct {
+// counterSamples keeps samples of the counters of the last minute, so that concerns are based on
+// recent events only. It is safe for concurrent use.
+type counterSamples struct {
 	mu      sync.Mutex
 	next    time.Duration
 	samples []core.Counters // oldest first
 }
 
 // sample takes a sample of the counters if one is due, and calls read only then.
-func (r *recent) sample(now time.Duration, read func() core.Counters) {
+func (r *counterSamples) sample(now time.Duration, read func() core.Counters) {
 	r.mu.Lock()
 	due := now >= r.next
 	if due {
@@ -49,7 +49,7 @@
 }
 
 // sinceOldestSample returns the difference of the counters to the oldest sample.
-func (r *recent) sinceOldestSample(current *core.Counters) recentCounts {
+func (r *counterSamples) sinceOldestSample(current *core.Counters) recentCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var oldest core.Counters
