--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -16,7 +16,7 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// The limits of work that serves no caller.
+// The limits of probes and fetches, which serve no caller's request.
 const (
 	probeTimeout = 2 * time.Second
 	fetchTimeout = 3 * time.Second
@@ -62,8 +62,8 @@
 	}
 }
 
-// deliver sends an update and reports to the core whether the peer accepted it; a lost update stays
-// pending.
+// deliver sends an update to a peer and reports to the core whether the peer accepted it. A lost
+// update stays pending.
 func (e *Entry) deliver(u core.Outgoing) {
 	e.links.Deliver(u.Address, u.Update, func(r message.Receipt) { e.updateDone(u.To, u.Update.Sequence, r) })
 }
@@ -127,7 +127,7 @@
 	if f.Source == assign.Platform {
 		value, err := e.platform.Read(ctx, f.Name)
 		if err != nil {
-			klog.V(1).InfoS("the platform did not answer", "value", f.Name, "err", err)
+			klog.V(1).InfoS("could not read a value from the platform", "value", f.Name, "err", err)
 			return false
 		}
 		e.offer(value, assign.Platform)
--- a/internal/entry/admin_test.go
+++ b/internal/entry/admin_test.go
@@ -84,14 +84,15 @@
 	return ""
 }
 
-// One endpoint refuses every request, the platform lists another as leaving, and an invalid document
-// is published. The admin interface of a single entry must show, without the log, what is wrong, why
-// tealhall acted and what clears each concern, and must drop the concerns when they are over.
+// One endpoint refuses every request, the platform lists another as leaving, and an invalid
+// document is published. The admin interface of a single entry must show, without the log, what is
+// wrong, why tealhall acted and what clears each concern. It must drop the concerns when their
+// causes are gone.
 func TestOperatorSeesEjectionAndRefusal(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 3)
 	l := startTraffic(t, f)
-	l.awaitReplies(t, 200) // which earns retries
+	l.awaitReplies(t, 200) // successful requests earn retries
 	// In light traffic entries use few endpoints, so the test takes the busiest one.
 	bad := slices.MaxFunc(f.Endpoints[:4], func(a, b *demo.Endpoint) int { return int(a.Stats().Requests - b.Stats().Requests) })
 	bad.SetFaults(standin.EndpointFaults{Shed: true})
@@ -199,8 +200,8 @@
 	}
 }
 
-// The page for operators names the metrics to set alerts on. An alert on a metric that does not exist
-// would never fire.
+// The page for operators names the metrics to set alerts on. An alert on a metric that does not
+// exist would never fire.
 func TestOperationsPageNamesExistingMetrics(t *testing.T) {
 	read := func(name string) string {
 		text, err := os.ReadFile("../../docs/" + name)
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -18,7 +18,7 @@
 func (x *exchange) attempt(ctx context.Context, cancel context.CancelFunc, d core.Directive) {
 	maySend := func() bool { return x.entry.engine.maySend(d.ID, d.Attempt) }
 	body, ok := x.body.Reader()
-	// maySend is also checked before a connection is taken, since a connection costs the endpoint
+	// maySend is also checked before a connection is taken, since opening one costs the endpoint
 	// something too.
 	if !ok || !maySend() {
 		cancel()
@@ -66,8 +66,9 @@
 	})
 }
 
-// handleHead passes the head of an answer to the core, and then the answer to the exchange or
-// closes it. waited is the time that the endpoint took to its first byte.
+// handleHead passes the head of an answer to the core. If the core commits to the answer, the
+// exchange gets it; otherwise it is closed. waited is the time from the first write of the request
+// to the first byte of the answer.
 func (x *exchange) handleHead(d core.Directive, response *http.Response, waited time.Duration, cancel context.CancelFunc) {
 	head := x.headOf(d, response)
 	commit, outcome := x.entry.engine.head(head)
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -19,7 +19,8 @@
 	// AttemptHeader returns the headers that an attempt adds for its endpoint.
 	AttemptHeader(a *AttemptInfo) http.Header
 	// ReadHead reads what the head of an endpoint's answer says about the request, the endpoint's
-	// load and the endpoint itself. request has the headers that were sent.
+	// load and the endpoint itself. expected is the name of the endpoint that is expected at the
+	// address, request has the headers that were sent.
 	ReadHead(expected string, request, answer http.Header, status int) core.Head
 	// Stray reports whether an answer belongs to another request.
 	Stray(request, answer http.Header) bool
@@ -42,9 +43,12 @@
 	// Request names the request in all its attempts, Service the service that it is for.
 	Request, Service string
 	// Caller names the caller, for an entry to which the request is forwarded.
-	Caller    string
-	Depth     int
-	IdleOnly  bool
+	Caller string
+	// Depth is the depth to which the request is nested in other calls.
+	Depth int
+	// IdleOnly asks the endpoint to refuse the attempt at once if none of its slots is idle.
+	IdleOnly bool
+	// Forwarded is set if the attempt goes to another entry rather than to an endpoint.
 	Forwarded bool
 }
 
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -17,9 +17,9 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// An endpoint announces in its answers that it drains while the platform's list still shows it live.
-// The first entry that receives the announcement spreads it, and once all entries know it, the endpoint
-// gets no new requests. No caller is affected.
+// An endpoint announces in its answers that it drains while the platform's list still shows it
+// live. The first entry that receives the announcement spreads it, and once all entries know it,
+// the endpoint gets no new requests. No caller is affected.
 func TestEndpointDrainsWhileListIsStale(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 6)
@@ -42,8 +42,8 @@
 	l.finishWithoutLoss(t, f)
 }
 
-// reuseWindow is the time after an answer during which its connection may carry another request that
-// must run once.
+// reuseWindow is the time after an answer during which its connection may carry another request
+// that must run once.
 const reuseWindow = time.Second
 
 // A device between entries and endpoints drops all open connections silently; new connections work.
@@ -81,9 +81,9 @@
 // secondRoundOffset is added to the numbers of the bookings that are sent after the pause.
 const secondRoundOffset = 1_000_000
 
-// Open connections between callers and entries, and between entries, go silent. A caller's request on
-// a dead connection is repeated on another one, with its key if it must run once. Entries reopen the
-// links between them, so profiles published afterwards come into force on all entries.
+// Open connections between callers and entries, and between entries, go silent. A caller's request
+// on a dead connection is repeated on another one, with its key if it must run once. Entries reopen
+// the links between them, so profiles published afterwards come into force on all entries.
 func TestOpenConnectionsToEntriesGoSilent(t *testing.T) {
 	proxies := &proxySet{t: t}
 	f := newFleet(t, 4, func(cfg *demo.FleetConfig) {
@@ -115,9 +115,9 @@
 	f.awaitInForce(t, f.Publish([]byte(fleetProfiles)))
 }
 
-// All endpoints break their answers off in the middle, those with a Content-Length and chunked ones.
-// A caller must be able to detect that its answer is incomplete. The outcome of a booking whose answer
-// was lost is unknown, also when the booking is repeated.
+// All endpoints break their answers off in the middle, both chunked answers and those with a
+// Content-Length. A caller must be able to detect that its answer is incomplete. The outcome of a
+// booking whose answer was lost is unknown, also when the booking is repeated.
 func TestTruncatedAnswersAreNotTakenAsWhole(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, e := range f.Endpoints {
@@ -154,8 +154,8 @@
 	return request
 }
 
-// closingEndpoint answers the first request on each connection, and closes the connection after it has
-// read the second.
+// closingEndpoint answers the first request on each connection, and closes the connection after it
+// has read the second.
 type closingEndpoint struct {
 	mu       sync.Mutex
 	arrivals map[string]int
@@ -199,9 +199,9 @@
 	_ = standin.WriteAnswer(w, id, standin.AnswerSize(id))
 }
 
-// Endpoints close kept-alive connections just as a booking arrives on them. HTTP libraries repeat such
-// a request by themselves when it carries an Idempotency-Key, so the endpoint would book twice. A
-// booking must arrive at most once, and not at all if its outcome is "not run".
+// Endpoints close kept-alive connections just as a booking arrives on them. HTTP libraries repeat
+// such a request by themselves when it carries an Idempotency-Key, so the endpoint would book
+// twice. A booking must arrive at most once, and not at all if its outcome is "not run".
 func TestBookingsOnClosingConnectionsArriveOnce(t *testing.T) {
 	closing := &closingEndpoint{arrivals: make(map[string]int)}
 	f := newFleet(t, 3, func(cfg *demo.FleetConfig) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -39,8 +39,8 @@
 const tickPeriod = 5 * time.Millisecond
 
 // idleTickPeriod replaces tickPeriod while no request is in flight and the core's state does not
-// change; a request or a change asks for a tick at once. Each tick wakes the process, which costs
-// more than the tick itself.
+// change; a request or a change restores tickPeriod. Each tick wakes the process, which costs more
+// than the tick itself.
 const idleTickPeriod = 100 * time.Millisecond
 
 // Options configure an Entry besides its settings.
@@ -72,7 +72,7 @@
 type TLS struct {
 	// Callers is for connections of callers; nil for plain HTTP. If it is set, HomeClient is called
 	// for each connection on which this entry forwards a request to the home of its key. All
-	// entries of a fleet have the same setting.
+	// entries of a fleet must have the same setting.
 	Callers    *tls.Config
 	HomeClient func() *tls.Config
 	// PeerServer and PeerClient are for the two ends of links between entries; both or none are
@@ -86,7 +86,8 @@
 	settings *settings.Settings
 	options  Options
 	hello    message.Hello
-	// requestPrefix begins the names that this entry gives requests; it is unique to the process.
+	// requestPrefix begins the names that this entry gives to requests that their callers did not
+	// name; it is unique to the process.
 	requestPrefix string
 
 	engine      *engine
@@ -236,9 +237,10 @@
 // the platform: the links to its seeds open within a tenth of a second. The seeds themselves read
 // at once, so that a fleet that lost power as a whole gets the values from them.
 //
-// Beyond leastDelay, entries are spread over delaySpread, with few of them early: the values that
-// the first entries read reach the others before these read. If the seeds are away too, the first
-// of 14 entries reads after 0.7 s on average, and a tenth of 472 entries have read by then.
+// Beyond leastDelay, entries are spread over delaySpread, with few of them early, so that the
+// values that the first entries read reach the other entries before those read the platform as
+// well. If the seeds are down too, the first of 14 entries reads after 0.7 s on average, and a
+// tenth of 472 entries have read by then.
 func (e *Entry) platformStartDelay() time.Duration {
 	const leastDelay, delaySpread = 250 * time.Millisecond, time.Second
 	seeds := e.settings.Peers.Seeds
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -53,7 +53,7 @@
 	outcome  core.Outcome
 	// forwarded is set if the answer comes from another entry.
 	forwarded bool
-	// waited is the time that the endpoint took to the head of its answer.
+	// waited is the time from the first write of the request to the first byte of the answer.
 	waited time.Duration
 }
 
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -53,7 +53,7 @@
 	shortAnswersTTL = 300 * time.Millisecond
 )
 
-// fleet is a running fleet with the audit records of its entries by their names.
+// fleet is a running fleet with the audit records of its entries, by the names of the entries.
 type fleet struct {
 	*demo.Fleet
 	mu      sync.Mutex
@@ -164,8 +164,8 @@
 	await(t, what, func() bool { return !f.anyEntry(func(name string) bool { return !holds(name) }) })
 }
 
-// recordingTransport is the HTTP transport of all callers. It records the exchanges that break after
-// their connection was established, which a planned change must not cause.
+// recordingTransport is the HTTP transport of all callers. It records the exchanges that break
+// after their connection was established, which a planned change must not cause.
 type recordingTransport struct {
 	*http.Transport
 	mu     sync.Mutex
--- a/internal/entry/fixture_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -33,9 +33,10 @@
 	readSize     = 2000
 	// requestTimeout bounds one request with all its attempts.
 	requestTimeout = 15 * time.Second
-	// maxInFlight bounds the requests under way in tests where none may be refused. On a quiet
-	// machine two or three are under way; on one so busy that 2 ms of work take a quarter of a
-	// second, more than maxInFlight would be an overload, which entries refuse rightly.
+	// maxInFlight bounds the requests under way in tests in which none may be refused. On a quiet
+	// machine, two or three are under way. On a machine so busy that 2 ms of work take a quarter of
+	// a second, more requests than maxInFlight would be an overload, and entries would rightly
+	// refuse some of them.
 	maxInFlight = 24
 )
 
@@ -162,8 +163,8 @@
 type outcomes struct{ done, notRun, unknown int }
 
 // finish ends the traffic and checks what must hold in every test: each answer is complete and
-// belongs to its request, no booking ran twice, and the outcome that the caller received agrees with
-// what the endpoints did.
+// belongs to its request, no booking ran twice, and the outcome that the caller received agrees
+// with what the endpoints did.
 func (l *traffic) finish(t *testing.T, f *fleet) (reads, bookings outcomes) {
 	t.Helper()
 	close(l.stop)
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -21,8 +21,9 @@
 
 // handoverResult is the result of a hand-over.
 type handoverResult struct {
+	// keys counts the keys of all tables, also of those that no successor accepted.
 	keys int
-	// successors counts the entries that accepted whole tables.
+	// successors counts the entries that accepted at least one whole table.
 	successors int
 }
 
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -180,8 +180,8 @@
 
 // All entries are replaced one after the other while the caller of a booking still asks for its
 // outcome. The home's keys move to its successors and from them to others, and new processes join
-// with a rank before the entries that have the keys. Each entry must find the answer, and must
-// report that a key which was never sent was not run.
+// that rank before the entries that have the keys. Each entry must find the answer, and must report
+// a key that was never sent as not run.
 func TestKeysSurviveReplacementOfEveryEntry(t *testing.T) {
 	t.Parallel() // waits most of the time
 	f := newFleet(t, 5)
@@ -229,8 +229,8 @@
 }
 
 // An entry's VM is lost under load, with bookings in flight at the entry. Callers turn to other
-// entries, reads are answered, and the outcomes that callers get for bookings are true, if only
-// "unknown".
+// entries, reads are answered, and no caller gets a wrong outcome for a booking, although the
+// outcome may be "unknown".
 func TestEntryKilledUnderLoad(t *testing.T) {
 	t.Parallel() // waits most of the time
 	f := newFleet(t, 5, func(cfg *demo.FleetConfig) {
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -14,15 +14,16 @@
 )
 
 // livenessTimeout is how long the platform may take to answer a liveness check before this entry
-// tells its peers not to rely on it. A later answer shows that the platform is slow but alive, so
-// this entry continues to read.
+// tells its peers not to rely on this entry as a reader. A later answer shows that the platform is
+// slow but alive, so this entry continues to read.
 const livenessTimeout = 300 * time.Millisecond
 
-// livenessChecks is the state of a reader's liveness checks: cheap calls to the platform beside the
-// watches. They guard against a platform that stops answering some entries, readers included, whose
-// watches wait in silence: published changes would come into force only when the watches time out.
-// They also guard against a platform that forgets a watch, as one that drops its history does: the
-// platform answers, but the watch waits in silence.
+// livenessChecks is the state of a reader's liveness checks: cheap calls to the platform in
+// addition to the watches. They guard against a platform that stops answering some entries, readers
+// included: the watches of these entries wait without an error, and published changes would come
+// into force only when the watches time out. They also guard against a platform that forgets a
+// watch, for example because it dropped its history: the platform answers new calls, but the watch
+// waits without an error.
 type livenessChecks struct {
 	platform published.LivenessChecker
 	every    time.Duration
@@ -116,8 +117,8 @@
 
 // renewWatch renews the watch if it still has not delivered the revision that the platform had at
 // the previous check. Without this, a profile that was published while the platform dropped its
-// history came into force only when the watches ran out, 3 s later, and the list had to be read as
-// well.
+// history came into force only when the watches timed out, 3 s later, and the list of VMs had to
+// be read as well.
 func (e *Entry) renewWatch(result published.Liveness) {
 	previous := e.liveness.latest
 	e.liveness.latest = result.Latest
@@ -139,10 +140,10 @@
 func (e *Entry) shouldRead() bool { return e.isReader() && e.liveness.allowsRead(e.assigned()) }
 
 // allowsRead reports whether the results of the liveness checks allow a reader to read. An entry
-// that is not assigned to read does so when the assigned readers have no answer, so it most likely
-// gets none either: it waits until a check was answered. This guards against a platform that is
-// down, to which each entry of the fleet in turn would send reads, which cost ten times as much as
-// checks.
+// that is not assigned to read becomes a reader when the assigned readers get no answer. It would
+// most likely get none either, so it waits until one of its checks is answered. Otherwise, while
+// the platform is down, each entry of the fleet in turn would send it reads, which cost ten times
+// as much as checks.
 func (l *livenessChecks) allowsRead(assigned bool) bool {
 	return !l.failed.Load() && (assigned || !l.enabled() || l.answered.Load())
 }
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// fakePlatform is a configuration service that can stop answering this entry: nothing is answered,
-// and waiting watches get nothing.
+// fakePlatform is a configuration service that can stop answering the entry: new calls get no
+// answer, and waiting watches deliver nothing.
 type fakePlatform struct {
 	fixedPlatform
 	silent                              atomic.Bool
@@ -50,8 +50,8 @@
 
 func (p *fakePlatform) RenewWatch() { p.renewed.Add(1) }
 
-// newReadingEntry starts an entry that checks a service every 20 ms, and returns a function that
-// waits for a condition.
+// newReadingEntry starts an entry that makes a liveness check every 20 ms. It returns the entry's
+// platform, the entry and a function that waits for a condition.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
 	platform := &fakePlatform{fixedPlatform: fixedPlatform{
@@ -88,7 +88,7 @@
 
 // An operator publishes a profile at the moment at which the service drops its history. The service
 // forgets the waiting watches but answers new calls: the profile came into force only when the
-// watches ran out, four seconds later on 126 entries. If the watches still have not delivered a
+// watches timed out, four seconds later on 126 entries. If the watches still have not delivered a
 // revision one check after a check showed it, the watch must be renewed. If the watches deliver all
 // changes, they must be left alone.
 func TestForgottenWatchIsRenewed(t *testing.T) {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -13,8 +13,8 @@
 
 const (
 	// reservoirSize and reservoirAlpha make each histogram cover about the last five minutes.
-	// The size is half of go-metrics' default, because every service has a histogram; five
-	// samples are still above the 99th percentile.
+	// The size is half of go-metrics' default, because every service has a histogram; it still
+	// leaves five samples above the 99th percentile.
 	reservoirSize  = 514
 	reservoirAlpha = 0.015
 	// reasonCount is the number of core.Reason values.
@@ -179,7 +179,8 @@
 	}
 }
 
-// addRefusals adds the requests that were refused before they reached the core to its counters.
+// addRefusals adds the requests that were refused before they reached the core to the core's
+// counters.
 func (m *instruments) addRefusals(c *core.Counters) {
 	refusals := uint64(0)
 	for i := range c.Refused {
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkInstruments measures the cost of the metrics of one request: those of the head and of the
-// end of its answer.
+// BenchmarkInstruments measures the cost of the metrics of one request: those of the head and of
+// the end of its answer.
 func BenchmarkInstruments(b *testing.B) {
 	m := newInstruments()
 	b.ReportAllocs()
--- a/internal/entry/overhead_test.go
+++ b/internal/entry/overhead_test.go
@@ -113,8 +113,8 @@
 	return e
 }
 
-// BenchmarkAddedLatency sends the same open-loop load to an endpoint directly
-// and through one entry, in alternating rounds, and reports both.
+// BenchmarkAddedLatency sends the same open-loop load to an endpoint directly and through one
+// entry, in alternating rounds, and reports both latencies and their difference.
 func BenchmarkAddedLatency(b *testing.B) {
 	entry.TuneMemory(settings.Default().Limits.HeapGrowth)
 	endpoint := startEchoEndpoint(b)
@@ -176,8 +176,8 @@
 	}
 }
 
-// run sends overheadRate calls a second for d. A call's latency counts from the time at which it was
-// due, so that a stall is not hidden.
+// run sends overheadRate calls a second for d. A call's latency counts from the time at which it
+// was due, so that a stall is not hidden.
 func (l *loadGenerator) run(d time.Duration) {
 	calls := int(d.Seconds() * overheadRate)
 	due := make(chan time.Time, calls)
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,8 +16,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// handoverBytes bounds a message of a hand-over, in addition to the largest stored answer, whose
-// encoding adds to its size.
+// handoverBytes bounds a message of a hand-over, apart from its largest stored answer. For that,
+// twice its size is allowed, since its encoding adds to it.
 const handoverBytes = 256 << 10
 
 // The backoff before a peer is dialled again. If the platform lists no entries, an entry that comes
@@ -72,7 +72,8 @@
 	version   uint64
 }
 
-// add records that addresses are known at now.
+// add records that the addresses are known at the time now. Beyond maxKnownAddresses, it ignores
+// new addresses.
 func (b *addressBook) add(now time.Duration, addresses []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,14 +119,14 @@
 	return out
 }
 
-// helloReceived passes the hello of a peer that opened a link to the core.
+// helloReceived passes to the core the hello of a peer that opened a link to this entry.
 func (e *Entry) helloReceived(h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
 		e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) { c.HelloReceived(now, h, out) })
 	}
 }
 
-// helloAnswered passes the hello to the core with which a peer answered on a link that this entry
+// helloAnswered passes to the core the hello with which a peer answered on a link that this entry
 // opened.
 func (e *Entry) helloAnswered(_ string, h message.Hello) {
 	if h.Incarnation != e.hello.Incarnation {
@@ -151,9 +152,9 @@
 // entry may be.
 //
 // The latter are kept even when other entries are known. Without the platform's list, entries learn
-// of each other only by links. If the first seed that answered ended the dialling of the others,
-// two parts of a fleet could stay unaware of each other, and callers of one part would never be
-// sent to the other.
+// of each other only by links. If an entry stopped dialling the other seeds once the first one
+// answered, two parts of a fleet could stay unaware of each other, and callers of one part would
+// never be sent to the other.
 func (e *Entry) updateLinks(set *wantedLinks) {
 	version := e.knownAddresses.currentVersion()
 	var wanted, known []string
--- a/internal/entry/profile_test.go
+++ b/internal/entry/profile_test.go
@@ -34,9 +34,9 @@
 }
 
 // Entries keep the revision in force while the configuration service is down, and an entry that
-// starts meanwhile gets it from its peers and serves. When the service is back, the revision published
-// meanwhile comes into force on all entries, a lagging replica changes nothing, and all entries refuse
-// an invalid document.
+// starts meanwhile gets it from its peers and serves. When the service is back, the revision
+// published meanwhile comes into force on all entries, a lagging replica changes nothing, and all
+// entries refuse an invalid document.
 func TestConfigurationServiceDownStaleOrInvalid(t *testing.T) {
 	t.Parallel() // it mostly waits
 	f := newFleet(t, 4)
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -23,8 +23,8 @@
 // readerCheckInterval is how often an entry checks whether it has to read the platform.
 const readerCheckInterval = 200 * time.Millisecond
 
-// readRetry bounds the time between tries of an entry that does not reach the platform: all entries
-// of a fleet may be trying at once.
+// readRetry bounds the time between the attempts of an entry that cannot reach the platform: all
+// entries of a fleet may be trying at once.
 var readRetry = assign.CheckLimits{Shortest: 2 * time.Second, Longest: 30 * time.Second, FleetRate: 20, Values: 2}
 
 // documents has the texts of the values in force, which peers fetch, and the recent changes to the
@@ -170,7 +170,8 @@
 	}
 }
 
-// assigned reports whether this entry is assigned to read, rather than reading in place of others.
+// assigned reports whether this entry is assigned to read the platform, rather than reading in
+// place of the assigned entries.
 func (e *Entry) assigned() (assigned bool) {
 	e.engine.view(func(_ time.Duration, c *core.Core) { assigned = c.AssignedReader() })
 	return assigned
@@ -196,7 +197,7 @@
 		published.Follow(ctx, e.platform, name, e.documents.get(name).Revision, options, e.platformAnswered)
 		return
 	}
-	// A watch may wait for long before it shows that the platform answers, so read first.
+	// A watch may wait long before it shows that the platform answers, so read first.
 	if v, err := e.platform.Read(ctx, name); err == nil {
 		e.platformAnswered(v)
 	} else if ctx.Err() == nil {
@@ -225,7 +226,7 @@
 }
 
 func (e *Entry) platformFailed(name string, err error) {
-	klog.V(1).InfoS("the platform did not answer", "value", name, "err", err)
+	klog.V(1).InfoS("could not read or watch a value of the platform", "value", name, "err", err)
 	if fault.KindOf(err) != fault.RateLimited {
 		e.engine.view(func(_ time.Duration, c *core.Core) { c.PlatformAnswered(false) })
 	}
@@ -242,8 +243,8 @@
 	}
 }
 
-// offer parses a value and passes it to the core. A value without a text says that there is no
-// later revision.
+// offer parses a value and passes it to the core. A value without data means that there is no later
+// revision.
 func (e *Entry) offer(v published.Value, source uint64) {
 	if v.Problem != nil {
 		e.engine.event(func(_ time.Duration, c *core.Core, out *core.Actions) { c.Unreadable(v.Name, v.Problem, out) })
@@ -262,7 +263,7 @@
 	e.offerParsed(v, offered, false)
 }
 
-// offerPatched passes a list of VMs to the core that was made from a peer's difference.
+// offerPatched passes to the core a list of VMs that was made from a peer's difference.
 func (e *Entry) offerPatched(v published.Value, list published.VMList, source uint64) {
 	e.offerParsed(v, core.Offered{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
 }
@@ -301,7 +302,7 @@
 	return message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}
 }
 
-// parse parses a value's text. It takes no lock, since a document may be large.
+// parse parses a value's text. It takes no lock, since parsing a large document takes long.
 func (e *Entry) parse(v published.Value) core.Offered {
 	o := core.Offered{Name: v.Name, Mark: markOf(v)}
 	if v.Name == published.VMsValue {
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// badRequest is the directive for a request that is malformed or sent to an unknown path of
-// tealhall.
+// badRequest is the directive for a malformed request, and for a request to a path under tealhall's
+// own prefix that does not exist or does not allow the method.
 var badRequest = core.Directive{Outcome: core.OutcomeNotRun, Reason: core.ReasonBadRequest}
 
 // refuseMalformedHead answers a request with a malformed head.
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -18,7 +18,8 @@
 	"github.com/tealhall/tealhall/internal/idem"
 )
 
-// callerHandler routes callers' requests to tealhall's own paths, and all others to services.
+// callerHandler passes requests to tealhall's own paths to their handlers, and all other requests
+// to services.
 func (e *Entry) callerHandler() http.Handler {
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.HandleFunc(contract.EntriesPath, e.serveEntries).Methods(http.MethodGet)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,7 +17,8 @@
 type StopSummary struct {
 	// Cut counts the requests in flight that were cut off.
 	Cut int
-	// HandedOver counts the keys given to successors, Successors the entries that accepted them.
+	// HandedOver counts the keys offered to successors, Successors the entries that accepted at
+	// least one whole table of them.
 	HandedOver int
 	Successors int
 	Took       time.Duration
@@ -77,7 +78,7 @@
 }
 
 // finishRequests refuses new connections, waits up to timeout for the requests in flight and
-// returns how many it had to cut off. It reports a wait that gets long.
+// returns how many it had to cut off. It reports a long wait in the log and the audit trail.
 func (e *Entry) finishRequests(ctx context.Context, timeout time.Duration) int {
 	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -137,7 +138,7 @@
 	e.peerServer.Close()
 	e.connections.Close()
 	e.homeConnections.Close()
-	// Requests that were cut off must not outlive the entry at an endpoint.
+	// Requests that were cut off must not run on at an endpoint after the entry has ended.
 	e.engine.cancelAll()
 	e.endRunning()
 }
--- a/internal/entry/stopplan.go
+++ b/internal/entry/stopplan.go
@@ -16,9 +16,9 @@
 	noDeadline = 365 * 24 * time.Hour
 )
 
-// The smallest shares of the time until the process is killed: inFlightShare for the requests in
-// flight once new connections are refused, shutdownShare for the last steps if that is less than
-// their usual time.
+// Shares of the time until the process is killed: inFlightShare is the least for the requests in
+// flight once new connections are refused, shutdownShare the most for the last steps, if that is
+// less than their usual time.
 const (
 	inFlightShare = 0.25
 	shutdownShare = 0.125
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -20,7 +20,8 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP address.
+// startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP
+// address.
 func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published fixedPlatform, seeds ...string) *entry.Entry {
 	t.Helper()
 	dir := t.TempDir()
@@ -74,9 +75,9 @@
 	}
 }
 
-// With TLS on all connections, entries find each other, a caller that offers HTTP/2 is served, and a
-// booking that is sent to several entries is forwarded to its key's home and runs once. A caller that
-// does not trust the authority, or that uses plain HTTP, is not served.
+// With TLS on all connections, entries find each other, a caller that offers HTTP/2 is served, and
+// a booking that is sent to several entries is forwarded to its key's home and runs once. A caller
+// that does not trust the authority, or that uses plain HTTP, is not served.
 func TestTLSOnAllConnections(t *testing.T) {
 	endpoint, err := standin.NewEndpoint(standin.EndpointConfig{Name: "bookings-1", Incarnation: 1})
 	if err != nil {
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -31,11 +31,12 @@
 	recent   recentCounts
 	platform platformCounts
 	// livenessChecks counts the liveness checks of the configuration service, lateLivenessChecks
-	// those that got no answer in time. platform does not include them.
+	// those that got no answer in time. The counts in platform do not include these calls.
 	livenessChecks, lateLivenessChecks uint64
 	// renewedWatches counts the watches that were renewed.
 	renewedWatches uint64
-	callers        int
+	// callers counts the open connections of callers.
+	callers int
 	// connections counts the open connections to each endpoint, by address.
 	connections map[string]int
 	links       []peer.LinkStats
@@ -99,8 +100,8 @@
 	return p
 }
 
-// counters returns the core's counters, with requests included that were refused before they
-// reached the core.
+// counters returns the core's counters, including requests that were refused before they reached
+// the core.
 func (e *Entry) counters() (c core.Counters) {
 	e.engine.view(func(_ time.Duration, current *core.Core) { c = current.Counters() })
 	e.instruments.addRefusals(&c)
@@ -278,7 +279,7 @@
 }
 
 // entriesBehind returns the entries that have an older revision of the profiles in force than this
-// entry. It leaves out entries that have not reported their revision to this one.
+// entry. It leaves out entries that have not reported their revision to this entry.
 func (f *facts) entriesBehind() []*core.EntryView {
 	var behind []*core.EntryView
 	for i := range f.view.Entries {
--- a/internal/entry/views_concerns.go
+++ b/internal/entry/views_concerns.go
@@ -22,11 +22,12 @@
 	// last minute that together make a concern.
 	minRefusalShare = 0.01
 	minRefusals     = 10
-	// nearLimitShare is the share of a limit in use from which on it is a concern.
+	// nearLimitShare is the share of a limit whose use is a concern.
 	nearLimitShare = 0.9
 	// staleConcernPeriod is how long the offer of an older revision remains a concern.
 	staleConcernPeriod = time.Minute
-	// holdTimeText is the time for which the losses in a held list do not count.
+	// holdTimeText names the time for which the core does not act on the losses in a VM list that
+	// lost many VMs at once.
 	holdTimeText = "a minute"
 )
 
@@ -38,7 +39,7 @@
 }
 
 // addEach calls add for each of the n items up to maxConcernsPerKind, and adds one concern that
-// counts the rest.
+// counts the rest. items names the items and the tealhallctl command that lists them.
 func (l *concernList) addEach(n int, items string, add func(i int)) {
 	for i := range min(n, maxConcernsPerKind) {
 		add(i)
@@ -91,11 +92,11 @@
 	}
 	if p.Unreadable != "" {
 		l.add("publish it again; until then the revision in force stays",
-			"%s: the value that the platform has now can't be used: %s", name, firstLine(p.Unreadable))
+			"%s: the value that the platform has now cannot be used: %s", name, firstLine(p.Unreadable))
 	}
 	if len(p.Problems) > 0 {
 		l.add("publish a corrected one; the other routes are in force as they are",
-			"%s: revision %d is in force, except for the parts that can't be used: %s", name, p.InForce.Revision, strings.Join(p.Problems, "; "))
+			"%s: revision %d is in force, except for the parts that cannot be used: %s", name, p.InForce.Revision, strings.Join(p.Problems, "; "))
 	}
 	if p.Stale && f.now-p.StaleAt < staleConcernPeriod {
 		l.add("by itself when the replica has caught up; the revision in force never goes back",
--- a/internal/entry/views_platform.go
+++ b/internal/entry/views_platform.go
@@ -61,8 +61,8 @@
 	return v, err
 }
 
-// record counts a call. A call that the entry's own rate limit stopped does not count, and one that
-// the entry cancelled is not evidence against the service.
+// record counts a call. A call that the entry's own rate limit stopped does not count. A call that
+// the entry cancelled counts, but not as a failure: it is no evidence against the service.
 func (p *countedPlatform) record(ctx context.Context, name string, err error) {
 	if fault.KindOf(err) == fault.RateLimited {
 		return
--- a/internal/entry/views_recent.go
+++ b/internal/entry/views_recent.go
@@ -48,7 +48,7 @@
 	refused                                 [reasonCount]uint64
 }
 
-// sinceOldestSample returns the difference of the counters to the oldest sample.
+// sinceOldestSample returns by how much the counters have grown since the oldest sample.
 func (r *counterSamples) sinceOldestSample(current *core.Counters) recentCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/entry/views_status.go
+++ b/internal/entry/views_status.go
@@ -207,8 +207,8 @@
 	return views
 }
 
-// poolView returns the view of a pool. Its retry budget is the sum of its services' budgets; the
-// share is the largest of theirs.
+// poolView returns the view of a pool. Its retry budget is the sum of its services' budgets, except
+// that its share is the largest of their shares.
 func poolView(p *core.PoolView) admin.PoolView {
 	v := admin.PoolView{
 		Pool:         p.Name,
