--- a/internal/entry/fixture_traffic_test.go
+++ b/internal/entry/fixture_traffic_test.go
@@ -33,9 +33,10 @@
 	readSize     = 2000
 	// requestTimeout bounds one request with all its attempts.
 	requestTimeout = 15 * time.Second
-	// maxInFlight bounds the requests under way in tests where none may be refused. On a quiet
-	// machine two or three are under way; on one so busy that 2 ms of work take a quarter of a
-	// second, more than maxInFlight would be an overload, which entries refuse rightly.
+	// maxInFlight bounds the requests under way in tests in which none may be refused. On a quiet
+	// machine, two or three are under way. On a machine so busy that 2 ms of work take a quarter of
+	// a second, more requests than maxInFlight would be an overload, and entries would rightly
+	// refuse some of them.
 	maxInFlight = 24
 )
 
@@ -162,25 +163,25 @@
 type outcomes struct{ done, notRun, unknown int }
 
 // finish ends the traffic and checks what must hold in every test: each answer is complete and
-// belongs to its request, no booking ran twice, and the outcome that the caller received agrees with
-// what the endpoints did.
+// belongs to its request, no booking ran twice, and the outcome that the caller received agrees
+// with what the endpoints did.
 func (l *traffic) finish(t *testing.T, f *fleet) (reads, bookings outcomes) {
 	t.Helper()
 	close(l.stop)
 	l.sending.Wait()
-	for _, about := range l.replies {
+	for _, r := range l.replies {
 		count := &reads
-		if about.once {
+		if r.once {
 			count = &bookings
 		}
-		count.add(about.result.Outcome)
-		if about.result.Outcome != client.Done {
-			t.Logf("%s: outcome %s %q from %s after %d tries: %v", about.id, about.result.Outcome, about.result.Reason,
-				about.result.Entry, about.result.Tries, about.result.Err)
+		count.add(r.result.Outcome)
+		if r.result.Outcome != client.Done {
+			t.Logf("%s: outcome %s %q from %s after %d tries: %v", r.id, r.result.Outcome, r.result.Reason,
+				r.result.Entry, r.result.Tries, r.result.Err)
 		}
-		if problem := about.problem(f.Ledger.Request(about.id)); problem != "" {
-			t.Errorf("%s: %s; got outcome %s %q from %s after %d tries (%v)", about.id, problem, about.result.Outcome,
-				about.result.Reason, about.result.Entry, about.result.Tries, about.result.Err)
+		if problem := r.problem(f.Ledger.Request(r.id)); problem != "" {
+			t.Errorf("%s: %s; got outcome %s %q from %s after %d tries (%v)", r.id, problem, r.result.Outcome,
+				r.result.Reason, r.result.Entry, r.result.Tries, r.result.Err)
 		}
 	}
 	if twice := f.Ledger.RanTwice(); len(twice) > 0 {
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -12,10 +12,10 @@
 	"github.com/tealhall/tealhall/internal/settings"
 )
 
-// fakePlatform is a configuration service that can stop answering this entry: nothing is answered,
-// and waiting watches get nothing.
+// fakePlatform is a configuration service that can stop answering the entry: new calls get no
+// answer, and waiting watches deliver nothing.
 type fakePlatform struct {
-	values
+	fixedPlatform
 	silent                              atomic.Bool
 	reads, livenessChecks, endedWatches atomic.Int64
 	// latest and delivered are the results of a liveness check, renewed counts the renewed watches.
@@ -29,11 +29,11 @@
 		<-ctx.Done()
 		return published.Value{}, ctx.Err()
 	}
-	return p.values.Read(ctx, name)
+	return p.fixedPlatform.Read(ctx, name)
 }
 
 func (p *fakePlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
-	v, err := p.values.Watch(ctx, name, after)
+	v, err := p.fixedPlatform.Watch(ctx, name, after)
 	if err != nil {
 		p.endedWatches.Add(1)
 	}
@@ -50,11 +50,11 @@
 
 func (p *fakePlatform) RenewWatch() { p.renewed.Add(1) }
 
-// newReadingEntry starts an entry that checks a service every 20 ms, and returns a function that
-// waits for a condition.
+// newReadingEntry starts an entry that makes a liveness check every 20 ms. It returns the entry's
+// platform, the entry and a function that waits for a condition.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
-	platform := &fakePlatform{values: values{
+	platform := &fakePlatform{fixedPlatform: fixedPlatform{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 		published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: published.EncodeVMs(published.VMList{})},
 	}}
@@ -88,7 +88,7 @@
 
 // An operator publishes a profile at the moment at which the service drops its history. The service
 // forgets the waiting watches but answers new calls: the profile came into force only when the
-// watches ran out, four seconds later on 126 entries. If the watches still have not delivered a
+// watches timed out, four seconds later on 126 entries. If the watches still have not delivered a
 // revision one check after a check showed it, the watch must be renewed. If the watches deliver all
 // changes, they must be left alone.
 func TestForgottenWatchIsRenewed(t *testing.T) {
--- a/internal/entry/overhead_test.go
+++ b/internal/entry/overhead_test.go
@@ -38,12 +38,14 @@
 time_zone = "UTC"
 `
 
-// values is a configuration service with fixed values.
-type values map[string]published.Value
+// fixedPlatform is a configuration service with fixed values.
+type fixedPlatform map[string]published.Value
 
-func (v values) Read(_ context.Context, name string) (published.Value, error) { return v[name], nil }
+func (v fixedPlatform) Read(_ context.Context, name string) (published.Value, error) {
+	return v[name], nil
+}
 
-func (v values) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
+func (v fixedPlatform) Watch(ctx context.Context, name string, after uint64) (published.Value, error) {
 	if value := v[name]; value.Revision > after {
 		return value, nil
 	}
@@ -87,7 +89,7 @@
 	callers, peers := listen(b), listen(b)
 	s.Addresses.Caller, s.Addresses.Peer = callers.Addr().String(), peers.Addr().String()
 	e, err := entry.New(s, entry.Options{
-		Platform: values{
+		Platform: fixedPlatform{
 			published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(overheadProfiles)},
 			published.VMsValue:      {Name: published.VMsValue, Revision: 1, Data: vms},
 		},
@@ -111,8 +113,8 @@
 	return e
 }
 
-// BenchmarkAddedLatency sends the same open-loop load to an endpoint directly
-// and through one entry, in alternating rounds, and reports both.
+// BenchmarkAddedLatency sends the same open-loop load to an endpoint directly and through one
+// entry, in alternating rounds, and reports both latencies and their difference.
 func BenchmarkAddedLatency(b *testing.B) {
 	entry.TuneMemory(settings.Default().Limits.HeapGrowth)
 	endpoint := startEchoEndpoint(b)
@@ -174,8 +176,8 @@
 	}
 }
 
-// run sends overheadRate calls a second for d. A call's latency counts from the time at which it was
-// due, so that a stall is not hidden.
+// run sends overheadRate calls a second for d. A call's latency counts from the time at which it
+// was due, so that a stall is not hidden.
 func (l *loadGenerator) run(d time.Duration) {
 	calls := int(d.Seconds() * overheadRate)
 	due := make(chan time.Time, calls)
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -20,8 +20,9 @@
 	"github.com/tealhall/tealhall/internal/standin"
 )
 
-// startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP address.
-func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published values, seeds ...string) *entry.Entry {
+// startTLSEntry starts an entry with TLS on all its connections. Its certificate names its IP
+// address.
+func startTLSEntry(t *testing.T, name string, authority *certstest.Authority, published fixedPlatform, seeds ...string) *entry.Entry {
 	t.Helper()
 	dir := t.TempDir()
 	files := certs.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "ca")}
@@ -74,16 +75,16 @@
 	}
 }
 
-// With TLS on all connections, entries find each other, a caller that offers HTTP/2 is served, and a
-// booking that is sent to several entries is forwarded to its key's home and runs once. A caller that
-// does not trust the authority, or that uses plain HTTP, is not served.
+// With TLS on all connections, entries find each other, a caller that offers HTTP/2 is served, and
+// a booking that is sent to several entries is forwarded to its key's home and runs once. A caller
+// that does not trust the authority, or that uses plain HTTP, is not served.
 func TestTLSOnAllConnections(t *testing.T) {
 	endpoint, err := standin.NewEndpoint(standin.EndpointConfig{Name: "bookings-1", Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(endpoint.Server().Kill)
-	published := values{
+	published := fixedPlatform{
 		published.ProfilesValue: {Name: published.ProfilesValue, Revision: 1, Data: []byte(fleetProfiles)},
 		published.VMsValue: {Name: published.VMsValue, Revision: 1,
 			Data: published.EncodeVMs(published.VMList{VMs: []published.VM{endpoint.VM("bookings", "r", "a")}})},
