--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -128,19 +128,19 @@
 	delayedRounds []delayedRound
 	delayedDue    []RequestID
 
-	requests map[RequestID]*request
-	free     []*request
-	keys     *idem.Table
+	requests     map[RequestID]*request
+	freeRequests []*request
+	keys         *idem.Table
 	// waiters are the requests that wait for a running request with the same key; joined lists all
 	// of them for their deadlines.
 	waiters map[idem.Key][]RequestID
 	joined  []RequestID
 
-	// quarantine records the requests under which endpoints crashed. broken lists the attempts
+	// quarantine records the requests under which endpoints crashed. brokenAttempts lists the attempts
 	// whose endpoint gets crash probes, unspreadCrashes the crashes that are not yet spread to the
 	// fleet.
 	quarantine      *quarantine.Table
-	broken          []brokenAttempt
+	brokenAttempts  []brokenAttempt
 	unspreadCrashes []unspreadCrash
 
 	// limits has the rate limits of endpoints by name and incarnation.
@@ -225,7 +225,7 @@
 	c.expireLoadProbes(now, out)
 	c.startDelayedRounds(now, out)
 	c.superviseDue(now, out)
-	c.probeBroken(now, out)
+	c.sendCrashProbes(now, out)
 	c.spreadCrashes(now)
 	if now >= c.nextMember {
 		c.nextMember = now + memberPeriod
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -18,17 +18,17 @@
 // once. An endpoint that refuses the connection has crashed, and the fleet is notified of the
 // request that it was running (package quarantine).
 const (
-	// maxBroken bounds the broken attempts whose endpoint awaits a crash probe.
-	maxBroken = 256
-	// crashProbeGap is the time between two crash probes of an endpoint that does not answer, and
-	// crashProbeFor is for how long it is probed. An endpoint that is cut off or has lost power
+	// maxBrokenAttempts bounds the broken attempts whose endpoint awaits a crash probe.
+	maxBrokenAttempts = 256
+	// crashProbeInterval is the time between two crash probes of an endpoint that does not answer, and
+	// crashProbeDuration is for how long it is probed. An endpoint that is cut off or has lost power
 	// stays silent for longer.
-	crashProbeGap = 200 * time.Millisecond
-	crashProbeFor = 2 * time.Second
-	// spreadAfter is the delay after which the first crash under a request is spread to the fleet.
+	crashProbeInterval = 200 * time.Millisecond
+	crashProbeDuration = 2 * time.Second
+	// spreadDelay is the delay after which the first crash under a request is spread to the fleet.
 	// By then most requests have completed elsewhere, so little evidence is spread when many
 	// endpoints crash for another reason.
-	spreadAfter = 500 * time.Millisecond
+	spreadDelay = 500 * time.Millisecond
 )
 
 // unspreadCrash is a crash that has not been spread to the fleet yet, and when it is due.
@@ -58,30 +58,30 @@
 	case request.Content == 0:
 	case end.Kind == EndComplete && a.status < http.StatusInternalServerError:
 		c.noteCompleted(now, request, out)
-	case !end.ConnBroken || e.State != table.EndpointLive || len(c.broken) >= maxBroken:
+	case !end.ConnBroken || e.State != table.EndpointLive || len(c.brokenAttempts) >= maxBrokenAttempts:
 	default:
-		c.broken = append(c.broken, brokenAttempt{request: request, pool: r.pool, endpoint: e.Name, incarnation: e.Incarnation,
+		c.brokenAttempts = append(c.brokenAttempts, brokenAttempt{request: request, pool: r.pool, endpoint: e.Name, incarnation: e.Incarnation,
 			address: e.Address, began: a.sentAt, at: now})
-		c.probeBroken(now, out)
+		c.sendCrashProbes(now, out)
 	}
 }
 
-// probeBroken sends crash probes to the endpoints of broken attempts, within the probe budgets of
+// sendCrashProbes sends crash probes to the endpoints of broken attempts, within the probe budgets of
 // their pools.
-func (c *Core) probeBroken(now time.Duration, out *Actions) {
-	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool { return now-b.at >= crashProbeFor })
-	for i := range c.broken {
-		b := &c.broken[i]
+func (c *Core) sendCrashProbes(now time.Duration, out *Actions) {
+	c.brokenAttempts = slices.DeleteFunc(c.brokenAttempts, func(b brokenAttempt) bool { return now-b.at >= crashProbeDuration })
+	for i := range c.brokenAttempts {
+		b := &c.brokenAttempts[i]
 		if now < b.probeAt || !c.spendCrashProbe(now, b.pool) {
 			continue
 		}
-		for j := range c.broken {
-			if o := &c.broken[j]; o.endpoint == b.endpoint && o.incarnation == b.incarnation {
-				o.probeAt = now + crashProbeGap
+		for j := range c.brokenAttempts {
+			if o := &c.brokenAttempts[j]; o.endpoint == b.endpoint && o.incarnation == b.incarnation {
+				o.probeAt = now + crashProbeInterval
 			}
 		}
 		out.Probes = append(out.Probes, Probe{Pool: b.pool.Name, Endpoint: b.endpoint, Incarnation: b.incarnation, Address: b.address,
-			Path: b.pool.probePath, CrashProbe: true, At: now, Wait: crashProbeGap})
+			Path: b.pool.probePath, CrashProbe: true, At: now, Wait: crashProbeInterval})
 	}
 }
 
@@ -92,15 +92,15 @@
 	return p.healthProbes.TrySpend(now, p.Slots())
 }
 
-// brokenProbeEnd processes the result of a crash probe. The endpoint also counts as crashed if
+// crashProbeEnd processes the result of a crash probe. The endpoint also counts as crashed if
 // another endpoint or another incarnation answers at its address.
-func (c *Core) brokenProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
+func (c *Core) crashProbeEnd(now time.Duration, end ProbeEnd, out *Actions) {
 	crashed := end.Refused || end.Misdirected || end.Incarnation != 0 && end.Incarnation != end.Probe.Incarnation
 	if !crashed && !end.OK && !end.Unhealthy {
 		return // no answer: the next probe follows
 	}
 	var crashes []quarantine.Crash
-	c.broken = slices.DeleteFunc(c.broken, func(b brokenAttempt) bool {
+	c.brokenAttempts = slices.DeleteFunc(c.brokenAttempts, func(b brokenAttempt) bool {
 		if b.endpoint != end.Probe.Endpoint || b.incarnation != end.Probe.Incarnation || b.at > end.Probe.At {
 			return false
 		}
@@ -111,7 +111,7 @@
 	})
 	for _, crash := range crashes {
 		c.processRequestEvidence(now, []message.Evidence{crashEvidence(now, &crash)}, out)
-		c.unspreadCrashes = append(c.unspreadCrashes, unspreadCrash{crash, crash.At + spreadAfter})
+		c.unspreadCrashes = append(c.unspreadCrashes, unspreadCrash{crash, crash.At + spreadDelay})
 	}
 	if len(crashes) > 0 {
 		c.spreadCrashes(now)
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// crashThree makes three endpoints crash while they run a request of the given content.
-func (h *entryHarness) crashThree(content uint64) {
+// crashThreeEndpoints makes three endpoints crash while they run a request of the given content.
+func (h *entryHarness) crashThreeEndpoints(content uint64) {
 	h.Helper()
 	for range 3 {
 		id := h.sendContent(content)
@@ -59,7 +59,7 @@
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	before := len(h.sent)
 	id := h.sendContent(7)
 	h.run(100 * ms)
@@ -80,7 +80,7 @@
 	h.learnServiceTime(8)
 	dialled := h.sendContent(7)
 	h.run(20 * ms)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	if h.MaySend(h.now, dialled, 1) {
 		t.Error("an attempt without a byte written may still be sent")
 	}
@@ -158,8 +158,8 @@
 		h.run(3 * sec)
 		ep.silent = false
 	}
-	if h.quarantine.Suspects() != 0 || len(h.broken) != 0 {
-		t.Errorf("%d suspects, %d attempts whose endpoint is still probed", h.quarantine.Suspects(), len(h.broken))
+	if h.quarantine.Suspects() != 0 || len(h.brokenAttempts) != 0 {
+		t.Errorf("%d suspects, %d attempts whose endpoint is still probed", h.quarantine.Suspects(), len(h.brokenAttempts))
 	}
 }
 
@@ -193,7 +193,7 @@
 	h.learnServiceTime(8)
 	long := h.sendContent(7)
 	h.run(20 * ms)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	h.answer(long, 1, 200)
 	h.run(20 * ms)
 	id := h.sendContent(7)
@@ -400,7 +400,7 @@
 	once := h.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
 	h.run(20 * ms)
 	h.breakConnection(once, 1, true)
-	h.run(spreadAfter + 100*ms)
+	h.run(spreadDelay + 100*ms)
 	if h.OwnEvidenceDigest() == both {
 		t.Error("a crash under a request that is not repeated is not spread")
 	}
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -92,7 +92,7 @@
 		return
 	}
 	if end.Probe.CrashProbe {
-		c.brokenProbeEnd(now, end, out)
+		c.crashProbeEnd(now, end, out)
 		return
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -177,7 +177,7 @@
 	}
 	r.probeRound.pending--
 	if r.probeRound.second {
-		c.secondProbeEnd(now, r, out)
+		c.secondAttemptProbeEnd(now, r, out)
 		return
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
@@ -231,7 +231,7 @@
 func (c *Core) decide(now time.Duration, r *request, out *Actions) {
 	best := c.bestChoice(now, r)
 	if r.probeRound.second {
-		c.decideSecond(now, r, best, out)
+		c.decideSecondAttempt(now, r, best, out)
 		return
 	}
 	if view := c.placementView(now, r); best.Index < 0 && !r.probeRound.ownOnly && !c.anyAnswered(r) && !view.Crowded() {
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -68,10 +68,10 @@
 // provably did not run, and only requests that may run twice, or provably did not run, are sent
 // again.
 func TestOutcomeIsWeakestOfAllAttempts(t *testing.T) {
-	once, photo, scan := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Safe: true}
+	once, bulk, idempotentBulk := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Safe: true}
 	read, urgent, hedged := Arrival{Service: "counts"}, Arrival{Service: "checks"}, Arrival{Service: "hedged"}
-	nested, again := Arrival{Service: "counts", Depth: 1}, Arrival{Service: "counts", CallerAttempt: 2}
-	unsafeBody := Arrival{Service: "counts", Digest: [32]byte{unreplayable}}
+	nested, belowRetry := Arrival{Service: "counts", Depth: 1}, Arrival{Service: "counts", CallerAttempt: 2}
+	unreplayableRead := Arrival{Service: "counts", Digest: [32]byte{unreplayable}}
 	nestedHedge := Arrival{Service: "hedged", Depth: 3}
 	for _, tt := range []struct {
 		name    string
@@ -89,7 +89,7 @@
 		{"the last error of a read is its answer", read, "answers 500, answers 500, answers 500", OutcomeDone, ReasonNone, 3},
 		{"an error among refusals is unknown", read, "answers 500, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
 		{"a read gets no answer", read, "never", OutcomeUnknown, ReasonDeadline, 1},
-		{"a body that cannot be sent again", unsafeBody, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
+		{"a body that cannot be sent again", unreplayableRead, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
 		{"a broken body is not sent again", read, "bad body", OutcomeUnknown, ReasonBodyBroken, 1},
 		{"a read is sent again after silent connections", read, "silent, silent", OutcomeDone, ReasonNone, 3},
 		{"a booking that was lost is unknown", once, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
@@ -102,13 +102,13 @@
 		{"an error is the answer to a booking", once, "answers 500", OutcomeDone, ReasonNone, 1},
 		{"a plain 503 does not prove that a booking did not run", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
 		{"a plain 503 after a refusal does not prove that a booking did not run", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
-		{"a batch that was lost is unknown", photo, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
-		{"an idempotent upload is sent again", scan, "lost", OutcomeDone, ReasonNone, 2},
-		{"a batch that was refused goes elsewhere", photo, "refuses", OutcomeDone, ReasonNone, 2},
+		{"a batch that was lost is unknown", bulk, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
+		{"an idempotent upload is sent again", idempotentBulk, "lost", OutcomeDone, ReasonNone, 2},
+		{"a batch that was refused goes elsewhere", bulk, "refuses", OutcomeDone, ReasonNone, 2},
 		{"an urgent check is sent again", urgent, "lost, answers 503", OutcomeDone, ReasonNone, 3},
 		{"a nested call that may have run is not sent again", nested, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
 		{"a nested call that was refused goes elsewhere", nested, "refuses", OutcomeDone, ReasonNone, 2},
-		{"an error is the answer to a call below a second try", again, "answers 500", OutcomeDone, ReasonNone, 1},
+		{"an error is the answer to a call below a second try", belowRetry, "answers 500", OutcomeDone, ReasonNone, 1},
 		{"a hedge wins", hedged, "slow, answers", OutcomeDone, ReasonNone, 2},
 		{"a hedge loses", hedged, "slow, never", OutcomeDone, ReasonNone, 2},
 		{"a hedge fails and the first try answers", hedged, "slow, answers 500", OutcomeDone, ReasonNone, 2},
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -16,14 +16,14 @@
 	// lateWaitShare is how long a late request waits for a slot that no other request needs, as a
 	// share of its latency objective.
 	lateWaitShare = 0.5
-	// lateMaxShare bounds that wait as a share of the time left until the request's deadline.
-	lateMaxShare = 0.2
+	// lateDeadlineShare bounds that wait as a share of the time left until the request's deadline.
+	lateDeadlineShare = 0.2
 	// inTimeRank is added to the priority of requests that can be in time, which puts them before
 	// all late ones.
 	inTimeRank = 100
-	// plainWait is the share of its time until the deadline for which a request without a latency
+	// noObjectiveWaitShare is the share of its time until the deadline for which a request without a latency
 	// objective waits.
-	plainWait = 0.3
+	noObjectiveWaitShare = 0.3
 )
 
 // queueUntil returns until when a request waits in the entry for an endpoint with room, and with
@@ -32,7 +32,7 @@
 func (c *Core) queueUntil(now time.Duration, r *request) (until time.Duration, rank int) {
 	r.queuedOnce = true
 	if r.policy.Objective == 0 {
-		return max(r.arrived+time.Duration(plainWait*float64(r.deadline-r.arrived)), now+time.Millisecond), r.policy.Priority
+		return max(r.arrived+time.Duration(noObjectiveWaitShare*float64(r.deadline-r.arrived)), now+time.Millisecond), r.policy.Priority
 	}
 	if until = r.latestInTime(); now < until {
 		return until, inTimeRank + r.policy.Priority
@@ -40,7 +40,7 @@
 	if !r.late {
 		r.late = true
 		wait := time.Duration(lateWaitShare * float64(r.policy.Objective))
-		r.lateUntil = now + min(wait, time.Duration(lateMaxShare*float64(r.deadline-now)))
+		r.lateUntil = now + min(wait, time.Duration(lateDeadlineShare*float64(r.deadline-now)))
 	}
 	return max(r.lateUntil, now+time.Millisecond), r.policy.Priority
 }
@@ -97,19 +97,19 @@
 // endpoints refused the request although they have room, there is no queue to wait for, and the
 // shorter bounds apply, which only let some other requests go first.
 const (
-	retryLeast      = 150 * time.Millisecond
-	retryMost       = 500 * time.Millisecond
-	shortRetryLeast = 5 * time.Millisecond
-	shortRetryMost  = 40 * time.Millisecond
+	minRetryDelay      = 150 * time.Millisecond
+	maxRetryDelay      = 500 * time.Millisecond
+	minShortRetryDelay = 5 * time.Millisecond
+	maxShortRetryDelay = 40 * time.Millisecond
 )
 
 // retryDelay returns when a caller whose request found no room should try again.
-func (c *Core) retryDelay() time.Duration { return c.randomBetween(retryLeast, retryMost) }
+func (c *Core) retryDelay() time.Duration { return c.randomBetween(minRetryDelay, maxRetryDelay) }
 
 // retryDelayAfter returns when the caller of a refused request should try again.
 func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
 	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
-		return c.randomBetween(shortRetryLeast, shortRetryMost)
+		return c.randomBetween(minShortRetryDelay, maxShortRetryDelay)
 	}
 	return c.retryDelay()
 }
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -94,7 +94,7 @@
 		name    string
 		running int
 		most    time.Duration
-	}{{"endpoints with room", 0, shortRetryMost}, {"full endpoints", 2, retryMost}} {
+	}{{"endpoints with room", 0, maxShortRetryDelay}, {"full endpoints", 2, maxRetryDelay}} {
 		endpoints := idleEndpoints(4, "d0")
 		h := newEntryHarness(t, endpoints...)
 		h.learnServiceTime(12)
@@ -112,7 +112,7 @@
 			}
 			h.do(func(out *Actions) { h.End(h.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
 			d := h.replies[id]
-			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
+			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < minRetryDelay {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
 			delays[d.RetryAfter] = true
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -118,5 +118,5 @@
 		return
 	}
 	delete(c.requests, r.arrival.ID)
-	c.free = append(c.free, r)
+	c.freeRequests = append(c.freeRequests, r)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -231,12 +231,12 @@
 
 // allocRequest returns a request that is free for reuse, or a new one.
 func (c *Core) allocRequest() *request {
-	n := len(c.free)
+	n := len(c.freeRequests)
 	if n == 0 {
 		return new(request)
 	}
-	r := c.free[n-1]
-	c.free = c.free[:n-1]
+	r := c.freeRequests[n-1]
+	c.freeRequests = c.freeRequests[:n-1]
 	return r
 }
 
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -99,22 +99,22 @@
 	}
 }
 
-// secondProbeEnd continues after a load probe for a second attempt. It decides only after the
+// secondAttemptProbeEnd continues after a load probe for a second attempt. It decides only after the
 // endpoint that runs the request has answered, whatever other endpoints report: most attempts that
 // take longer than usual end by themselves, and an idle endpoint is no reason to send them twice.
-func (c *Core) secondProbeEnd(now time.Duration, r *request, out *Actions) {
+func (c *Core) secondAttemptProbeEnd(now time.Duration, r *request, out *Actions) {
 	switch {
 	case r.probeRound.pending > 0:
-	case c.secondSettled(now, r):
+	case c.secondAttemptDecided(now, r):
 		c.decide(now, r, out)
 	default:
 		c.probeNextBatch(now, r, out)
 	}
 }
 
-// secondSettled reports whether the load probes so far decide on a second attempt: none is needed,
+// secondAttemptDecided reports whether the load probes so far decide on a second attempt: none is needed,
 // or an idle endpoint was found.
-func (c *Core) secondSettled(now time.Duration, r *request) bool {
+func (c *Core) secondAttemptDecided(now time.Duration, r *request) bool {
 	best := c.bestChoice(now, r)
 	if best.Index < 0 {
 		return !c.overdue(now, r, r.typicalWork())
@@ -122,10 +122,10 @@
 	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
 }
 
-// decideSecond sends a second attempt if the first looks lost or slow and an idle endpoint would
+// decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint would
 // answer earlier. Endpoints that have work get no second attempt: where all have work, second
 // attempts would take slots from first ones.
-func (c *Core) decideSecond(now time.Duration, r *request, best placement.Choice, out *Actions) {
+func (c *Core) decideSecondAttempt(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
 		c.endProbeRound(r)
 		return
