--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// useAnswer decides whether to pass this answer on to the caller.
+// useAnswer decides whether to pass this answer on to the caller. If it rejects a server error in
+// favor of a retry, it spends the budget for that retry.
 func (c *Core) useAnswer(now time.Duration, r *request, a *attempt, h Head) bool {
 	if a.forward {
 		return c.useForwarded(r, h)
@@ -107,8 +108,7 @@
 }
 
 // ambiguousStatus reports whether an answer with this status does not show if the request was run:
-// it may come from a proxy in front of the application or from an application that gave up half
-// way.
+// it may come from a proxy in front of the application or from an application that gave up halfway.
 func ambiguousStatus(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/core/auditnotes.go
+++ b/internal/core/auditnotes.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// otherNames names a few of the VMs whose change is of the same kind as the first one.
+// otherNames lists a few of the VMs whose change is of the same kind as the first change.
 func otherNames(changes []member.Change) string {
 	var names []string
 	for i := range changes[1:] {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -20,7 +20,7 @@
 	benchPeers     = 30
 )
 
-// benchCore returns a core that serves at that size, with one pool for each service.
+// benchCore returns a core in a region of that size, with one pool for each service.
 func benchCore(b *testing.B) (*Core, *Actions) {
 	var text strings.Builder
 	text.WriteString("format = 1\n[profile.read]\nkind = \"read\"\n")
--- a/internal/core/bounds_test.go
+++ b/internal/core/bounds_test.go
@@ -12,7 +12,7 @@
 
 // Guards against bounds that are too small for a fleet of 1,000 entries and 2,000 endpoints, all of
 // which are replaced within minutes. With bounds of 256 peers and 1,024 pieces of evidence, nearly
-// half of 472 entries heard nothing from one entry, and the oldest evidence was lost.
+// half of 472 entries heard nothing from one of the entries, and the oldest evidence was lost.
 func TestThousandEntriesFitAllBounds(t *testing.T) {
 	const entries, endpoints = 1000, 2000
 	self := message.Hello{Name: "entry-0", Incarnation: 1, Region: "r", Domain: "d0", CallerAddress: "10.0.0.0:80", PeerAddress: "10.0.0.0:81"}
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -57,10 +57,10 @@
 	peakHeadroom    = 5
 )
 
-// settlingTime is how long an entry that has started to serve may not know all other entries, and
-// settlingTTL how long callers keep its answers meanwhile. They guard against callers that ask
-// right after all entries were restarted: the callers would use only the entry that answered, which
-// knew no other, for seconds. The links of a fleet open within half a second.
+// settlingTime is how long an entry that has started to serve may not know all other entries yet,
+// and settlingTTL how long callers may keep its answers meanwhile. They guard against callers that
+// ask right after all entries were restarted: the entry that answers knows no other entry yet, and
+// the callers would use only this one for seconds. The links of a fleet open within half a second.
 const (
 	settlingTime = 1500 * time.Millisecond
 	settlingTTL  = 500 * time.Millisecond
@@ -105,9 +105,9 @@
 }
 
 // strongestEntries returns the addresses of the entries that callers should use, out of entries
-// that could serve them: those with most capacity, as many as needed for the weakest of them to
-// handle an equal share of all calls, since callers choose evenly. All entries that answer callers
-// name the same ones.
+// that could serve them: those with the most capacity, as many as needed for the weakest of them to
+// handle an equal share of all calls, since callers choose evenly. Every entry that answers callers
+// returns the same addresses.
 func (c *Core) strongestEntries(entries []*member.Entry) []string {
 	calls := 0.0
 	for _, e := range entries {
@@ -207,8 +207,8 @@
 // State returns the state that this entry reports to its peers.
 func (c *Core) State() message.EntryState { return c.state }
 
-// Leave begins a planned stop: callers are no longer sent here, and peers are notified. Requests
-// are still served.
+// Leave begins a planned stop: this entry is no longer named to callers, and peers are notified.
+// Requests are still served.
 func (c *Core) Leave(now time.Duration, why string, out *Actions) {
 	if c.state >= message.EntryLeaving {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -54,7 +54,7 @@
 	LargestFleet int
 	// Keys bounds the idempotency key table.
 	Keys idem.Config
-	// AnswersTTL is the longest time for which a caller may cache the answer to which entries it
+	// AnswersTTL is the longest time for which a caller may cache the list of entries that it
 	// should use; 0 means the default of package directory.
 	AnswersTTL time.Duration
 	// ReadersPerDomain is how many entries of a failure domain read the platform.
@@ -79,8 +79,8 @@
 	// FirstStart says that the whole fleet starts for the first time, and that callers send nothing
 	// in the first seconds.
 	FirstStart bool
-	// StartFetchDelay is how long this entry waits after its start before it asks the platform:
-	// peers may already have what it needs, or may be reading it.
+	// StartFetchDelay is how long this entry waits after its start before it reads the published
+	// values from the platform: peers may already have them, or may be reading them.
 	StartFetchDelay time.Duration
 	// AlwaysCurrent is passed to assign.TrackerConfig.
 	AlwaysCurrent bool
@@ -136,14 +136,14 @@
 	waiters map[idem.Key][]RequestID
 	joined  []RequestID
 
-	// quarantine records the requests under which endpoints crashed. brokenAttempts lists the attempts
-	// whose endpoint gets crash probes, unspreadCrashes the crashes that are not yet spread to the
-	// fleet.
+	// quarantine records the requests under which endpoints crashed. brokenAttempts lists the
+	// attempts whose endpoint gets crash probes, unspreadCrashes the crashes that are not yet
+	// spread to the fleet.
 	quarantine      *quarantine.Table
 	brokenAttempts  []brokenAttempt
 	unspreadCrashes []unspreadCrash
 
-	// limits has the rate limits of endpoints by name and incarnation.
+	// limits holds the rate limits of endpoints by name and incarnation.
 	limits map[endpointID]knownLimit
 
 	fleet fleet
@@ -208,7 +208,8 @@
 // Counters returns the current counters.
 func (c *Core) Counters() Counters { return c.counters }
 
-// InFlight returns the number of requests that the core has.
+// InFlight returns the number of requests that the core holds, including those that were answered
+// but have attempts still running.
 func (c *Core) InFlight() int { return len(c.requests) }
 
 // Tick runs the periodic work that is due. The driver calls it every few milliseconds; wall is used
@@ -255,9 +256,9 @@
 }
 
 // notePause handles a process that was suspended (a frozen VM, a long stop), which shows as a gap
-// between two ticks. What the core knows of others is then as old as the gap, so load reports and
-// samples expire at once. Requests whose deadline has passed are answered by the expiry that
-// follows, before anything is sent.
+// between two ticks. The core's knowledge of other entries and of endpoints is then at least as old
+// as the gap, so load reports and samples expire at once. Requests whose deadline has passed are
+// answered by the expiry that follows in Tick, before any request is sent.
 func (c *Core) notePause(now time.Duration, out *Actions) {
 	gap := now - c.lastTick
 	if gap >= lateTick {
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -20,9 +20,9 @@
 const (
 	// maxBrokenAttempts bounds the broken attempts whose endpoint awaits a crash probe.
 	maxBrokenAttempts = 256
-	// crashProbeInterval is the time between two crash probes of an endpoint that does not answer, and
-	// crashProbeDuration is for how long it is probed. An endpoint that is cut off or has lost power
-	// stays silent for longer.
+	// crashProbeInterval is the time between two crash probes of an endpoint that does not answer,
+	// and crashProbeDuration is for how long it is probed. An endpoint that is cut off or has lost
+	// power stays silent for longer than that.
 	crashProbeInterval = 200 * time.Millisecond
 	crashProbeDuration = 2 * time.Second
 	// spreadDelay is the delay after which the first crash under a request is spread to the fleet.
@@ -49,9 +49,9 @@
 	probeAt time.Duration
 }
 
-// noteAttemptEnd records the end of an attempt: a completed request ends suspicion, and a broken
-// connection leads to a crash probe of its endpoint unless the endpoint had announced that it
-// leaves.
+// noteAttemptEnd records the end of an attempt: a complete answer without a server error clears the
+// request of suspicion, and a broken connection leads to a crash probe of its endpoint unless the
+// endpoint had announced that it leaves.
 func (c *Core) noteAttemptEnd(now time.Duration, r *request, a *attempt, e *table.Endpoint, end End, out *Actions) {
 	request := r.identity()
 	switch {
@@ -66,8 +66,8 @@
 	}
 }
 
-// sendCrashProbes sends crash probes to the endpoints of broken attempts, within the probe budgets of
-// their pools.
+// sendCrashProbes sends crash probes to the endpoints of broken attempts, within the probe budgets
+// of their pools.
 func (c *Core) sendCrashProbes(now time.Duration, out *Actions) {
 	c.brokenAttempts = slices.DeleteFunc(c.brokenAttempts, func(b brokenAttempt) bool { return now-b.at >= crashProbeDuration })
 	for i := range c.brokenAttempts {
@@ -123,8 +123,8 @@
 		Caller: crash.Caller, AgeMillis: millis(now - crash.At), RanMillis: millis(crash.At - crash.Began)}
 }
 
-// spreadCrashes spreads the crashes that are due, and at once those whose request has crashed
-// another endpoint. It drops crashes under requests that have completed since.
+// spreadCrashes spreads the crashes that are due. If a request has crashed more than one endpoint,
+// its crashes are spread at once. Crashes under requests that have completed since are dropped.
 func (c *Core) spreadCrashes(now time.Duration) {
 	var evidence []message.Evidence
 	c.unspreadCrashes = slices.DeleteFunc(c.unspreadCrashes, func(u unspreadCrash) bool {
@@ -168,7 +168,7 @@
 	})
 }
 
-// crashNumber returns a number for a crash that is the same at every entry.
+// crashNumber returns a hash that identifies a crash and is the same at every entry.
 func crashNumber(crash *quarantine.Crash) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(crash.Endpoint))
@@ -241,7 +241,7 @@
 	return name + " of caller " + strconv.FormatUint(r.Caller, 16)
 }
 
-// identity returns what a request has in common with its repeats.
+// identity returns the content and the caller, by which a request and its repeats are recognized.
 func (r *request) identity() quarantine.Request { return r.arrival.identity() }
 
 func (a *Arrival) identity() quarantine.Request {
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -15,8 +15,8 @@
 	return h.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
 }
 
-// breakConnection ends the attempt of a request with a broken connection; its endpoint has crashed
-// or not.
+// breakConnection ends the attempt of a request with a broken connection; crashed says whether its
+// endpoint has crashed.
 func (h *entryHarness) breakConnection(id RequestID, n Attempt, crashed bool) {
 	d, ok := h.open[id][n]
 	if !ok {
@@ -54,8 +54,8 @@
 	})
 }
 
-// Guards against a request that is sent to another endpoint after it has crashed three: it must be
-// refused at its next arrival.
+// Guards against a request that is sent to another endpoint after it has crashed three endpoints:
+// it must be refused at its next arrival.
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -69,7 +69,7 @@
 	other := h.sendContent(8)
 	h.run(20 * ms)
 	if sent := len(h.sent) - before; sent != 1 || h.open[other] == nil {
-		t.Errorf("%d requests were sent, want only the one of the other content", sent)
+		t.Errorf("%d requests were sent, want only the request with the other content", sent)
 	}
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// Guards against quarantine without a crash: endpoints that reset connections, or that do not
-// answer.
+// Guards against quarantine without a crash, after endpoints have reset connections or have not
+// answered.
 func TestOnlyCrashesLeadToQuarantine(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -233,9 +233,8 @@
 	return h, endpoints
 }
 
-// Guards against a request that each entry, or an entry that has just started, treats as unknown.
-// The request arrives at every entry in turn; an entry that is replaced after the quarantine began
-// must learn of it as well.
+// Guards against a quarantine that stays unknown to some entries. The request arrives at every
+// entry in turn; an entry that starts after the quarantine began must learn of it as well.
 func TestQuarantineSpreadsToFleet(t *testing.T) {
 	h, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
@@ -311,8 +310,8 @@
 	}
 }
 
-// Guards against quarantine of a frequent request that does not cause the crashes: one endpoint
-// after another crashes for another reason, each while it runs this read, and comes back.
+// Guards against quarantine of a frequent read that does not cause the crashes: one endpoint after
+// another crashes for another reason while it runs this read, and restarts.
 func TestUnrelatedCrashesDoNotQuarantine(t *testing.T) {
 	const every, down, work = 700 * ms, 2 * sec, 40 * ms
 	var endpoints []string
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -12,7 +12,8 @@
 )
 
 // tryDispatch sends r to an endpoint now if its service may use another slot and the policy finds
-// an endpoint.
+// an endpoint. If the service uses load probes, it starts a probe round instead. It reports whether
+// it did either.
 func (c *Core) tryDispatch(now time.Duration, r *request, hedge bool, out *Actions) bool {
 	if int(r.dispatches) >= MaxAttempts {
 		return false
@@ -262,7 +263,7 @@
 	return true
 }
 
-// pendingHedge is a request that gets a hedge if it is still unanswered at a time.
+// pendingHedge is a request that gets a hedge if it is still unanswered at the time at.
 type pendingHedge struct {
 	id RequestID
 	at time.Duration
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -49,11 +49,12 @@
 	name, domain           string
 	running, waiting, pace int
 	silent, misdirected    bool
-	// dead is true if it refuses connections, or does not answer dials either if it is silent.
+	// dead is set if the endpoint refuses connections or, if it is also silent, does not answer
+	// dials.
 	dead bool
-	// coldUntil is when it becomes warm, as it reports in answers to load probes.
+	// coldUntil is when the endpoint becomes warm, as it reports in answers to load probes.
 	coldUntil time.Duration
-	// limit is the rate limit, in requests a second, that it reports in its answers.
+	// limit is the rate limit, in requests per second, that the endpoint reports in its answers.
 	limit float64
 	// busyUntil is until when each slot is busy, in a harness with endpointsQueue.
 	busyUntil [2]time.Duration
@@ -78,14 +79,16 @@
 	now       time.Duration
 	endpoints []*simEndpoint
 	scheduled []scheduledEvent
-	// sent lists the endpoints of attempts in order; replies has the replies that callers got.
+	// sent lists the endpoints of attempts in order, sentAt when each attempt was sent, and probed
+	// the endpoints of probes; replies has the replies that callers got, open the attempts that
+	// have not ended.
 	sent    []string
 	sentAt  []time.Duration
 	probed  []string
 	replies map[RequestID]Directive
 	open    map[RequestID]map[Attempt]Directive
 	nextID  RequestID
-	// serviceTime is how long endpoints work on an attempt; 0 where a test answers by itself.
+	// serviceTime is how long endpoints work on an attempt; 0 if the test answers the attempts.
 	serviceTime time.Duration
 	// endpointsQueue makes an attempt wait at its endpoint until a slot is free.
 	endpointsQueue bool
@@ -133,7 +136,7 @@
 	return h
 }
 
-// vmList returns the VM list with the endpoints as they are.
+// vmList returns the VM list with the endpoints of the harness.
 func (h *entryHarness) vmList(revision uint64) published.VMList {
 	list := published.VMList{Revision: revision}
 	for _, ep := range h.endpoints {
@@ -290,7 +293,8 @@
 	})
 }
 
-// learnServiceTime makes the core learn that reads take 100 ms, and leaves the endpoints idle.
+// learnServiceTime sends the given number of reads, from which the core learns that reads take 100
+// ms, and leaves the endpoints idle.
 func (h *entryHarness) learnServiceTime(requests int) {
 	for range requests {
 		id := h.sendRequest(route.Idempotent, 3*sec)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -21,8 +21,8 @@
 	Service string
 	// Name is the caller's name for the request, for the log.
 	Name string
-	// Content is the same for requests with the same host, method, target and body, from any
-	// caller; 0 if not known.
+	// Content is a hash of the request's host, method, target and body, the same for all callers; 0
+	// if not known.
 	Content uint64
 	// Caller is a hash of the caller's identity, for fairness and to bind keys.
 	Caller uint64
@@ -83,8 +83,8 @@
 	// Misdirected is set if another endpoint than expected answered at the address; NotRun is set
 	// as well.
 	Misdirected bool
-	// Unusable is set if the answer claims success without the endpoint's proof of it. The request
-	// may have run.
+	// Unusable is set if the answer lacks the proof that its status requires of the endpoint, such
+	// as the signature of a success. The request may have run.
 	Unusable bool
 	// HomeLost is set if the entry to which the request was forwarded does not know its key.
 	HomeLost bool
@@ -137,7 +137,7 @@
 	Kind    EndKind
 	// TimedOut is set if the attempt ran into its deadline.
 	TimedOut bool
-	// ConnSilent is set if the connection rather than the endpoint is suspected.
+	// ConnSilent is set if the connection rather than the endpoint is suspected to be dead.
 	ConnSilent bool
 	// BodyFailed is set if the caller's own request broke off or is unusable.
 	BodyFailed bool
@@ -159,7 +159,8 @@
 // Outcome is what tealhall states about whether a request was run.
 type Outcome uint8
 
-// The outcomes. With several attempts, the weakest outcome of all counts.
+// The outcomes. A request with several attempts gets the weakest of their outcomes, unless one of
+// the answers was passed on.
 const (
 	// OutcomeDone: an endpoint answered and this is its answer.
 	OutcomeDone Outcome = iota + 1
@@ -211,8 +212,8 @@
 	// there.
 	Address  string
 	Endpoint string
-	// Once is set if no layer below may send the attempt twice and it needs a connection that is
-	// known to be alive.
+	// Once is set if the attempt must not be sent twice by any layer below the core and needs a
+	// connection that is known to be alive.
 	Once bool
 	// IdleOnly asks the endpoint to refuse the request rather than queue it.
 	IdleOnly bool
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -105,8 +105,9 @@
 
 // forwardNext forwards r to the next entry that may know its key: the home, then its successors in
 // order. It is safe to ask any number of them, also after an answer was lost, because only the home
-// ever runs the key. Asking one is not enough: a stopping home refuses connections before its peers
-// know of the stop, and an entry that joined since may rank before those that have the key table.
+// ever runs the key. Asking one of them is not enough: a stopping home refuses connections before
+// its peers know of the stop, and an entry that joined since may rank before the successors that
+// have the key table.
 func (c *Core) forwardNext(now time.Duration, r *request, home uint64, out *Actions) bool {
 	if int(r.dispatches) >= MaxAttempts || !r.replayable || now >= r.deadline {
 		return false
@@ -188,16 +189,16 @@
 	c.answerWaiters(now, r.arrival.Key, out)
 }
 
-// releaseKey ends a key whose request was not run. The key is marked as spent and never runs, so
-// that "not run" stays true.
+// releaseKey ends a key whose request was not run. The key is marked as spent, and no request with
+// it ever runs, so that "not run" stays true.
 func (c *Core) releaseKey(now time.Duration, r *request, out *Actions) {
 	c.keys.Release(r.arrival.Key)
 	r.keyed = false
 	c.answerWaiters(now, r.arrival.Key, out)
 }
 
-// expireJoined answers requests that waited for a running one until their own deadline. The running
-// one may have run, so the outcome is "unknown".
+// expireJoined answers joined requests whose own deadline has passed. An endpoint may have run the
+// request that they waited for, so the outcome is "unknown".
 func (c *Core) expireJoined(now time.Duration, out *Actions) {
 	kept := c.joined[:0]
 	for _, id := range c.joined {
--- a/internal/core/keys_model_test.go
+++ b/internal/core/keys_model_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// stop is a planned stop that may be cut short at any point, and whose hand-over parts may be lost,
-// late or doubled.
+// stop runs a planned stop with random pauses between its steps and replaces the entry. Each part
+// of the hand-over goes to all its successors; each of these copies may be lost or late.
 func (m *faultModel) stop(n *node) {
 	if n.asleep {
 		return
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -23,8 +23,8 @@
 	"bad body":    {after: 10 * ms, end: End{Kind: EndLost, BodyFailed: true}},
 }
 
-// runScript gives the attempts of one request these reactions in order and answers every later
-// attempt. It returns the caller's reply and the number of attempts.
+// runScript sends request a. Its attempts get the reactions that script lists, in order, and every
+// later attempt is answered. It returns the caller's reply and the number of attempts.
 func runScript(t *testing.T, a Arrival, script string) (reply, int) {
 	h := newServingCluster(t, 1, "counts/c1", "counts/c2", "counts/c3", "counts/c4",
 		"waste/w1", "waste/w2", "waste/w3", "shared/s1", "shared/s2", "shared/s3")
@@ -81,10 +81,10 @@
 		reason  Reason
 		sent    int
 	}{
-		{"a read is sent again when it is lost", read, "lost", OutcomeDone, ReasonNone, 2},
+		{"a lost read is sent again", read, "lost", OutcomeDone, ReasonNone, 2},
 		{"a read refused everywhere did not run", read, "refuses, refuses, refuses", OutcomeNotRun, ReasonEndpointsRefuse, 3},
-		{"one lost try among refusals is unknown", read, "refuses, lost, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
-		{"one lost try before failed dials is unknown", read, "lost, not dialled, not dialled", OutcomeUnknown, ReasonNoEndpoint, 3},
+		{"one lost attempt among refusals is unknown", read, "refuses, lost, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
+		{"one lost attempt before failed dials is unknown", read, "lost, not dialled, not dialled", OutcomeUnknown, ReasonNoEndpoint, 3},
 		{"a read is sent again after an error", read, "answers 500", OutcomeDone, ReasonNone, 2},
 		{"the last error of a read is its answer", read, "answers 500, answers 500, answers 500", OutcomeDone, ReasonNone, 3},
 		{"an error among refusals is unknown", read, "answers 500, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
@@ -92,27 +92,27 @@
 		{"a body that cannot be sent again", unreplayableRead, "refuses", OutcomeNotRun, ReasonEndpointsRefuse, 1},
 		{"a broken body is not sent again", read, "bad body", OutcomeUnknown, ReasonBodyBroken, 1},
 		{"a read is sent again after silent connections", read, "silent, silent", OutcomeDone, ReasonNone, 3},
-		{"a booking that was lost is unknown", once, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
-		{"a booking on a silent connection is unknown", once, "silent", OutcomeUnknown, ReasonEndpointLost, 1},
-		{"a booking that was refused goes elsewhere", once, "refuses, not dialled", OutcomeDone, ReasonNone, 3},
-		{"a booking that was refused and then lost", once, "refuses, lost", OutcomeUnknown, ReasonEndpointLost, 2},
-		{"a booking refused by all did not run", once, "refuses, not sent, refuses, refuses", OutcomeNotRun, ReasonEndpointsRefuse, 4},
-		{"attempts that never left the entry cost no try", once, "not sent, not sent, refuses, not sent, refuses", OutcomeDone, ReasonNone, 6},
+		{"a lost once-only request is unknown", once, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
+		{"a once-only request on a silent connection is unknown", once, "silent", OutcomeUnknown, ReasonEndpointLost, 1},
+		{"a refused once-only request goes elsewhere", once, "refuses, not dialled", OutcomeDone, ReasonNone, 3},
+		{"a once-only request that was refused and then lost is unknown", once, "refuses, lost", OutcomeUnknown, ReasonEndpointLost, 2},
+		{"a once-only request refused by all did not run", once, "refuses, not sent, refuses, refuses", OutcomeNotRun, ReasonEndpointsRefuse, 4},
+		{"attempts that never left the entry do not count", once, "not sent, not sent, refuses, not sent, refuses", OutcomeDone, ReasonNone, 6},
 		{"a read that cannot leave the entry did not run", read, strings.Repeat("not sent, ", 7) + "not sent", OutcomeNotRun, ReasonNoEndpoint, 8},
-		{"an error is the answer to a booking", once, "answers 500", OutcomeDone, ReasonNone, 1},
-		{"a plain 503 does not prove that a booking did not run", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
-		{"a plain 503 after a refusal does not prove that a booking did not run", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
-		{"a batch that was lost is unknown", bulk, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
-		{"an idempotent upload is sent again", idempotentBulk, "lost", OutcomeDone, ReasonNone, 2},
-		{"a batch that was refused goes elsewhere", bulk, "refuses", OutcomeDone, ReasonNone, 2},
+		{"an error is the answer to a once-only request", once, "answers 500", OutcomeDone, ReasonNone, 1},
+		{"a plain 503 does not prove that a once-only request did not run", once, "answers 503", OutcomeUnknown, ReasonNone, 1},
+		{"a plain 503 after a refusal does not prove that a once-only request did not run", once, "refuses, answers 503", OutcomeUnknown, ReasonNone, 2},
+		{"a lost bulk upload is unknown", bulk, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
+		{"a lost idempotent bulk upload is sent again", idempotentBulk, "lost", OutcomeDone, ReasonNone, 2},
+		{"a refused bulk upload goes elsewhere", bulk, "refuses", OutcomeDone, ReasonNone, 2},
 		{"an urgent check is sent again", urgent, "lost, answers 503", OutcomeDone, ReasonNone, 3},
 		{"a nested call that may have run is not sent again", nested, "lost", OutcomeUnknown, ReasonEndpointLost, 1},
 		{"a nested call that was refused goes elsewhere", nested, "refuses", OutcomeDone, ReasonNone, 2},
-		{"an error is the answer to a call below a second try", belowRetry, "answers 500", OutcomeDone, ReasonNone, 1},
+		{"an error is the answer to a call below a retry", belowRetry, "answers 500", OutcomeDone, ReasonNone, 1},
 		{"a hedge wins", hedged, "slow, answers", OutcomeDone, ReasonNone, 2},
 		{"a hedge loses", hedged, "slow, never", OutcomeDone, ReasonNone, 2},
-		{"a hedge fails and the first try answers", hedged, "slow, answers 500", OutcomeDone, ReasonNone, 2},
-		{"a hedge is refused after the first try was lost", hedged, "slowly lost, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
+		{"a hedge fails and the first attempt answers", hedged, "slow, answers 500", OutcomeDone, ReasonNone, 2},
+		{"a hedge is refused after the first attempt was lost", hedged, "slowly lost, refuses, refuses", OutcomeUnknown, ReasonEndpointsRefuse, 3},
 		{"a nested call gets no hedge", nestedHedge, "slow", OutcomeDone, ReasonNone, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -29,10 +29,10 @@
 	return 1 - float64(len(h.traces))/requests
 }
 
-// For some seconds callers send 1.5 times the requests that the endpoints can run. If the entry
-// served the longest waiting request first, each request would begin at the last moment at which it
-// is typically in time, and half of them take a little longer: two in three could be served in
-// time, but most of these would be late. The newest requests have time left for that.
+// For some seconds callers send 1.5 times the requests that the endpoints can run, so two in three
+// can be answered in time. If the entry served the longest waiting request first, each request
+// would begin at the last moment at which it is typically in time, and since half of them take a
+// little longer, most would be late. The newest requests still have time left if they take longer.
 func TestOverloadedEntryAnswersMostInTime(t *testing.T) {
 	if share := shareInTime(t); share < 0.6 {
 		t.Errorf("%.2f of the requests were answered in time, want 0.6 where 0.67 is possible", share)
--- a/internal/core/owndomain_test.go
+++ b/internal/core/owndomain_test.go
@@ -9,9 +9,10 @@
 )
 
 // Uploads of 60 KB arrive in a failure domain whose only endpoint is busy for a moment, while
-// endpoints of other domains are idle. Sent there at once, such uploads were a quarter of the bytes
-// between domains. They wait for the near endpoint as long as the saved bytes justify and they can
-// be in time, and do not delay other requests; then they go to another domain.
+// endpoints of other domains are idle. When such uploads were sent there at once, they were a
+// quarter of the bytes between domains. An upload must wait for the near endpoint as long as the
+// saved bytes justify the wait and it can be in time, without delaying other requests, and then go
+// to another domain.
 func TestUploadsWaitForTheirOwnDomain(t *testing.T) {
 	near, far := &simEndpoint{name: "near", domain: "d0"}, idleEndpoints(3, "d1")
 	h := newEntryHarness(t, append([]*simEndpoint{near}, far...)...)
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// At month-end one auditor requests two hundred summaries at once and would fill the queue.
-// Requests above its share are refused at once, as not run and with a Retry-After; the other
-// auditors are all served, also while one of the two endpoints drains.
+// One caller sends two hundred requests at once and would fill the queue. Requests above its share
+// are refused at once, as not run and with a Retry-After; the other callers are all served, also
+// while one of the two endpoints drains.
 func TestOneCallerCannotTakeTheQueue(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		h := newServingCluster(t, 1, "counts/c1", "counts/c2")
@@ -69,7 +69,7 @@
 		h.run(sec)
 		for _, id := range others {
 			if got := n.replies[id]; got.Outcome != OutcomeDone {
-				t.Errorf("another auditor got %+v", got)
+				t.Errorf("another caller got %+v", got)
 			}
 		}
 		for text, times := range h.ran {
@@ -80,9 +80,9 @@
 	}
 }
 
-// At night scales send photo batches of a second each through every entry, and urgent checks would
-// wait for whole batches. Bulk requests must leave slots to urgent ones, as measured by the latency
-// of the checks, and every batch must still be answered. Runs with all six endpoints and with four.
+// Bulk uploads that take a second each arrive at every entry, and urgent checks would wait for
+// whole uploads. Bulk requests must leave slots to urgent ones, as measured by the latency of the
+// checks, and every upload must still be answered. Runs with six endpoints and with four.
 func TestBulkLeavesSlotsToUrgentChecks(t *testing.T) {
 	for _, endpoints := range [][]string{
 		{"shared/s1", "shared/s2", "shared/s3", "shared/s4", "shared/s5", "shared/s6"},
@@ -96,12 +96,12 @@
 			}
 			return 10 * ms
 		})
-		var batches []RequestID
+		var uploads []RequestID
 		late, checks := 0, 0
 		for i := range 1500 {
 			if i%10 == 0 && i < 500 {
 				for _, n := range h.nodes {
-					batches = append(batches, h.sendRequest(n, Arrival{Service: "photos", Caller: uint64(i)}))
+					uploads = append(uploads, h.sendRequest(n, Arrival{Service: "photos", Caller: uint64(i)}))
 				}
 			}
 			n := h.nodes[i%3]
@@ -118,13 +118,13 @@
 		}
 		h.run(60 * sec)
 		done := 0
-		for i, id := range batches {
+		for i, id := range uploads {
 			if h.nodes[i%3].replies[id].Outcome == OutcomeDone {
 				done++
 			}
 		}
-		if late > checks*3/100 || done != len(batches) {
-			t.Errorf("%d endpoints: %d of %d checks were late, %d of %d batches arrived", len(endpoints), late, checks, done, len(batches))
+		if late > checks*3/100 || done != len(uploads) {
+			t.Errorf("%d endpoints: %d of %d checks were late, %d of %d uploads were answered", len(endpoints), late, checks, done, len(uploads))
 		}
 	}
 }
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// loadProbeEarnFactor multiplies the load probes that a request adds to the budget: one part is
-// for the first choice, the other for a second round when there was no room, or for supervision.
+// loadProbeEarnFactor is how many rounds of load probes a request adds to the budget: one for the
+// first choice of an endpoint, the other for a second round when there was no room, or for
+// supervision.
 const loadProbeEarnFactor = 2
 
 // Queue waits handle overload: for seconds, more requests arrive than endpoints can answer within
@@ -21,8 +22,8 @@
 	// inTimeRank is added to the priority of requests that can be in time, which puts them before
 	// all late ones.
 	inTimeRank = 100
-	// noObjectiveWaitShare is the share of its time until the deadline for which a request without a latency
-	// objective waits.
+	// noObjectiveWaitShare is how long a request without a latency objective waits, as a share of
+	// the time from its arrival to its deadline.
 	noObjectiveWaitShare = 0.3
 )
 
@@ -92,10 +93,10 @@
 	return max(0, sv.callerTimeout.Typical()-left)
 }
 
-// Retry-After of a refusal is random within these bounds, so that callers who were refused together
-// do not return together. After a refusal under load, the bounds give the peak time to pass. If
-// endpoints refused the request although they have room, there is no queue to wait for, and the
-// shorter bounds apply, which only let some other requests go first.
+// The Retry-After of a refusal is random within these bounds, so that callers that were refused
+// together do not return together. After a refusal under load, the bounds give the peak time to
+// pass. If endpoints refused the request although they have room, there is no queue to wait for,
+// and the shorter bounds apply, which only let some other requests go first.
 const (
 	minRetryDelay      = 150 * time.Millisecond
 	maxRetryDelay      = 500 * time.Millisecond
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Endpoints stay full. A caller that waits until its deadline cannot use another entry, and one
-// that returns at once adds to the load. Such requests are refused early, as not run and with a
-// Retry-After, which differs between callers that were refused together.
+// Endpoints stay full. A caller that waits until its deadline cannot use another entry, and a
+// caller that returns at once adds to the load. Their requests are refused early, as not run and
+// with a Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
 	h := newEntryHarness(t, endpoints...)
@@ -65,7 +65,7 @@
 }
 
 // A caller returns after a refusal, too late to be answered in time. Its request must not take a
-// slot from a request that can still be in time, although it is older.
+// slot from a newer request that can still be in time.
 func TestInTimeRequestsGoBeforeLateOnes(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
 	h := newEntryHarness(t, endpoints...)
@@ -85,10 +85,10 @@
 	}
 }
 
-// Endpoints refuse half of their requests while they report idle slots. Callers got a Retry-After
-// of 150 to 500 ms, as if there were a queue to wait for, and most of those that were answered then
-// were late. They now get a short, random delay; where endpoints are full, the longer delay gives
-// the load time to fall.
+// Guards against a long Retry-After where there is no queue to wait for: endpoints refuse requests
+// while they report idle slots. With a Retry-After of 150 to 500 ms, most of the callers that were
+// answered after it were late. The delay must be short and random; where endpoints are full, the
+// longer delay gives the load time to fall.
 func TestRetryDelayDependsOnEndpointLoad(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -10,8 +10,9 @@
 )
 
 // refuseAdmission answers a request that is refused at admission. A request with an idempotency key
-// may be a later try of one that has run, so that "not run" could be false. Only a key that is new
-// at its home has provably not run, and the key is marked as spent so that this stays true.
+// may be a later try of a request that has run, so that "not run" could be false. Only a request
+// whose key is new at the key's home has provably not run; its key is marked as spent so that this
+// stays true.
 func (c *Core) refuseAdmission(now time.Duration, a *Arrival, reason Reason, out *Actions) {
 	outcome := OutcomeNotRun
 	if a.HasKey {
@@ -64,8 +65,9 @@
 	refusedAdmissionRetry = time.Second
 )
 
-// retryAfter returns when the caller should try again: after the expected wait in the current
-// queue.
+// retryAfter returns the delay after which the caller should try again, or 0 if the reason's status
+// calls for none: the remaining time of a quarantine, a random delay for a service that uses load
+// probes, and otherwise the expected wait in the current queue.
 func (c *Core) retryAfter(now time.Duration, r *request, reason Reason) time.Duration {
 	switch reason.Status() {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -164,8 +164,8 @@
 	c.place(now, r, out)
 }
 
-// admissionRefusal returns why a request is refused at admission, or ReasonNone. It checks only
-// what needs no state of the request itself.
+// admissionRefusal returns why a request is refused at admission, or ReasonNone. It runs before the
+// core holds any state of the request.
 func (c *Core) admissionRefusal(a *Arrival) Reason {
 	if c.snapshot == nil {
 		return ReasonStarting
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -95,8 +95,8 @@
 //
 // Calls of services nest up to maxDepth deep. If each level retried, one failing endpoint at the
 // bottom would get the product of the attempts of all levels. Therefore an attempt that may have
-// run is retried only for the outermost call, and not at all below a call that is itself a second
-// try. The same holds for hedges.
+// run is retried only for the outermost call, and not at all below a call that is itself a retry.
+// The same holds for hedges.
 func (c *Core) mayRetry(now time.Duration, r *request, provablyNotRun, connSilent bool) bool {
 	tries := int(r.dispatches) - r.idleRefusals - r.unsent
 	if tries >= r.policy.MaxAttempts || int(r.dispatches) >= MaxAttempts {
--- a/internal/core/session_test.go
+++ b/internal/core/session_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// session is a cluster harness that is driven by a golden file.
+// session is a cluster harness that is driven by the commands of a golden file.
 type session struct {
 	*clusterHarness
 	keys map[string]idem.Key
@@ -24,7 +24,7 @@
 }
 
 // TestSessions runs the sessions in testdata/sessions. Each file has a series of external events,
-// and after each step the expected notes of all entries' audit trails.
+// and after each event the notes expected in the audit trails of all entries.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		var s *session
@@ -160,7 +160,7 @@
 	return "another request's answer: " + got.body + "\n"
 }
 
-// stop ends a planned stop: it seals the keys and hands them over.
+// stop completes a planned stop: it seals the entry's keys, hands them over and ends the process.
 func (s *session) stop(n *node) string {
 	n.SealKeys(s.now - n.started)
 	s.run(200 * ms)
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -5,15 +5,15 @@
 // slowStart is the span of a slow start in package placement.
 const slowStart = 5 * sec
 
-// A replaced endpoint joins a busy pool with cold caches. It is idle, so it would look best and get
-// as many requests at once as any other endpoint, all of them slow. It must get one at a time at
-// first and its full share after the slow start. In a pool that starts as a whole no endpoint is
-// limited.
+// A new endpoint joins a busy pool with cold caches. It is idle, so it would look best and get as
+// many requests at once as any other endpoint, all of them slow. It must get one at a time at first
+// and its full share after the slow start. In a pool whose endpoints all start together, no
+// endpoint is limited.
 func TestNewEndpointStartsSlowly(t *testing.T) {
 	h := newServingCluster(t, 1, "counts/c1", "counts/c2")
 	p := h.nodes[0].pools["counts"]
 	if p.Slots() != 4 {
-		t.Fatalf("a pool that starts as a whole has %d slots, want 4", p.Slots())
+		t.Fatalf("a pool whose endpoints start together has %d slots, want 4", p.Slots())
 	}
 	h.run(2 * slowStart)
 	h.publishVMs(2, "counts/c1", "counts/c2", "counts/c3")
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -27,7 +27,8 @@
 	longOverdueFactor = 2.0
 )
 
-// supervisedAttempt is a request whose attempt is checked at a time.
+// supervisedAttempt is a request whose running attempt is next checked at the time at; checks
+// counts the checks so far.
 type supervisedAttempt struct {
 	id     RequestID
 	at     time.Duration
@@ -91,7 +92,8 @@
 	c.startLoadProbes(now, r, true, out)
 }
 
-// probeRunning probes the endpoint that runs r, together with the first other endpoints.
+// probeRunning probes the endpoint that runs r. The first batch of load probes to other endpoints
+// follows at once.
 func (c *Core) probeRunning(now time.Duration, r *request, out *Actions) {
 	a := &r.attempts[1]
 	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.countLive(), c.fleet.ownShare) {
@@ -99,9 +101,10 @@
 	}
 }
 
-// secondAttemptProbeEnd continues after a load probe for a second attempt. It decides only after the
-// endpoint that runs the request has answered, whatever other endpoints report: most attempts that
-// take longer than usual end by themselves, and an idle endpoint is no reason to send them twice.
+// secondAttemptProbeEnd continues after a load probe for a second attempt. It decides only after
+// all probes of the batch have ended, including that of the endpoint that runs the request: most
+// attempts that take longer than usual end by themselves, and an idle endpoint is no reason to send
+// a request twice.
 func (c *Core) secondAttemptProbeEnd(now time.Duration, r *request, out *Actions) {
 	switch {
 	case r.probeRound.pending > 0:
@@ -112,8 +115,8 @@
 	}
 }
 
-// secondAttemptDecided reports whether the load probes so far decide on a second attempt: none is needed,
-// or an idle endpoint was found.
+// secondAttemptDecided reports whether the load probes so far decide on a second attempt: none is
+// needed, or an idle endpoint was found.
 func (c *Core) secondAttemptDecided(now time.Duration, r *request) bool {
 	best := c.bestChoice(now, r)
 	if best.Index < 0 {
@@ -122,9 +125,9 @@
 	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
 }
 
-// decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint would
-// answer earlier. Endpoints that have work get no second attempt: where all have work, second
-// attempts would take slots from first ones.
+// decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint
+// would answer earlier. Endpoints that have work get no second attempt: where all have work, second
+// attempts would take slots from first attempts.
 func (c *Core) decideSecondAttempt(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
 		c.endProbeRound(r)
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -8,8 +8,8 @@
 )
 
 // An endpoint loses a read, or its VM becomes slow while the read runs. The caller would wait until
-// its deadline although an idle endpoint could answer within the objective. A second attempt goes
-// out in time, but never for a request that may run only once, and not to an endpoint that has
+// its deadline although an idle endpoint could answer within the objective. A second attempt must
+// be sent in time, but never for a request that may run only once, and not to an endpoint that has
 // other work.
 func TestSecondAttemptForSlowOrLostRequest(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -12,7 +12,7 @@
 type RequestTrace struct {
 	// Name is the caller's name for the request, Service the service that it asked for.
 	Name, Service string
-	// Content is the same for requests with the same host, method, target and body.
+	// Content is a hash of the request's host, method, target and body.
 	Content uint64
 	// Revision is the revision of the routes or profiles in force.
 	Revision uint64
@@ -23,7 +23,7 @@
 	RetryAfter time.Duration
 	// CallerGone is set if the caller left before its answer.
 	CallerGone bool
-	// CallerAge is how long before its arrival the caller first tried, as far as known.
+	// CallerAge is how long before the request's arrival its caller first tried, as far as known.
 	CallerAge time.Duration
 	// Took is the time from the request's arrival to its end, Objective its latency objective.
 	Took, Objective time.Duration
@@ -44,8 +44,8 @@
 // AttemptTrace is one attempt of a request.
 type AttemptTrace struct {
 	Endpoint string `json:"endpoint"`
-	// AtMillis is when it was sent, counted from the request's arrival, TookMillis how long it
-	// took, both in milliseconds.
+	// AtMillis is when the attempt was sent, counted from the request's arrival, TookMillis how
+	// long the attempt took, both in milliseconds.
 	AtMillis   int64 `json:"at_ms"`
 	TookMillis int64 `json:"took_ms"`
 	// Running, Waiting and Pace are the load that the endpoint reported before, AgeMillis the age
@@ -56,10 +56,10 @@
 	AgeMillis int64 `json:"look_age_ms"`
 	// Limit is the rate limit that the endpoint had reported, in requests per second; 0 for none.
 	Limit float64 `json:"limit,omitempty"`
-	// Second is set if it was sent while an earlier attempt was running.
+	// Second is set if the attempt was sent while an earlier attempt was running.
 	Second bool `json:"second,omitempty"`
 	Status int  `json:"status,omitempty"`
-	// End is how it ended, "running" if it had not; Cause names the fault, if any.
+	// End is how the attempt ended, "running" if it had not ended; Cause names the fault, if any.
 	End   string `json:"end"`
 	Cause string `json:"cause,omitempty"`
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// tracesOf returns the traces of the request with a name.
+// tracesOf returns the traces of the request with the given name.
 func tracesOf(h *entryHarness, id RequestID, name string) []RequestTrace {
 	return slices.DeleteFunc(slices.Clone(h.traces), func(s RequestTrace) bool { return s.Name != name })
 }
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -23,7 +23,7 @@
 	return a.ID
 }
 
-// requestText identifies a request by the values that its caller gave.
+// requestText returns a text that identifies a request by its service, caller, digest and key.
 func requestText(a Arrival) string {
 	return fmt.Sprintf("%s caller %d digest %x key %v", a.Service, a.Caller, a.Digest[:16], a.Key)
 }
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// hasNote reports whether an entry's audit trail contains a change.
+// hasNote reports whether a note in an entry's audit trail contains text.
 func (n *node) hasNote(text string) bool {
 	for _, note := range n.notes {
 		if strings.Contains(note.Subject+" "+note.Action+" "+note.Why, text) {
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -7,9 +7,9 @@
 	"github.com/tealhall/tealhall/internal/route"
 )
 
-// At endpoints that slow down when they are full, two requests that share an endpoint both lose
-// most of their objective. The entry measures the slowdown by the latency of answers, and a request
-// that would be late there waits for an idle endpoint.
+// At an endpoint that slows down when it is full, two requests that share it both use up most of
+// their latency objective. The entry must learn the slowdown from the latency of answers, and a
+// request that would be late there must wait for an idle endpoint.
 func TestSlowdownAtSharedEndpointIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -43,10 +43,10 @@
 	}
 }
 
-// The only idle endpoint is on a VM that is five times as slow at this moment. A request sent there
-// takes five times as long until its end, although the VM recovers within 150 ms: it is late, and
-// five other requests lose the slot. A request that can be in time and one that cannot both wait
-// until the VM is as fast as usual.
+// The only idle endpoint is on a VM that is five times as slow as usual at this moment. A request
+// sent there takes five times as long until its end, although the VM recovers within 150 ms: it is
+// late, and uses the slot for the time of five requests. Both a request that can be in time and one
+// that cannot must wait until the VM is as fast as usual.
 func TestRequestWaitsForSlowVMToRecover(t *testing.T) {
 	for _, left := range []time.Duration{3 * sec, 2500 * ms} {
 		idle, full := &simEndpoint{name: "idle", domain: "d0"}, &simEndpoint{name: "full", domain: "d0"}
@@ -66,10 +66,10 @@
 	}
 }
 
-// Requests of two services share endpoints; those of one take four times as long. Both slots of an
-// endpoint are in use. If a short request went by its own duration, it would expect a free slot
-// soon, wait at the endpoint behind a long request and be late. It waits in the entry instead and
-// takes the first slot that becomes free at any endpoint.
+// Requests of two services share endpoints, and requests of one service take six times as long. All
+// slots are in use. If the entry judged the wait by the duration of the short request, it would
+// expect a free slot soon, and the request would wait at an endpoint behind a long one and be late.
+// It must wait in the entry instead and take the first slot that becomes free at any endpoint.
 func TestNoWaitBehindLongRequests(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
 	h := newEntryHarness(t, endpoints...)
