--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -173,7 +173,7 @@
 	Queued, Forwarded, Replayed    uint64
 	Probes, ProbesDenied, Pauses   uint64
 	// TicksLate counts ticks that came long after the previous one because the process was short of
-	// processor time.
+	// processor time or suspended.
 	TicksLate                     uint64
 	LoadProbes                    uint64
 	EndpointNotRun, RetriesDenied uint64
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -103,8 +103,8 @@
 		for range 8 {
 			id := h.sendRequest(route.NonIdempotent, 3*sec)
 			h.run(5 * ms)
-			for _, b := range endpoints {
-				b.running, b.waiting = c.running, c.running
+			for _, ep := range endpoints {
+				ep.running, ep.waiting = c.running, c.running
 			}
 			p := h.poolRows[0]
 			for i := range p.Endpoints {
@@ -127,7 +127,7 @@
 
 // setLoad sets the load that all endpoints report.
 func setLoad(endpoints []*simEndpoint, running, waiting int) {
-	for _, b := range endpoints {
-		b.running, b.waiting = running, waiting
+	for _, ep := range endpoints {
+		ep.running, ep.waiting = running, waiting
 	}
 }
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -57,19 +57,19 @@
 func (c *Core) superviseDue(now time.Duration, out *Actions) {
 	kept := c.supervised[:0]
 	due := c.dueAttempts[:0]
-	for _, w := range c.supervised {
-		r, ok := c.requests[w.id]
+	for _, s := range c.supervised {
+		r, ok := c.requests[s.id]
 		switch {
 		case !ok || r.phase != phaseActive || r.committed != 0 || r.dispatches != 1:
 			continue
-		case now < w.at:
-			kept = append(kept, w)
+		case now < s.at:
+			kept = append(kept, s)
 			continue
 		}
-		due = append(due, w.id)
-		if w.checks++; w.checks < maxChecks {
-			w.at = r.nextCheck(now, checkInterval)
-			kept = append(kept, w)
+		due = append(due, s.id)
+		if s.checks++; s.checks < maxChecks {
+			s.at = r.nextCheck(now, checkInterval)
+			kept = append(kept, s)
 		}
 	}
 	c.supervised, c.dueAttempts = kept, due
--- a/internal/core/supervision_test.go
+++ b/internal/core/supervision_test.go
@@ -13,10 +13,10 @@
 // other work.
 func TestSecondAttemptForSlowOrLostRequest(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		kind   route.Kind
-		happen func(first *simEndpoint, others []*simEndpoint)
-		want   int
+		name  string
+		kind  route.Kind
+		fault func(first *simEndpoint, others []*simEndpoint)
+		want  int
 	}{
 		{"the VM turned slow", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 2},
 		{"the request was lost", route.Idempotent, func(first *simEndpoint, _ []*simEndpoint) { first.running = 0 }, 2},
@@ -24,8 +24,8 @@
 		{"a request that may run only once", route.NonIdempotent, func(first *simEndpoint, _ []*simEndpoint) { first.pace = 500 }, 1},
 		{"no endpoint is idle", route.Idempotent, func(first *simEndpoint, others []*simEndpoint) {
 			first.pace = 500
-			for _, b := range others {
-				b.running = 1
+			for _, ep := range others {
+				ep.running = 1
 			}
 		}, 1},
 	} {
@@ -36,8 +36,8 @@
 			id := h.sendRequest(c.kind, 3*sec)
 			h.run(20 * ms)
 			first := h.endpoint(h.open[id][1].Endpoint)
-			others := slices.DeleteFunc(slices.Clone(endpoints), func(b *simEndpoint) bool { return b == first })
-			c.happen(first, others)
+			others := slices.DeleteFunc(slices.Clone(endpoints), func(ep *simEndpoint) bool { return ep == first })
+			c.fault(first, others)
 			h.run(320 * ms)
 			if len(h.sent) != c.want || c.want == 2 && h.sent[1] == first.name {
 				t.Errorf("attempts sent to %v, want %d attempts", h.sent, c.want)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -78,7 +78,7 @@
 	return "unknown"
 }
 
-// sampleOneIn is the sampling rate of requests that went well: one in so many is traced. All
+// sampleOneIn is the sampling rate of successful requests: one in sampleOneIn is traced. All
 // entries sample the same requests.
 const sampleOneIn = 64
 
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -27,8 +27,8 @@
 		endpoints := idleEndpoints(3, "d0")
 		h := newEntryHarness(t, endpoints...)
 		h.learnServiceTime(8)
-		for _, b := range endpoints {
-			b.running, b.waiting = 2, 4
+		for _, ep := range endpoints {
+			ep.running, ep.waiting = 2, 4
 		}
 		id := h.sendNamed(route.Idempotent, 3*sec, "refused")
 		h.run(700 * ms)
--- a/internal/core/worktime_test.go
+++ b/internal/core/worktime_test.go
@@ -12,9 +12,9 @@
 // request that would be late there must wait for an idle endpoint.
 func TestSlowdownAtSharedEndpointIsLearned(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		took  time.Duration
-		wants bool
+		name     string
+		took     time.Duration
+		wantSent bool
 	}{
 		{"small slowdown", 100 * ms, true},
 		{"large slowdown", 380 * ms, false},
@@ -36,8 +36,8 @@
 			endpoints[0].running = 1
 			id := h.sendRequest(route.Idempotent, 3*sec)
 			h.run(20 * ms)
-			if got := len(h.open[id]) > 0; got != c.wants {
-				t.Errorf("sent to an endpoint with another request: %v, want %v (measured slowdown %.2f)", got, c.wants, h.pools["p"].placementState.Slowdown())
+			if got := len(h.open[id]) > 0; got != c.wantSent {
+				t.Errorf("sent to an endpoint with another request: %v, want %v (measured slowdown %.2f)", got, c.wantSent, h.pools["p"].placementState.Slowdown())
 			}
 		})
 	}
@@ -80,8 +80,8 @@
 		h.answer(id, 1, 200)
 	}
 	h.sent = nil
-	for _, b := range endpoints {
-		b.running = 2
+	for _, ep := range endpoints {
+		ep.running = 2
 	}
 	short := h.sendRequest(route.Idempotent, 3*sec)
 	h.run(50 * ms)
