--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -15,8 +15,8 @@
 	return h.arrive(route.Idempotent, Arrival{Replayable: true, Timeout: 3 * sec, Content: content, Caller: 1})
 }
 
-// breakConnection ends the attempt of a request with a broken connection; its endpoint has crashed
-// or not.
+// breakConnection ends the attempt of a request with a broken connection; crashed says whether its
+// endpoint has crashed.
 func (h *entryHarness) breakConnection(id RequestID, n Attempt, crashed bool) {
 	d, ok := h.open[id][n]
 	if !ok {
@@ -30,8 +30,8 @@
 	})
 }
 
-// crashThree makes three endpoints crash while they run a request of the given content.
-func (h *entryHarness) crashThree(content uint64) {
+// crashThreeEndpoints makes three endpoints crash while they run a request of the given content.
+func (h *entryHarness) crashThreeEndpoints(content uint64) {
 	h.Helper()
 	for range 3 {
 		id := h.sendContent(content)
@@ -54,12 +54,12 @@
 	})
 }
 
-// Guards against a request that is sent to another endpoint after it has crashed three: it must be
-// refused at its next arrival.
+// Guards against a request that is sent to another endpoint after it has crashed three endpoints:
+// it must be refused at its next arrival.
 func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	before := len(h.sent)
 	id := h.sendContent(7)
 	h.run(100 * ms)
@@ -69,7 +69,7 @@
 	other := h.sendContent(8)
 	h.run(20 * ms)
 	if sent := len(h.sent) - before; sent != 1 || h.open[other] == nil {
-		t.Errorf("%d requests were sent, want only the one of the other content", sent)
+		t.Errorf("%d requests were sent, want only the request with the other content", sent)
 	}
 }
 
@@ -80,7 +80,7 @@
 	h.learnServiceTime(8)
 	dialled := h.sendContent(7)
 	h.run(20 * ms)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	if h.MaySend(h.now, dialled, 1) {
 		t.Error("an attempt without a byte written may still be sent")
 	}
@@ -139,8 +139,8 @@
 	}
 }
 
-// Guards against quarantine without a crash: endpoints that reset connections, or that do not
-// answer.
+// Guards against quarantine without a crash, after endpoints have reset connections or have not
+// answered.
 func TestOnlyCrashesLeadToQuarantine(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(12, "d0")...)
 	h.learnServiceTime(8)
@@ -158,8 +158,8 @@
 		h.run(3 * sec)
 		ep.silent = false
 	}
-	if h.quarantine.Suspects() != 0 || len(h.broken) != 0 {
-		t.Errorf("%d suspects, %d attempts whose endpoint is still probed", h.quarantine.Suspects(), len(h.broken))
+	if h.quarantine.Suspects() != 0 || len(h.brokenAttempts) != 0 {
+		t.Errorf("%d suspects, %d attempts whose endpoint is still probed", h.quarantine.Suspects(), len(h.brokenAttempts))
 	}
 }
 
@@ -193,7 +193,7 @@
 	h.learnServiceTime(8)
 	long := h.sendContent(7)
 	h.run(20 * ms)
-	h.crashThree(7)
+	h.crashThreeEndpoints(7)
 	h.answer(long, 1, 200)
 	h.run(20 * ms)
 	id := h.sendContent(7)
@@ -233,9 +233,8 @@
 	return h, endpoints
 }
 
-// Guards against a request that each entry, or an entry that has just started, treats as unknown.
-// The request arrives at every entry in turn; an entry that is replaced after the quarantine began
-// must learn of it as well.
+// Guards against a quarantine that stays unknown to some entries. The request arrives at every
+// entry in turn; an entry that starts after the quarantine began must learn of it as well.
 func TestQuarantineSpreadsToFleet(t *testing.T) {
 	h, endpoints := newCrashHarness(t, 4)
 	ask := func(i int) RequestID {
@@ -311,8 +310,8 @@
 	}
 }
 
-// Guards against quarantine of a frequent request that does not cause the crashes: one endpoint
-// after another crashes for another reason, each while it runs this read, and comes back.
+// Guards against quarantine of a frequent read that does not cause the crashes: one endpoint after
+// another crashes for another reason while it runs this read, and restarts.
 func TestUnrelatedCrashesDoNotQuarantine(t *testing.T) {
 	const every, down, work = 700 * ms, 2 * sec, 40 * ms
 	var endpoints []string
@@ -400,7 +399,7 @@
 	once := h.arrive(route.NonIdempotent, Arrival{Timeout: 3 * sec, Content: 9, Caller: 1})
 	h.run(20 * ms)
 	h.breakConnection(once, 1, true)
-	h.run(spreadAfter + 100*ms)
+	h.run(spreadDelay + 100*ms)
 	if h.OwnEvidenceDigest() == both {
 		t.Error("a crash under a request that is not repeated is not spread")
 	}
--- a/internal/core/queuewait_test.go
+++ b/internal/core/queuewait_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Endpoints stay full. A caller that waits until its deadline cannot use another entry, and one
-// that returns at once adds to the load. Such requests are refused early, as not run and with a
-// Retry-After, which differs between callers that were refused together.
+// Endpoints stay full. A caller that waits until its deadline cannot use another entry, and a
+// caller that returns at once adds to the load. Their requests are refused early, as not run and
+// with a Retry-After, which differs between callers that were refused together.
 func TestRequestsWithoutRoomAreRefusedEarly(t *testing.T) {
 	endpoints := idleEndpoints(3, "d0")
 	h := newEntryHarness(t, endpoints...)
@@ -65,7 +65,7 @@
 }
 
 // A caller returns after a refusal, too late to be answered in time. Its request must not take a
-// slot from a request that can still be in time, although it is older.
+// slot from a newer request that can still be in time.
 func TestInTimeRequestsGoBeforeLateOnes(t *testing.T) {
 	endpoints := idleEndpoints(2, "d0")
 	h := newEntryHarness(t, endpoints...)
@@ -85,16 +85,16 @@
 	}
 }
 
-// Endpoints refuse half of their requests while they report idle slots. Callers got a Retry-After
-// of 150 to 500 ms, as if there were a queue to wait for, and most of those that were answered then
-// were late. They now get a short, random delay; where endpoints are full, the longer delay gives
-// the load time to fall.
+// Guards against a long Retry-After where there is no queue to wait for: endpoints refuse requests
+// while they report idle slots. With a Retry-After of 150 to 500 ms, most of the callers that were
+// answered after it were late. The delay must be short and random; where endpoints are full, the
+// longer delay gives the load time to fall.
 func TestRetryDelayDependsOnEndpointLoad(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		running int
 		most    time.Duration
-	}{{"endpoints with room", 0, shortRetryMost}, {"full endpoints", 2, retryMost}} {
+	}{{"endpoints with room", 0, maxShortRetryDelay}, {"full endpoints", 2, maxRetryDelay}} {
 		endpoints := idleEndpoints(4, "d0")
 		h := newEntryHarness(t, endpoints...)
 		h.learnServiceTime(12)
@@ -103,8 +103,8 @@
 		for range 8 {
 			id := h.sendRequest(route.NonIdempotent, 3*sec)
 			h.run(5 * ms)
-			for _, b := range endpoints {
-				b.running, b.waiting = c.running, c.running
+			for _, ep := range endpoints {
+				ep.running, ep.waiting = c.running, c.running
 			}
 			p := h.poolRows[0]
 			for i := range p.Endpoints {
@@ -112,7 +112,7 @@
 			}
 			h.do(func(out *Actions) { h.End(h.now, End{ID: id, Attempt: 1, Kind: EndNotRun, Replayable: true}, out) })
 			d := h.replies[id]
-			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < retryLeast {
+			if d.Reason != ReasonEndpointsRefuse || d.RetryAfter <= 0 || d.RetryAfter > c.most || c.running > 0 && d.RetryAfter < minRetryDelay {
 				t.Fatalf("%s: %+v", c.name, d)
 			}
 			delays[d.RetryAfter] = true
@@ -127,7 +127,7 @@
 
 // setLoad sets the load that all endpoints report.
 func setLoad(endpoints []*simEndpoint, running, waiting int) {
-	for _, b := range endpoints {
-		b.running, b.waiting = running, waiting
+	for _, ep := range endpoints {
+		ep.running, ep.waiting = running, waiting
 	}
 }
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -27,7 +27,8 @@
 	longOverdueFactor = 2.0
 )
 
-// supervisedAttempt is a request whose attempt is checked at a time.
+// supervisedAttempt is a request whose running attempt is next checked at the time at; checks
+// counts the checks so far.
 type supervisedAttempt struct {
 	id     RequestID
 	at     time.Duration
@@ -56,19 +57,19 @@
 func (c *Core) superviseDue(now time.Duration, out *Actions) {
 	kept := c.supervised[:0]
 	due := c.dueAttempts[:0]
-	for _, w := range c.supervised {
-		r, ok := c.requests[w.id]
+	for _, s := range c.supervised {
+		r, ok := c.requests[s.id]
 		switch {
 		case !ok || r.phase != phaseActive || r.committed != 0 || r.dispatches != 1:
 			continue
-		case now < w.at:
-			kept = append(kept, w)
+		case now < s.at:
+			kept = append(kept, s)
 			continue
 		}
-		due = append(due, w.id)
-		if w.checks++; w.checks < maxChecks {
-			w.at = r.nextCheck(now, checkInterval)
-			kept = append(kept, w)
+		due = append(due, s.id)
+		if s.checks++; s.checks < maxChecks {
+			s.at = r.nextCheck(now, checkInterval)
+			kept = append(kept, s)
 		}
 	}
 	c.supervised, c.dueAttempts = kept, due
@@ -91,7 +92,8 @@
 	c.startLoadProbes(now, r, true, out)
 }
 
-// probeRunning probes the endpoint that runs r, together with the first other endpoints.
+// probeRunning probes the endpoint that runs r. The first batch of load probes to other endpoints
+// follows at once.
 func (c *Core) probeRunning(now time.Duration, r *request, out *Actions) {
 	a := &r.attempts[1]
 	if r.pool.endpointAt(a.index, a.incarnation) != nil && r.pool.loadProbes.TrySpend(now, r.pool.countLive(), c.fleet.ownShare) {
@@ -99,22 +101,23 @@
 	}
 }
 
-// secondProbeEnd continues after a load probe for a second attempt. It decides only after the
-// endpoint that runs the request has answered, whatever other endpoints report: most attempts that
-// take longer than usual end by themselves, and an idle endpoint is no reason to send them twice.
-func (c *Core) secondProbeEnd(now time.Duration, r *request, out *Actions) {
+// secondAttemptProbeEnd continues after a load probe for a second attempt. It decides only after
+// all probes of the batch have ended, including that of the endpoint that runs the request: most
+// attempts that take longer than usual end by themselves, and an idle endpoint is no reason to send
+// a request twice.
+func (c *Core) secondAttemptProbeEnd(now time.Duration, r *request, out *Actions) {
 	switch {
 	case r.probeRound.pending > 0:
-	case c.secondSettled(now, r):
+	case c.secondAttemptDecided(now, r):
 		c.decide(now, r, out)
 	default:
 		c.probeNextBatch(now, r, out)
 	}
 }
 
-// secondSettled reports whether the load probes so far decide on a second attempt: none is needed,
-// or an idle endpoint was found.
-func (c *Core) secondSettled(now time.Duration, r *request) bool {
+// secondAttemptDecided reports whether the load probes so far decide on a second attempt: none is
+// needed, or an idle endpoint was found.
+func (c *Core) secondAttemptDecided(now time.Duration, r *request) bool {
 	best := c.bestChoice(now, r)
 	if best.Index < 0 {
 		return !c.overdue(now, r, r.typicalWork())
@@ -122,10 +125,10 @@
 	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
 }
 
-// decideSecond sends a second attempt if the first looks lost or slow and an idle endpoint would
-// answer earlier. Endpoints that have work get no second attempt: where all have work, second
-// attempts would take slots from first ones.
-func (c *Core) decideSecond(now time.Duration, r *request, best placement.Choice, out *Actions) {
+// decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint
+// would answer earlier. Endpoints that have work get no second attempt: where all have work, second
+// attempts would take slots from first attempts.
+func (c *Core) decideSecondAttempt(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
 		c.endProbeRound(r)
 		return
