--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -16,16 +16,16 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Set is a set of endpoint indexes below MaxRemembered.
+// Set is a set of endpoint indexes below SetCapacity.
 type Set uint64
 
-// MaxRemembered is the number of endpoints of a pool that a Set can hold.
+// SetCapacity is the number of endpoints of a pool that a Set can hold.
 // Indexes beyond it are never members.
-const MaxRemembered = 64
+const SetCapacity = 64
 
 // With returns s and index i.
 func (s Set) With(i int) Set {
-	if i < 0 || i >= MaxRemembered {
+	if i < 0 || i >= SetCapacity {
 		return s
 	}
 	return s | 1<<uint(i)
@@ -33,7 +33,7 @@
 
 // Has reports whether i is in s.
 func (s Set) Has(i int) bool {
-	return i >= 0 && i < MaxRemembered && s&(1<<uint(i)) != 0
+	return i >= 0 && i < SetCapacity && s&(1<<uint(i)) != 0
 }
 
 // Request describes the request that needs an endpoint.
@@ -162,10 +162,11 @@
 	P2COwn           = "p2c-own"
 	P2CReports       = "p2c-reports"
 	Prequal          = "prequal"
-	Sightings        = "sightings"
-	Shares           = "shares"
-	CentralQueue     = "central-queue"
-	Claims           = "claims"
+	// LeastLoad keeps the older name "sightings" in settings.
+	LeastLoad    = "sightings"
+	Shares       = "shares"
+	CentralQueue = "central-queue"
+	Claims       = "claims"
 )
 
 // Default is the policy that is used unless a profile names another.
@@ -175,7 +176,7 @@
 func Policies() []string {
 	return []string{
 		Random, RoundRobin, LeastOutstanding, P2COwn, P2CReports,
-		Prequal, Sightings, Shares, CentralQueue, Claims,
+		Prequal, LeastLoad, Shares, CentralQueue, Claims,
 	}
 }
 
@@ -196,8 +197,8 @@
 		return &twoChoices{view: base, reports: true}, nil
 	case Prequal:
 		return &prequal{view: base}, nil
-	case Sightings:
-		return &sightings{view: base}, nil
+	case LeastLoad:
+		return &leastLoad{view: base}, nil
 	case Shares:
 		return &shares{view: base}, nil
 	case CentralQueue:
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -99,7 +99,7 @@
 
 // PeerReported implements Picker.
 func (c *claims) PeerReported(_ time.Duration, _ *table.Pool, i int, load PeerLoad) {
-	c.peers.setOwn(i, load)
+	c.peers.setPeerCount(i, load)
 }
 
 // PeerHeard implements Picker.
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -10,14 +10,14 @@
 	mean float64
 	// oldest is when the believed peer that has been silent for longest was last heard, as of the
 	// latest call of expire.
-	oldest time.Duration
-	rows   []peerRow
-	peers  []peerState
+	oldest    time.Duration
+	endpoints []endpointLoad
+	peers     []peerState
 	// counts[i*len(peers)+j] is peer j's count at endpoint i.
 	counts []int32
 }
 
-type peerRow struct {
+type endpointLoad struct {
 	// sum is the total of the counts of the believed peers.
 	sum int32
 	// extra is the reported load beyond sum, negative if the report shows less.
@@ -31,14 +31,14 @@
 }
 
 func (l *peerLoads) reset(endpoints, peers int) {
-	l.rows = make([]peerRow, endpoints)
+	l.endpoints = make([]endpointLoad, endpoints)
 	l.peers = make([]peerState, peers)
 	l.counts = make([]int32, endpoints*peers)
 }
 
-// setOwn records a peer's count. A difference between the report and the counts is reduced by the
+// setPeerCount records a peer's count. A difference between the report and the counts is reduced by the
 // peer's change, as far as both go in the same direction.
-func (l *peerLoads) setOwn(i int, load PeerLoad) {
+func (l *peerLoads) setPeerCount(i int, load PeerLoad) {
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
 	}
@@ -46,7 +46,7 @@
 	at := i*len(l.peers) + load.From
 	change := load.Attempts - l.counts[at]
 	l.counts[at] = load.Attempts
-	row := &l.rows[i]
+	row := &l.endpoints[i]
 	row.sum += change
 	switch {
 	case row.extra > 0 && change > 0:
@@ -68,7 +68,7 @@
 
 // setReported records the whole foreign load as an endpoint reported it.
 func (l *peerLoads) setReported(at time.Duration, i int, foreign int32) {
-	row := &l.rows[i]
+	row := &l.endpoints[i]
 	row.extra = foreign - row.sum
 	row.extraAt = at
 	l.mean += meanWeight * (float64(foreign) - l.mean)
@@ -92,9 +92,9 @@
 
 func (l *peerLoads) forget(j int) {
 	l.peers[j].believed = false
-	for i := range l.rows {
+	for i := range l.endpoints {
 		at := i*len(l.peers) + j
-		l.rows[i].sum -= l.counts[at]
+		l.endpoints[i].sum -= l.counts[at]
 		l.counts[at] = 0
 	}
 }
@@ -121,7 +121,7 @@
 // and then decay fast. A report decays from the start, since it does not say how long the attempts
 // have been running.
 func (l *peerLoads) known(now time.Duration, i int, service float64) (load, left float64) {
-	row := &l.rows[i]
+	row := &l.endpoints[i]
 	reported := service / (service + float64(max(0, now-row.extraAt)))
 	age := float64(max(0, now-l.oldest)) / service
 	counted := 1 / (1 + age*age)
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -39,13 +39,13 @@
 	return Choice{Index: best, OK: true}
 }
 
-// sightings takes the endpoint with the least known load: own attempts and the last reported
+// leastLoad takes the endpoint with the least known load: own attempts and the last reported
 // foreign load, which is weighted less as it ages.
-type sightings struct{ view }
+type leastLoad struct{ view }
 
 // Pick implements Picker.
-func (g *sightings) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
-	s, c, done := g.begin(now, p, req)
+func (l *leastLoad) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
+	s, c, done := l.begin(now, p, req)
 	if done {
 		return c
 	}
@@ -55,13 +55,13 @@
 			continue
 		}
 		e := &p.Endpoints[i]
-		load := (float64(e.Outstanding) + g.foreign(now, e)) / float64(max(1, e.Slots))
+		load := (float64(e.Outstanding) + l.foreign(now, e)) / float64(max(1, e.Slots))
 		switch {
 		case best < 0 || load < bestLoad:
 			best, bestLoad, ties = i, load, 1
 		case load == bestLoad:
 			ties++
-			if g.rng.IntN(ties) == 0 {
+			if l.rng.IntN(ties) == 0 {
 				best = i
 			}
 		}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -92,7 +92,7 @@
 			Waiting:  p.queue.LenOf(other.index),
 			Share:    other.policy.SlotShare,
 			Priority: other.policy.Priority,
-			Need:     other.demand.Slots(now),
+			Demand:   other.demand.Slots(now),
 			Overdue:  p.queue.Overdue(other.index),
 		}
 	}
@@ -100,7 +100,7 @@
 		return true
 	}
 	capacity := p.capacity(now)
-	return p.withinShare(p.slotUsers, me, &capacity) && queue.MayTake(p.slotUsers, me, capacity)
+	return p.withinShare(p.slotUsers, me, &capacity) && queue.MayTakeSlot(p.slotUsers, me, capacity)
 }
 
 // capacity counts the pool's slots and those that look idle: neither used by this entry nor
--- a/internal/core/health/sample.go
+++ b/internal/core/health/median.go
@@ -5,12 +5,12 @@
 // inlineValues is the number of values that fit without an allocation, enough for current pools.
 const inlineValues = 64
 
-// sample is a set of values of which the median is taken.
-type sample []float64
+// values is a set of values of which the median is taken.
+type values []float64
 
 // median sorts the values and returns the lower median, or 0 if there are none. With the lower
 // median, the better one of two endpoints is the reference.
-func (s sample) median() float64 {
+func (s values) median() float64 {
 	if len(s) == 0 {
 		return 0
 	}
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -136,7 +136,7 @@
 // collect computes the counts and medians of the pool.
 func (s *sweep) collect() {
 	var buffers [2][inlineValues]float64
-	failures, slowness := sample(buffers[0][:0]), sample(buffers[1][:0])
+	failures, slowness := values(buffers[0][:0]), values(buffers[1][:0])
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		s.live++
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -182,7 +182,7 @@
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
 	view := c.placementView(now, r)
-	perfect := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unhealthy && view.Perfect(e)
+	perfect := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unhealthy && view.IsOptimal(e)
 	switch {
 	case perfect && c.dispatchProbed(now, r, i, out):
 	case r.probeRound.pending == 0:
@@ -234,7 +234,7 @@
 		c.decideSecond(now, r, best, out)
 		return
 	}
-	if view := c.placementView(now, r); best.Index < 0 && !r.probeRound.ownOnly && !c.anyAnswered(r) && !view.Crowded() {
+	if view := c.placementView(now, r); best.Index < 0 && !r.probeRound.ownOnly && !c.anyAnswered(r) && !view.MostlyFull() {
 		if i := view.WithoutLoad(); i >= 0 && c.dispatchProbed(now, r, i, out) {
 			return
 		}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -102,8 +102,8 @@
 	return v.Now+expected <= r.FirstTry+r.Objective
 }
 
-// Perfect reports whether no other endpoint could be a better choice than e.
-func (v *View) Perfect(e *table.Endpoint) bool {
+// IsOptimal reports whether no other endpoint could be a better choice than e.
+func (v *View) IsOptimal(e *table.Endpoint) bool {
 	return v.granted(e) && HasEasyRoom(e) && v.Now >= e.AvoidUntil && !e.Missing &&
 		e.CurrentDoubt(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchangeKilobytes)
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -83,7 +83,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d at %d", c.running, c.slots, c.pace), func(t *testing.T) {
 			e := endpoint("a", c.running, c.slots, c.pace, 0)
-			if got := viewOf(e).Perfect(&e); got != c.easy {
+			if got := viewOf(e).IsOptimal(&e); got != c.easy {
 				t.Errorf("ends the probe round: %v", got)
 			}
 		})
@@ -190,8 +190,8 @@
 		v.PoolState.NoteSlowdown(2*v.Request.Work, v.Request.Work)
 	}
 	live, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
-	if live != 4 || known != 3 || full != 2 || !v.Crowded() {
-		t.Errorf("%d live, %d known, %d full, crowded %v", live, known, full, v.Crowded())
+	if live != 4 || known != 3 || full != 2 || !v.MostlyFull() {
+		t.Errorf("%d live, %d known, %d full, mostly full %v", live, known, full, v.MostlyFull())
 	}
 }
 
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -39,15 +39,15 @@
 const (
 	// connectedFor is how long after the latest answer a connection is likely to be still open.
 	connectedFor = 8 * time.Second
-	// otherShare is the share of the choices that ignore connections, so that an endpoint that has
+	// exploreShare is the share of the choices that ignore connections, so that an endpoint that has
 	// just joined gets its part.
-	otherShare = 0.125
+	exploreShare = 0.125
 )
 
 // prefersConnected reports whether endpoints with a connection rank first in this choice. They
 // do not where requests find no room: each entry would then find its own endpoints full.
 func (v *View) prefersConnected() bool {
-	return !v.PoolState.isShort(v.Now) && v.Rand.Float64() >= otherShare
+	return !v.PoolState.isShort(v.Now) && v.Rand.Float64() >= exploreShare
 }
 
 // busySlotTimes, multiplied by the time in which an endpoint usually frees a slot, is how long a
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -162,10 +162,10 @@
 	return live, known, full
 }
 
-// Crowded reports whether most endpoints with a known load have no room. Requests that are sent to
+// MostlyFull reports whether most endpoints with a known load have no room. Requests that are sent to
 // them without a probe would queue there, and all later requests, which could have waited in the
 // entry for the first free slot, would find the endpoints full.
-func (v *View) Crowded() bool {
+func (v *View) MostlyFull() bool {
 	_, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
 	return known > 0 && full*2 >= known
 }
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -116,9 +116,9 @@
 	return false
 }
 
-// countPassed counts that a request of the class served goes before those of the other classes.
-// Classes that may not take a slot are counted too: once they are overdue, MayTake lets them use a
-// small part of the slots.
+// countPassed records a dispatch from the class served, which passes over the waiting requests of
+// all other classes. Classes that may not take a slot count it too: once they are overdue,
+// MayTakeSlot lets them use a small part of the slots.
 func (q *Queue) countPassed(served *class) {
 	for _, c := range q.classes {
 		if c != served && c.waiting > 0 {
--- a/internal/core/queue/slots.go
+++ b/internal/core/queue/slots.go
@@ -21,10 +21,10 @@
 	Share float64
 	// Priority orders the services; the higher one has first claim.
 	Priority int
-	// Need is the average number of slots that the service's traffic keeps in use, for example
+	// Demand is the average number of slots that the service's traffic keeps in use, for example
 	// from Demand. Lower priorities leave that many free for it, and some more for variation. Zero
 	// reserves nothing.
-	Need float64
+	Demand float64
 	// Overdue says that the service was passed over for long; see Queue.Overdue.
 	Overdue bool
 }
@@ -36,14 +36,14 @@
 	Free int
 }
 
-// MayTake reports whether the service at index me may take a slot now.
+// MayTakeSlot reports whether the service at index me may take a slot now.
 //
 // It guards against bulk work that fills all slots with long requests just before urgent ones
 // arrive, which would then wait for a whole bulk request. A service leaves the slots free that
 // services of higher priority wait for or use on average. An overdue service may ignore these
 // claims, but only for a small part of the slots, so that it never starves and its long requests
 // never fill the whole pool.
-func MayTake(users []SlotUser, me int, c Capacity) bool {
+func MayTakeSlot(users []SlotUser, me int, c Capacity) bool {
 	user := &users[me]
 	if c.Free <= 0 || user.InUse >= user.limit(c.Slots) {
 		return false
@@ -65,12 +65,12 @@
 }
 
 // claim returns the number of free slots to which the service has first claim. The square root of
-// the average need is added to it: that is the standard deviation of the number of slots in use
+// the average demand is added to it: that is the standard deviation of the number of slots in use
 // when requests arrive independently.
 func (u *SlotUser) claim(slots int) int {
 	need := 0
-	if u.Need > 0 {
-		need = int(math.Ceil(u.Need + math.Sqrt(u.Need)))
+	if u.Demand > 0 {
+		need = int(math.Ceil(u.Demand + math.Sqrt(u.Demand)))
 	}
 	claim := max(u.Waiting, need-u.InUse)
 	return max(0, min(claim, u.limit(slots)-u.InUse))
--- a/internal/core/queue/slots_test.go
+++ b/internal/core/queue/slots_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestMayTake(t *testing.T) {
+func TestMayTakeSlot(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		bulk, urgent SlotUser
@@ -19,13 +19,13 @@
 		{"urgent requests wait for the free slots", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 3, false},
 		{"more slots free than urgent requests wait for", SlotUser{}, SlotUser{Waiting: 3, Share: 1, Priority: 9}, 4, true},
 		{"urgent service at its share claims nothing", SlotUser{}, SlotUser{InUse: 3, Waiting: 9, Share: 0.25, Priority: 9}, 1, true},
-		{"slots are kept for the average need", SlotUser{}, SlotUser{InUse: 1, Share: 1, Priority: 9, Need: 4}, 5, false},
-		{"need that is in use claims nothing", SlotUser{}, SlotUser{InUse: 6, Share: 1, Priority: 9, Need: 4}, 1, true},
+		{"slots are kept for the average demand", SlotUser{}, SlotUser{InUse: 1, Share: 1, Priority: 9, Demand: 4}, 5, false},
+		{"demand that is in use claims nothing", SlotUser{}, SlotUser{InUse: 6, Share: 1, Priority: 9, Demand: 4}, 1, true},
 		{"overdue passes the claims", SlotUser{Overdue: true}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, true},
 		{"overdue with its one slot in use does not pass them", SlotUser{Overdue: true, InUse: 1}, SlotUser{Waiting: 9, Share: 1, Priority: 9}, 1, false},
 	} {
 		tt.bulk.Share, tt.bulk.Priority = 0.5, 1
-		if got := MayTake([]SlotUser{tt.urgent, tt.bulk}, 1, Capacity{Slots: 12, Free: tt.free}); got != tt.want {
+		if got := MayTakeSlot([]SlotUser{tt.urgent, tt.bulk}, 1, Capacity{Slots: 12, Free: tt.free}); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -56,11 +56,11 @@
 		}
 		eligible := func(service int32) bool {
 			users := []SlotUser{
-				{InUse: len(ends[urgent]), Waiting: q.LenOf(urgent), Share: 1, Priority: 9, Need: demand.Slots(now)},
+				{InUse: len(ends[urgent]), Waiting: q.LenOf(urgent), Share: 1, Priority: 9, Demand: demand.Slots(now)},
 				{InUse: len(ends[bulk]), Waiting: q.LenOf(bulk), Share: 1, Priority: 8, Overdue: q.Overdue(bulk)},
 			}
 			free := slots - len(ends[urgent]) - len(ends[bulk])
-			return MayTake(users, int(service), Capacity{Slots: slots, Free: free})
+			return MayTakeSlot(users, int(service), Capacity{Slots: slots, Free: free})
 		}
 		for it, ok := q.Next(now, eligible); ok; it, ok = q.Next(now, eligible) {
 			q.Take(now, it.ID)
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -108,7 +108,7 @@
 
 // retryDelayAfter returns when the caller of a refused request should try again.
 func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
-	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
+	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.MostlyFull() {
 		return c.randomBetween(shortRetryLeast, shortRetryMost)
 	}
 	return c.retryDelay()
