--- a/internal/core/balance/attempts.go
+++ b/internal/core/balance/attempts.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		ran := float64(now - a.started[k])
-		// An attempt that runs far too long is probably a long one.
+		// An attempt that is far overdue probably needs much longer still.
 		end = min(end, max(minRemaining*service, service-ran, ran-overdueFactor*service))
 	}
 	return end
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -46,8 +46,7 @@
 	// MustQueue says that the request may not ask an endpoint to refuse it, so that the choice of
 	// a busy endpoint costs a wait there.
 	MustQueue bool
-	// LocalDomain is preferred between equal endpoints; it is the entry's own failure domain, or
-	// empty for no preference.
+	// LocalDomain is the entry's own failure domain, or empty. No policy uses it at present.
 	LocalDomain string
 }
 
@@ -96,9 +95,9 @@
 
 // Picker is a balancing policy with its view of one pool.
 type Picker interface {
-	// Changed is called first, and after each change of the pool's endpoints or of the entries
-	// that serve the pool's callers. Deciders are the names of these entries, this entry's own
-	// among them; the list may be empty when they are unknown.
+	// Changed is called first, and after each change of the pool's endpoints or of the entries that
+	// serve the pool's callers. deciders holds the names of these entries, including this one; it
+	// may be empty while they are unknown.
 	Changed(now time.Duration, p *table.Pool, deciders []string)
 	// Pick chooses an endpoint for a request that has waited in this entry's queue for the given
 	// time.
@@ -111,7 +110,7 @@
 	// LoadReported passes on another entry's report of the endpoint's whole foreign load, which is
 	// the load that this entry did not place.
 	LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad)
-	// PeerHeard is called after an update from another entry. From is the peer's index as in
+	// PeerHeard is called after an update from another entry. from is the peer's index as in
 	// PeerLoad.From. Counts that the update did not change were still true at the given time.
 	PeerHeard(from int, at time.Duration)
 	// PeerReported passes on another entry's count of its own attempts.
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -116,7 +116,7 @@
 			picker.PeerReported(testNow, p, 0, PeerLoad{From: 0, Attempts: 1, At: testNow})
 		})
 		if allocs != 0 {
-			t.Errorf("%s: %v allocations a choice", policy, allocs)
+			t.Errorf("%s: %v allocations per Pick", policy, allocs)
 		}
 	}
 }
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -16,8 +16,8 @@
 	silenceFactor = 4
 	// minIdleShare is the least part of a slot that must look idle for the slot to be tried.
 	minIdleShare = 0.5
-	// pickInterval is how long a waiting request waits for the next Pick when nothing is reported,
-	// since the estimates decay meanwhile.
+	// pickInterval is the longest time until the next Pick for a waiting request. Even if no load
+	// is reported, the estimated loads decay in that time, so that a slot may look idle.
 	pickInterval = 2 * time.Millisecond
 	// preferredBonus ranks an idle slot of a preferred endpoint before all others. rankCost
 	// decides between endpoints with the same score.
@@ -28,9 +28,9 @@
 	rankCost       = 1e-3
 )
 
-// claims keeps a request in the entry's queue until a slot looks idle, by the entry's own count,
-// its peers' counts and the loads reported with answers. It takes the slots in an order that
-// differs between entries, so that they collide as late as possible. The request asks the endpoint
+// claims keeps a request in the entry's queue until a slot looks idle, by the entry's own count, by
+// its peers' counts and by the loads that answers report. Each entry takes the slots in another
+// order, so that entries choose the same slot as seldom as possible. The request asks the endpoint
 // to refuse rather than queue it, so that a wrong view costs one round trip instead of a service
 // time. A request that has waited longer than the idle wait may queue at an endpoint: it gets the
 // next free slot there, whichever entry used it before. Otherwise an entry would starve while
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -17,6 +17,7 @@
 	counts []int32
 }
 
+// endpointLoad is the foreign load of one endpoint.
 type endpointLoad struct {
 	// sum is the total of the counts of the believed peers.
 	sum int32
@@ -36,8 +37,9 @@
 	l.counts = make([]int32, endpoints*peers)
 }
 
-// setPeerCount records a peer's count. A difference between the report and the counts is reduced by the
-// peer's change, as far as both go in the same direction.
+// setPeerCount records a peer's count of its own attempts at endpoint i. If the peer's count
+// changed in the direction in which the endpoint's report differs from the sum of the counts, that
+// difference is reduced by the change.
 func (l *peerLoads) setPeerCount(i int, load PeerLoad) {
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
@@ -100,9 +102,9 @@
 }
 
 // foreign estimates the foreign load at endpoint i. The known load decays towards zero with the
-// service time, so that an entry that hears nothing more does not take the pool for full forever.
-// The optimistic estimate fits a request that the endpoint refuses at the cost of a round trip if
-// it is not idle.
+// service time, so that an entry that gets no further reports does not consider the pool full
+// forever. This optimistic estimate is for requests that the endpoint refuses if no slot is idle: a
+// wrong estimate then costs one round trip.
 func (l *peerLoads) foreign(now time.Duration, i int, service float64) float64 {
 	load, _ := l.known(now, i, service)
 	return load
@@ -116,10 +118,10 @@
 	return load + l.mean*(1-left)
 }
 
-// known returns the decayed foreign load and the share of the knowledge that is left after the
-// decay. Peers' counts stay valid for a part of the service time, as an attempt lasts that long,
-// and then decay fast. A report decays from the start, since it does not say how long the attempts
-// have been running.
+// known returns the foreign load at endpoint i after its decay, and the share of its weight that
+// the decay has left. Peers' counts stay valid for a part of the service time, as an attempt lasts
+// that long, and then decay fast. A report decays from the start, since it does not say how long
+// the attempts have been running.
 func (l *peerLoads) known(now time.Duration, i int, service float64) (load, left float64) {
 	row := &l.endpoints[i]
 	reported := service / (service + float64(max(0, now-row.extraAt)))
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -6,11 +6,11 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// Parameters of the pool of load reports.
+// Parameters of the probe pool.
 const (
 	probePoolSize = 16
 	probeMaxAge   = 200 * time.Millisecond
-	// probeUses is how often one result may be used. More uses would direct the load to the
+	// probeUses is how often one result may be used. More uses would direct the requests to the
 	// endpoints that answered last.
 	probeUses = 1
 	// hotQuantile is the quantile of the load above which an endpoint counts as hot.
@@ -25,9 +25,10 @@
 	uses    int
 }
 
-// prequal keeps a small pool of load reports, each of which is used a limited number of times. It
-// prefers reports that are not hot, then the least load, then the lowest latency. Loads reported
-// with ordinary answers fill the pool as well as load reports of other entries.
+// prequal implements the Prequal policy without sending probes of its own: the loads that answers
+// report and the load reports of other entries serve as probe results. A small pool holds the
+// results, each of which is used a limited number of times. The policy prefers endpoints that are
+// not hot, then the least load, then the lowest latency.
 type prequal struct {
 	view
 	results [probePoolSize]probeResult
--- a/internal/core/balance/records.go
+++ b/internal/core/balance/records.go
@@ -21,7 +21,8 @@
 	avoidMax = time.Second
 )
 
-// endpointRecord is what the claims policy stores of one endpoint beside its table.Endpoint.
+// endpointRecord is the state that the claims policy keeps of one endpoint in addition to its
+// table.Endpoint.
 type endpointRecord struct {
 	attempts attempts
 	// retryAt is when a slow endpoint may be measured again; doublings counts how often the delay
@@ -42,8 +43,8 @@
 	r.failures = min(r.failures+1, maxDoublings)
 }
 
-// noteMeasurement sets the time of the next measurement after one that found the endpoint slow or
-// not.
+// noteMeasurement records whether a measurement found the endpoint slow. A slow endpoint is
+// measured again after a delay that doubles each time.
 func (r *endpointRecord) noteMeasurement(now time.Duration, slow bool) {
 	if !slow {
 		r.doublings = 0
--- a/internal/core/balance/shares.go
+++ b/internal/core/balance/shares.go
@@ -6,12 +6,13 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// maxBorrowTries is how many slots of other entries' endpoints are tried before a request waits.
+// maxBorrowTries is the number of endpoints tried after which a request no longer uses endpoints
+// outside the entry's own share.
 const maxBorrowTries = 3
 
-// shares uses the endpoints of this entry's own share while they have a slot that this entry does
-// not fill itself, then tries idle slots of other endpoints, then waits for a slot of its own
-// share.
+// shares takes the first endpoint, in the entry's own order, that has a slot which this entry does
+// not fill itself, and asks it to refuse the request if no slot is idle. After maxBorrowTries
+// endpoints were tried, the request waits unless that endpoint belongs to this entry's own share.
 type shares struct {
 	view
 	order order
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/view.go
@@ -1,10 +1,10 @@
 package balance
 
 import (
-	"github.com/tealhall/tealhall/internal/core/quota"
 	"math/rand/v2"
 	"time"
 
+	"github.com/tealhall/tealhall/internal/core/quota"
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
@@ -85,7 +85,8 @@
 	return quota.Of(now, p, e) == quota.Granted && now >= e.Health.EjectedUntil
 }
 
-// eligibility says which endpoints may be chosen, depending on what the pool has to offer.
+// eligibility says which endpoints may be chosen, depending on the state of all endpoints of the
+// pool.
 type eligibility uint8
 
 const (
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -38,7 +38,7 @@
 
 // Guards against health probes that take more slot time than the bound. Entries start together, are
 // replaced one after the other, are suspended, and poll rarely or often, and the share changes when
-// a close begins. No order of these events may exceed the bound.
+// a close of the calendar begins. No order of these events may exceed the bound.
 func TestHealthProbeBoundHoldsForAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 24
@@ -91,8 +91,8 @@
 }
 
 // Guards against a budget that keeps its bound by allowing too few probes: an entry that polls all
-// the time must get nearly its whole share. A probe of a straggler that takes 100 ms instead of 6 ms
-// must delay the next one.
+// the time must get nearly its whole share. A probe of a straggler that takes 100 ms instead of
+// 6 ms must delay the next one.
 func TestHealthProbeBudgetIsUsed(t *testing.T) {
 	for _, excess := range []time.Duration{0, 94 * time.Millisecond} {
 		b := NewHealthProbes(HealthProbeConfig{Share: 0.01, LargestFleet: 15})
--- a/internal/core/budget/healthprobes.go
+++ b/internal/core/budget/healthprobes.go
@@ -31,10 +31,10 @@
 // pool's slot time, provided that at most LargestFleet entry processes run at any moment.
 //
 // The bucket starts empty and its capacity is the cost of one probe. A process that runs for the
-// time t of a window therefore spends at most the rate times t, plus the cost of one probe if it ran
-// before the window began. At most LargestFleet processes ran at that time. Each entry's rate is its
-// share of the budget less ProbeCost/Window, which covers that one probe. Any number of restarts
-// adds nothing, because the successor of an ended process starts with an empty bucket.
+// time t of a window therefore spends at most the rate times t, plus the cost of one probe if it
+// ran before the window began. At most LargestFleet processes ran at that time. Each entry's rate
+// is its share of the budget less ProbeCost/Window, which covers that one probe. Any number of
+// restarts adds nothing, because the successor of an ended process starts with an empty bucket.
 type HealthProbes struct {
 	config HealthProbeConfig
 	bucket bucket
@@ -64,9 +64,9 @@
 	}
 }
 
-// Rate returns the slot time per second that this entry may spend in the long run. It is zero if the
-// pool is too small for the window. The entry then sends no health probes until the window is made
-// longer or the share larger.
+// Rate returns the slot time per second that this entry may spend in the long run. It is zero if
+// the pool is too small for the window. The entry then sends no health probes until the window is
+// made longer or the share larger.
 func (b *HealthProbes) Rate(slots int) float64 {
 	ownShare := b.config.Share * float64(slots) / float64(b.config.LargestFleet)
 	return max(0, ownShare-b.config.ProbeCost.Seconds()/b.config.Window.Seconds())
@@ -96,9 +96,9 @@
 	b.spent.SlotTime += excess
 }
 
-// SetShare changes the share, for example when a close begins. In a window that spans the change,
-// the larger of the two shares is the bound: the next refill applies the new rate also to the time
-// before the change, but the bucket's capacity limits it to one probe.
+// SetShare changes the share, for example when a close of the calendar begins. In a window that
+// spans the change, the larger of the two shares is the bound: the next refill applies the new rate
+// also to the time before the change, but the bucket's capacity limits it to one probe.
 func (b *HealthProbes) SetShare(share float64) { b.config.Share = share }
 
 // Share returns the share of the pool's slot time that all entries may spend.
--- a/internal/core/budget/repeats.go
+++ b/internal/core/budget/repeats.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// windowSteps is the number of steps of a window. An event is counted for up to one step longer than
-// the window's span, never shorter.
+// windowSteps is the number of steps of a window. An event is counted for up to one step longer
+// than the window's span, never shorter.
 const windowSteps = 20
 
 // window counts the events of the latest span.
@@ -50,15 +50,15 @@
 }
 
 // usableRepeatShare is the share of the bound that entries use. The rest covers requests that an
-// entry counts in one window and an observer counts in the next one. The slack of entries that could
-// run but do not covers them as well.
+// entry counts in one window and an observer counts in the next one. The slack of entries that
+// could run but do not covers them as well.
 const usableRepeatShare = 0.9
 
 // Repeats keeps the repeats of all entries together within a bound without messages between the
-// entries: each entry spends the share of its own requests, and these amounts add up to the share of
-// all requests. The slack is divided by the largest fleet that may run, and each process earns its
-// part of the slack during its first window, so that neither a partition nor any number of restarts
-// raises the total.
+// entries: each entry spends the share of its own requests, and these amounts add up to the share
+// of all requests. The slack is divided by the largest fleet that may run, and each process earns
+// its part of the slack over the time of its first window, so that neither a partition nor any
+// number of restarts raises the total.
 type Repeats struct {
 	bound             RepeatBound
 	largestFleet      int
@@ -71,8 +71,8 @@
 	denied        uint64
 }
 
-// Ranks is the number of ranks of requests among which scarce repeats are distributed. Rank 0 is the
-// highest. Each of the ten priorities has a rank, and the last rank is for late requests.
+// Ranks is the number of ranks of requests among which scarce repeats are distributed. Rank 0 is
+// the highest. Each of the ten priorities has a rank, and the last rank is for late requests.
 const Ranks = 11
 
 // NewRepeats returns a budget for one pool of a process that started at the given time, or nil if
@@ -101,8 +101,8 @@
 	}
 }
 
-// SetFleet sets the largest number of entries known to have run at the same time. It takes effect if
-// the fleet has grown beyond the configured size.
+// SetFleet sets the largest number of entries known to have run at the same time. It takes effect
+// if the fleet has grown beyond the configured size.
 func (b *Repeats) SetFleet(entries int) {
 	if b != nil {
 		b.knownFleet = entries
@@ -174,7 +174,7 @@
 const maxSavedLoadProbes = 64
 
 // LoadProbes keeps an entry's load probes within two bounds. The first is proportional to the
-// entry's requests, so that also a partitioned fleet, or a fleet that restarts as a whole, sends no
+// entry's requests, so that even a partitioned fleet, or a fleet that restarts as a whole, sends no
 // more load probes than its requests justify. The second is the pool's bound per endpoint, of which
 // each entry uses a share equal to its share of the fleet's requests.
 type LoadProbes struct {
@@ -190,8 +190,8 @@
 // NewLoadProbes returns a budget for one pool.
 //
 // The bound per endpoint is earned from the start of the process. If it were earned from the first
-// request on, that request would be sent without a load probe. loadProbeBurst limits the load probes
-// after a restart of the whole fleet to those of one second.
+// request on, that request would be sent without a load probe. loadProbeBurst limits the load
+// probes after a restart of the whole fleet to those of one second.
 func NewLoadProbes(perEndpoint float64) *LoadProbes {
 	return &LoadProbes{perEndpoint: perEndpoint, rateBucket: bucket{started: true}}
 }
--- a/internal/core/budget/repeats_test.go
+++ b/internal/core/budget/repeats_test.go
@@ -14,8 +14,8 @@
 }
 
 // Guards against repeats that keep slow endpoints slow by their extra load. Entries know nothing of
-// each other, and some restart. Still the repeats of all of them together must stay within the share
-// of the requests plus the slack in every window, wherever it begins.
+// each other, and some restart. Still the repeats of all of them together must stay within the
+// share of the requests plus the slack in every window, wherever it begins.
 func TestRepeatsOfAFleetStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		bound := RepeatBound{Share: rapid.Float64Range(0.05, 0.5).Draw(rt, "share"), Window: 10 * time.Second, Slack: 58}
@@ -69,9 +69,9 @@
 	}
 }
 
-// Guards against load probes that grow without limit with a service's traffic. The bound per endpoint
-// must hold over ten seconds for all entries together, also right after a restart of the whole fleet,
-// and each entry must get its share of it.
+// Guards against load probes that grow without limit with a service's traffic. The bound per
+// endpoint must hold over ten seconds for all entries together, also right after a restart of the
+// whole fleet, and each entry must get its share of it.
 func TestLoadProbesOfAFleetStayWithinTheBound(t *testing.T) {
 	const perEndpoint, endpoints, window = 60.0, 8, 10 * time.Second
 	shares := []float64{0.4, 0.3, 0.2, 0.1}
@@ -106,8 +106,8 @@
 
 // Guards against repeats that go to frequent requests of a low rank while requests of a higher rank
 // are denied theirs: endpoints shed half of their requests, and the bound covers only a part of the
-// repeats. Requests of the higher rank must get their repeats first, and when they ask for none, the
-// lower rank may use the whole bound.
+// repeats. Requests of the higher rank must get their repeats first, and when they ask for none,
+// the lower rank may use the whole bound.
 func TestRepeatsGoToHigherRanksFirst(t *testing.T) {
 	b := NewRepeats(RepeatBound{Share: 0.2, Window: 10 * time.Second}, 1, 0)
 	var granted, asked [2]int
@@ -118,13 +118,13 @@
 		}
 	}
 	now := time.Duration(0)
-	step := func(bookings bool) {
+	step := func(withHigher bool) {
 		now += 10 * time.Millisecond
 		for range 4 {
 			b.Request(now)
 		}
 		try(now, 1)
-		if bookings && now%(20*time.Millisecond) == 0 {
+		if withHigher && now%(20*time.Millisecond) == 0 {
 			try(now, 0)
 		}
 		try(now, 1)
--- a/internal/core/budget/retry.go
+++ b/internal/core/budget/retry.go
@@ -21,9 +21,9 @@
 
 // Retry decides whether one more attempt may be sent for a request, as a retry or a hedge.
 //
-// It prevents retry storms: when endpoints fail because of overload, every retry adds load and makes
-// more requests fail. Successes earn retries, so that without successes only the small minimum is
-// left. Over any time t in which an entry counts s successes, it sends at most
+// It prevents retry storms: when endpoints fail because of overload, every retry adds load and
+// makes more requests fail. Successes earn retries, so that without successes only the small
+// minimum is left. Over any time t in which an entry counts s successes, it sends at most
 // Share*s + MinPerSecond/LargestFleet*t + Cap extra attempts. The budget starts empty, so that a
 // restart adds no attempts.
 type Retry struct {
--- a/internal/core/health/eject.go
+++ b/internal/core/health/eject.go
@@ -14,8 +14,8 @@
 	// If it is above 0, at least one endpoint of a pool of two or more may be ejected, but never
 	// all endpoints.
 	MaxShare float64
-	// Base and Max are the durations, before jitter, of the first and the longest ejection. The duration
-	// doubles with each successive ejection.
+	// Base and Max are the durations, before jitter, of the first and the longest ejection. The
+	// duration doubles with each successive ejection.
 	Base, Max time.Duration
 	// SlowFactor is the multiple of the pool's median latency above which an endpoint is a
 	// straggler.
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -196,7 +196,8 @@
 
 // Guards against outcomes of requests that were in flight when the entry's VM was suspended for
 // 30 s: they seem to have taken 30 s or timed out, and would make every endpoint look bad. Outcomes
-// of requests in flight at an ejection must not decide on readmission in place of the trials either.
+// of requests in flight at an ejection must not decide on readmission in place of the trials
+// either.
 func TestOutcomesFromBeforePauseOrEjectionAreIgnored(t *testing.T) {
 	f := newSimulation(6, firstEndpointsBad(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
 	sent := start
@@ -215,9 +216,9 @@
 	check(f.pool.Endpoints)
 }
 
-// Guards against too many ejections and endpoints that never return. For any outcomes and departures,
-// at most the allowed share of the endpoints is ejected and never all of them, and all endpoints are
-// readmitted within a bounded time after they have recovered.
+// Guards against too many ejections and endpoints that never return. For any outcomes and
+// departures, at most the allowed share of the endpoints is ejected and never all of them, and all
+// endpoints are readmitted within a bounded time after they have recovered.
 func TestEjectionBoundsAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "endpoints")
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -278,8 +278,8 @@
 		h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more endpoint
-// is ejected.
+// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more
+// endpoint is ejected.
 func (s *sweep) othersHaveCapacity() bool {
 	inUse := float64(s.live - s.ejected)
 	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -73,8 +73,8 @@
 	return c.cost < other.cost
 }
 
-// transferCost returns the cost of sending the request and its answer to another failure domain,
-// as the delay that would be accepted for an endpoint of the own one.
+// transferCost returns the cost of sending the request and its answer to another failure domain, as
+// the additional delay that is accepted at an endpoint of the own domain.
 func (v *View) transferCost(e *table.Endpoint) time.Duration {
 	if v.isNear(e) {
 		return 0
@@ -83,12 +83,12 @@
 }
 
 // worthwhile reports whether the request should be sent to an endpoint that is expected to answer
-// in the given time. A request that can be in time elsewhere waits for that. A request that is
-// already late takes no slot while the pool is short of room for requests that could be in time,
-// none beside another request that would then be late as well, and none on a slow VM, where it
-// would use the slot for as long as several timely requests. No request is sent to an endpoint
-// that would not answer before the deadline, nor where it would slow the other requests down by
-// more than it gains.
+// in the given time. A request that would be late there, but could be in time at another endpoint,
+// waits. A request that is already late gets no slot while the pool is short of room for requests
+// that could be in time, no slot whose use slows the endpoint's other requests down so that they
+// may be late as well, and no slot on a slow VM, where it would use the slot for as long as several
+// timely requests. No request is sent to an endpoint that would not answer before the deadline, nor
+// where it would slow the other requests down by more than it gains.
 func (v *View) worthwhile(e *table.Endpoint, expected time.Duration) bool {
 	r := &v.Request
 	switch {
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// All endpoints of a failure domain may fail at once. Endpoints of the own domain are probed
-// first, and each entry avoids an endpoint that failed only for a short time. Without the rules
-// below, each entry would discover the failure of each endpoint separately and repeatedly, and
-// requests would be sent to endpoints that are gone while others have room.
+// All endpoints of a failure domain may fail at once. Endpoints of the own domain are probed first,
+// and an entry avoids a failed endpoint only for a short time. Without the rules below, each entry
+// would discover the failure of each endpoint separately and repeatedly, and requests would be sent
+// to endpoints that are gone while others have room.
 
 const (
 	// lostFailures is how many consecutive contacts with endpoints of a failure domain must fail,
@@ -17,7 +17,7 @@
 	lostMax = 2 * time.Second
 )
 
-// domainState is what is known of a pool's endpoints in one failure domain.
+// domainState is what the entry has learned about a pool's endpoints in one failure domain.
 type domainState struct {
 	// failures counts consecutive failed contacts.
 	failures  int
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,5 +1,5 @@
 // Package placement decides where to send a request whose endpoint is chosen by load probes: which
-// endpoints to probe, which of those that answered gets the request, whether the request should
+// endpoints to probe, which of the probed endpoints gets the request, whether the request should
 // wait instead, how long it may wait and how long it will take.
 //
 // Endpoints share their VMs with others, and the service time on a VM changes several times a
@@ -20,7 +20,7 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// The ages up to which a probed load is used.
+// The maximum ages of a probed load.
 const (
 	// FreshFor is the largest age of a probed load that counts for a request which did not start
 	// the probe itself.
@@ -28,8 +28,8 @@
 	// RememberedFor is how long a probed load influences which endpoints are probed first: the
 	// time in which the pace of a VM usually changes.
 	RememberedFor = 150 * time.Millisecond
-	// fullFor is how long an endpoint without room is assumed to have none: several times the
-	// service time of a request.
+	// fullFor is how long an endpoint that reported no room is assumed to have none: several times
+	// the service time of a request.
 	fullFor = 1500 * time.Millisecond
 )
 
@@ -52,8 +52,8 @@
 	Kilobytes float64
 	// Late says that the request can no longer be in time.
 	Late bool
-	// Tried are the endpoints that the request was sent to. Probed are those probed in the probe
-	// round that began at RoundStart.
+	// Tried are the endpoints that the request was sent to. Probed are the indexes of the endpoints
+	// probed in the probe round that began at RoundStart.
 	Tried      balance.Set
 	Probed     []int
 	RoundStart time.Duration
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -39,13 +39,14 @@
 const (
 	// connectedFor is how long after the latest answer a connection is likely to be still open.
 	connectedFor = 8 * time.Second
-	// exploreShare is the share of the choices that ignore connections, so that an endpoint that has
-	// just joined gets its part.
+	// exploreShare is the share of the choices that ignore connections, so that an endpoint that
+	// has just joined gets its part.
 	exploreShare = 0.125
 )
 
-// prefersConnected reports whether endpoints with a connection rank first in this choice. They
-// do not where requests find no room: each entry would then find its own endpoints full.
+// prefersConnected reports whether endpoints with a connection rank first in this choice. They do
+// not while the pool is short of room: each entry would then find the endpoints full that it is
+// connected to.
 func (v *View) prefersConnected() bool {
 	return !v.PoolState.isShort(v.Now) && v.Rand.Float64() >= exploreShare
 }
@@ -55,7 +56,7 @@
 const busySlotTimes = 2
 
 // NextToProbe returns the index of the endpoint to probe next, or -1: endpoints of the own failure
-// domain first, and among these the ones that had most room by their last load.
+// domain first, and among these the ones that had most room by their last probed load.
 func (v *View) NextToProbe() int {
 	best, bestRank := -1, 0.0
 	preferConnected, leaveOwnDomain := v.prefersConnected(), v.leavesOwnDomain()
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -18,8 +18,8 @@
 	initialSlowdown        = 1.6
 	initialSlowdownSamples = 3
 	maxSlowdown            = 4.0
-	// Until there are enoughSlowdownSamples measurements, one request per fillTrialEvery is sent
-	// to an endpoint that it makes nearly full. Where that costs nothing, all slots are used
+	// Until there are enoughSlowdownSamples measurements, one request per fillTrialEvery is sent to
+	// an endpoint that it makes nearly full. If that causes no slowdown, all slots are used
 	// afterwards.
 	enoughSlowdownSamples = 6
 	fillTrialEvery        = 10 * time.Second
@@ -162,9 +162,9 @@
 	return live, known, full
 }
 
-// MostlyFull reports whether most endpoints with a known load have no room. Requests that are sent to
-// them without a probe would queue there, and all later requests, which could have waited in the
-// entry for the first free slot, would find the endpoints full.
+// MostlyFull reports whether at least half of the endpoints with a known load have no room.
+// Requests that are sent to them without a probe would queue there, and all later requests, which
+// could have waited in the entry for the first free slot, would find the endpoints full.
 func (v *View) MostlyFull() bool {
 	_, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
 	return known > 0 && full*2 >= known
--- a/internal/core/placement/servicetime.go
+++ b/internal/core/placement/servicetime.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// queuedPace is the pace assumed for a request that first waits at an endpoint: it is the
-	// usual one in three of four cases and five times as slow in the others, in which the request
-	// would be late whatever is chosen.
+	// queuedPace is the pace assumed for a request that first waits at an endpoint: the VM has its
+	// usual pace in three of four cases and is five times as slow in the others, in which the
+	// request would be late whatever is chosen.
 	queuedPace = 1.3
 	// remainingSlotShare is the time that a request waits for the first free slot of an endpoint,
 	// as a share of the time that requests take there, multiplied by the number of slots. The
@@ -21,9 +21,9 @@
 	avoidedCost = 10
 )
 
-// Expected estimates when an endpoint would answer, as a duration from now. It includes the time
-// by which the request would delay the one beside it: a slot that slows both down is worth using
-// only where both can afford it.
+// Expected estimates when an endpoint would answer, as a duration from now. It includes the time by
+// which the request would delay another request at the endpoint: a slot that slows both down is
+// worth using only where both can afford it.
 func (v *View) Expected(e *table.Endpoint) time.Duration {
 	work := float64(v.Request.Work)
 	after := float64(v.ServiceTime(e))
--- a/internal/core/placement/shortage.go
+++ b/internal/core/placement/shortage.go
@@ -7,8 +7,9 @@
 // time.
 
 // A pool counts as short of room for a while after a request that could be in time found none: for
-// about as long as endpoints keep a state, and until some more requests have arrived, since an
-// entry with a few requests per second hardly ever sees two within that time.
+// about as long as the load and the pace of an endpoint usually last, and until some more requests
+// have arrived, since an entry with a few requests per second hardly ever sees two within that
+// time.
 const (
 	shortMin      = 200 * time.Millisecond
 	shortArrivals = 4
--- a/internal/core/placement/slowstart.go
+++ b/internal/core/placement/slowstart.go
@@ -10,10 +10,10 @@
 // slots for.
 const slowStartTime = 5 * time.Second
 
-// BeginSlowStart limits a new endpoint if other endpoints of its pool have been working for
-// longer. It guards against a cold endpoint that looks best because it is idle: it would get a
-// full share at once and answer all of it slowly. In a pool that starts as a whole no endpoint is
-// limited, since there is none to use instead.
+// BeginSlowStart limits a new endpoint if other endpoints of its pool have been working for longer.
+// It guards against a cold endpoint that looks best because it is idle: it would get a full share
+// at once and answer all of it slowly. In a pool that starts as a whole no endpoint is limited,
+// since no warm endpoint could be used instead.
 func BeginSlowStart(now time.Duration, others []table.Endpoint, joining *table.Endpoint) {
 	for i := range others {
 		e := &others[i]
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,20 +1,20 @@
 // Package quarantine detects requests that crash the endpoints that run them, and decides which
 // requests may no longer be sent.
 //
-// A crash ends all requests that the endpoint was running, most of which did not cause it. A request
-// that causes crashes shows over several of them: it was running at each crash, each of its runs
-// began after the previous crash, and none of its runs has completed since. A crash that is
-// attributed to a quarantined request does not count against any other request.
+// A crash ends all requests that the endpoint was running, most of which did not cause it. A
+// request that causes crashes is recognized after several of them: it was running at each crash,
+// each of its runs began after the previous crash, and none of its runs has completed since. A
+// crash that is attributed to a quarantined request does not count against any other request.
 //
 // A request is identified by its content. Crashes are recorded once for the content with its caller
 // and once for the content with any caller, because the caller may or may not be part of the cause,
-// and one caller may have many addresses. A content is quarantined for all callers only if endpoints
-// crashed while they ran it for several callers.
+// and one caller may have many addresses. A content is quarantined for all callers only if
+// endpoints crashed while they ran it for several callers.
 //
 // The verdicts depend only on the set of known crashes and completed runs, so that entries with the
-// same set agree, in whatever order they learned of the events. The package does no I/O and reads no
-// clock. Times are durations since the process started; those of events that other entries reported
-// may be negative.
+// same set agree, in whatever order they learned of the events. The package does no I/O and reads
+// no clock. Times are durations since the process started; those of events that other entries
+// reported may be negative.
 package quarantine
 
 import (
@@ -306,9 +306,9 @@
 
 func (c *Crash) endpoint() endpoint { return endpoint{c.Endpoint, c.Incarnation} }
 
-// recount counts the crashes against each request again. It starts with the request that has the most
-// crashes and attributes these to it, so that a request that ran on several endpoints beside one that
-// crashes them is not quarantined.
+// recount counts the crashes against each request again. It starts with the request that has the
+// most crashes and attributes these to it, so that a request that ran on several endpoints beside
+// one that crashes them is not quarantined.
 func (t *Table) recount() {
 	suspects := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -72,8 +72,8 @@
 	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Suspected})
 }
 
-// Guards against the quarantine of a frequent request that was running on many endpoints of a failure
-// domain when all of them lost power.
+// Guards against the quarantine of a frequent request that was running on many endpoints of a
+// failure domain when all of them lost power.
 func TestOverlappingCrashesCountOnce(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
@@ -82,7 +82,8 @@
 	wantVerdicts(t, table, 2*sec, map[uint64]Verdict{7: Suspected})
 }
 
-// Guards against the quarantine of a request that three times ran beside one that crashes endpoints.
+// Guards against the quarantine of a request that three times ran beside one that crashes
+// endpoints.
 func TestCrashIsAttributedToMostSuspectedRequest(t *testing.T) {
 	table := NewTable()
 	for i := range 4 {
@@ -95,8 +96,8 @@
 	wantVerdicts(t, table, 5*sec, map[uint64]Verdict{7: Quarantined, 3: Clear})
 }
 
-// Guards against entries that quarantine different requests after the same events: the verdicts must
-// not depend on the order in which an entry learns of the events.
+// Guards against entries that quarantine different requests after the same events: the verdicts
+// must not depend on the order in which an entry learns of the events.
 func TestVerdictsDoNotDependOnOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type event struct {
@@ -170,8 +171,8 @@
 	}
 }
 
-// Guards against callers that fill the memory with requests, and against a quarantined request whose
-// record is evicted in favour of theirs.
+// Guards against callers that fill the memory with requests, and against a quarantined request
+// whose record is evicted in favour of theirs.
 func TestMemoryIsBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
@@ -191,8 +192,8 @@
 	wantVerdicts(t, table, 20*sec, map[uint64]Verdict{7: Quarantined})
 }
 
-// Guards against quarantine by coincidence: endpoints keep crashing for another reason while they run
-// unique requests and frequent ones.
+// Guards against quarantine by coincidence: endpoints keep crashing for another reason while they
+// run unique requests and frequent ones.
 func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -90,9 +90,9 @@
 	return cmp.Compare(a.service, b.service)
 }
 
-// goesBefore reports whether c is served before best. Both may take the slot, and c is later in
-// the order of classes. It guards against starvation: under a lasting overload of a high priority
-// the lower priorities would never be served and all their requests would expire.
+// goesBefore reports whether c is served before best. Both may take the slot, and c comes after
+// best in the order of classes. It guards against starvation: under a lasting overload of a high
+// priority the lower priorities would never be served and all their requests would expire.
 func (q *Queue) goesBefore(c, best *class) bool {
 	if c.overdue() || best.overdue() {
 		return c.passed > best.passed
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -47,8 +47,8 @@
 	// DeadlineOrder orders by deadline instead of arrival.
 	DeadlineOrder bool
 	// NewestFirst orders by arrival with the latest first, whatever DeadlineOrder says. Under
-	// overload, the order of arrival would start each request at the last useful moment, and all
-	// that take slightly longer than most would be late.
+	// overload, the order of arrival would start each request at the last useful moment, and every
+	// request that takes slightly longer than most would be late.
 	NewestFirst bool
 }
 
@@ -156,9 +156,9 @@
 	return None
 }
 
-// callerMayAdd reports whether a caller may add another item. It guards against one caller that
-// fills the queue so that all others are refused as Full. It bounds a caller's places by a
-// multiple of the free places: with the factor share/(1-share) a single caller gets exactly its
+// callerMayAdd reports whether a caller may add another item. It guards against a caller that fills
+// the queue, so that the requests of all others are refused as Full. It bounds a caller's places by
+// a multiple of the free places: with the factor share/(1-share) a single caller gets exactly its
 // share of the queue, and however many greedy callers arrive, some places stay free for the next
 // one.
 func callerMayAdd(ofCaller, left int, share float64) bool {
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Guards against a heavy caller that delays others. At month-end one auditor's script asks for
-// 1,000 summaries at once; in order of arrival the two requests that a second auditor sends a
-// moment later would wait for all of them.
+// Guards against a heavy caller that delays others. One caller's script sends 1,000 requests at
+// once; in order of arrival, the two requests that a second caller sends a moment later would wait
+// for all of them.
 func TestHeavyCallerDoesNotDelayOthers(t *testing.T) {
 	q := New()
 	for i := range uint64(1000) {
@@ -66,8 +66,9 @@
 	}
 }
 
-// Guards against starvation of lower priorities: urgent checks keep the pool at its limit, and in
-// strict order of priority the requests of the other services would wait until they expire.
+// Guards against starvation of lower priorities: requests of a high priority keep the pool at its
+// limit, and in strict order of priority the requests of the other services would wait until they
+// expire.
 func TestEveryClassIsServedWithinPassLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		priorities := rapid.SliceOfN(rapid.IntRange(0, 3), 2, 6).Draw(t, "priorities")
@@ -93,9 +94,9 @@
 	})
 }
 
-// Each accepted item leaves exactly once and in one way, also around a pause. It never runs after
-// its latest start, and never before an item of higher priority or an earlier item of its own
-// caller, unless its class was passed over for long.
+// Each accepted item leaves the queue exactly once, also across a pause of the process. It is never
+// dispatched after its latest start, and never before an item of higher priority or an earlier item
+// of its own caller, unless its class was passed over for long.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
--- a/internal/core/queue/slots.go
+++ b/internal/core/queue/slots.go
@@ -6,7 +6,7 @@
 )
 
 // overdueShare is the share of the slots, at least one slot, that an overdue service may use
-// although others have first claim to them.
+// although services of higher priority have first claim to them.
 const overdueShare = 1.0 / 16
 
 // SlotUser is a service that competes for the slots of a pool. The counts cover the whole pool as
@@ -91,7 +91,7 @@
 // is ready for use.
 type Demand struct {
 	slots float64
-	// since is the first arrival and at the latest one.
+	// since is the time of the first arrival, at that of the latest one.
 	since, at time.Duration
 	started   bool
 }
--- a/internal/core/queue/slots_test.go
+++ b/internal/core/queue/slots_test.go
@@ -31,16 +31,16 @@
 	}
 }
 
-// Guards against urgent requests that wait for bulk work. At night scales send photo batches of
-// one second each; urgent checks of 10 ms arrive all the time and need 4 of the 12 slots. They
-// were answered a second late because bulk had filled every idle slot, and no slot became free
-// before a batch had ended. The batches must run as well.
+// Guards against urgent requests that wait for bulk work. Bulk requests take one second each;
+// urgent requests of 10 ms arrive all the time and need 4 of the 12 slots. The urgent ones were
+// answered a second late because bulk requests had filled every idle slot, and no slot became free
+// before one of these had ended. The bulk requests must run as well.
 func TestBulkLeavesSlotsForUrgentRequests(t *testing.T) {
 	const slots, urgent, bulk = 12, 0, 1
 	work := [2]time.Duration{10 * ms, time.Second}
 	q, demand := New(), Demand{}
 	var ends [2][]time.Duration // when the slots of each service become free
-	id, late, batches := uint64(0), 0, 0
+	id, late, bulkRan := uint64(0), 0, 0
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * ms {
 		for range 3 {
 			it := Item{ID: id, Service: int32(id % 3 / 2), Priority: 9 - int(id%3/2), Enqueued: now, Deadline: time.Hour}
@@ -66,13 +66,13 @@
 			q.Take(now, it.ID)
 			ends[it.Service] = append(ends[it.Service], now+work[it.Service])
 			if it.Service == bulk {
-				batches++
+				bulkRan++
 			} else if now > it.Enqueued && now > 2*time.Second {
 				late++
 			}
 		}
 	}
-	if late > 0 || batches != 50 {
-		t.Errorf("%d urgent requests waited after the first seconds, %d of 50 batches ran", late, batches)
+	if late > 0 || bulkRan != 50 {
+		t.Errorf("%d urgent requests waited after the first seconds, %d of 50 bulk requests ran", late, bulkRan)
 	}
 }
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -39,8 +39,9 @@
 	p.since = now
 }
 
-// at returns the interval to use in estimates. While no request is dispatched, it is at least the
-// time since the last dispatch, since the measured interval is then outdated.
+// at returns the interval to use in estimates: the measured one, or unmeasured before the first
+// measurement. While no request is dispatched, it is at least the time since the last dispatch,
+// since the measured interval is then outdated.
 func (p *pace) at(now time.Duration, unmeasured time.Duration) float64 {
 	interval := float64(unmeasured)
 	if p.measured {
@@ -52,7 +53,7 @@
 // ExpectedWait estimates how long the item would wait for a slot. idle is how many idle slots it
 // could use now. between is the expected time between two dispatches as long as none was measured:
 // the service time divided by the slots that this entry can expect to use. For an item that is
-// first of its class the estimate is zero: its dispatch gives the first measurement.
+// first of its class the estimate is zero: the dispatch of that item gives the first measurement.
 func (q *Queue) ExpectedWait(now time.Duration, it Item, idle int, between time.Duration) time.Duration {
 	c := q.find(it.Service, it.Priority)
 	if c == nil || c.waiting == 0 {
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -1,7 +1,7 @@
 // Package table defines the data that the systems of the decision core work on: endpoints grouped
-// in pools. The types are plain data; each package beside this one owns the fields that it
-// maintains. Times are durations since the process started, on the monotonic clock that the driver
-// passes in.
+// in pools. The types are plain data; each of the other packages of the core owns the fields that
+// it maintains. Times are durations since the process started, on the monotonic clock that the
+// driver passes in.
 package table
 
 import (
@@ -67,7 +67,7 @@
 	SampledAt time.Duration
 	// Samples counts outcomes up to a limit, SlowSamples the outcomes that have a latency.
 	Samples, SlowSamples int32
-	// FailureRate is a smoothed share of attempts that failed or were refused.
+	// FailureRate is the smoothed share of attempts that failed or were refused.
 	FailureRate float64
 	// Slowness is the smoothed ratio of an answer's latency to the usual latency of its service on
 	// the pool; 1 is normal.
@@ -84,7 +84,7 @@
 type OwnerQuota struct {
 	// Own says that this entry is one of the few that may send to the endpoint.
 	Own bool
-	// Tokens is the number of requests that this entry might send as of At.
+	// Tokens is the number of requests that this entry could send at the time At.
 	Tokens float64
 	At     time.Duration
 }
@@ -167,7 +167,7 @@
 	// SlowUntil is when the slow start of a new endpoint ends; 0 without a slow start. Until then
 	// Slots is lower than Listed.
 	SlowUntil time.Duration
-	// AdmittedAt is when the endpoint became known; slow start uses it.
+	// AdmittedAt is when this entry learned of the endpoint.
 	AdmittedAt time.Duration
 	// ProbedAt is when this entry last probed the endpoint.
 	ProbedAt time.Duration
@@ -176,8 +176,8 @@
 	Health       Health
 }
 
-// TakesWork reports whether the endpoint is one of those that serve the pool's requests. Package
-// quota decides whether it may get a request now.
+// TakesWork reports whether the endpoint serves the pool's requests: it is live and not evacuated.
+// Package quota decides whether it may get a request now.
 func (e *Endpoint) TakesWork() bool { return e.State == EndpointLive && !e.Evacuated }
 
 // doubtHalfLife is the time in which a doubt halves if no further failure confirms it, so that an
