--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -48,13 +48,13 @@
 	at := i*len(l.peers) + load.From
 	change := load.Attempts - l.counts[at]
 	l.counts[at] = load.Attempts
-	row := &l.endpoints[i]
-	row.sum += change
+	e := &l.endpoints[i]
+	e.sum += change
 	switch {
-	case row.extra > 0 && change > 0:
-		row.extra -= min(row.extra, change)
-	case row.extra < 0 && change < 0:
-		row.extra -= max(row.extra, change)
+	case e.extra > 0 && change > 0:
+		e.extra -= min(e.extra, change)
+	case e.extra < 0 && change < 0:
+		e.extra -= max(e.extra, change)
 	}
 }
 
@@ -70,9 +70,9 @@
 
 // setReported records the whole foreign load as an endpoint reported it.
 func (l *peerLoads) setReported(at time.Duration, i int, foreign int32) {
-	row := &l.endpoints[i]
-	row.extra = foreign - row.sum
-	row.extraAt = at
+	e := &l.endpoints[i]
+	e.extra = foreign - e.sum
+	e.extraAt = at
 	l.mean += meanWeight * (float64(foreign) - l.mean)
 }
 
@@ -123,12 +123,12 @@
 // that long, and then decay fast. A report decays from the start, since it does not say how long
 // the attempts have been running.
 func (l *peerLoads) known(now time.Duration, i int, service float64) (load, left float64) {
-	row := &l.endpoints[i]
-	reported := service / (service + float64(max(0, now-row.extraAt)))
+	e := &l.endpoints[i]
+	reported := service / (service + float64(max(0, now-e.extraAt)))
 	age := float64(max(0, now-l.oldest)) / service
 	counted := 1 / (1 + age*age)
-	load = max(0, float64(row.sum)*counted+float64(row.extra)*reported)
-	if row.sum == 0 {
+	load = max(0, float64(e.sum)*counted+float64(e.extra)*reported)
+	if e.sum == 0 {
 		return load, reported
 	}
 	return load, max(counted, reported)
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -36,50 +36,50 @@
 }
 
 func newSimulation(n int, behave func(int, time.Duration) Observation) *simulation {
-	f := &simulation{now: start, step: 2 * ms, behave: behave, sent: make([]int, n), rng: rand.New(rand.NewPCG(1, 2))}
-	f.limits = Limits{MaxShare: 0.34, Base: time.Second, Max: 20 * time.Second, Busy: 0.5}
-	f.pool.Endpoints = make([]table.Endpoint, n)
-	for i := range f.pool.Endpoints {
-		f.pool.Endpoints[i].Slots = 2
+	s := &simulation{now: start, step: 2 * ms, behave: behave, sent: make([]int, n), rng: rand.New(rand.NewPCG(1, 2))}
+	s.limits = Limits{MaxShare: 0.34, Base: time.Second, Max: 20 * time.Second, Busy: 0.5}
+	s.pool.Endpoints = make([]table.Endpoint, n)
+	for i := range s.pool.Endpoints {
+		s.pool.Endpoints[i].Slots = 2
 	}
-	return f
+	return s
 }
 
-func (f *simulation) run(d time.Duration) *simulation {
-	for end := f.now + d; f.now < end; f.now += f.step {
-		if f.now >= f.sweepAt {
-			f.sweep()
+func (s *simulation) run(d time.Duration) *simulation {
+	for end := s.now + d; s.now < end; s.now += s.step {
+		if s.now >= s.sweepAt {
+			s.sweep()
 		}
-		f.request()
+		s.request()
 	}
-	return f
+	return s
 }
 
-func (f *simulation) sweep() {
-	f.sweepAt = f.now + 100*ms
-	for _, e := range Sweep(f.now, &f.pool, f.limits, f.rng, nil) {
-		f.events = append(f.events, fmt.Sprint(e.Kind, " ", e.Endpoint))
+func (s *simulation) sweep() {
+	s.sweepAt = s.now + 100*ms
+	for _, e := range Sweep(s.now, &s.pool, s.limits, s.rng, nil) {
+		s.events = append(s.events, fmt.Sprint(e.Kind, " ", e.Endpoint))
 		if e.Kind == Ejection {
-			f.ejectionTimes = append(f.ejectionTimes, e.Until-f.now)
+			s.ejectionTimes = append(s.ejectionTimes, e.Until-s.now)
 		}
 	}
 }
 
-func (f *simulation) request() {
-	for range f.pool.Endpoints {
-		i := f.next
-		f.next = (f.next + 1) % len(f.pool.Endpoints)
-		e := &f.pool.Endpoints[i]
-		if Ejected(f.now, e) {
-			if f.noTrials || !TrialDue(f.now, e) {
+func (s *simulation) request() {
+	for range s.pool.Endpoints {
+		i := s.next
+		s.next = (s.next + 1) % len(s.pool.Endpoints)
+		e := &s.pool.Endpoints[i]
+		if Ejected(s.now, e) {
+			if s.noTrials || !TrialDue(s.now, e) {
 				continue
 			}
-			TrialSent(f.now, e)
+			TrialSent(s.now, e)
 		}
-		o := f.behave(i, f.now)
-		o.Expected, o.Sent = normalLatency, f.now
-		f.sent[i]++
-		Observe(f.now, e, o)
+		o := s.behave(i, s.now)
+		o.Expected, o.Sent = normalLatency, s.now
+		s.sent[i]++
+		Observe(s.now, e, o)
 		return
 	}
 }
@@ -126,8 +126,8 @@
 			return answer(time.Duration(noise.ExpFloat64() * float64(normalLatency)))
 		}, nil, 10 * time.Minute, ""},
 		{"a straggler is not ejected when the others lack capacity", 6, firstEndpointsBad(1, always, answer(4*normalLatency)),
-			func(f *simulation) { f.limits.Busy = 0.95 }, 10 * time.Second, ""},
-		{"an endpoint that fails fast is ejected at any load", 6, firstEndpointsBad(1, always, refused), func(f *simulation) { f.limits.Busy = 1 }, 500 * ms, "eject 0"},
+			func(s *simulation) { s.limits.Busy = 0.95 }, 10 * time.Second, ""},
+		{"an endpoint that fails fast is ejected at any load", 6, firstEndpointsBad(1, always, refused), func(s *simulation) { s.limits.Busy = 1 }, 500 * ms, "eject 0"},
 		{"an endpoint that fails fast and reports a queue is ejected", 6, firstEndpointsBad(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
 		{"an endpoint that fails fast is ejected in a pool of two", 2, firstEndpointsBad(1, always, refused), nil, 500 * ms, "eject 0"},
 		{"load shedding by all endpoints ejects no endpoint", 6, func(i int, now time.Duration) Observation {
@@ -137,7 +137,7 @@
 			return answer(normalLatency)
 		}, nil, 10 * time.Second, ""},
 		{"timeouts of a cold endpoint do not eject it", 6, firstEndpointsBad(1, 8*time.Second, Observation{Outcome: TimedOut, Latency: 20 * normalLatency}),
-			func(f *simulation) { f.pool.Endpoints[0].AdmittedAt = f.now }, 15 * time.Second, ""},
+			func(s *simulation) { s.pool.Endpoints[0].AdmittedAt = s.now }, 15 * time.Second, ""},
 		{"silent connections eject no endpoint", 6, firstEndpointsBad(1, always, Observation{Outcome: ConnSilent}), nil, 10 * time.Second, ""},
 		{"no endpoint is ejected while most look bad", 6, firstEndpointsBad(4, 3*time.Second, Observation{Outcome: ConnectFailed}), nil,
 			10 * time.Second, "view-wrong -1, view-restored -1"},
@@ -146,23 +146,23 @@
 				return broken
 			}
 			return answer(normalLatency)
-		}, func(f *simulation) { f.limits.Base = 20 * time.Second }, 2 * time.Second,
+		}, func(s *simulation) { s.limits.Base = 20 * time.Second }, 2 * time.Second,
 			"eject 0, eject 1, view-wrong -1, readmit 0, readmit 1"},
-		{"an endpoint is readmitted when others leave and the limit falls", 8, firstEndpointsBad(2, always, broken), func(f *simulation) {
-			f.run(300 * ms)
+		{"an endpoint is readmitted when others leave and the limit falls", 8, firstEndpointsBad(2, always, broken), func(s *simulation) {
+			s.run(300 * ms)
 			for i := 4; i < 8; i++ {
-				f.pool.Endpoints[i].State = table.EndpointLeaving
+				s.pool.Endpoints[i].State = table.EndpointLeaving
 			}
 		}, 100 * ms, "eject 0, eject 1, readmit 0"},
 		{"without idempotent requests an endpoint is readmitted after a timeout", 6, firstEndpointsBad(1, time.Second, refused),
-			func(f *simulation) { f.noTrials = true }, 10 * time.Second, "eject 0, readmit 0"},
+			func(s *simulation) { s.noTrials = true }, 10 * time.Second, "eject 0, readmit 0"},
 	} {
-		f := newSimulation(tt.n, tt.behave)
+		s := newSimulation(tt.n, tt.behave)
 		if tt.change != nil {
-			tt.change(f)
+			tt.change(s)
 		}
-		f.run(tt.run)
-		if got := strings.Join(f.events, ", "); got != tt.want {
+		s.run(tt.run)
+		if got := strings.Join(s.events, ", "); got != tt.want {
 			t.Errorf("%s: got %q, want %q", tt.name, got, tt.want)
 		}
 	}
@@ -173,7 +173,7 @@
 // double up to the limit, and after a long healthy time a new fault must count as the first one.
 func TestFlappingEndpointIsEjectedLongerEachTime(t *testing.T) {
 	count := 0
-	f := newSimulation(6, func(i int, now time.Duration) Observation {
+	s := newSimulation(6, func(i int, now time.Duration) Observation {
 		if i == 0 && now < start+4*time.Minute {
 			if count++; count%20 >= 10 {
 				return Observation{Outcome: Broken}
@@ -181,15 +181,15 @@
 		}
 		return answer(normalLatency)
 	}).run(4 * time.Minute)
-	for i, d := range f.ejectionTimes {
-		if longest := min(f.limits.Base<<i, f.limits.Max); d > longest || d < longest/2 {
+	for i, d := range s.ejectionTimes {
+		if longest := min(s.limits.Base<<i, s.limits.Max); d > longest || d < longest/2 {
 			t.Errorf("ejection %d took %v, want %v to %v", i, d, longest/2, longest)
 		}
 	}
-	if share := float64(f.sent[0]) / float64(f.sent[1]); len(f.ejectionTimes) < 8 || share > 0.02 {
-		t.Errorf("%d ejections, %.3f of the requests of a good endpoint", len(f.ejectionTimes), share)
+	if share := float64(s.sent[0]) / float64(s.sent[1]); len(s.ejectionTimes) < 8 || share > 0.02 {
+		t.Errorf("%d ejections, %.3f of the requests of a good endpoint", len(s.ejectionTimes), share)
 	}
-	if h := &f.run(20 * time.Minute).pool.Endpoints[0].Health; h.EjectedUntil != 0 || h.Ejections != 0 {
+	if h := &s.run(20 * time.Minute).pool.Endpoints[0].Health; h.EjectedUntil != 0 || h.Ejections != 0 {
 		t.Errorf("past ejections still count after a long healthy time: %+v", *h)
 	}
 }
@@ -199,21 +199,21 @@
 // of requests in flight at an ejection must not decide on readmission in place of the trials
 // either.
 func TestOutcomesFromBeforePauseOrEjectionAreIgnored(t *testing.T) {
-	f := newSimulation(6, firstEndpointsBad(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
+	s := newSimulation(6, firstEndpointsBad(1, time.Second, Observation{Outcome: Broken})).run(300 * ms)
 	sent := start
 	check := func(endpoints []table.Endpoint) {
 		for i := range endpoints {
-			Observe(f.now, &endpoints[i], Observation{Outcome: TimedOut, Sent: sent, Latency: f.now - sent, Expected: normalLatency})
-			Observe(f.now, &endpoints[i], Observation{Latency: f.now - sent, Expected: normalLatency})
+			Observe(s.now, &endpoints[i], Observation{Outcome: TimedOut, Sent: sent, Latency: s.now - sent, Expected: normalLatency})
+			Observe(s.now, &endpoints[i], Observation{Latency: s.now - sent, Expected: normalLatency})
 			if h := endpoints[i].Health; h.Samples != 0 || h.FailureRate != 0 {
 				t.Errorf("endpoint %d: an outcome of an earlier request counted: %+v", i, h)
 			}
 		}
 	}
-	check(f.pool.Endpoints[:1])
-	f.now += 30 * time.Second
-	Pause(f.now, 30*time.Second, &f.pool)
-	check(f.pool.Endpoints)
+	check(s.pool.Endpoints[:1])
+	s.now += 30 * time.Second
+	Pause(s.now, 30*time.Second, &s.pool)
+	check(s.pool.Endpoints)
 }
 
 // Guards against too many ejections and endpoints that never return. For any outcomes and
@@ -222,47 +222,47 @@
 func TestEjectionBoundsAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "endpoints")
-		f := newSimulation(n, firstEndpointsBad(0, 0, Observation{}))
-		f.step = 20 * ms
-		f.limits.MaxShare = rapid.Float64Range(0, 0.5).Draw(t, "share")
-		f.limits.Busy = rapid.Float64Range(0, 1).Draw(t, "busy")
-		anyOf := func(t *rapid.T) *table.Endpoint { return &f.pool.Endpoints[rapid.IntRange(0, n-1).Draw(t, "endpoint")] }
+		s := newSimulation(n, firstEndpointsBad(0, 0, Observation{}))
+		s.step = 20 * ms
+		s.limits.MaxShare = rapid.Float64Range(0, 0.5).Draw(t, "share")
+		s.limits.Busy = rapid.Float64Range(0, 1).Draw(t, "busy")
+		anyOf := func(t *rapid.T) *table.Endpoint { return &s.pool.Endpoints[rapid.IntRange(0, n-1).Draw(t, "endpoint")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"observe": func(t *rapid.T) {
 				o := Observation{
 					Outcome: Outcome(rapid.IntRange(0, int(ConnSilent)).Draw(t, "outcome")),
 					Latency: time.Duration(rapid.IntRange(0, 900).Draw(t, "latency")) * ms,
-					Queued:  rapid.IntRange(0, 50).Draw(t, "queued"), Expected: normalLatency, Sent: f.now,
+					Queued:  rapid.IntRange(0, 50).Draw(t, "queued"), Expected: normalLatency, Sent: s.now,
 				}
 				e := anyOf(t)
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
-					Observe(f.now, e, o)
+					Observe(s.now, e, o)
 				}
 			},
 			"leave": func(t *rapid.T) { anyOf(t).State = table.EndpointLeaving },
-			"wait":  func(t *rapid.T) { f.now += time.Duration(rapid.IntRange(1, 4000).Draw(t, "gap")) * ms },
-			"serve": func(*rapid.T) { f.run(time.Second) },
+			"wait":  func(t *rapid.T) { s.now += time.Duration(rapid.IntRange(1, 4000).Draw(t, "gap")) * ms },
+			"serve": func(*rapid.T) { s.run(time.Second) },
 			"": func(t *rapid.T) {
-				f.sweep()
-				live, ejected := f.count()
-				share := f.limits.MaxShare * float64(live)
+				s.sweep()
+				live, ejected := s.count()
+				share := s.limits.MaxShare * float64(live)
 				if ejected > 0 && (share == 0 || live < 2 || float64(ejected) > max(1, share)) {
 					t.Fatalf("%d of %d ejected", ejected, live)
 				}
 			},
 		})
-		f.run(f.limits.Max + 3*trialTimeout)
-		if _, ejected := f.count(); ejected > 0 {
-			t.Fatalf("%d still ejected: %s", ejected, f.events)
+		s.run(s.limits.Max + 3*trialTimeout)
+		if _, ejected := s.count(); ejected > 0 {
+			t.Fatalf("%d still ejected: %s", ejected, s.events)
 		}
 	})
 }
 
-func (f *simulation) count() (live, ejected int) {
-	for i := range f.pool.Endpoints {
-		if e := &f.pool.Endpoints[i]; e.State == table.EndpointLive {
+func (s *simulation) count() (live, ejected int) {
+	for i := range s.pool.Endpoints {
+		if e := &s.pool.Endpoints[i]; e.State == table.EndpointLive {
 			live++
-			if Ejected(f.now, e) {
+			if Ejected(s.now, e) {
 				ejected++
 			}
 		}
@@ -274,12 +274,12 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{6, 19, 560} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			f := newSimulation(n, firstEndpointsBad(0, 0, Observation{})).run(20 * time.Second)
+			s := newSimulation(n, firstEndpointsBad(0, 0, Observation{})).run(20 * time.Second)
 			for b.ReportAllocs(); b.Loop(); {
-				for i := range f.pool.Endpoints {
-					Observe(f.now, &f.pool.Endpoints[i], Observation{Latency: normalLatency, Expected: normalLatency, Queued: 1})
+				for i := range s.pool.Endpoints {
+					Observe(s.now, &s.pool.Endpoints[i], Observation{Latency: normalLatency, Expected: normalLatency, Queued: 1})
 				}
-				Sweep(f.now, &f.pool, f.limits, f.rng, nil)
+				Sweep(s.now, &s.pool, s.limits, s.rng, nil)
 			}
 		})
 	}
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -24,17 +24,17 @@
 func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
 	if HasEasyRoom(e) {
-		d.busy = 0
+		d.noRoomProbes = 0
 		return
 	}
-	d.busy++
-	d.busyAt = now
+	d.noRoomProbes++
+	d.noRoomAt = now
 }
 
-// isBusy reports whether the latest load probes in a failure domain found no room.
+// isBusy reports whether the latest load probes in a failure domain found no easy room.
 func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
-	return d != nil && d.busy >= busyProbes && now-d.busyAt < busyFor
+	return d != nil && d.noRoomProbes >= busyProbes && now-d.noRoomAt < busyFor
 }
 
 // leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -15,9 +15,9 @@
 	Expected, cost time.Duration
 	// Worthwhile says that the request should be sent there rather than wait.
 	Worthwhile bool
-	// near says that the endpoint is in the own failure domain and almost certainly answers in
-	// time.
-	near bool
+	// nearInTime says that the endpoint is in the own failure domain and almost certainly answers
+	// in time.
+	nearInTime bool
 }
 
 // worstCaseFactor is the ratio of the longest of about twenty answers to the expected time: the
@@ -45,7 +45,7 @@
 		choice := Choice{Index: i, Expected: v.Expected(e)}
 		choice.cost = choice.Expected + v.transferCost(e)
 		choice.Worthwhile = v.worthwhile(e, choice.Expected)
-		choice.near = choice.Worthwhile && v.isNear(e) && v.surelyInTime(choice.Expected)
+		choice.nearInTime = choice.Worthwhile && v.isNear(e) && v.surelyInTime(choice.Expected)
 		if choice.before(best) {
 			best = choice
 		}
@@ -67,8 +67,8 @@
 		return true
 	case c.Worthwhile != other.Worthwhile:
 		return c.Worthwhile
-	case c.near != other.near:
-		return c.near
+	case c.nearInTime != other.nearInTime:
+		return c.nearInTime
 	}
 	return c.cost < other.cost
 }
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -22,9 +22,9 @@
 	// failures counts consecutive failed contacts.
 	failures  int
 	lostUntil time.Duration
-	// busy counts consecutive load probes that found no easy room, the latest at busyAt.
-	busy   int
-	busyAt time.Duration
+	// noRoomProbes counts consecutive load probes that found no easy room, the latest at noRoomAt.
+	noRoomProbes int
+	noRoomAt     time.Duration
 }
 
 // domain returns the state of a failure domain, creating it if needed.
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -44,10 +44,10 @@
 	easyShare float64
 	// shortAt is when a request that could be in time last found no room, 0 for never.
 	shortAt time.Duration
-	// arrivedAt is when the latest request arrived, and gap the smoothed time between two
+	// arrivedAt is when the latest request arrived, and arrivalGap the smoothed time between two
 	// arrivals, in nanoseconds.
-	arrivedAt time.Duration
-	gap       float64
+	arrivedAt  time.Duration
+	arrivalGap float64
 	// domains has the state of the failure domains by their names.
 	domains map[string]*domainState
 }
--- a/internal/core/placement/shortage.go
+++ b/internal/core/placement/shortage.go
@@ -21,14 +21,14 @@
 // NoteArrival records the arrival of a request for the pool.
 func (p *PoolState) NoteArrival(now time.Duration) {
 	if p.arrivedAt > 0 {
-		p.gap += gapWeight * (float64(min(now-p.arrivedAt, shortMax)) - p.gap)
+		p.arrivalGap += gapWeight * (float64(min(now-p.arrivedAt, shortMax)) - p.arrivalGap)
 	}
 	p.arrivedAt = now
 }
 
 // shortFor returns how long the pool counts as short of room.
 func (p *PoolState) shortFor() time.Duration {
-	return min(max(shortMin, time.Duration(shortArrivals*p.gap)), shortMax)
+	return min(max(shortMin, time.Duration(shortArrivals*p.arrivalGap)), shortMax)
 }
 
 // NoteShortage records that a request that could be in time found no room.
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -266,14 +266,15 @@
 	}
 	var least *record
 	for _, r := range t.records {
-		if least == nil || compareValue(r, least) < 0 {
+		if least == nil || compareForEviction(r, least) < 0 {
 			least = r
 		}
 	}
 	delete(t.records, least.request)
 }
 
-func compareValue(a, b *record) int {
+// compareForEviction orders records; the first one is evicted first.
+func compareForEviction(a, b *record) int {
 	return cmp.Or(cmp.Compare(a.count, b.count), cmp.Compare(a.changedAt, b.changedAt), a.request.compare(b.request))
 }
 
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -38,8 +38,9 @@
 	// by their first item, and blocked the others, ordered by start time.
 	ready, blocked indexedHeap
 	flows          map[uint64]int32
-	first, last    int32
-	pace           pace
+	// first and last are the ends of the list of items in the order of arrival.
+	first, last int32
+	interval    dispatchInterval
 }
 
 // flow has the waiting items of one caller in a class.
@@ -58,7 +59,7 @@
 	}
 	c := q.emptyClass()
 	c.service, c.priority = service, priority
-	c.pace = pace{}
+	c.interval = dispatchInterval{}
 	slices.SortFunc(q.classes, compareClasses)
 	return c
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -98,10 +98,10 @@
 // Queue is the bounded queue of one pool. Create it with New.
 type Queue struct {
 	// classes are ordered by decreasing priority, then by service.
-	classes []*class
-	nodes   []node
-	free    []int32
-	byID    map[uint64]int32
+	classes   []*class
+	nodes     []node
+	freeNodes []int32
+	byID      map[uint64]int32
 
 	flows     []flow
 	freeFlows []int32
@@ -131,7 +131,7 @@
 	}
 	c := q.classOf(it.Service, it.Priority)
 	if c.waiting == 0 {
-		c.pace.noteFirstWaiting(now)
+		c.interval.noteFirstWaiting(now)
 	}
 	ref := q.newNode(it, lim)
 	q.byID[it.ID] = ref
@@ -202,9 +202,9 @@
 	return q.nodes[q.head(best)].item, true
 }
 
-// Take removes an item that is dispatched. The dispatch counts for the fairness between callers
-// and services and for the pace of the queue; for an item that leaves for another reason use
-// Remove.
+// Take removes an item that is dispatched. The dispatch counts for the fairness between callers and
+// services and for the measured interval between dispatches; for an item that leaves for another
+// reason use Remove.
 func (q *Queue) Take(now time.Duration, id uint64) (Item, bool) {
 	ref, ok := q.byID[id]
 	if !ok {
@@ -213,7 +213,7 @@
 	c := q.flows[q.nodes[ref].flow].class
 	q.countPassed(c)
 	q.charge(c, q.nodes[ref].flow)
-	c.pace.noteDispatch(now)
+	c.interval.noteDispatch(now)
 	return q.drop(ref), true
 }
 
@@ -287,9 +287,9 @@
 		key = int64(it.latestStart())
 	}
 	n := node{item: it, flow: none, key: key, previous: none, next: none}
-	if last := len(q.free) - 1; last >= 0 {
-		ref := q.free[last]
-		q.free = q.free[:last]
+	if last := len(q.freeNodes) - 1; last >= 0 {
+		ref := q.freeNodes[last]
+		q.freeNodes = q.freeNodes[:last]
 		q.nodes[ref] = n
 		return ref
 	}
@@ -308,6 +308,6 @@
 	q.deadlines.remove(q.inDeadlines, ref)
 	q.unlink(c, ref)
 	q.removeFromFlow(c, ref)
-	q.free = append(q.free, ref)
+	q.freeNodes = append(q.freeNodes, ref)
 	return it
 }
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -181,9 +181,9 @@
 }
 
 // Guards against refusals that never end: an overload refuses requests as too late because
-// dispatches are slow. After it, the stored pace must not refuse the next request, or no request
-// would be dispatched and the pace would never be measured again.
-func TestExpectedWaitForgetsOldPace(t *testing.T) {
+// dispatches are slow. After it, the stored interval between dispatches must not refuse the next
+// request, or no request would be dispatched and the interval would never be measured again.
+func TestExpectedWaitForgetsOldInterval(t *testing.T) {
 	q := New()
 	for i := range uint64(21) {
 		q.Push(0, Item{ID: i, Caller: i, Deadline: time.Hour}, roomyLimits, 0)
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// paceWeight is the weight of the latest interval in the measured pace.
-	paceWeight = 0.2
-	// paceMemory is how long a pace is kept while no request waits. It guards against refusing
-	// requests because of an overload that ended long ago: a refused request is never served, so
-	// the pace would never be measured again.
-	paceMemory = time.Second
+	// intervalWeight is the weight of the latest interval in the smoothed one.
+	intervalWeight = 0.2
+	// intervalMemory is how long a measured interval is kept while no request waits. It guards
+	// against refusing requests because of an overload that ended long ago: a refused request is
+	// never served, so the interval would never be measured again.
+	intervalMemory = time.Second
 )
 
-// pace measures the time between dispatches of a class while requests of it wait. That includes
-// everything that the entry cannot observe itself: the slots that other entries use, slow
-// endpoints, ejected endpoints.
-type pace struct {
-	interval float64
+// dispatchInterval measures the time between dispatches of a class while requests of it wait. That
+// time reflects everything that the entry cannot observe itself: the slots that other entries use,
+// slow endpoints, ejected endpoints.
+type dispatchInterval struct {
+	nanos    float64
 	measured bool
 	// since is the latest dispatch, or the time at which requests began to wait after it.
 	since time.Duration
 }
 
 // noteFirstWaiting records that a request waits in a class where none waited before.
-func (p *pace) noteFirstWaiting(now time.Duration) {
-	if now-p.since > paceMemory {
-		p.measured = false
+func (d *dispatchInterval) noteFirstWaiting(now time.Duration) {
+	if now-d.since > intervalMemory {
+		d.measured = false
 	}
-	p.since = now
+	d.since = now
 }
 
-func (p *pace) noteDispatch(now time.Duration) {
-	sample := float64(now - p.since)
-	if !p.measured {
-		p.interval = sample
+func (d *dispatchInterval) noteDispatch(now time.Duration) {
+	sample := float64(now - d.since)
+	if !d.measured {
+		d.nanos = sample
 	}
-	p.interval += paceWeight * (sample - p.interval)
-	p.measured = true
-	p.since = now
+	d.nanos += intervalWeight * (sample - d.nanos)
+	d.measured = true
+	d.since = now
 }
 
 // at returns the interval to use in estimates: the measured one, or unmeasured before the first
 // measurement. While no request is dispatched, it is at least the time since the last dispatch,
 // since the measured interval is then outdated.
-func (p *pace) at(now time.Duration, unmeasured time.Duration) float64 {
+func (d *dispatchInterval) at(now time.Duration, unmeasured time.Duration) float64 {
 	interval := float64(unmeasured)
-	if p.measured {
-		interval = p.interval
+	if d.measured {
+		interval = d.nanos
 	}
-	return max(interval, float64(now-p.since))
+	return max(interval, float64(now-d.since))
 }
 
 // ExpectedWait estimates how long the item would wait for a slot. idle is how many idle slots it
@@ -60,10 +60,10 @@
 		return 0
 	}
 	ahead := q.Ahead(it)
-	if c.pace.measured {
+	if c.interval.measured {
 		ahead = q.aheadInClass(c, it)
 	}
-	return time.Duration(float64(max(0, ahead-idle)) * c.pace.at(now, between))
+	return time.Duration(float64(max(0, ahead-idle)) * c.interval.at(now, between))
 }
 
 // Ahead returns how many waiting items are expected to be served before the item: those of higher
