--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -7,9 +7,9 @@
 )
 
 // Some workloads keep all endpoints of one failure domain busy while other domains have room.
-// Endpoints of the own domain are probed first; in a domain with far more endpoints than are
-// probed for one request there is always one that was not probed yet. Without the rules below,
-// requests that other domains could serve in time would be refused.
+// Endpoints of the own domain are probed first; in a domain with far more endpoints than are probed
+// for one request, some endpoints are always left unprobed. Without the rules below, requests that
+// other domains could serve in time would be refused.
 
 const (
 	// busyProbes is how many consecutive load probes in a failure domain must find no easy room,
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -12,8 +12,8 @@
 // probed first, except those that are known to be of no use now; the other domains follow when no
 // other endpoint is left, and at once where the own domain has no endpoint.
 //
-// The constants weigh what is known of an endpoint before it is probed. Endpoints whose ranks
-// differ by less than 1 are ordered at random.
+// The constants weigh the properties of an endpoint that are known before it is probed. Endpoints
+// whose ranks differ by less than 1 are ordered at random.
 const (
 	// rankFull is the weight of an endpoint's occupancy: an endpoint whose slots are all in use
 	// gets all of it.
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -142,8 +142,8 @@
 	return !e.HasRoom() || p.overfills(now, e)
 }
 
-// Fullness counts the endpoints that take work (live), those of them whose probed load is recent
-// enough (known), and those of them that are full.
+// Fullness counts the endpoints that take work (live), how many of these have a recent probed load
+// (known), and how many of the latter are full.
 func (p *PoolState) Fullness(now time.Duration, endpoints []table.Endpoint) (live, known, full int) {
 	for i := range endpoints {
 		e := &endpoints[i]
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -308,8 +308,8 @@
 func (c *Crash) endpoint() endpoint { return endpoint{c.Endpoint, c.Incarnation} }
 
 // recount counts the crashes against each request again. It starts with the request that has the
-// most crashes and attributes these to it, so that a request that ran on several endpoints beside
-// one that crashes them is not quarantined.
+// most crashes and attributes these to it, so that a harmless request that ran on several endpoints
+// together with a request that crashes them is not quarantined.
 func (t *Table) recount() {
 	suspects := make([]*record, 0, len(t.records))
 	for _, r := range t.records {
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -82,8 +82,8 @@
 	wantVerdicts(t, table, 2*sec, map[uint64]Verdict{7: Suspected})
 }
 
-// Guards against the quarantine of a request that three times ran beside one that crashes
-// endpoints.
+// Guards against the quarantine of a harmless request that ran three times together with a request
+// that crashes endpoints.
 func TestCrashIsAttributedToMostSuspectedRequest(t *testing.T) {
 	table := NewTable()
 	for i := range 4 {
