--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -16,16 +16,16 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Set is a set of endpoint indexes below MaxRemembered.
+// Set is a set of endpoint indexes below SetCapacity.
 type Set uint64
 
-// MaxRemembered is the number of endpoints of a pool that a Set can hold.
+// SetCapacity is the number of endpoints of a pool that a Set can hold.
 // Indexes beyond it are never members.
-const MaxRemembered = 64
+const SetCapacity = 64
 
 // With returns s and index i.
 func (s Set) With(i int) Set {
-	if i < 0 || i >= MaxRemembered {
+	if i < 0 || i >= SetCapacity {
 		return s
 	}
 	return s | 1<<uint(i)
@@ -33,7 +33,7 @@
 
 // Has reports whether i is in s.
 func (s Set) Has(i int) bool {
-	return i >= 0 && i < MaxRemembered && s&(1<<uint(i)) != 0
+	return i >= 0 && i < SetCapacity && s&(1<<uint(i)) != 0
 }
 
 // Request describes the request that needs an endpoint.
@@ -46,8 +46,7 @@
 	// MustQueue says that the request may not ask an endpoint to refuse it, so that the choice of
 	// a busy endpoint costs a wait there.
 	MustQueue bool
-	// LocalDomain is preferred between equal endpoints; it is the entry's own failure domain, or
-	// empty for no preference.
+	// LocalDomain is the entry's own failure domain, or empty. No policy uses it at present.
 	LocalDomain string
 }
 
@@ -96,9 +95,9 @@
 
 // Picker is a balancing policy with its view of one pool.
 type Picker interface {
-	// Changed is called first, and after each change of the pool's endpoints or of the entries
-	// that serve the pool's callers. Deciders are the names of these entries, this entry's own
-	// among them; the list may be empty when they are unknown.
+	// Changed is called first, and after each change of the pool's endpoints or of the entries that
+	// serve the pool's callers. deciders holds the names of these entries, including this one; it
+	// may be empty while they are unknown.
 	Changed(now time.Duration, p *table.Pool, deciders []string)
 	// Pick chooses an endpoint for a request that has waited in this entry's queue for the given
 	// time.
@@ -111,7 +110,7 @@
 	// LoadReported passes on another entry's report of the endpoint's whole foreign load, which is
 	// the load that this entry did not place.
 	LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad)
-	// PeerHeard is called after an update from another entry. From is the peer's index as in
+	// PeerHeard is called after an update from another entry. from is the peer's index as in
 	// PeerLoad.From. Counts that the update did not change were still true at the given time.
 	PeerHeard(from int, at time.Duration)
 	// PeerReported passes on another entry's count of its own attempts.
@@ -162,10 +161,11 @@
 	P2COwn           = "p2c-own"
 	P2CReports       = "p2c-reports"
 	Prequal          = "prequal"
-	Sightings        = "sightings"
-	Shares           = "shares"
-	CentralQueue     = "central-queue"
-	Claims           = "claims"
+	// LeastLoad keeps the older name "sightings" in settings.
+	LeastLoad    = "sightings"
+	Shares       = "shares"
+	CentralQueue = "central-queue"
+	Claims       = "claims"
 )
 
 // Default is the policy that is used unless a profile names another.
@@ -175,7 +175,7 @@
 func Policies() []string {
 	return []string{
 		Random, RoundRobin, LeastOutstanding, P2COwn, P2CReports,
-		Prequal, Sightings, Shares, CentralQueue, Claims,
+		Prequal, LeastLoad, Shares, CentralQueue, Claims,
 	}
 }
 
@@ -196,8 +196,8 @@
 		return &twoChoices{view: base, reports: true}, nil
 	case Prequal:
 		return &prequal{view: base}, nil
-	case Sightings:
-		return &sightings{view: base}, nil
+	case LeastLoad:
+		return &leastLoad{view: base}, nil
 	case Shares:
 		return &shares{view: base}, nil
 	case CentralQueue:
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -10,14 +10,15 @@
 	mean float64
 	// oldest is when the believed peer that has been silent for longest was last heard, as of the
 	// latest call of expire.
-	oldest time.Duration
-	rows   []peerRow
-	peers  []peerState
+	oldest    time.Duration
+	endpoints []endpointLoad
+	peers     []peerState
 	// counts[i*len(peers)+j] is peer j's count at endpoint i.
 	counts []int32
 }
 
-type peerRow struct {
+// endpointLoad is the foreign load of one endpoint.
+type endpointLoad struct {
 	// sum is the total of the counts of the believed peers.
 	sum int32
 	// extra is the reported load beyond sum, negative if the report shows less.
@@ -31,14 +32,15 @@
 }
 
 func (l *peerLoads) reset(endpoints, peers int) {
-	l.rows = make([]peerRow, endpoints)
+	l.endpoints = make([]endpointLoad, endpoints)
 	l.peers = make([]peerState, peers)
 	l.counts = make([]int32, endpoints*peers)
 }
 
-// setOwn records a peer's count. A difference between the report and the counts is reduced by the
-// peer's change, as far as both go in the same direction.
-func (l *peerLoads) setOwn(i int, load PeerLoad) {
+// setPeerCount records a peer's count of its own attempts at endpoint i. If the peer's count
+// changed in the direction in which the endpoint's report differs from the sum of the counts, that
+// difference is reduced by the change.
+func (l *peerLoads) setPeerCount(i int, load PeerLoad) {
 	if load.From < 0 || load.From >= len(l.peers) {
 		return
 	}
@@ -46,13 +48,13 @@
 	at := i*len(l.peers) + load.From
 	change := load.Attempts - l.counts[at]
 	l.counts[at] = load.Attempts
-	row := &l.rows[i]
-	row.sum += change
+	e := &l.endpoints[i]
+	e.sum += change
 	switch {
-	case row.extra > 0 && change > 0:
-		row.extra -= min(row.extra, change)
-	case row.extra < 0 && change < 0:
-		row.extra -= max(row.extra, change)
+	case e.extra > 0 && change > 0:
+		e.extra -= min(e.extra, change)
+	case e.extra < 0 && change < 0:
+		e.extra -= max(e.extra, change)
 	}
 }
 
@@ -68,9 +70,9 @@
 
 // setReported records the whole foreign load as an endpoint reported it.
 func (l *peerLoads) setReported(at time.Duration, i int, foreign int32) {
-	row := &l.rows[i]
-	row.extra = foreign - row.sum
-	row.extraAt = at
+	e := &l.endpoints[i]
+	e.extra = foreign - e.sum
+	e.extraAt = at
 	l.mean += meanWeight * (float64(foreign) - l.mean)
 }
 
@@ -92,17 +94,17 @@
 
 func (l *peerLoads) forget(j int) {
 	l.peers[j].believed = false
-	for i := range l.rows {
+	for i := range l.endpoints {
 		at := i*len(l.peers) + j
-		l.rows[i].sum -= l.counts[at]
+		l.endpoints[i].sum -= l.counts[at]
 		l.counts[at] = 0
 	}
 }
 
 // foreign estimates the foreign load at endpoint i. The known load decays towards zero with the
-// service time, so that an entry that hears nothing more does not take the pool for full forever.
-// The optimistic estimate fits a request that the endpoint refuses at the cost of a round trip if
-// it is not idle.
+// service time, so that an entry that gets no further reports does not consider the pool full
+// forever. This optimistic estimate is for requests that the endpoint refuses if no slot is idle: a
+// wrong estimate then costs one round trip.
 func (l *peerLoads) foreign(now time.Duration, i int, service float64) float64 {
 	load, _ := l.known(now, i, service)
 	return load
@@ -116,17 +118,17 @@
 	return load + l.mean*(1-left)
 }
 
-// known returns the decayed foreign load and the share of the knowledge that is left after the
-// decay. Peers' counts stay valid for a part of the service time, as an attempt lasts that long,
-// and then decay fast. A report decays from the start, since it does not say how long the attempts
-// have been running.
+// known returns the foreign load at endpoint i after its decay, and the share of its weight that
+// the decay has left. Peers' counts stay valid for a part of the service time, as an attempt lasts
+// that long, and then decay fast. A report decays from the start, since it does not say how long
+// the attempts have been running.
 func (l *peerLoads) known(now time.Duration, i int, service float64) (load, left float64) {
-	row := &l.rows[i]
-	reported := service / (service + float64(max(0, now-row.extraAt)))
+	e := &l.endpoints[i]
+	reported := service / (service + float64(max(0, now-e.extraAt)))
 	age := float64(max(0, now-l.oldest)) / service
 	counted := 1 / (1 + age*age)
-	load = max(0, float64(row.sum)*counted+float64(row.extra)*reported)
-	if row.sum == 0 {
+	load = max(0, float64(e.sum)*counted+float64(e.extra)*reported)
+	if e.sum == 0 {
 		return load, reported
 	}
 	return load, max(counted, reported)
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -136,7 +136,7 @@
 // collect computes the counts and medians of the pool.
 func (s *sweep) collect() {
 	var buffers [2][inlineValues]float64
-	failures, slowness := sample(buffers[0][:0]), sample(buffers[1][:0])
+	failures, slowness := values(buffers[0][:0]), values(buffers[1][:0])
 	s.each(func(_ int, e *table.Endpoint) {
 		h := &e.Health
 		s.live++
@@ -278,8 +278,8 @@
 		h.Slowness > s.limits.SlowFactor*s.medianSlowness
 }
 
-// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more endpoint
-// is ejected.
+// othersHaveCapacity reports whether the remaining endpoints can serve the load if one more
+// endpoint is ejected.
 func (s *sweep) othersHaveCapacity() bool {
 	inUse := float64(s.live - s.ejected)
 	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -7,9 +7,9 @@
 )
 
 // Some workloads keep all endpoints of one failure domain busy while other domains have room.
-// Endpoints of the own domain are probed first; in a domain with far more endpoints than are
-// probed for one request there is always one that was not probed yet. Without the rules below,
-// requests that other domains could serve in time would be refused.
+// Endpoints of the own domain are probed first; in a domain with far more endpoints than are probed
+// for one request, some endpoints are always left unprobed. Without the rules below, requests that
+// other domains could serve in time would be refused.
 
 const (
 	// busyProbes is how many consecutive load probes in a failure domain must find no easy room,
@@ -24,17 +24,17 @@
 func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
 	if HasEasyRoom(e) {
-		d.busy = 0
+		d.noRoomProbes = 0
 		return
 	}
-	d.busy++
-	d.busyAt = now
+	d.noRoomProbes++
+	d.noRoomAt = now
 }
 
-// isBusy reports whether the latest load probes in a failure domain found no room.
+// isBusy reports whether the latest load probes in a failure domain found no easy room.
 func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
-	return d != nil && d.busy >= busyProbes && now-d.busyAt < busyFor
+	return d != nil && d.noRoomProbes >= busyProbes && now-d.noRoomAt < busyFor
 }
 
 // leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -15,9 +15,9 @@
 	Expected, cost time.Duration
 	// Worthwhile says that the request should be sent there rather than wait.
 	Worthwhile bool
-	// near says that the endpoint is in the own failure domain and almost certainly answers in
-	// time.
-	near bool
+	// nearInTime says that the endpoint is in the own failure domain and almost certainly answers
+	// in time.
+	nearInTime bool
 }
 
 // worstCaseFactor is the ratio of the longest of about twenty answers to the expected time: the
@@ -45,7 +45,7 @@
 		choice := Choice{Index: i, Expected: v.Expected(e)}
 		choice.cost = choice.Expected + v.transferCost(e)
 		choice.Worthwhile = v.worthwhile(e, choice.Expected)
-		choice.near = choice.Worthwhile && v.isNear(e) && v.surelyInTime(choice.Expected)
+		choice.nearInTime = choice.Worthwhile && v.isNear(e) && v.surelyInTime(choice.Expected)
 		if choice.before(best) {
 			best = choice
 		}
@@ -67,14 +67,14 @@
 		return true
 	case c.Worthwhile != other.Worthwhile:
 		return c.Worthwhile
-	case c.near != other.near:
-		return c.near
+	case c.nearInTime != other.nearInTime:
+		return c.nearInTime
 	}
 	return c.cost < other.cost
 }
 
-// transferCost returns the cost of sending the request and its answer to another failure domain,
-// as the delay that would be accepted for an endpoint of the own one.
+// transferCost returns the cost of sending the request and its answer to another failure domain, as
+// the additional delay that is accepted at an endpoint of the own domain.
 func (v *View) transferCost(e *table.Endpoint) time.Duration {
 	if v.isNear(e) {
 		return 0
@@ -83,12 +83,12 @@
 }
 
 // worthwhile reports whether the request should be sent to an endpoint that is expected to answer
-// in the given time. A request that can be in time elsewhere waits for that. A request that is
-// already late takes no slot while the pool is short of room for requests that could be in time,
-// none beside another request that would then be late as well, and none on a slow VM, where it
-// would use the slot for as long as several timely requests. No request is sent to an endpoint
-// that would not answer before the deadline, nor where it would slow the other requests down by
-// more than it gains.
+// in the given time. A request that would be late there, but could be in time at another endpoint,
+// waits. A request that is already late gets no slot while the pool is short of room for requests
+// that could be in time, no slot whose use slows the endpoint's other requests down so that they
+// may be late as well, and no slot on a slow VM, where it would use the slot for as long as several
+// timely requests. No request is sent to an endpoint that would not answer before the deadline, nor
+// where it would slow the other requests down by more than it gains.
 func (v *View) worthwhile(e *table.Endpoint, expected time.Duration) bool {
 	r := &v.Request
 	switch {
@@ -102,8 +102,8 @@
 	return v.Now+expected <= r.FirstTry+r.Objective
 }
 
-// Perfect reports whether no other endpoint could be a better choice than e.
-func (v *View) Perfect(e *table.Endpoint) bool {
+// IsOptimal reports whether no other endpoint could be a better choice than e.
+func (v *View) IsOptimal(e *table.Endpoint) bool {
 	return v.granted(e) && HasEasyRoom(e) && v.Now >= e.AvoidUntil && !e.Missing &&
 		e.CurrentDoubt(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchangeKilobytes)
 }
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -18,8 +18,8 @@
 	initialSlowdown        = 1.6
 	initialSlowdownSamples = 3
 	maxSlowdown            = 4.0
-	// Until there are enoughSlowdownSamples measurements, one request per fillTrialEvery is sent
-	// to an endpoint that it makes nearly full. Where that costs nothing, all slots are used
+	// Until there are enoughSlowdownSamples measurements, one request per fillTrialEvery is sent to
+	// an endpoint that it makes nearly full. If that causes no slowdown, all slots are used
 	// afterwards.
 	enoughSlowdownSamples = 6
 	fillTrialEvery        = 10 * time.Second
@@ -44,10 +44,10 @@
 	easyShare float64
 	// shortAt is when a request that could be in time last found no room, 0 for never.
 	shortAt time.Duration
-	// arrivedAt is when the latest request arrived, and gap the smoothed time between two
+	// arrivedAt is when the latest request arrived, and arrivalGap the smoothed time between two
 	// arrivals, in nanoseconds.
-	arrivedAt time.Duration
-	gap       float64
+	arrivedAt  time.Duration
+	arrivalGap float64
 	// domains has the state of the failure domains by their names.
 	domains map[string]*domainState
 }
@@ -142,8 +142,8 @@
 	return !e.HasRoom() || p.overfills(now, e)
 }
 
-// Fullness counts the endpoints that take work (live), those of them whose probed load is recent
-// enough (known), and those of them that are full.
+// Fullness counts the endpoints that take work (live), how many of these have a recent probed load
+// (known), and how many of the latter are full.
 func (p *PoolState) Fullness(now time.Duration, endpoints []table.Endpoint) (live, known, full int) {
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -162,10 +162,10 @@
 	return live, known, full
 }
 
-// Crowded reports whether most endpoints with a known load have no room. Requests that are sent to
-// them without a probe would queue there, and all later requests, which could have waited in the
-// entry for the first free slot, would find the endpoints full.
-func (v *View) Crowded() bool {
+// MostlyFull reports whether at least half of the endpoints with a known load have no room.
+// Requests that are sent to them without a probe would queue there, and all later requests, which
+// could have waited in the entry for the first free slot, would find the endpoints full.
+func (v *View) MostlyFull() bool {
 	_, known, full := v.PoolState.Fullness(v.Now, v.Endpoints)
 	return known > 0 && full*2 >= known
 }
--- a/internal/core/placement/shortage.go
+++ b/internal/core/placement/shortage.go
@@ -7,8 +7,9 @@
 // time.
 
 // A pool counts as short of room for a while after a request that could be in time found none: for
-// about as long as endpoints keep a state, and until some more requests have arrived, since an
-// entry with a few requests per second hardly ever sees two within that time.
+// about as long as the load and the pace of an endpoint usually last, and until some more requests
+// have arrived, since an entry with a few requests per second hardly ever sees two within that
+// time.
 const (
 	shortMin      = 200 * time.Millisecond
 	shortArrivals = 4
@@ -20,14 +21,14 @@
 // NoteArrival records the arrival of a request for the pool.
 func (p *PoolState) NoteArrival(now time.Duration) {
 	if p.arrivedAt > 0 {
-		p.gap += gapWeight * (float64(min(now-p.arrivedAt, shortMax)) - p.gap)
+		p.arrivalGap += gapWeight * (float64(min(now-p.arrivedAt, shortMax)) - p.arrivalGap)
 	}
 	p.arrivedAt = now
 }
 
 // shortFor returns how long the pool counts as short of room.
 func (p *PoolState) shortFor() time.Duration {
-	return min(max(shortMin, time.Duration(shortArrivals*p.gap)), shortMax)
+	return min(max(shortMin, time.Duration(shortArrivals*p.arrivalGap)), shortMax)
 }
 
 // NoteShortage records that a request that could be in time found no room.
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -38,8 +38,9 @@
 	// by their first item, and blocked the others, ordered by start time.
 	ready, blocked indexedHeap
 	flows          map[uint64]int32
-	first, last    int32
-	pace           pace
+	// first and last are the ends of the list of items in the order of arrival.
+	first, last int32
+	interval    dispatchInterval
 }
 
 // flow has the waiting items of one caller in a class.
@@ -58,7 +59,7 @@
 	}
 	c := q.emptyClass()
 	c.service, c.priority = service, priority
-	c.pace = pace{}
+	c.interval = dispatchInterval{}
 	slices.SortFunc(q.classes, compareClasses)
 	return c
 }
@@ -90,9 +91,9 @@
 	return cmp.Compare(a.service, b.service)
 }
 
-// goesBefore reports whether c is served before best. Both may take the slot, and c is later in
-// the order of classes. It guards against starvation: under a lasting overload of a high priority
-// the lower priorities would never be served and all their requests would expire.
+// goesBefore reports whether c is served before best. Both may take the slot, and c comes after
+// best in the order of classes. It guards against starvation: under a lasting overload of a high
+// priority the lower priorities would never be served and all their requests would expire.
 func (q *Queue) goesBefore(c, best *class) bool {
 	if c.overdue() || best.overdue() {
 		return c.passed > best.passed
@@ -116,9 +117,9 @@
 	return false
 }
 
-// countPassed counts that a request of the class served goes before those of the other classes.
-// Classes that may not take a slot are counted too: once they are overdue, MayTake lets them use a
-// small part of the slots.
+// countPassed records a dispatch from the class served, which passes over the waiting requests of
+// all other classes. Classes that may not take a slot count it too: once they are overdue,
+// MayTakeSlot lets them use a small part of the slots.
 func (q *Queue) countPassed(served *class) {
 	for _, c := range q.classes {
 		if c != served && c.waiting > 0 {
--- a/internal/core/queuewait.go
+++ b/internal/core/queuewait.go
@@ -109,7 +109,7 @@
 
 // retryDelayAfter returns when the caller of a refused request should try again.
 func (c *Core) retryDelayAfter(now time.Duration, r *request, reason Reason) time.Duration {
-	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.Crowded() {
+	if view := c.placementView(now, r); reason == ReasonEndpointsRefuse && !view.MostlyFull() {
 		return c.randomBetween(minShortRetryDelay, maxShortRetryDelay)
 	}
 	return c.retryDelay()
