--- a/internal/core/assign/assign_test.go
+++ b/internal/core/assign/assign_test.go
@@ -60,13 +60,13 @@
 
 func TestAssignmentsAreSpread(t *testing.T) {
 	all := members(60, 8)
-	probes, steered := map[uint64]int{}, map[uint64]int{}
+	probes, served := map[uint64]int{}, map[uint64]int{}
 	for i := range 560 {
 		probes[ProbeOwner(all, fmt.Sprint("endpoint-", i))]++
 	}
 	for i := range 46 {
 		for _, id := range ServiceEntries(fmt.Sprint("service-", i), all, 1) {
-			steered[id]++
+			served[id]++
 		}
 	}
 	most := func(m map[uint64]int) (most int) {
@@ -75,8 +75,8 @@
 		}
 		return most
 	}
-	t.Logf("560 probed endpoints on 60 entries: at most %d per entry; 368 service assignments: at most %d per entry", most(probes), most(steered))
-	if most(probes) > 25 || most(steered) > 16 {
+	t.Logf("560 probed endpoints on 60 entries: at most %d per entry; 368 service assignments: at most %d per entry", most(probes), most(served))
+	if most(probes) > 25 || most(served) > 16 {
 		t.Error("want at most 25 and 16 per entry")
 	}
 	readers := 0
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -117,7 +117,7 @@
 // list of the known entries.
 func (v *View) Answer(req Request) Answer {
 	found := v.candidates(req)
-	v.reduceSpareWeights(found)
+	v.reduceFallbackWeights(found)
 	slices.SortFunc(found, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.entry.Incarnation, b.entry.Incarnation))
 	})
@@ -129,11 +129,11 @@
 	}
 }
 
-// reduceSpareWeights reduces the weight of entries that do not serve the service, down to 0 if a
+// reduceFallbackWeights reduces the weight of entries that do not serve the service, down to 0 if a
 // serving entry has full room. Otherwise callers would spread over the entries that are in the
 // answer only as a fallback, and more entries would choose among a pool's endpoints without knowing
 // of each other.
-func (v *View) reduceSpareWeights(found []candidate) {
+func (v *View) reduceFallbackWeights(found []candidate) {
 	servingShare := 0.0
 	for i := range found {
 		if found[i].serving {
--- a/internal/core/directory/directory_test.go
+++ b/internal/core/directory/directory_test.go
@@ -178,11 +178,11 @@
 // Guards against callers of a service with fewer entries than an answer has: they would send part
 // of their requests to the fallback entries, which choose endpoints without knowing of the others.
 // Fallback entries get weight only as far as the serving entries are full.
-func TestSpareEntriesGetNoWeightWhileServingEntriesHaveRoom(t *testing.T) {
+func TestFallbackEntriesGetNoWeightWhileServingEntriesHaveRoom(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		load  float64
-		spare bool
+		name             string
+		load             float64
+		fallbackWeighted bool
 	}{
 		{"room", 0.2, false},
 		{"full", 1.0, true},
@@ -194,7 +194,7 @@
 		v.Entries[0].Load = c.load
 		answer := v.Answer(Request{Service: "s", Caller: 7, Domain: "b"})
 		for _, e := range answer.Entries {
-			if serving := e.Incarnation == 1; serving && e.Weight == 0 || !serving && e.Weight > 0 != c.spare {
+			if serving := e.Incarnation == 1; serving && e.Weight == 0 || !serving && e.Weight > 0 != c.fallbackWeighted {
 				t.Errorf("%s: entry %d has weight %d", c.name, e.Incarnation, e.Weight)
 			}
 		}
--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -23,7 +23,7 @@
 	if why == notDue || !s.allow.covers(s.bytesNeeded(p, why), why.floor()) {
 		return message.Update{}, false
 	}
-	u := s.base()
+	u := s.newUpdate()
 	room := s.room(why.floor())
 	u.Evidence = s.pendingEvidence(now, p, room)
 	u.Records = s.records.dueTo(p, room-(Size(&u)-heartbeatBytes))
@@ -61,8 +61,8 @@
 	}
 }
 
-// base returns the next update with this entry's own status.
-func (s *Scheduler) base() message.Update {
+// newUpdate returns the next update with this entry's own status.
+func (s *Scheduler) newUpdate() message.Update {
 	s.sequence++
 	u := s.OwnStatus()
 	u.Sequence = s.sequence
--- a/internal/core/member/evidence.go
+++ b/internal/core/member/evidence.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// ReportSilent processes the report of an entry that an entry which it watches is silent, as of a
-// version of its record.
-func (t *Table) ReportSilent(now time.Duration, name string, incarnation uint64, version uint32) {
+// SilenceReported processes a peer's report that an entry that the peer watches is silent. version
+// is the version of the silent entry's record that the peer had.
+func (t *Table) SilenceReported(now time.Duration, name string, incarnation uint64, version uint32) {
 	r := t.rowOf(name, incarnation)
 	if r == nil || r.reportedSilent || version < r.version {
 		return
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -13,25 +13,25 @@
 const ms = time.Millisecond
 
 func TestStatus(t *testing.T) {
-	share := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: 5.8, Over: 1.5, Slack: 8})
+	coldQuota := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: 5.8, Over: 1.5, Slack: 8})
 	now := 10 * time.Second
 	cold := table.Cold{Until: now + ms}
 	own := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Own: true}}
 	spent := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Own: true, At: now}}
 	for _, c := range []struct {
-		name  string
-		share table.ColdQuota
-		e     table.Endpoint
-		want  Status
+		name      string
+		coldQuota table.ColdQuota
+		e         table.Endpoint
+		want      Status
 	}{
-		{"warm", share, table.Endpoint{}, Granted},
-		{"leaving", share, table.Endpoint{State: table.EndpointLeaving}, Leaving},
-		{"gone and in an evacuated domain", share, table.Endpoint{State: table.EndpointGone, Evacuated: true}, Gone},
-		{"evacuated and cold", share, table.Endpoint{Evacuated: true, Cold: own}, Evacuated},
-		{"cold, owned by others", share, table.Endpoint{Cold: cold}, ColdElsewhere},
-		{"cold, owned", share, table.Endpoint{Cold: own}, Granted},
-		{"cold, owned, spent", share, table.Endpoint{Cold: spent}, ColdSpent},
-		{"warm from now on", share, table.Endpoint{Cold: table.Cold{Until: now}}, Granted},
+		{"warm", coldQuota, table.Endpoint{}, Granted},
+		{"leaving", coldQuota, table.Endpoint{State: table.EndpointLeaving}, Leaving},
+		{"gone and in an evacuated domain", coldQuota, table.Endpoint{State: table.EndpointGone, Evacuated: true}, Gone},
+		{"evacuated and cold", coldQuota, table.Endpoint{Evacuated: true, Cold: own}, Evacuated},
+		{"cold, owned by others", coldQuota, table.Endpoint{Cold: cold}, ColdElsewhere},
+		{"cold, owned", coldQuota, table.Endpoint{Cold: own}, Granted},
+		{"cold, owned, spent", coldQuota, table.Endpoint{Cold: spent}, ColdSpent},
+		{"warm from now on", coldQuota, table.Endpoint{Cold: table.Cold{Until: now}}, Granted},
 		{"cold without a published warm-up rate", table.ColdQuota{}, table.Endpoint{Cold: cold}, Granted},
 		{"cold with a bound below one request", NewColdQuota(Warmup{PerSecond: 0.5}), table.Endpoint{Cold: own}, Granted},
 	} {
@@ -39,7 +39,7 @@
 			c.want = ColdSpent // no owner may send: Rate and Owners are 0
 			c.e.Cold.At, c.e.Cold.Tokens = now, 0
 		}
-		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: c.share}
+		p := &table.Pool{Endpoints: []table.Endpoint{c.e}, ColdQuota: c.coldQuota}
 		if got := Of(now, p, &p.Endpoints[0]); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -80,7 +80,7 @@
 // restart, each of which begins with a full quota, and callers send as much as they can.
 func TestColdBoundHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		share := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: rapid.Float64Range(0.5, 30).Draw(rt, "rate"),
+		coldQuota := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: rapid.Float64Range(0.5, 30).Draw(rt, "rate"),
 			Over: 1.5, Slack: rapid.Float64Range(0, 20).Draw(rt, "slack")})
 		n := rapid.SampledFrom([]int{1, 2, 15, 141, 472}).Draw(rt, "entries")
 		var all []Entry
@@ -102,8 +102,8 @@
 			if i >= cut {
 				side = 1
 			}
-			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdQuota: share, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
-			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Own: s.view.Owns(s.id, "e", "0", share.Owners)}}
+			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdQuota: coldQuota, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
+			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Own: s.view.Owns(s.id, "e", "0", coldQuota.Owners)}}
 			return s
 		}
 		var owners []*sender
@@ -131,8 +131,8 @@
 		}
 		for i, from := range sent {
 			end, _ := slices.BinarySearch(sent, from+time.Second+1)
-			if got := end - i; float64(got) > share.Bound {
-				rt.Fatalf("%d requests in the second from %v on, %v allowed; %d owners", got, from, share.Bound, len(owners))
+			if got := end - i; float64(got) > coldQuota.Bound {
+				rt.Fatalf("%d requests in the second from %v on, %v allowed; %d owners", got, from, coldQuota.Bound, len(owners))
 			}
 		}
 	})
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -90,7 +90,7 @@
 		}
 		changes = append(changes, f.members.PeerReported(now, vmOfRecord(r), r.State, r.Version)...)
 		if r.Silent {
-			f.members.ReportSilent(now, r.Name, r.Incarnation, r.Version)
+			f.members.SilenceReported(now, r.Name, r.Incarnation, r.Version)
 		}
 		if f.members.Knows(r.Incarnation) {
 			c.noteRecord(now, r)
