--- a/internal/core/assign/fetch.go
+++ b/internal/core/assign/fetch.go
@@ -72,8 +72,8 @@
 }
 
 // Next returns the fetch that is due now, if any. The caller ends each fetch with Done; until then
-// no other fetch is due. peers are the reachable entries, which a fresh entry asks alternately with
-// the platform.
+// no other fetch is due. peers are the reachable entries; an entry without a revision in force asks
+// them alternately with the platform.
 func (t *Tracker) Next(now time.Duration, peers []uint64) (Fetch, bool) {
 	p := &t.plan
 	fresh := t.inForce.Revision == 0
--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -52,7 +52,8 @@
 type TrackerConfig struct {
 	// RetryBase and RetryMax bound the time between failed fetches.
 	RetryBase, RetryMax time.Duration
-	// StartPeers is how many peers must have reported their revision before a fresh entry is ready.
+	// StartPeers is how many peers must have reported their revision before a fresh entry, one that
+	// has just started, is ready.
 	StartPeers int
 	// StartGrace is how long a fresh entry waits for StartPeers reports.
 	StartGrace time.Duration
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -35,7 +35,7 @@
 	Leaving bool
 	// Suspected entries are in an answer only when almost no other entry is left.
 	Suspected bool
-	// Load is the entry's share of its own capacity in use; 1 is full.
+	// Load is the share of the entry's capacity that is in use; 1 is full.
 	Load float64
 }
 
@@ -112,8 +112,8 @@
 	serving bool
 }
 
-// Answer returns the entries that the caller should use. It allocates only the answer and a scratch
-// list of the known entries.
+// Answer returns the entries that the caller should use. It allocates only the answer and scratch
+// lists of the known entries.
 func (v *View) Answer(req Request) Answer {
 	found := v.candidates(req)
 	v.reduceFallbackWeights(found)
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -15,6 +15,7 @@
 
 // Config sets the bounds of a Scheduler. Zero fields take defaults.
 type Config struct {
+	// Self is this entry's incarnation, Region its region.
 	Self   uint64
 	Region string
 	// Domain is this entry's failure domain.
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -79,7 +79,7 @@
 // row is this entry's view of the current incarnation of a VM.
 type row struct {
 	vm published.VM
-	// peer reports that the VM is another entry of this one's region. Rows are aged many times a
+	// peer reports that the VM is another entry of this entry's region. Rows are aged many times a
 	// second, and comparing the region texts each time was half of the work of an idle entry among
 	// hundreds.
 	peer    bool
@@ -188,7 +188,7 @@
 	}
 }
 
-// isPeer reports whether a VM is another entry of this one's region.
+// isPeer reports whether a VM is another entry of this entry's region.
 func (t *Table) isPeer(vm published.VM) bool {
 	return isEntry(vm) && vm.Incarnation != t.cfg.Self && vm.Region == t.cfg.Region
 }
