--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -24,8 +24,8 @@
 	// Stale: the revision is older than the one in force, from a replica that lags. It is not put
 	// in force; the audit trail should record it.
 	Stale
-	// Conflict: the revision in force with another text. It is not put in force; the audit trail
-	// should record it.
+	// Conflict: the revision has the number of the one in force but another text. It is not put in
+	// force; the audit trail should record it.
 	Conflict
 	// Refused: the revision's text was found invalid before.
 	Refused
@@ -52,7 +52,8 @@
 type TrackerConfig struct {
 	// RetryBase and RetryMax bound the time between failed fetches.
 	RetryBase, RetryMax time.Duration
-	// StartPeers is how many peers must have reported their revision before a fresh entry is ready.
+	// StartPeers is how many peers must have reported their revision before a fresh entry, one that
+	// has just started, is ready.
 	StartPeers int
 	// StartGrace is how long a fresh entry waits for StartPeers reports.
 	StartGrace time.Duration
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -23,7 +23,7 @@
 	Domain string
 }
 
-// Entry is the answering entry's knowledge of an entry, which may be itself.
+// Entry is what the answering entry knows about an entry, which may be itself.
 type Entry struct {
 	Incarnation uint64
 	Address     string
@@ -35,11 +35,11 @@
 	Leaving bool
 	// Suspected entries are in an answer only when almost no other entry is left.
 	Suspected bool
-	// Load is the entry's share of its own capacity in use; 1 is full.
+	// Load is the share of the entry's capacity that is in use; 1 is full.
 	Load float64
 }
 
-// View is the answering entry's knowledge of the fleet.
+// View is what the answering entry knows about the fleet.
 type View struct {
 	Self    uint64
 	Region  string
@@ -80,15 +80,14 @@
 	MinChoices = 3
 	// MinDomains is the fewest failure domains in an answer if that many exist.
 	MinDomains = 2
-	// MaxWeight is the weight of an entry with room in the caller's own
-	// failure domain.
+	// MaxWeight is the weight of an entry with room in the caller's own failure domain.
 	MaxWeight = 1000
 	// DefaultMaxTTL is the longest time for which a caller may keep an answer if MaxTTL is not set.
 	// A leaving entry keeps serving for that time.
 	DefaultMaxTTL = 12 * time.Second
 )
 
-// minTTLShare is the least share of the longest time to live that an answer gets.
+// minTTLShare bounds the time to live of an answer from below, as a share of the longest one.
 const minTTLShare = 2.0 / 3
 
 // otherDomainShare is the weight of an entry outside the caller's failure domain relative to one
@@ -113,11 +112,11 @@
 	serving bool
 }
 
-// Answer returns the entries that the caller should use. It allocates only the answer and a scratch
-// list of the known entries.
+// Answer returns the entries that the caller should use. It allocates only the answer and scratch
+// lists of the known entries.
 func (v *View) Answer(req Request) Answer {
 	found := v.candidates(req)
-	v.reduceSpareWeights(found)
+	v.reduceFallbackWeights(found)
 	slices.SortFunc(found, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.entry.Incarnation, b.entry.Incarnation))
 	})
@@ -129,11 +128,11 @@
 	}
 }
 
-// reduceSpareWeights reduces the weight of entries that do not serve the service, down to 0 if a
+// reduceFallbackWeights reduces the weight of entries that do not serve the service, down to 0 if a
 // serving entry has full room. Otherwise callers would spread over the entries that are in the
 // answer only as a fallback, and more entries would choose among a pool's endpoints without knowing
 // of each other.
-func (v *View) reduceSpareWeights(found []candidate) {
+func (v *View) reduceFallbackWeights(found []candidate) {
 	servingShare := 0.0
 	for i := range found {
 		if found[i].serving {
