--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -37,19 +37,19 @@
 	docs       map[string]published.Value
 	nextID     RequestID
 	keysMade   uint64
-	// cut says that no message gets from one entry to another.
+	// cut reports whether all messages from one entry to another are dropped.
 	cut func(from, to *node) bool
-	// lose says that a link accepts a message and loses it.
+	// lose reports whether a link accepts a message and loses it.
 	lose         func(from, to *node, u *message.Update) bool
 	platformDown func(n *node) bool
-	// platformMute says that the service leaves an entry's calls without an answer.
+	// platformMute reports whether the platform leaves an entry's calls without an answer.
 	platformMute func(n *node) bool
 	// probeTime is how long a probe takes, probedAt when each probe began.
 	probeTime time.Duration
 	probedAt  []time.Duration
 	// dial returns the time from the dispatch of a request to its first byte.
 	dial func() time.Duration
-	// refuses says that an endpoint accepts no connections.
+	// refuses reports whether an endpoint refuses connections.
 	refuses func(name string) bool
 	// endpoint returns an endpoint's reaction to a request.
 	endpoint func(name string, a Arrival) reaction
@@ -125,7 +125,7 @@
 	return h
 }
 
-// start starts an entry's process on VM i; a process that ran there is dead.
+// start starts an entry's process on VM i and kills the process that ran there.
 func (h *clusterHarness) start(i int) *node {
 	incarnation := uint64(len(h.nodes) + 1)
 	hello := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -10,7 +10,8 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// coldOwners is the state from which the owners of a pool's cold endpoints were last computed.
+// coldOwners is the state from which the owners of a pool's cold and rate-limited endpoints were
+// last computed.
 type coldOwners struct {
 	// until is when the last cold endpoint of the pool becomes warm, as far as this entry knows.
 	until time.Duration
@@ -24,8 +25,8 @@
 	periodEnds time.Duration
 }
 
-// markCold marks an endpoint as cold that others report as cold. Its owners are computed before
-// the next choice.
+// markCold marks an endpoint as cold without a report of its own, because the VM list says so or
+// its failure domain returns from evacuation. The owners are computed again before the next choice.
 func (p *pool) markCold(now time.Duration, index int) {
 	e := &p.Endpoints[index]
 	quota.BecameCold(now, &p.Pool, e)
@@ -33,7 +34,7 @@
 	p.cold.until, p.cold.at = max(p.cold.until, e.Cold.Until), 0
 }
 
-// noteReportedCold records for how much longer an endpoint reports that it stays cold.
+// noteReportedCold records how much longer an endpoint stays cold according to its own report.
 func (c *Core) noteReportedCold(now time.Duration, p *pool, e *table.Endpoint, left time.Duration) {
 	wasCold := quota.IsCold(now, &p.Pool, e)
 	quota.SetCold(now, e, left)
@@ -83,7 +84,7 @@
 
 // rememberFor is how long an entry stays in the division of cold endpoints after it was last known.
 // Silent entries and entries on the other side of a partition stay in it, so that both sides keep
-// the same owners. The endpoints that a removed entry owned have no owner for that time.
+// the same owners. Endpoints owned by an entry that was removed have no owner during that time.
 const rememberFor = 10 * time.Minute
 
 // rememberEntries updates the entries among which cold endpoints are divided, and marks the fleet
@@ -91,8 +92,8 @@
 //
 // A starting entry knows few others and would take itself for the owner of every cold endpoint, as
 // would all entries of a failure domain that comes back together with its endpoints. It therefore
-// owns none until it has served for a while and then has the same records as all peers that it
-// hears.
+// owns no cold endpoint until it has served for a while and then has the same records as all peers
+// that it hears.
 func (c *Core) rememberEntries(now time.Duration) {
 	f := &c.fleet
 	if !f.settled && c.state != message.EntryStarting && now >= c.servingSince+settlingTime {
--- a/internal/core/coldfleet_test.go
+++ b/internal/core/coldfleet_test.go
@@ -53,8 +53,8 @@
 }
 
 // A cold endpoint can take 16 requests in a second from all entries together, and each entry
-// computes its quota from its own view of the fleet: which entries exist and how many of them
-// callers are sent to. The entries that own an endpoint must never be allowed to send more together
+// computes its quota from its own view of the fleet: which entries exist and to how many of them
+// callers are sent. The entries that own an endpoint must never be allowed to send more together
 // than it can take: through partitions that last until each side has forgotten the other, the loss
 // and return of most entries, and entries that join.
 func TestColdEndpointOwnersStayWithinBound(t *testing.T) {
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -27,7 +27,7 @@
 }
 
 // One endpoint of six answers late or fails at once, and its fast failures would make it look idle.
-// Alone, and while another endpoint drains, it must get almost no requests after a few seconds.
+// Whether or not another endpoint drains, it must get almost no requests after a few seconds.
 // Once it works again it must be readmitted without an operator: trials with real reads do that
 // within an ejection and its growth (5 s, then at most 10 s), and it is used again as soon as the
 // other endpoints do not suffice.
@@ -118,7 +118,7 @@
 // the endpoints down. Successes earn retries, and there are none, so arrivals at the endpoints stay
 // below 1.1 times the requests. One second after the endpoints work again all requests are answered
 // without an operator: no endpoint was ejected that the others could not replace, and the first
-// successes are not refused.
+// requests that would succeed are not refused.
 func TestRetryBudgetPreventsRetryStorm(t *testing.T) {
 	for _, name := range []string{"answers 500", "answers 503", "refuses", "lost", "not dialled", "slowly lost"} {
 		// The default policy itself avoids endpoints that fail, so the budget is tested with a
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -23,8 +23,8 @@
 	entries        []member.Entry
 	// byIncarnation and byAssignID map incarnations and assign IDs to indexes in entries.
 	byIncarnation, byAssignID map[uint64]int
-	// assignedVersion is the entriesVersion at which services were last assigned, assignedAt the
-	// time.
+	// assignedVersion is the entriesVersion at which services were last assigned, and assignedAt is
+	// when that was.
 	assignedVersion uint64
 	assignedAt      time.Duration
 	// assignMembers are the entries among which work is divided. They are identified by assignID,
@@ -45,7 +45,7 @@
 	remembered        map[uint64]rememberedEntry
 	rememberedVersion uint64
 	settled           bool
-	// rows finds the row of an endpoint by the VM's name.
+	// rows maps the VM name of an endpoint to its row.
 	rows   map[string]endpointRef
 	gossip *gossip.Scheduler
 	// maxEntriesSeen is the largest number of entries ever known at the same time, this one
@@ -55,13 +55,13 @@
 	ownShare float64
 	// poolPeers are the entries that serve a pool which this entry also serves.
 	poolPeers map[uint64]bool
-	// gossipPeers is scratch memory.
+	// gossipPeers is scratch memory of Core.gossipPeers.
 	gossipPeers []gossip.Peer
 	// due, newEvidence and loadReports are scratch memory of composeUpdates.
 	due         []uint64
 	newEvidence []message.Evidence
 	loadReports []message.LoadReport
-	// heardAt is when a message from any other entry last arrived, or one was acknowledged.
+	// heardAt is when a message or an acknowledgement from another entry last arrived.
 	heardAt time.Duration
 	// rate is this entry's calls per second. It was last sampled at rateAt, when Counters.Arrived
 	// was rateArrived.
@@ -83,7 +83,8 @@
 	// watchedVersion is the version of the links at which the member table was last updated with
 	// the entries that this one watches.
 	watchedVersion uint64
-	// reachable are the entries that can be asked, as of reachableVersion of the links.
+	// reachable are the entries from which values can be fetched, as of reachableVersion of the
+	// links.
 	reachable        []uint64
 	reachableVersion uint64
 	// acked are the entries that acknowledged a message since the last tick.
@@ -96,7 +97,7 @@
 	index int
 }
 
-// peer is the latest status of another entry.
+// peer is the latest status of another entry and when it arrived.
 type peer struct {
 	update  message.Update
 	heardAt time.Duration
@@ -262,8 +263,9 @@
 // more entries than intended send to the same endpoints.
 const assignInterval = 50 * time.Millisecond
 
-// applyChanges carries membership changes into the pools and the audit trail. The table may also
-// have changed without a change worth a note, for instance when an entry becomes ready.
+// applyChanges applies membership changes to the pools and notes them in the audit trail. The
+// member table may also have changed without anything to note, for instance when an entry becomes
+// ready.
 func (c *Core) applyChanges(now time.Duration, changes []member.Change, actor string, out *Actions) {
 	entriesChanged := c.fleet.members.EntriesVersion() != c.fleet.entriesVersion
 	if len(changes) == 0 && !entriesChanged {
@@ -324,9 +326,9 @@
 	}
 }
 
-// setEvacuated sets whether the endpoints of a failure domain are evacuated. Requests that run
-// there go on. An endpoint that returns has been idle for a while and is treated as cold until it
-// reports otherwise.
+// setEvacuated sets whether the endpoints of a failure domain are evacuated. Requests that are
+// running there continue. An endpoint that returns has been idle for a while and is treated as cold
+// until it reports otherwise.
 func (c *Core) setEvacuated(now time.Duration, domain string, evacuated bool) {
 	for _, p := range c.poolRows {
 		for i := range p.Endpoints {
@@ -351,7 +353,8 @@
 	return ref.pool.endpointAt(ref.index, vm.Incarnation)
 }
 
-// tickFleet expires what is known of VMs and fetches published values.
+// tickFleet expires outdated knowledge of VMs and other entries, decides whether this entry reads
+// the platform, and fetches published values.
 func (c *Core) tickFleet(now time.Duration, out *Actions) {
 	c.noteAcked(now, out)
 	c.applyChanges(now, c.fleet.members.Tick(now), "silence", out)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -270,10 +270,10 @@
 	}
 }
 
-// Entry 0 hears all others but no entry hears entry 0. Callers must not be sent to an entry that
-// its peers cannot see alive, but entry 0 must go on serving the callers that it has. The others
-// suspect it within four seconds and stop naming it. Two seconds after the loss ends they name it
-// again.
+// Entry 0 hears all others, but no entry hears entry 0. Callers must not be sent to an entry that
+// its peers cannot hear, but entry 0 must go on serving the callers that it has. The others suspect
+// it within four seconds and stop naming it. Two seconds after messages get through again they name
+// it again.
 func TestUnheardEntryIsNotNamedToCallers(t *testing.T) {
 	h := newServingCluster(t, 3, "counts/c1")
 	unheard := h.nodes[0]
@@ -334,7 +334,7 @@
 	h.until(5*sec, func(x *node) bool { return x != h.nodes[2] || atRevision(3)(x) })
 	h.sendRequest(n, Arrival{Service: "counts", Revision: 3})
 	if took := h.until(5*sec, func(x *node) bool { return x != n || atRevision(3)(x) }); took > sec {
-		t.Errorf("from a peer after %v", took)
+		t.Errorf("the peer's revision is in force only after %v", took)
 	}
 	fresh := h.start(1) // an invented revision must not keep an entry from starting
 	h.sendRequest(fresh, Arrival{Service: "counts", Revision: 99})
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -12,16 +12,16 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// successorCount is how many entries answer for the keys of a stopped entry. With two, one of them
-// may stop or fail meanwhile.
+// successorCount is how many entries answer for the keys of a stopped entry. With two, the keys
+// survive if one of them stops or fails meanwhile.
 const successorCount = 2
 
-// extraSuccessors is how many entries may have joined since a hand-over and rank before those that
-// accepted it. They are asked as well.
+// extraSuccessors is how many entries are asked beyond successorCount, because entries that joined
+// since a hand-over may rank before the entries that accepted it.
 const extraSuccessors = 2
 
 // handoverPartBytes is the approximate size of one part of a hand-over. Stored answers may be
-// large, and a message that is too large for a link would lose the whole hand-over.
+// large, and if one message were too large for a link, the whole hand-over would be lost.
 const handoverPartBytes = 64 << 10
 
 // recordOverhead is the approximate size of a record without its answer.
@@ -48,8 +48,8 @@
 	return parts
 }
 
-// handoverParts splits a key table. An empty table still makes one part, which proves that no key
-// of its home ran.
+// handoverParts splits a key table. An empty table still makes one part, which proves that its
+// home ran no request with a key.
 func handoverParts(home uint64, oldest uint32, records []idem.Record, size int) []message.Handover {
 	total := len(records)
 	var parts []message.Handover
@@ -106,8 +106,8 @@
 }
 
 // SuccessorAddresses returns the peer addresses of the entries that may take over the keys of a
-// home, in order of rank. The first successorCount entries that accept are enough, and later on
-// they are the first to be asked.
+// home, in order of rank. The first successorCount entries that accept them are enough; later they
+// are the first to be asked about these keys.
 func (c *Core) SuccessorAddresses(home uint64) []string {
 	var out []string
 	for _, incarnation := range c.successorsOf(home, successorCount+extraSuccessors, member.Entry.Usable) {
@@ -119,8 +119,8 @@
 	return out
 }
 
-// mayHaveAdopted reports whether an entry may have keys that were handed over to it. A leaving entry
-// answers for them until it has handed them on.
+// mayHaveAdopted reports whether an entry may have keys that were handed over to it. A leaving
+// entry answers for such keys until it has handed them on.
 func mayHaveAdopted(e member.Entry) bool {
 	return !e.Suspected && (e.State == message.EntryServing || e.State == message.EntryLeaving)
 }
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// probeAfter is the age of the last load report or probe of an endpoint from which on a health
-	// probe is worth its cost. Busy endpoints stay below it, since answers to requests report their
-	// load.
+	// probeAfter is the age that the last load report or probe of an endpoint must have before a
+	// health probe is worth its cost. Busy endpoints do not reach that age, since their answers to
+	// requests report their load.
 	probeAfter = 2 * time.Second
 	// maxProbesPerTick bounds the health probes that one tick starts.
 	maxProbesPerTick = 4
@@ -19,8 +19,8 @@
 
 // startHealthProbes probes, within the watch budget, endpoints whose load has not been seen for
 // probeAfter. Answers to requests count as well, so a busy endpoint is not probed. Each endpoint is
-// assigned to one entry. Where the entries' views differ several may probe it; the budget still
-// holds, since each entry spends only its fixed part.
+// assigned to one entry. Where the entries' views differ, several of them may probe it; the
+// budget still holds, since each entry spends only its fixed part.
 func (c *Core) startHealthProbes(now time.Duration, out *Actions) {
 	started := 0
 	for _, p := range c.poolRows {
--- a/internal/core/largefleetharness_test.go
+++ b/internal/core/largefleetharness_test.go
@@ -14,10 +14,10 @@
 	"github.com/tealhall/tealhall/internal/message"
 )
 
-// Time that a simulated entry needs for an event with a whole core. The times are above those of a
-// daemon for a message with its wake-up, and eight times those of both ends of a hello (see the
-// benchmarks of package peer). An entry with a share of a core takes longer in proportion, and
-// later events wait.
+// Time that a simulated entry needs for an event with a whole core. The times are longer than a
+// daemon needs for a message and its wake-up, and eight times as long as both ends need for a hello
+// (see the benchmarks of package peer). An entry with a share of a core takes longer in proportion,
+// and later events wait.
 const (
 	tickCost    = 100 * time.Microsecond
 	messageCost = 250 * time.Microsecond
@@ -36,7 +36,7 @@
 	vms       []*largeEntry // by VM; the latest process of each
 	byAddress map[string]*largeEntry
 	rng       *rand.Rand
-	// cut says that no message gets from one VM to another.
+	// cut reports whether all messages from one VM to another are dropped.
 	cut func(from, to int) bool
 	// cpuShare returns the share of a core that a VM has.
 	cpuShare func(vm int) float64
@@ -116,7 +116,7 @@
 
 func peerAddressAt(vm int) string { return fmt.Sprintf("10.0.%d.%d:81", vm/200, vm%200) }
 
-// start starts a process on a VM; a process that ran there is dead.
+// start starts a process on a VM and kills the process that ran there.
 func (f *largeFleet) start(vm int) {
 	incarnation := uint64(f.now/ms)<<20 + uint64(vm) + 1
 	h := message.Hello{Name: fmt.Sprintf("entry-%03d", vm), Incarnation: incarnation, Region: "r", Domain: fmt.Sprint("d", vm%5),
@@ -308,7 +308,8 @@
 	})
 }
 
-// until runs until ok holds for all running entries, and returns how long that took, at most limit.
+// until runs the fleet until ok holds for all running entries, and returns how long that took, at
+// most limit.
 func (f *largeFleet) until(limit time.Duration, ok func(e *largeEntry) bool) time.Duration {
 	began := f.now
 	for f.now-began < limit {
@@ -324,7 +325,7 @@
 	return f.now - began
 }
 
-// countUsable counts the entries that this entry takes for usable, itself included.
+// countUsable counts the entries that this entry considers usable, itself included.
 func (e *largeEntry) countUsable() int {
 	n := 0
 	for i := range e.fleet.entries {
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -27,10 +27,10 @@
 const (
 	// maxLimits bounds the number of rate limits kept.
 	maxLimits = 4096
-	// limitRetention is how long the limit of an endpoint is kept that is not on the VM list.
+	// limitRetention is how long the limit of an endpoint that is not on the VM list is kept.
 	limitRetention = 5 * time.Minute
 	// smallLimitChange is the relative change up to which a new limit is not spread at once.
-	// Entries that send requests to the endpoint see it in its answers in any case.
+	// Entries that send requests to the endpoint see the new limit in its answers in any case.
 	smallLimitChange = 0.25
 )
 
@@ -64,8 +64,8 @@
 	c.fleet.gossip.Spread(now, []message.Evidence{{VM: limitSubject + e.Name, Incarnation: e.Incarnation, Kind: message.EvidenceLimit, Limit: current}})
 }
 
-// noteProbedLimit is noteReportedLimit for the answer to a load probe. An answer without a limit counts
-// only if the endpoint has reported a limit in such answers before.
+// noteProbedLimit is noteReportedLimit for the answer to a load probe. An answer without a limit
+// counts only if the endpoint has reported a limit in such answers before.
 func (c *Core) noteProbedLimit(now time.Duration, p *pool, e *table.Endpoint, rate float64, out *Actions) {
 	if rate > 0 {
 		e.Limit.InProbes = true
@@ -121,7 +121,8 @@
 	}
 }
 
-// recountLimits counts the pool's endpoints with a rate limit and has the owners computed again.
+// recountLimits counts the pool's endpoints with a rate limit and has refreshOwnership compute the
+// owners again.
 func (p *pool) recountLimits() {
 	p.cold.at, p.limited = 0, 0
 	for i := range p.Endpoints {
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -48,12 +48,13 @@
 	})
 }
 
-// lostDialers is how many entries dial an address at which no entry is known now but was, or may
-// be. With three dialers, two of them may be dead or on the wrong side of a partition.
+// lostDialers is how many entries dial an address at which an entry was known earlier or may be
+// running, but none is known now. With three dialers, two of them may be dead or on the wrong side
+// of a partition.
 const lostDialers = 3
 
 // DialsLost reports whether this entry is one of the few that dial an address at which no entry is
-// known. If all entries dialed every lost one, a partition into halves would cause dials in the
+// known. If all entries dialed every such address, a partition into halves would cause dials in the
 // order of a quarter of the square of the fleet's size.
 func (c *Core) DialsLost(address string) bool {
 	key, before := assign.Key("finds", address), 0
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -22,7 +22,7 @@
 	maxLoadlessProbes = 6
 )
 
-// loadProbeRound is the load probes of one request that are under way together.
+// loadProbeRound is the round of load probes for one request. They are sent in batches.
 type loadProbeRound struct {
 	// batch numbers the batch under way. Answers to an earlier batch update the endpoint's load but
 	// do not advance the round.
@@ -112,8 +112,8 @@
 	return true
 }
 
-// probeNextBatch sends the next batch of load probes, or decides if there is no endpoint left to
-// probe.
+// probeNextBatch sends the next batch of load probes, or calls decide if there is no endpoint left
+// to probe.
 func (c *Core) probeNextBatch(now time.Duration, r *request, out *Actions) {
 	p := r.pool
 	remaining := r.policy.LoadProbes - len(r.probeRound.probed)
@@ -227,7 +227,7 @@
 }
 
 // decide ends a round in which no endpoint is left to probe. It dispatches r to the best endpoint,
-// starts a delayed round, refuses r if no endpoint lives, or puts r into the queue.
+// starts a delayed round, refuses r if the pool has no live endpoint, or puts r into the queue.
 func (c *Core) decide(now time.Duration, r *request, out *Actions) {
 	best := c.bestChoice(now, r)
 	if r.probeRound.second {
--- a/internal/core/loadprobes_test.go
+++ b/internal/core/loadprobes_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// The endpoints of a service report no load. Load probes are useless there and stop; requests are
-// dispatched by the attempts that the entry itself has under way.
+// The endpoints of a service report no load. Load probes are useless there and stop; the
+// endpoint for a request is chosen by the number of attempts that the entry itself has under way.
 func TestEndpointsWithoutLoadAreNotProbed(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(3, "d0")...)
 	h.pools["p"].loadless = maxLoadlessProbes
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -25,7 +25,7 @@
 		p.serving = deciders[c.cfg.Self.Incarnation]
 		c.setDeciders(now, p, deciders)
 		if !p.serving || p.usesLoadProbes() {
-			continue // no load reports are sent there: endpoints get a load probe before each choice
+			continue // no load reports on this pool: its endpoints get a load probe before each choice
 		}
 		for incarnation := range deciders {
 			c.fleet.poolPeers[incarnation] = true
@@ -179,8 +179,8 @@
 }
 
 // maxOwnShare bounds an entry's share of the fleet's requests, as a multiple of an equal share in
-// the largest fleet seen. In a partition each side knows only its own requests and would otherwise
-// take all of them for its share.
+// the largest fleet seen. In a partition each side knows only its own requests. Without the bound,
+// the shares of its entries would add up to the whole fleet's requests on each side.
 const maxOwnShare = 4.0
 
 // requestShare returns this entry's share of the rates that all entries report. One request per
@@ -283,7 +283,7 @@
 	return true
 }
 
-// applyUpdate applies an update that is newer than all earlier ones of the peer.
+// applyUpdate applies an update that is newer than all earlier updates of the peer.
 func (c *Core) applyUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
 	f := &c.fleet
 	p.update, p.heardAt = *u, now
--- a/internal/core/peerslots.go
+++ b/internal/core/peerslots.go
@@ -9,8 +9,8 @@
 const (
 	// peerSlotsSilence is how long a peer's counts stay valid without an update.
 	peerSlotsSilence = 2 * time.Second
-	// serviceTimeTTL is how long the measured service time of an endpoint stays valid that gets no
-	// request.
+	// serviceTimeTTL is how long the measured service time of an endpoint stays valid while it gets
+	// no requests.
 	serviceTimeTTL = time.Minute
 )
 
@@ -93,7 +93,7 @@
 }
 
 // withinShare reports whether a service may occupy one more slot fleet-wide while another service
-// of the pool has a higher priority, and lowers the free slots by those that peers use. The
+// of the pool has a higher priority, and subtracts the slots that peers use from capacity.Free. The
 // service's share of the pool is divided among the entries that serve it. Beyond its own share an
 // entry may use free slots as long as all slots in use in the pool stay within the service's share.
 //
@@ -120,10 +120,10 @@
 	return false
 }
 
-// forgetOldServiceTimes drops the measured service time of endpoints that got no request for long.
-// Otherwise the time of a straggler would outlive its cause: an endpoint that counts as slow gets
-// no request while others suffice, so nothing would correct the time, and its slots would be
-// missing at the next peak.
+// forgetOldServiceTimes drops the measured service time of endpoints that got no request for a long
+// time. Otherwise a straggler would keep its measured time after the cause is gone: an endpoint
+// that counts as slow gets no request while others suffice, so nothing would correct the time, and
+// its slots would be missing at the next peak.
 func (p *pool) forgetOldServiceTimes(now time.Duration) {
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -116,7 +116,7 @@
 	c.drainQueues(now, out)
 }
 
-// problemText lists what is wrong with a document, without the remedy, which is the same for all
+// problemText returns what is wrong with a document, without the remedy, which is the same for all
 // documents.
 func problemText(problem error) string {
 	var list *profile.DocumentError
@@ -134,7 +134,7 @@
 // InForce returns the mark of the value's revision in force.
 func (c *Core) InForce(name string) message.Mark { return c.tracker(name).InForce() }
 
-// FetchDone records that a fetch ended. A fetched value has been offered before.
+// FetchDone records that a fetch ended. The driver has passed a fetched value to Offer before.
 func (c *Core) FetchDone(now time.Duration, f FetchFrom, answered bool) {
 	c.tracker(f.Name).Done(now, assign.Fetch{From: f.Source, After: f.After}, answered, c.rng)
 }
@@ -152,7 +152,7 @@
 }
 
 // fetchDue fetches published values of which a later revision is known. It also runs the periodic
-// check, which finds revisions that wrong knowledge of peers could hide.
+// check, which finds revisions that this entry would miss if its knowledge of its peers were wrong.
 func (c *Core) fetchDue(now time.Duration, out *Actions) {
 	peers := c.reachablePeers()
 	c.fetchNext(now, published.ProfilesValue, peers, out)
@@ -176,8 +176,8 @@
 	out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
 }
 
-// periodicCheck reads the platform at a low rate even if other entries are the readers, so that
-// wrong knowledge of who reads cannot last.
+// periodicCheck reads the platform at a low rate even if other entries are the readers, so that an
+// error about which entries read cannot last.
 func (c *Core) periodicCheck(now time.Duration, out *Actions) {
 	if now < c.fleet.nextCheck {
 		return
@@ -198,8 +198,8 @@
 	}
 }
 
-// reachablePeers returns the entries that can be asked because a link to them is open, with entries
-// of the own failure domain first.
+// reachablePeers returns the entries from which values can be fetched because a link to them is
+// open, with the entries of this entry's failure domain first.
 func (c *Core) reachablePeers() []uint64 {
 	f := &c.fleet
 	version := c.LinksVersion()
@@ -250,7 +250,7 @@
 	return "revision " + published.RevisionText(revision)
 }
 
-// becomeReady moves a starting entry to serving once it has the latest revision that it can learn
+// becomeReady moves a starting entry to serving once it has the latest revisions that it can learn
 // of.
 func (c *Core) becomeReady(now time.Duration, out *Actions) {
 	if c.state != message.EntryStarting {
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -16,23 +16,24 @@
 const (
 	readerSilence = 400 * time.Millisecond
 	// standbyGap is the time between the standby groups in which entries return to a platform that
-	// answers again: several times what it takes to notify all other entries.
+	// answers again: several times the time that it takes to notify all other entries.
 	standbyGap   = 100 * time.Millisecond
 	startSilence = 1500 * time.Millisecond
 	// firstStartSilence replaces startSilence when the whole fleet starts for the first time:
-	// enough for hundreds of entries to connect, and less than the seconds until callers come.
+	// long enough for hundreds of entries to connect, and shorter than the seconds until callers
+	// connect.
 	firstStartSilence = 4 * time.Second
 )
 
-// readers records which entries read the platform for the fleet, and whether that works.
+// readers records which entries read the platform for the fleet, and whether they reach it.
 //
-// Readers are assigned by what entries know of each other, not by who reaches the platform. If only
-// entries that are not readers reach it, a published profile would come into force only with the
-// periodic check of one of them, after ten seconds or more. Therefore, when no reader reports that
-// it reaches the platform, further entries try: a few of each failure domain first and all others
-// later. An entry that reaches the platform goes on reading until an assigned reader reaches it
-// again. If all entries tried at once, the calls caused by a change of readers would grow with the
-// fleet.
+// Readers are assigned among the entries that are known, whether or not they reach the platform. If
+// only entries that are not readers reach it, a published profile would come into force only with
+// the periodic check of one of them, after ten seconds or more. Therefore, when no reader reports
+// that it reaches the platform, further entries try: a few of each failure domain first and all
+// others later. An entry that reaches the platform goes on reading until an assigned reader reaches
+// it again. If all entries tried at once, the calls caused by a change of readers would grow with
+// the fleet.
 type readers struct {
 	// assigned are the incarnations of this region's readers.
 	assigned []uint64
@@ -101,7 +102,7 @@
 }
 
 // standbyLiveness bounds the liveness checks of the last standby group as a whole. Without the
-// bound, a fleet that waits for a platform which is down called it a hundred times a second. The
+// bound, a fleet that waited for a platform that was down called it a hundred times a second. The
 // first entry that gets an answer notifies all others, so recovery is found at once however many
 // entries check.
 var standbyLiveness = assign.CheckLimits{Longest: 10 * time.Second, FleetRate: 20, Values: 1}
@@ -163,15 +164,16 @@
 	return heard && !e.Suspected && e.State <= message.EntryServing && e.VM.State == published.Live
 }
 
-// isCutOff reports whether this entry hears no other one. In a large fleet an entry watches only a
-// few neighbors and takes all others for live until an entry that watches them reports otherwise.
-// Without this check their last status, for instance that they read the platform, would count
-// forever.
+// isCutOff reports whether this entry hears no other entry. In a large fleet an entry watches only
+// a few neighbors and assumes that all others are live until an entry that watches them reports
+// otherwise. Without this check their last status, for instance that they read the platform, would
+// count forever.
 func (c *Core) isCutOff(now time.Duration) bool {
 	return now-c.fleet.heardAt >= c.fleet.members.SuspectAfter()
 }
 
-// anyEntryReachesPlatform reports whether any entry of this region reports that it reaches the platform.
+// anyEntryReachesPlatform reports whether any entry of this region reports that it reaches the
+// platform.
 func (c *Core) anyEntryReachesPlatform(now time.Duration) bool {
 	f := &c.fleet
 	if c.isCutOff(now) {
@@ -207,8 +209,8 @@
 }
 
 // waitsForReaders reports whether an entry that knows no revision of a value yet waits for other
-// entries to report one. Without it, each entry of a starting fleet asked the platform again and
-// again, until the operator had published the value, for what one reader in each failure domain
+// entries to report one. Without this wait, each entry of a starting fleet asked the platform again
+// and again, until the operator had published the value, for what one reader in each failure domain
 // reads and passes on anyway. An entry that starts alone gets the value from the first peer that it
 // connects to; after a power loss most entries get it from the few readers.
 func (c *Core) waitsForReaders(now time.Duration, t *assign.Tracker) bool {
@@ -221,7 +223,8 @@
 	return now < c.cfg.StartFetchDelay
 }
 
-// assignedReaderReachesPlatform reports whether an assigned reader of this region reaches the platform.
+// assignedReaderReachesPlatform reports whether an assigned reader of this region reaches the
+// platform.
 func (c *Core) assignedReaderReachesPlatform(now time.Duration) bool {
 	c.assignReaders()
 	f := &c.fleet
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -154,9 +154,9 @@
 }
 
 // Guards against an entry that serves by an old profile because it is cut off from all others while
-// callers and the platform reach it. It watches nine of 59 others and took the rest for live. Their
-// last status, that some of them read the platform, stayed valid, so the entry got a new profile
-// only with its periodic check, a minute or two later.
+// callers and the platform reach it. It watched nine of 59 others and assumed that the rest were
+// live. Their last status, that some of them read the platform, stayed valid, so the entry got a
+// new profile only with its periodic check, a minute or two later.
 func TestIsolatedEntryReadsPlatform(t *testing.T) {
 	h := newServingCluster(t, 60, "counts/c1")
 	var isolated *node
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -10,9 +10,10 @@
 )
 
 // Rules for announcing this entry's record again. A change of its state, or of whether it reads the
-// platform, is announced at once. Its rate weighs answers to callers and shares of bounds, where a
-// deviation of a quarter does little harm. The epoch of its keys may lag by one of the five epochs
-// that are kept; the lag spreads the announcements of entries that started together.
+// platform, is announced at once. Its rate is a weight in answers to callers and in shares of
+// bounds, where a deviation of a quarter does little harm. The announced epoch of its keys may lag
+// by one of the five epochs that are kept; the lag spreads out the announcements of entries that
+// started together.
 const (
 	minRateInterval       = 2 * time.Second
 	minRelativeRateChange = 0.25
@@ -37,7 +38,7 @@
 	}
 }
 
-// announce gives this entry's record to the fleet if it differs from the last announced one, or if
+// announce sends this entry's record to the fleet if it differs from the last announced one, or if
 // another entry reported this one as silent.
 func (c *Core) announce(now time.Duration) {
 	f := &c.fleet
@@ -73,8 +74,8 @@
 	return change >= minRateChange && change >= minRelativeRateChange*float64(f.ownRecord.Rate) && now-f.announcedAt >= minRateInterval
 }
 
-// applyRecords applies records that arrived through other entries, after the gossip scheduler stored
-// them. Only the latest stored record of each entry counts.
+// applyRecords applies records that arrived through other entries, after the gossip scheduler
+// stored them. Only the latest stored record of each entry counts.
 func (c *Core) applyRecords(now time.Duration, records []message.Record, out *Actions) {
 	f := &c.fleet
 	var changes []member.Change
@@ -124,7 +125,7 @@
 	c.applyChanges(now, changes, "peer", out)
 }
 
-// watchLinks updates the set of entries that this one watches after a change of links.
+// watchLinks updates the set of entries that this entry watches, after a change of links.
 func (c *Core) watchLinks(now time.Duration) {
 	f := &c.fleet
 	if f.watchedVersion != f.gossip.Version() {
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// defaultPolicy is the choice policy where the settings name none.
+	// defaultPolicy is the balance policy if the settings name no valid one.
 	defaultPolicy = balance.Default
 	// minRetriesPerSecond is the retry rate of all entries together for a service that has too
 	// little traffic to earn retries.
@@ -47,7 +47,7 @@
 	typical health.Typical
 	// hedges are the requests that may still be hedged, oldest first.
 	hedges []pendingHedge
-	// work is the median time that its requests take at idle endpoints.
+	// work is the median time that requests of the service take at idle endpoints.
 	work placement.Median
 	// kilobytes is the smoothed size of a request with its answer.
 	kilobytes float64
@@ -127,7 +127,7 @@
 	return n
 }
 
-// endpointAt returns the row at index if it still is the given incarnation.
+// endpointAt returns the row at index if it still belongs to the given incarnation, or nil.
 func (p *pool) endpointAt(index int, incarnation uint64) *table.Endpoint {
 	if index < 0 || index >= len(p.Endpoints) {
 		return nil
@@ -140,7 +140,7 @@
 }
 
 // find returns the index of the endpoint of that name and incarnation, or -1.
-// An incarnation of 0 matches any that has not gone.
+// Incarnation 0 matches any incarnation that is not gone.
 func (p *pool) find(name string, incarnation uint64) int {
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
@@ -154,8 +154,8 @@
 	return -1
 }
 
-// add adds an endpoint to the pool. It uses the row of an endpoint that is gone only if no attempt
-// refers to the row any more, so that an index stays valid as long as an attempt has it.
+// add adds an endpoint to the pool. It reuses the row of an endpoint that is gone only if no
+// attempt refers to the row any more, so that an index stays valid as long as an attempt uses it.
 func (p *pool) add(now time.Duration, vm published.VM) (index int) {
 	row := table.Endpoint{
 		Name:        vm.Name,
@@ -295,7 +295,7 @@
 }
 
 // applyCalendar starts and ends a close by the local calendar, so that the mode also changes while
-// the configuration service is down.
+// the platform is down.
 func (c *Core) applyCalendar(now time.Duration, out *Actions) {
 	if c.snapshot == nil {
 		return
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -38,7 +38,7 @@
 	// Closing says that a close is under way.
 	Closing       bool
 	Profiles, VMs PublishedView
-	// ListHeld says that the losses of the latest VM list do not count yet.
+	// ListHeld says that the VMs missing from the latest VM list still count as listed.
 	ListHeld bool
 	// Evidence describes how evidence spreads through the fleet.
 	Evidence   gossip.Stats
@@ -99,8 +99,8 @@
 	HealthProbeShare float64
 	// ProbesLeft is how many health probes the budget allows at once.
 	ProbesLeft float64
-	// Probes and ProbeTime are what health probes have used, ProbesDenied how often a probe had to
-	// be put off.
+	// Probes counts the health probes, and ProbeTime is the slot time that they have used.
+	// ProbesDenied counts the probes that the budget did not allow.
 	Probes, ProbesDenied uint64
 	ProbeTime            time.Duration
 }
@@ -133,7 +133,7 @@
 // Evacuation is a failure domain whose endpoints get no new work.
 type Evacuation struct {
 	Domain string
-	// Since is when this entry learned of it.
+	// Since is when this entry learned of the evacuation.
 	Since time.Duration
 }
 
@@ -162,13 +162,13 @@
 
 // explanations are kept only for views; no decision depends on them.
 type explanations struct {
-	// ejections is the event of the last ejection of the endpoint in a row.
+	// ejections has, for the row of each ejected endpoint, the event of its ejection.
 	ejections map[poolRow]health.Event
-	// refused says what is wrong with the latest invalid text of a value, and staleAt is when an
-	// older revision of it was last offered.
+	// refused says what is wrong with the latest invalid text of a value, and staleAt is when a
+	// revision older than the one in force was last offered. Both are by the value's name.
 	refused map[string]string
 	staleAt map[string]time.Duration
-	// unreadable says why the platform's current value cannot be read.
+	// unreadable says why the platform's current value cannot be read, by the value's name.
 	unreadable map[string]string
 }
 
@@ -221,7 +221,7 @@
 }
 
 // Sort orders pools by name and endpoints by pool and name. It is separate from Core.View so that a
-// driver need not lock the core meanwhile.
+// driver need not lock the core while sorting.
 func (v *View) Sort() {
 	slices.SortFunc(v.Pools, func(a, b PoolView) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(v.Endpoints, func(a, b EndpointView) int {
