--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -34,7 +34,7 @@
 	tick       time.Duration
 	nodes      []*node
 	deliveries []delivery
-	docs       map[string]published.Value
+	values     map[string]published.Value // on the platform
 	nextID     RequestID
 	keysMade   uint64
 	// cut reports whether all messages from one entry to another are dropped.
@@ -87,7 +87,7 @@
 	open         map[attemptKey]Directive
 	replies      map[RequestID]reply
 	relays       map[RequestID]func(reply)
-	docs         map[string]published.Value
+	values       map[string]published.Value // in force at the entry
 	notes        []Note
 	suspects     []string
 	probes       []Probe
@@ -104,7 +104,7 @@
 }
 
 func newClusterHarness(t testing.TB, entries int) *clusterHarness {
-	h := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
+	h := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, values: map[string]published.Value{},
 		written: map[string]int{}, ran: map[string]int{}}
 	h.config = func(cfg *Config) { cfg.LargestFleet = 8 }
 	h.cut = func(_, _ *node) bool { return false }
@@ -134,7 +134,7 @@
 	h.config(&cfg)
 	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: hello, started: h.now,
 		arrivals: map[RequestID]Arrival{}, open: map[attemptKey]Directive{}, replies: map[RequestID]reply{},
-		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
+		relays: map[RequestID]func(reply){}, values: map[string]published.Value{}}
 	for _, old := range h.nodes {
 		old.dead = old.dead || old.hello.Name == hello.Name
 	}
@@ -144,7 +144,7 @@
 
 // publish stores a value on the platform.
 func (h *clusterHarness) publish(name string, revision uint64, text string) {
-	h.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
+	h.values[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
 // addressOf returns the address of an endpoint, whose name is a letter and a number.
@@ -257,7 +257,7 @@
 }
 
 func (h *clusterHarness) read(n *node, name string) {
-	v := h.docs[name]
+	v := h.values[name]
 	if v.Revision == n.InForce(name).Revision {
 		n.Confirm(h.now-n.started, name)
 		return
@@ -274,7 +274,7 @@
 	}
 	h.do(n, func(now time.Duration, out *Actions) { n.Offer(now, o, out) })
 	if n.InForce(v.Name) == o.Mark {
-		n.docs[v.Name] = v
+		n.values[v.Name] = v
 	}
 }
 
@@ -339,11 +339,11 @@
 func (h *clusterHarness) fetch(n *node, f FetchFrom) {
 	peer := h.nodeAt(f.Address)
 	answered := f.Source == assign.Platform && !h.platformDown(n)
-	v := h.docs[f.Name]
+	v := h.values[f.Name]
 	if f.Source != assign.Platform {
 		answered = h.reaches(n, peer) && h.reaches(peer, n) && !peer.asleep
 		if answered {
-			v = peer.docs[f.Name]
+			v = peer.values[f.Name]
 		}
 	}
 	if answered && v.Revision > f.After {
--- a/internal/core/cold_test.go
+++ b/internal/core/cold_test.go
@@ -103,8 +103,8 @@
 // is warm, even if it does not answer load probes.
 func TestEndpointIsColdUntilItReportsWarm(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		happen func(h *entryHarness)
+		name       string
+		becomeCold func(h *entryHarness)
 	}{
 		{"the list marks it as cold", func(h *entryHarness) { h.publishCold("d0-0") }},
 		{"its failure domain returns from evacuation", func(h *entryHarness) {
@@ -117,7 +117,7 @@
 			h.publishWarmup(2)
 			h.learnServiceTime(8)
 			h.run(2 * sec)
-			c.happen(h)
+			c.becomeCold(h)
 			h.endpoint("d0-0").silent = true
 			for range 12 {
 				h.sendRequest(route.NonIdempotent, 3*sec)
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	sixCounts = []string{"counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6"}
-	sixNames  = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
+	sixEndpoints     = []string{"counts/c1", "counts/c2", "counts/c3", "counts/c4", "counts/c5", "counts/c6"}
+	sixEndpointNames = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 )
 
 // setReactions makes the named endpoints react with re and all others answer within 10 to 20 ms.
@@ -45,7 +45,7 @@
 			if drains && name != "straggler" && name != "fails fast" {
 				continue
 			}
-			h := newServingCluster(t, 2, sixCounts...)
+			h := newServingCluster(t, 2, sixEndpoints...)
 			h.setReactions(reaction{})
 			h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
 			h.tick = 2 * ms
@@ -83,24 +83,24 @@
 // entry avoided it for up to a second as a failing endpoint. Once its slots are free it must get
 // requests within 50 ms.
 func TestBusyEndpointIsUsedWhenSlotsAreFree(t *testing.T) {
-	h := newServingCluster(t, 1, sixCounts...)
+	h := newServingCluster(t, 1, sixEndpoints...)
 	n := h.nodes[0]
 	h.tick = 2 * ms
 	h.setReactions(reaction{})
 	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec) // past the cold start
-	free, first := h.now+3*sec, time.Duration(0)
+	freeAt, firstAt := h.now+3*sec, time.Duration(0)
 	h.endpoint = func(name string, a Arrival) reaction {
 		switch {
-		case name == "c1" && h.now < free && n.idleOnly(name, a.ID):
+		case name == "c1" && h.now < freeAt && n.idleOnly(name, a.ID):
 			return reaction{after: ms, head: Head{Status: 503, NotRun: true, Load: Load{Known: true, InFlight: 2, Slots: 2}}}
-		case name == "c1" && h.now >= free && first == 0:
-			first = h.now
+		case name == "c1" && h.now >= freeAt && firstAt == 0:
+			firstAt = h.now
 		}
 		return reaction{after: 18 * ms}
 	}
 	h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 4*sec)
-	if first == 0 || first-free > 50*ms {
-		t.Errorf("the endpoint got its first request after %v", first-free)
+	if firstAt == 0 || firstAt-freeAt > 50*ms {
+		t.Errorf("the endpoint got its first request after %v", firstAt-freeAt)
 	}
 }
 
@@ -130,21 +130,21 @@
 			for vm := range 3 {
 				h.start(vm)
 			}
-			h.publishVMs(1, sixCounts...)
+			h.publishVMs(1, sixEndpoints...)
 			h.run(3 * sec)
 			h.tick = 2 * ms
 			h.cut = func(from, to *node) bool { return split && separatesHalves(from, to) }
-			h.setReactions(reaction{after: 18 * ms}, sixNames...) // 500 per second for 20 ms each on 12 slots
+			h.setReactions(reaction{after: 18 * ms}, sixEndpointNames...) // 500 per second for 20 ms each on 12 slots
 			h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 3*sec)
 			clear(h.written)
 			re := reactions[name]
 			re.after = min(re.after, 5*ms)
-			h.setReactions(re, sixNames...)
+			h.setReactions(re, sixEndpointNames...)
 			all := h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 6*sec)
 			if ratio := float64(h.totalWritten("c")) / float64(len(all)); ratio >= 1.1 {
 				t.Errorf("%s, %s: %.2f arrivals at the endpoints per request", policy, name, ratio)
 			}
-			h.setReactions(reaction{after: 18 * ms}, sixNames...)
+			h.setReactions(reaction{after: 18 * ms}, sixEndpointNames...)
 			h.run(sec)
 			all = h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 2*sec)
 			if done := countReplies(all, OutcomeDone); done < len(all) {
@@ -160,19 +160,19 @@
 // elsewhere, the driver is asked to check the endpoint's other connections, and the endpoint stays
 // in use, even while another endpoint really is a straggler.
 func TestSilentConnectionDoesNotEjectEndpoint(t *testing.T) {
-	h := newServingCluster(t, 1, append([]string{"waste/w1", "waste/w2"}, sixCounts...)...)
+	h := newServingCluster(t, 1, append([]string{"waste/w1", "waste/w2"}, sixEndpoints...)...)
 	n := h.nodes[0]
 	h.setReactions(reaction{})
 	h.sendTraffic(Arrival{Service: "counts"}, 2*ms, 12*sec)
-	first := slices.MaxFunc(sixNames, func(a, b string) int { return h.written[a] - h.written[b] })
+	first := slices.MaxFunc(sixEndpointNames, func(a, b string) int { return h.written[a] - h.written[b] })
 	slow := "c1"
 	if first == slow {
 		slow = "c2"
 	}
-	works := h.now + 3*sec
+	recoversAt := h.now + 3*sec
 	h.endpoint = func(name string, a Arrival) reaction {
 		switch {
-		case (name == first || a.Service == "waste") && h.now < works:
+		case (name == first || a.Service == "waste") && h.now < recoversAt:
 			return reaction{after: 200 * ms, end: End{Kind: EndLost, ConnSilent: true}}
 		case name == slow:
 			return reaction{after: 400 * ms}
--- a/internal/core/evidencecost_test.go
+++ b/internal/core/evidencecost_test.go
@@ -21,7 +21,7 @@
 	h.publish(published.VMsValue, 1, string(published.EncodeVMs(list)))
 	n := h.nodes[0]
 	for _, name := range []string{published.ProfilesValue, published.VMsValue} {
-		h.offer(n, h.docs[name], 0)
+		h.offer(n, h.values[name], 0)
 	}
 	for _, other := range h.nodes[1:] {
 		h.do(n, func(now time.Duration, out *Actions) { n.HelloReceived(now, other.currentHello(), out) })
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -172,28 +172,28 @@
 	h := newServingCluster(t, 4, "counts/c1")
 	h.republish(2, "queue_limit = 96", "queue_limit = 200")
 	h.until(5*sec, atRevision(2))
-	old := h.docs[published.ProfilesValue]
+	old := h.values[published.ProfilesValue]
 	h.platformDown = func(*node) bool { return true }
-	limits := func(want int) func(n *node) bool {
+	hasQueueLimit := func(want int) func(n *node) bool {
 		return func(n *node) bool {
 			sv := n.services["counts"]
 			return sv != nil && sv.policy.QueueLimit == want
 		}
 	}
-	at := func(hour, minute int) {
+	setTime := func(hour, minute int) {
 		h.wall = time.Date(2027, 1, 31, hour, minute, 0, 0, time.UTC).Add(-h.now)
 		h.run(sec)
 	}
-	at(17, 59)
-	if took := h.until(5*sec, limits(64)); took >= 5*sec {
+	setTime(17, 59)
+	if took := h.until(5*sec, hasQueueLimit(64)); took >= 5*sec {
 		t.Error("the close began early")
 	}
-	at(18, 0)
-	if took := h.until(5*sec, limits(200)); took >= 5*sec {
+	setTime(18, 0)
+	if took := h.until(5*sec, hasQueueLimit(200)); took >= 5*sec {
 		t.Error("the close did not begin")
 	}
 	fresh := h.start(1)
-	took := h.until(10*sec, limits(200))
+	took := h.until(10*sec, hasQueueLimit(200))
 	if took > 3*sec {
 		t.Errorf("a new entry knew of the close after %v", took)
 	}
@@ -213,8 +213,8 @@
 			t.Errorf("%s: revision %d, notes %v", n.hello.Name, n.InForce(old.Name).Revision, n.notes)
 		}
 	}
-	at(19, 0)
-	if took := h.until(5*sec, limits(64)); took >= 5*sec {
+	setTime(19, 0)
+	if took := h.until(5*sec, hasQueueLimit(64)); took >= 5*sec {
 		t.Error("the close did not end")
 	}
 }
--- a/internal/core/healthprobes_test.go
+++ b/internal/core/healthprobes_test.go
@@ -16,7 +16,7 @@
 	for _, slow := range []time.Duration{0, 50 * ms} {
 		h := newClusterHarness(t, entries)
 		h.probeTime = h.probeTime + slow
-		h.publishVMs(1, sixCounts...)
+		h.publishVMs(1, sixEndpoints...)
 		h.cut = func(from, to *node) bool { return h.now < 10*sec || h.now > 30*sec && separatesHalves(from, to) }
 		for range 6 {
 			h.run(5 * sec)
--- a/internal/core/largefleet_test.go
+++ b/internal/core/largefleet_test.go
@@ -173,8 +173,8 @@
 	victim := n / 2
 	f.vms[victim].dead = true
 	took := f.until(30*sec, func(e *largeEntry) bool {
-		b := e.entryOn(victim)
-		return b == nil || b.Suspected
+		known := e.entryOn(victim)
+		return known == nil || known.Suspected
 	})
 	if t.Logf("%d entries suspect it after %v", n, took); took > within {
 		t.Errorf("suspected by all after %v, want %v", took, within)
--- a/internal/core/largefleetharness_test.go
+++ b/internal/core/largefleetharness_test.go
@@ -49,13 +49,13 @@
 	hello          message.Hello
 	startedAt      time.Duration
 	dead           bool
-	frozenUntil    time.Duration // end of the time in which the process is suspended
-	busyUntil      time.Duration // end of the work on earlier events
-	knownAddresses map[string]bool
-	linked         map[string]bool
+	frozenUntil    time.Duration   // end of the time in which the process is suspended
+	busyUntil      time.Duration   // end of the work on earlier events
+	knownAddresses map[string]bool // peer addresses that were ever known, those of the seeds included
+	linked         map[string]bool // by peer address; false while the address is being dialed
 	linksVersion   uint64
 	redialAt       time.Duration
-	bytes          int
+	bytes          int // sent in updates and pulls, approximately
 	notes          []Note
 }
 
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -124,14 +124,14 @@
 		}
 		return reaction{after: 5 * ms}
 	}
-	use := func(d time.Duration) {
+	sendRequests := func(d time.Duration) {
 		for end := h.now + d; h.now < end; h.run(20 * ms) {
 			for _, n := range h.nodes {
 				h.sendRequest(n, Arrival{Service: "counts", Caller: 1})
 			}
 		}
 	}
-	want := func(rate float64) {
+	checkLimits := func(rate float64) {
 		t.Helper()
 		for _, n := range h.nodes {
 			if got := limitOf(n, "c1"); got != rate {
@@ -142,8 +142,8 @@
 			}
 		}
 	}
-	use(sec)
-	want(2.5)
+	sendRequests(sec)
+	checkLimits(2.5)
 	late := h.start(3)
 	h.publishVMs(2, "counts/c1", "counts/c2")
 	h.run(4 * sec)
@@ -151,20 +151,20 @@
 		t.Errorf("started entry: limit %v", got)
 	}
 	before := h.written["c1"]
-	use(4 * sec)
+	sendRequests(4 * sec)
 	if got := h.written["c1"] - before; got > 11 || got == 0 {
 		t.Errorf("the endpoint got %d requests in four seconds, its limit allows 10", got)
 	}
 	limit = 0.4
-	use(6 * sec)
-	want(0.4)
+	sendRequests(6 * sec)
+	checkLimits(0.4)
 	old := message.Update{From: h.nodes[0].hello.Incarnation, Sequence: 1 << 40, Evidence: []message.Evidence{{VM: limitSubject + "c1", Incarnation: 1,
 		Kind: message.EvidenceLimit, Limit: message.Limit{Rate: 99, Version: 1}}}}
 	h.do(h.nodes[1], func(now time.Duration, out *Actions) { h.nodes[1].PeerUpdate(now, &old, out) })
-	want(0.4)
+	checkLimits(0.4)
 	limit = 0
-	use(12 * sec)
-	want(0)
+	sendRequests(12 * sec)
+	checkLimits(0)
 	if h.nodes[1].limits[endpointID{"c1", 1}].Rate != 0 {
 		t.Error("the end of the limit did not reach the entry")
 	}
--- a/internal/core/lostdomain_test.go
+++ b/internal/core/lostdomain_test.go
@@ -14,9 +14,9 @@
 // not count as an attempt.
 func TestLostFailureDomainIsAvoided(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		lose func(ep *simEndpoint)
-		most int
+		name       string
+		lose       func(ep *simEndpoint)
+		maxRefused int
 	}{
 		{"connections are refused", func(ep *simEndpoint) { ep.dead = true }, 0},
 		{"nothing answers", func(ep *simEndpoint) { ep.dead, ep.silent = true, true }, 2},
@@ -48,7 +48,7 @@
 					refused++
 				}
 			}
-			if refused > c.most {
+			if refused > c.maxRefused {
 				t.Errorf("%d of %d requests were refused although another failure domain has room", refused, len(ids))
 			}
 			near := 0
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -29,7 +29,7 @@
 func TestEntryRecoversAfterPause(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
 		for _, otherFaults := range []bool{false, true} {
-			h := newServingCluster(t, 3, append([]string{"waste/w1", "shared/s1"}, sixCounts...)...)
+			h := newServingCluster(t, 3, append([]string{"waste/w1", "shared/s1"}, sixEndpoints...)...)
 			n := h.nodes[0]
 			h.endpoint = func(string, Arrival) reaction {
 				return reaction{after: 100 * ms, head: Head{Load: Load{Known: true, InFlight: 2, Slots: 2}}}
--- a/internal/core/profilechange_test.go
+++ b/internal/core/profilechange_test.go
@@ -10,7 +10,7 @@
 
 // republish publishes the profiles with parts of their text replaced.
 func (h *clusterHarness) republish(revision uint64, oldNew ...string) {
-	text := string(h.docs[published.ProfilesValue].Data)
+	text := string(h.values[published.ProfilesValue].Data)
 	changed := strings.NewReplacer(oldNew...).Replace(text)
 	if changed == text {
 		h.Fatalf("no text to replace: %q", oldNew)
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -23,10 +23,10 @@
 	if got := reason(); got != ReasonBehind {
 		t.Errorf("while the platform's text is unreadable: %v", got)
 	}
-	bound := h.snapshot
+	inForce := h.snapshot
 	h.do(func(out *Actions) {
 		mark := message.Mark{Revision: 2, Digest: 2}
-		h.Offer(h.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: bound}, out)
+		h.Offer(h.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: inForce}, out)
 	})
 	if got := reason(); got != ReasonUnknownService {
 		t.Errorf("with a later revision from a peer: %v", got)
--- a/internal/core/silentconnections_test.go
+++ b/internal/core/silentconnections_test.go
@@ -11,7 +11,7 @@
 // successes have earned, five at most, which is too few for these reads.
 func TestReadsOnSilentConnectionsAreRetried(t *testing.T) {
 	const dead = 12
-	h := newServingCluster(t, 1, sixCounts...)
+	h := newServingCluster(t, 1, sixEndpoints...)
 	h.setReactions(reaction{})
 	h.sendTraffic(Arrival{Service: "counts"}, 10*ms, 12*sec)
 	lost := map[string]bool{}
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -28,8 +28,8 @@
 	}
 	h.run(h.tick)
 	for _, n := range h.nodes {
-		h.offer(n, h.docs[published.ProfilesValue], assign.Platform)
-		h.offer(n, h.docs[published.VMsValue], assign.Platform)
+		h.offer(n, h.values[published.ProfilesValue], assign.Platform)
+		h.offer(n, h.values[published.VMsValue], assign.Platform)
 	}
 	h.run(h.tick)
 	for _, n := range h.nodes {
@@ -73,7 +73,7 @@
 // reads.
 func TestStartingEntriesAreAssignedAsReaders(t *testing.T) {
 	h := newClusterHarness(t, 0)
-	h.docs = map[string]published.Value{}
+	h.values = map[string]published.Value{}
 	h.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 	for i := range 60 {
 		h.start(i)
@@ -106,8 +106,8 @@
 	h.publishVMs(1, "counts/c1")
 	a, b := h.nodes[0], h.nodes[1]
 	for _, n := range h.nodes {
-		h.offer(n, h.docs[published.ProfilesValue], assign.Platform)
-		h.offer(n, h.docs[published.VMsValue], assign.Platform)
+		h.offer(n, h.values[published.ProfilesValue], assign.Platform)
+		h.offer(n, h.values[published.VMsValue], assign.Platform)
 		h.do(n, func(now time.Duration, out *Actions) { n.Tick(now, h.wall, out) })
 	}
 	hello := b.currentHello()
@@ -163,8 +163,8 @@
 		mute bool
 	}{{"readers get answers", false}, {"no reader gets an answer", true}} {
 		h := newClusterHarness(t, 0)
-		laterDocs := h.docs
-		h.docs = map[string]published.Value{}
+		laterValues := h.values
+		h.values = map[string]published.Value{}
 		h.config = func(cfg *Config) { cfg.FirstStart, cfg.AlwaysCurrent, cfg.ReadersPerDomain = true, true, 1 }
 		asked := map[string]int{}
 		for i := range 15 {
@@ -189,8 +189,8 @@
 			readers[n.hello.Incarnation] = n.Reader()
 		}
 		h.run(3 * sec)
-		h.docs = laterDocs
-		h.publishVMs(1, sixCounts...)
+		h.values = laterValues
+		h.publishVMs(1, sixEndpoints...)
 		h.run(3 * sec)
 		for _, n := range h.nodes {
 			if n.InForce(published.ProfilesValue).Revision == 0 || n.InForce(published.VMsValue).Revision == 0 {
