--- a/internal/core/largefleetharness_test.go
+++ b/internal/core/largefleetharness_test.go
@@ -51,7 +51,7 @@
 	dead           bool
 	frozenUntil    time.Duration   // end of the time in which the process is suspended
 	busyUntil      time.Duration   // end of the work on earlier events
-	knownAddresses map[string]bool // peer addresses that were ever known, those of the seeds included
+	knownAddresses map[string]bool // all peer addresses known so far, and those of the seeds
 	linked         map[string]bool // by peer address; false while the address is being dialed
 	linksVersion   uint64
 	redialAt       time.Duration
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -19,8 +19,8 @@
 }
 
 // Guards against an endpoint that gets more than its reported rate limit, by first attempts, by
-// requests that waited for a slot, or because no other endpoint has room; and against one that gets
-// too little after it reports no limit any more.
+// requests that waited for a slot, or because no other endpoint has room; and against an endpoint
+// that gets too little after it has stopped reporting a limit.
 func TestLimitedEndpointStaysWithinItsRate(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -99,8 +99,7 @@
 
 // Guards against callers that all use one of two entries which have just restarted and connected:
 // without the state in the hello, each entry names only itself until the other's first heartbeat,
-// half a second later. The hello does not override an update that was sent before it and arrives
-// later.
+// half a second later. A hello that is older than the last update of its sender changes nothing.
 func TestHelloCarriesEntryState(t *testing.T) {
 	h := newClusterHarness(t, 2)
 	h.publishVMs(1, "counts/c1")
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -89,7 +89,7 @@
 	// Live, Leaving, Ejected and Evacuated count endpoints; ejected and evacuated endpoints also
 	// count as live.
 	Live, Leaving, Ejected, Evacuated int
-	// Cold counts the cold endpoints, Owned the ones among them to which this entry may send.
+	// Cold counts the cold endpoints, Owned those of them to which this entry may send.
 	Cold, Owned int
 	// Limited counts the endpoints that report a rate limit.
 	Limited int
