--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -31,25 +31,25 @@
 	wall   time.Time // at time 0
 	config func(*Config)
 	// tick is the time between two ticks of the cores.
-	tick     time.Duration
-	nodes    []*node
-	underWay []delivery
-	docs     map[string]published.Value
-	nextID   RequestID
-	keysMade uint64
-	// cut says that no message gets from one entry to another.
+	tick       time.Duration
+	nodes      []*node
+	deliveries []delivery
+	values     map[string]published.Value // on the platform
+	nextID     RequestID
+	keysMade   uint64
+	// cut reports whether all messages from one entry to another are dropped.
 	cut func(from, to *node) bool
-	// lose says that a link accepts a message and loses it.
+	// lose reports whether a link accepts a message and loses it.
 	lose         func(from, to *node, u *message.Update) bool
 	platformDown func(n *node) bool
-	// platformMute says that the service leaves an entry's calls without an answer.
+	// platformMute reports whether the platform leaves an entry's calls without an answer.
 	platformMute func(n *node) bool
 	// probeTime is how long a probe takes, probedAt when each probe began.
 	probeTime time.Duration
 	probedAt  []time.Duration
 	// dial returns the time from the dispatch of a request to its first byte.
 	dial func() time.Duration
-	// refuses says that an endpoint accepts no connections.
+	// refuses reports whether an endpoint refuses connections.
 	refuses func(name string) bool
 	// endpoint returns an endpoint's reaction to a request.
 	endpoint func(name string, a Arrival) reaction
@@ -87,7 +87,7 @@
 	open         map[attemptKey]Directive
 	replies      map[RequestID]reply
 	relays       map[RequestID]func(reply)
-	docs         map[string]published.Value
+	values       map[string]published.Value // in force at the entry
 	notes        []Note
 	suspects     []string
 	probes       []Probe
@@ -95,16 +95,16 @@
 
 // reply is the answer that a caller got.
 type reply struct {
-	Outcome Outcome
-	Reason  Reason
-	body    string
-	after   time.Duration // Retry-After
-	at      time.Duration
-	twice   bool
+	Outcome      Outcome
+	Reason       Reason
+	body         string
+	after        time.Duration // Retry-After
+	at           time.Duration
+	repliedTwice bool
 }
 
 func newClusterHarness(t testing.TB, entries int) *clusterHarness {
-	h := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, docs: map[string]published.Value{},
+	h := &clusterHarness{TB: t, wall: time.Date(2027, 1, 31, 12, 0, 0, 0, time.UTC), tick: 10 * ms, probeTime: 6 * ms, values: map[string]published.Value{},
 		written: map[string]int{}, ran: map[string]int{}}
 	h.config = func(cfg *Config) { cfg.LargestFleet = 8 }
 	h.cut = func(_, _ *node) bool { return false }
@@ -125,7 +125,7 @@
 	return h
 }
 
-// start starts an entry's process on VM i; a process that ran there is dead.
+// start starts an entry's process on VM i and kills the process that ran there.
 func (h *clusterHarness) start(i int) *node {
 	incarnation := uint64(len(h.nodes) + 1)
 	hello := message.Hello{Name: fmt.Sprintf("entry-%d", i), Incarnation: incarnation, Region: "r", Domain: fmt.Sprintf("d%d", i%3),
@@ -134,7 +134,7 @@
 	h.config(&cfg)
 	n := &node{Core: New(cfg, rand.New(rand.NewPCG(1, incarnation))), hello: hello, started: h.now,
 		arrivals: map[RequestID]Arrival{}, open: map[attemptKey]Directive{}, replies: map[RequestID]reply{},
-		relays: map[RequestID]func(reply){}, docs: map[string]published.Value{}}
+		relays: map[RequestID]func(reply){}, values: map[string]published.Value{}}
 	for _, old := range h.nodes {
 		old.dead = old.dead || old.hello.Name == hello.Name
 	}
@@ -144,7 +144,7 @@
 
 // publish stores a value on the platform.
 func (h *clusterHarness) publish(name string, revision uint64, text string) {
-	h.docs[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
+	h.values[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
 
 // addressOf returns the address of an endpoint, whose name is a letter and a number.
@@ -183,8 +183,8 @@
 }
 
 // post schedules a delivery to an entry; a sleeping entry gets it when it wakes up.
-func (h *clusterHarness) post(after time.Duration, to *node, read func()) {
-	h.underWay = append(h.underWay, delivery{h.now + after, to, read})
+func (h *clusterHarness) post(after time.Duration, to *node, handle func()) {
+	h.deliveries = append(h.deliveries, delivery{h.now + after, to, handle})
 }
 
 // do passes an event to an entry and carries out the resulting actions.
@@ -241,9 +241,9 @@
 // deliver runs the deliveries that are due.
 func (h *clusterHarness) deliver() {
 	var later []delivery
-	for len(h.underWay) > 0 {
-		due := h.underWay
-		h.underWay = nil
+	for len(h.deliveries) > 0 {
+		due := h.deliveries
+		h.deliveries = nil
 		for _, d := range due {
 			switch {
 			case d.at > h.now || d.to.asleep:
@@ -253,11 +253,11 @@
 			}
 		}
 	}
-	h.underWay = later
+	h.deliveries = later
 }
 
 func (h *clusterHarness) read(n *node, name string) {
-	v := h.docs[name]
+	v := h.values[name]
 	if v.Revision == n.InForce(name).Revision {
 		n.Confirm(h.now-n.started, name)
 		return
@@ -274,7 +274,7 @@
 	}
 	h.do(n, func(now time.Duration, out *Actions) { n.Offer(now, o, out) })
 	if n.InForce(v.Name) == o.Mark {
-		n.docs[v.Name] = v
+		n.values[v.Name] = v
 	}
 }
 
@@ -339,11 +339,11 @@
 func (h *clusterHarness) fetch(n *node, f FetchFrom) {
 	peer := h.nodeAt(f.Address)
 	answered := f.Source == assign.Platform && !h.platformDown(n)
-	v := h.docs[f.Name]
+	v := h.values[f.Name]
 	if f.Source != assign.Platform {
 		answered = h.reaches(n, peer) && h.reaches(peer, n) && !peer.asleep
 		if answered {
-			v = peer.docs[f.Name]
+			v = peer.values[f.Name]
 		}
 	}
 	if answered && v.Revision > f.After {
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -22,7 +22,7 @@
 	maxLoadlessProbes = 6
 )
 
-// loadProbeRound is the load probes of one request that are under way together.
+// loadProbeRound is the round of load probes for one request. They are sent in batches.
 type loadProbeRound struct {
 	// batch numbers the batch under way. Answers to an earlier batch update the endpoint's load but
 	// do not advance the round.
@@ -112,13 +112,13 @@
 	return true
 }
 
-// probeNextBatch sends the next batch of load probes, or decides if there is no endpoint left to
-// probe.
+// probeNextBatch sends the next batch of load probes, or calls decide if there is no endpoint left
+// to probe.
 func (c *Core) probeNextBatch(now time.Duration, r *request, out *Actions) {
 	p := r.pool
-	most := r.policy.LoadProbes - len(r.probeRound.probed)
+	remaining := r.policy.LoadProbes - len(r.probeRound.probed)
 	if r.queuedOnce || now < p.probeAgainAt {
-		most = min(most, maxCrowdedProbes-len(r.probeRound.probed))
+		remaining = min(remaining, maxCrowdedProbes-len(r.probeRound.probed))
 	}
 	r.probeRound.batch++
 	r.probeRound.pending = 0
@@ -127,7 +127,7 @@
 		c.probeRunning(now, r, out)
 	}
 	view := c.placementView(now, r)
-	for range min(p.placementState.Batch(), most) {
+	for range min(p.placementState.Batch(), remaining) {
 		view.Request.Probed = r.probeRound.probed
 		i := view.NextToProbe()
 		if i < 0 || !p.loadProbes.TrySpend(now, p.countLive(), c.fleet.ownShare) {
@@ -162,14 +162,14 @@
 	case end.Load.Known:
 		p.loadless = 0
 		e.NoteProbed(probedLoadOf(now, end.Load))
-		c.reportedCold(now, p, e, end.Load.Cold)
+		c.noteReportedCold(now, p, e, end.Load.Cold)
 		p.placementState.NoteProbe(e)
 		p.placementState.NoteRoom(now, e)
 	default:
 		p.loadless++
 	}
 	if end.OK && !end.Misdirected {
-		c.probedLimit(now, p, e, end.Load.RateLimit, out)
+		c.noteProbedLimit(now, p, e, end.Load.RateLimit, out)
 	}
 	r, ok := c.requests[end.Probe.Request]
 	if !ok || !r.probeRound.active || r.probeRound.batch != end.Probe.Round {
@@ -227,7 +227,7 @@
 }
 
 // decide ends a round in which no endpoint is left to probe. It dispatches r to the best endpoint,
-// starts a delayed round, refuses r if no endpoint lives, or puts r into the queue.
+// starts a delayed round, refuses r if the pool has no live endpoint, or puts r into the queue.
 func (c *Core) decide(now time.Duration, r *request, out *Actions) {
 	best := c.bestChoice(now, r)
 	if r.probeRound.second {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -25,7 +25,7 @@
 		p.serving = deciders[c.cfg.Self.Incarnation]
 		c.setDeciders(now, p, deciders)
 		if !p.serving || p.usesLoadProbes() {
-			continue // no load reports are sent there: endpoints get a load probe before each choice
+			continue // no load reports on this pool: its endpoints get a load probe before each choice
 		}
 		for incarnation := range deciders {
 			c.fleet.poolPeers[incarnation] = true
@@ -179,8 +179,8 @@
 }
 
 // maxOwnShare bounds an entry's share of the fleet's requests, as a multiple of an equal share in
-// the largest fleet seen. In a partition each side knows only its own requests and would otherwise
-// take all of them for its share.
+// the largest fleet seen. In a partition each side knows only its own requests. Without the bound,
+// the shares of its entries would add up to the whole fleet's requests on each side.
 const maxOwnShare = 4.0
 
 // requestShare returns this entry's share of the rates that all entries report. One request per
@@ -278,21 +278,21 @@
 		f.peers[u.From] = p
 	}
 	if u.Sequence > p.update.Sequence {
-		c.takeUpdate(now, p, u, out)
+		c.applyUpdate(now, p, u, out)
 	}
 	return true
 }
 
-// takeUpdate applies an update that is newer than all earlier ones of the peer.
-func (c *Core) takeUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
+// applyUpdate applies an update that is newer than all earlier updates of the peer.
+func (c *Core) applyUpdate(now time.Duration, p *peer, u *message.Update, out *Actions) {
 	f := &c.fleet
-	p.update, p.heard = *u, now
+	p.update, p.heardAt = *u, now
 	f.profiles.NotePeerRevision(now, u.Profiles.Revision, c.sourceOf(u.From, f.profiles))
 	f.vms.NotePeerRevision(now, u.VMs.Revision, c.sourceOf(u.From, f.vms))
 	f.gossip.Received(now, u)
 	f.members.NoteVersion(u.From, u.Version)
 	c.applyChanges(now, f.members.Heard(now, u.From, u.State), "peer", out)
-	c.takeRecords(now, u.Records, out)
+	c.applyRecords(now, u.Records, out)
 	c.applyEvidence(now, out, u.Evidence...)
 	c.processRequestEvidence(now, u.Evidence, out)
 	c.processLimits(now, u.Evidence, out)
--- a/internal/core/profilechange_test.go
+++ b/internal/core/profilechange_test.go
@@ -10,7 +10,7 @@
 
 // republish publishes the profiles with parts of their text replaced.
 func (h *clusterHarness) republish(revision uint64, oldNew ...string) {
-	text := string(h.docs[published.ProfilesValue].Data)
+	text := string(h.values[published.ProfilesValue].Data)
 	changed := strings.NewReplacer(oldNew...).Replace(text)
 	if changed == text {
 		h.Fatalf("no text to replace: %q", oldNew)
@@ -32,13 +32,13 @@
 	h.republish(2, "[service.waste]\nprofile = \"waste\"", "[service.waste]\nprofile = \"waste\"\npool = \"counts\"")
 	h.run(3 * sec)
 	for id := range h.nextID {
-		if got := n.replies[id+1]; got.Outcome != OutcomeDone || got.twice {
+		if got := n.replies[id+1]; got.Outcome != OutcomeDone || got.repliedTwice {
 			t.Errorf("request %d: reply %+v", id+1, got)
 		}
 	}
-	for what, times := range h.ran {
-		if times != 1 {
-			t.Errorf("%s ran %d times", what, times)
+	for body, runs := range h.ran {
+		if runs != 1 {
+			t.Errorf("%s ran %d times", body, runs)
 		}
 	}
 	if n.pools["waste"].Outstanding()+n.pools["counts"].Outstanding()+n.InFlight() != 0 {
