--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -97,11 +97,11 @@
 	response, delivery, err := e.connections.Send(ctx, forward.Outgoing{
 		Address: end.Probe.Address,
 		Request: request,
-		Stray:   func(answer http.Header) bool { return e.dialect.Stray(request.Header, answer) },
+		IsStray: func(answer http.Header) bool { return e.dialect.Stray(request.Header, answer) },
 	})
 	e.instruments.countConnection(delivery)
 	if err != nil {
-		end.Refused = forward.FailureOf(err) == forward.RefusedDial
+		end.Refused = forward.FailureOf(err) == forward.DialRefused
 		return
 	}
 	// A connection with an unread body cannot be reused, so each probe would need a new one.
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -38,7 +38,7 @@
 		Extra:         x.extraHeader(d),
 		Once:          d.Once,
 		MaySend:       maySend,
-		Stray: func(answer http.Header) bool {
+		IsStray: func(answer http.Header) bool {
 			return x.entry.dialect.Stray(x.request.Header, answer)
 		},
 	})
@@ -117,13 +117,13 @@
 	failure := forward.FailureOf(err)
 	end := core.End{ID: d.ID, Attempt: d.Attempt, Kind: core.EndLost, Replayable: !x.body.Streamed(), Cause: failure.String()}
 	switch failure {
-	case forward.Died:
+	case forward.ConnectionLost:
 		end.ConnBroken = true
-	case forward.RefusedDial, forward.DialTimeout, forward.DialFailed:
+	case forward.DialRefused, forward.DialTimeout, forward.DialFailed:
 		end.DialFailed = true
 	case forward.Silent:
 		end.ConnSilent = true
-	case forward.Slow, forward.Deadline:
+	case forward.AnswerTimeout, forward.Deadline:
 		end.TimedOut = true
 	case forward.BadBody, forward.BadRequest:
 		end.BodyFailed = true
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -12,7 +12,7 @@
 	errSwitchedProtocols = errors.New("the endpoint switched protocols without a request to do so")
 	errUnframed          = errors.New("the answer has neither a Content-Length nor the chunked coding")
 	errUnacknowledged    = errors.New("the endpoint has stopped acknowledging sent bytes")
-	errStray             = errors.New("the answer belongs to another request")
+	errStrayAnswer       = errors.New("the answer belongs to another request")
 	errHeadTimeout       = errors.New("the connection is alive but no answer arrived")
 )
 
@@ -42,7 +42,7 @@
 			if x.out.Informational != nil {
 				x.out.Informational(resp.StatusCode, resp.Header)
 			}
-		case x.out.Stray != nil && x.out.Stray(resp.Header):
+		case x.out.IsStray != nil && x.out.IsStray(resp.Header):
 			if err := x.discardStray(resp); err != nil {
 				return nil, err
 			}
@@ -59,7 +59,7 @@
 func (x *exchange) discardStray(resp *http.Response) error {
 	x.strayAnswers++
 	if x.strayAnswers > maxStrayAnswers || unframed(resp, false) {
-		return &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errStray}
+		return &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errStrayAnswer}
 	}
 	x.conn.unlimitHead()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -79,10 +79,10 @@
 	if err == nil {
 		return resp, nil
 	}
-	failure := Died
+	failure := ConnectionLost
 	switch {
 	case errors.Is(x.conn.readErr, os.ErrDeadlineExceeded):
-		failure = Slow
+		failure = AnswerTimeout
 	case x.conn.readErr == nil, x.conn.readErr == errHeadTooLarge:
 		// The connection works; only the data on it is malformed.
 		failure = BadAnswer
@@ -105,7 +105,7 @@
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if x.conn.probe.Silent(cfg.SilentAfter) {
+		if x.conn.inspector.Silent(cfg.SilentAfter) {
 			return &Error{Failure: Silent, Address: x.out.Address, Cause: errUnacknowledged}
 		}
 		if err := x.checkTimeouts(waitStart); err != nil {
@@ -155,7 +155,7 @@
 		}
 	}
 	if cfg.HeaderTimeout > 0 && cfg.Clock()-waitStart >= cfg.HeaderTimeout {
-		return &Error{Failure: Slow, Address: x.out.Address, Cause: errHeadTimeout}
+		return &Error{Failure: AnswerTimeout, Address: x.out.Address, Cause: errHeadTimeout}
 	}
 	return nil
 }
@@ -222,7 +222,7 @@
 }
 
 // fail ends an exchange that failed before the body of the answer and classifies err.
-func (x *exchange) fail(err error) error { return x.classify(err, Died) }
+func (x *exchange) fail(err error) error { return x.classify(err, ConnectionLost) }
 
 // failBody ends an exchange that failed in the body of the answer and classifies err.
 func (x *exchange) failBody(err error) error { return x.classify(err, Truncated) }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -25,13 +25,13 @@
 var errHeadTooLarge = errors.New("the head of the answer is too large")
 
 // conn is one TCP connection to an endpoint. It belongs to one exchange at a time, or to its pool.
-// Other goroutines may only call abort and probe.Silent.
+// Other goroutines may only call abort and inspector.Silent.
 type conn struct {
 	net.Conn
 	// tcp is Conn itself, or the connection below it if Conn is TLS; encrypted says which.
 	tcp       *net.TCPConn
 	encrypted bool
-	probe     *socket.Probe
+	inspector *socket.Inspector
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: tcp, tcp: tcp, probe: socket.NewProbe(raw), headLeft: math.MaxInt64, aliveAt: now}
+	c := &conn{Conn: tcp, tcp: tcp, inspector: socket.NewInspector(raw), headLeft: math.MaxInt64, aliveAt: now}
 	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	c.writer = bufio.NewWriterSize(c, writeBufferSize)
 	return c, nil
@@ -109,7 +109,7 @@
 // be taken for the answer to the next request, which may be another caller's. With TLS they cannot
 // be detected, because TLS sends records of its own and buffers bytes that it has read.
 func (c *conn) reusable() bool {
-	return !c.encrypted && c.reader.Buffered() == 0 && c.probe.Arrival() == socket.Nothing
+	return !c.encrypted && c.reader.Buffered() == 0 && c.inspector.ReadState() == socket.WouldBlock
 }
 
 // abort closes the connection for the given reason; only the first call has an effect. The endpoint
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -17,8 +17,8 @@
 const (
 	// None: there was no failure, or the error is not of this package.
 	None Failure = iota
-	// RefusedDial: the address refused the connection; no process listens there.
-	RefusedDial
+	// DialRefused: the address refused the connection; no process listens there.
+	DialRefused
 	// DialTimeout: no connection could be set up in time.
 	DialTimeout
 	// DialFailed: the connection could not be set up for another reason, such
@@ -26,14 +26,14 @@
 	DialFailed
 	// NoConnection: all allowed connections to the address are busy.
 	NoConnection
-	// Died: the connection ended before the head of the answer.
-	Died
+	// ConnectionLost: the connection ended before the head of the answer.
+	ConnectionLost
 	// Silent: nothing came back, not even acknowledgements of the bytes that were sent. The
 	// connection is dead; the endpoint may be healthy.
 	Silent
-	// Slow: the endpoint's kernel acknowledged the request, but the head of the answer did not
-	// arrive within Config.HeaderTimeout.
-	Slow
+	// AnswerTimeout: the endpoint's kernel acknowledged the request, but the head of the answer did
+	// not arrive within Config.HeaderTimeout.
+	AnswerTimeout
 	// Truncated: the answer ended before its body was complete.
 	Truncated
 	// BadAnswer: the answer is malformed or unframed, its head is too large, or it belongs to
@@ -61,22 +61,22 @@
 }
 
 var failureTexts = [...]failureText{
-	None:         {"none", "", ""},
-	RefusedDial:  {"connection refused", fault.Unavailable, "start the endpoint or take it off the platform's list"},
-	DialTimeout:  {"dial timed out", fault.Unavailable, "check the network to the endpoint"},
-	DialFailed:   {"dial failed", fault.Unavailable, "check routes to the endpoint and this process's limits"},
-	NoConnection: {"no connection free", fault.RateLimited, "wait for a request to end or raise the bound on connections"},
-	Died:         {"connection ended before the answer", fault.Unavailable, "look into the endpoint's log for a crash or a restart"},
-	Silent:       {"connection went silent", fault.Unavailable, "try another connection and check the path to the endpoint"},
-	Slow:         {"no answer in time", fault.Unavailable, "look for load on the endpoint"},
-	Truncated:    {"answer was cut off", fault.Truncated, "ask again if the request may run twice"},
-	BadAnswer:    {"answer is not usable", fault.Unavailable, "make the endpoint send a whole HTTP/1.1 answer with a length or in chunks"},
-	BadBody:      {"request body ended early", fault.BadRequest, "send the whole body"},
-	BadRequest:   {"request cannot be written", fault.BadRequest, "correct the method, the target or the headers"},
-	Cancelled:    {"request was cancelled", fault.Unavailable, "ask again if the answer is still wanted"},
-	Deadline:     {"deadline passed", fault.Unavailable, "allow more time or lower the load"},
-	Closed:       {"connections are closed", fault.Unavailable, "ask another entry"},
-	Withdrawn:    {"request was withdrawn before it was sent", fault.Unavailable, "ask again if the answer is still wanted"},
+	None:           {"none", "", ""},
+	DialRefused:    {"connection refused", fault.Unavailable, "start the endpoint or take it off the platform's list"},
+	DialTimeout:    {"dial timed out", fault.Unavailable, "check the network to the endpoint"},
+	DialFailed:     {"dial failed", fault.Unavailable, "check routes to the endpoint and this process's limits"},
+	NoConnection:   {"no connection free", fault.RateLimited, "wait for a request to end or raise the bound on connections"},
+	ConnectionLost: {"connection ended before the answer", fault.Unavailable, "look into the endpoint's log for a crash or a restart"},
+	Silent:         {"connection went silent", fault.Unavailable, "try another connection and check the path to the endpoint"},
+	AnswerTimeout:  {"no answer in time", fault.Unavailable, "look for load on the endpoint"},
+	Truncated:      {"answer was cut off", fault.Truncated, "ask again if the request may run twice"},
+	BadAnswer:      {"answer is not usable", fault.Unavailable, "make the endpoint send a whole HTTP/1.1 answer with a length or in chunks"},
+	BadBody:        {"request body ended early", fault.BadRequest, "send the whole body"},
+	BadRequest:     {"request cannot be written", fault.BadRequest, "correct the method, the target or the headers"},
+	Cancelled:      {"request was cancelled", fault.Unavailable, "ask again if the answer is still wanted"},
+	Deadline:       {"deadline passed", fault.Unavailable, "allow more time or lower the load"},
+	Closed:         {"connections are closed", fault.Unavailable, "ask another entry"},
+	Withdrawn:      {"request was withdrawn before it was sent", fault.Unavailable, "ask again if the answer is still wanted"},
 }
 
 // String returns the failure's name, such as "dial timed out".
@@ -135,7 +135,7 @@
 	var timeout net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return RefusedDial
+		return DialRefused
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, syscall.ETIMEDOUT),
 		errors.As(err, &timeout) && timeout.Timeout():
 		return DialTimeout
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -168,7 +168,7 @@
 	defer p.mu.Unlock()
 	p.closeIdle()
 	for _, c := range p.all {
-		if c.probe.Silent(silentAfter) {
+		if c.inspector.Silent(silentAfter) {
 			c.abort(Silent)
 		}
 	}
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -68,7 +68,7 @@
 	e := newEndpoint(t, func(p *endpointConn, _ int) { p.readRequest() })
 	c := newConnections(t, Config{SilentAfter: 20 * time.Millisecond, HeaderTimeout: 200 * time.Millisecond})
 	_, _, err := exchangeText(c, outgoing(t, e.address, http.MethodGet, ""))
-	if FailureOf(err) != Slow {
+	if FailureOf(err) != AnswerTimeout {
 		t.Errorf("got %v", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
--- a/internal/forward/replay_test.go
+++ b/internal/forward/replay_test.go
@@ -22,12 +22,12 @@
 	{"closed while idle", true, func(p *endpointConn) { p.Close() }, "tray", None, 1},
 	{"reset while idle", true, (*endpointConn).reset, "tray", None, 1},
 	{"unsolicited answer while idle", true, func(p *endpointConn) { p.writeText(okAnswer) }, "tray", None, 1},
-	{"reset at the first byte", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, "tray", Died, 1},
-	{"closed after the request", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "tray", Died, 1},
-	{"closed after a request without body", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "", Died, 1},
-	{"reset in the middle of an upload", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, strings.Repeat("x", 1<<20), Died, 1},
-	{"closed in the status line", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 2"); p.Close() }, "tray", Died, 1},
-	{"closed in the head", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 200 OK\r\nContent-"); p.Close() }, "tray", Died, 1},
+	{"reset at the first byte", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, "tray", ConnectionLost, 1},
+	{"closed after the request", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "tray", ConnectionLost, 1},
+	{"closed after a request without body", false, func(p *endpointConn) { p.readRequest(); p.Close() }, "", ConnectionLost, 1},
+	{"reset in the middle of an upload", false, func(p *endpointConn) { p.awaitRequest(); p.reset() }, strings.Repeat("x", 1<<20), ConnectionLost, 1},
+	{"closed in the status line", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 2"); p.Close() }, "tray", ConnectionLost, 1},
+	{"closed in the head", false, func(p *endpointConn) { p.readRequest(); p.writeText("HTTP/1.1 200 OK\r\nContent-"); p.Close() }, "tray", ConnectionLost, 1},
 	{"closed after the head", false, func(p *endpointConn) {
 		p.readRequest()
 		p.writeText("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
@@ -115,7 +115,7 @@
 		change func(*Outgoing)
 		want   Failure
 	}{
-		{"nobody listens", func(o *Outgoing) { o.Address = unusedAddress(t) }, RefusedDial},
+		{"nobody listens", func(o *Outgoing) { o.Address = unusedAddress(t) }, DialRefused},
 		{"header with line break", func(o *Outgoing) { o.Extra = http.Header{"X": {"a\r\nb: c"}} }, BadRequest},
 		{"header name with space", func(o *Outgoing) { o.Extra = http.Header{"X y": {"a"}} }, BadRequest},
 		{"host with space", func(o *Outgoing) { o.Request.Host = "a b" }, BadRequest},
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -35,11 +35,11 @@
 	// connection may take long, and the process may be suspended meanwhile, so the caller may
 	// already have been told that its request was not run.
 	MaySend func() bool
-	// Stray, if not nil, reports from an answer's headers whether the answer belongs to another
+	// IsStray, if not nil, reports from an answer's headers whether the answer belongs to another
 	// request. An endpoint may answer a request twice, and the second answer then arrives in place
 	// of the answer to the next request. A stray answer is discarded, the next one is read, and the
 	// connection is closed afterwards.
-	Stray func(answer http.Header) bool
+	IsStray func(answer http.Header) bool
 	// Informational, if not nil, is called with each 1xx answer of the endpoint except 100 and 101,
 	// before Send returns.
 	Informational func(status int, header http.Header)
--- a/internal/forward/socket/socket.go
+++ b/internal/forward/socket/socket.go
@@ -73,52 +73,52 @@
 	return errors.Join(err, optErr)
 }
 
-// Arrival is what a read from a connection would return.
-type Arrival uint8
+// ReadState is what a read from a connection would return.
+type ReadState uint8
 
-// The arrivals.
+// The read states.
 const (
-	// Nothing: a read would block.
-	Nothing Arrival = iota
-	// Bytes: there are bytes to read.
-	Bytes
+	// WouldBlock: a read would block.
+	WouldBlock ReadState = iota
+	// HasBytes: there are bytes to read.
+	HasBytes
 	// Ended: the connection was closed or reset by the other end, or closed locally.
 	Ended
 )
 
-// Probe queries the kernel about one connection. It may be used by one goroutine at a time, except
-// Silent, which is safe for concurrent use.
-type Probe struct {
+// Inspector queries the kernel about one connection. It may be used by one goroutine at a time,
+// except Silent, which is safe for concurrent use.
+type Inspector struct {
 	raw syscall.RawConn
-	// peek is the method value p.peekFD, created once so that Arrival does not allocate.
-	peek    func(fd uintptr)
-	arrival Arrival
+	// peek is the method value i.peekFD, created once so that ReadState does not allocate.
+	peek  func(fd uintptr)
+	state ReadState
 }
 
-// NewProbe returns a Probe of the connection raw.
-func NewProbe(raw syscall.RawConn) *Probe {
-	p := &Probe{raw: raw}
-	p.peek = p.peekFD
-	return p
+// NewInspector returns an Inspector of the connection raw.
+func NewInspector(raw syscall.RawConn) *Inspector {
+	i := &Inspector{raw: raw}
+	i.peek = i.peekFD
+	return i
 }
 
-// Arrival returns what a read would return, without consuming it.
-func (p *Probe) Arrival() Arrival {
-	p.arrival = Ended
-	if err := p.raw.Control(p.peek); err != nil {
+// ReadState returns what a read would return, without consuming it.
+func (i *Inspector) ReadState() ReadState {
+	i.state = Ended
+	if err := i.raw.Control(i.peek); err != nil {
 		return Ended
 	}
-	return p.arrival
+	return i.state
 }
 
-func (p *Probe) peekFD(fd uintptr) {
+func (i *Inspector) peekFD(fd uintptr) {
 	var buffer [1]byte
 	n, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN:
-		p.arrival = Nothing
+		i.state = WouldBlock
 	case err == nil && n > 0:
-		p.arrival = Bytes
+		i.state = HasBytes
 	}
 }
 
@@ -126,10 +126,10 @@
 // at least the given time. A slow endpoint does not count as silent: its kernel acknowledges bytes
 // that its process has not read yet, and answers zero-window probes, which leave no segment
 // unacknowledged.
-func (p *Probe) Silent(atLeast time.Duration) bool {
+func (i *Inspector) Silent(atLeast time.Duration) bool {
 	var info *unix.TCPInfo
 	var infoErr error
-	err := p.raw.Control(func(fd uintptr) {
+	err := i.raw.Control(func(fd uintptr) {
 		info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if err != nil || infoErr != nil {
--- a/internal/forward/stray_test.go
+++ b/internal/forward/stray_test.go
@@ -24,7 +24,7 @@
 		{"two stray answers", answerFor("a", "old") + answerFor("a", "old") + answerFor("b", "new"), "new", None},
 		{"too many stray answers", answerFor("a", "1") + answerFor("a", "2") + answerFor("a", "3") + answerFor("b", "new"), "", BadAnswer},
 		{"stray answer without a length", "HTTP/1.1 200 OK\r\nFor: a\r\n\r\nold", "", BadAnswer},
-		{"truncated stray answer", "HTTP/1.1 200 OK\r\nFor: a\r\nContent-Length: 9\r\n\r\nold", "", Died},
+		{"truncated stray answer", "HTTP/1.1 200 OK\r\nFor: a\r\nContent-Length: 9\r\n\r\nold", "", ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newEndpoint(t, func(p *endpointConn, _ int) {
@@ -37,7 +37,7 @@
 			})
 			connections := newConnections(t, Config{AllowUnframed: true})
 			out := outgoing(t, e.address, http.MethodGet, "")
-			out.Stray = func(answer http.Header) bool { return answer.Get("For") != "b" }
+			out.IsStray = func(answer http.Header) bool { return answer.Get("For") != "b" }
 			text, delivery, err := exchangeText(connections, out)
 			if text != c.want || FailureOf(err) != c.failure || !delivery.Wrote {
 				t.Fatalf("got %q, %v", text, err)
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -104,8 +104,8 @@
 		b.whole = true
 		// One more read reaches the end of the body. This makes the server watch the connection for
 		// the caller's departure, and sets the trailers.
-		var scrap [1]byte
-		_, err = b.source.Read(scrap[:])
+		var next [1]byte
+		_, err = b.source.Read(next[:])
 		if err != nil && err != io.EOF {
 			return asTooLarge(err)
 		}
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -240,9 +240,9 @@
 // discard reads and drops the bytes that follow a refused head, until the server closes the
 // connection.
 func (g *guardedConn) discard() (int, error) {
-	var scrap [headBufferSize]byte
+	var buffer [headBufferSize]byte
 	for {
-		if _, err := g.Conn.Read(scrap[:]); err != nil {
+		if _, err := g.Conn.Read(buffer[:]); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/front/headcheck.go
+++ b/internal/front/headcheck.go
@@ -103,7 +103,7 @@
 	if violation != ViolationNone {
 		return info, violation
 	}
-	if violation = info.requestLine(line); violation != ViolationNone {
+	if violation = info.parseRequestLine(line); violation != ViolationNone {
 		return info, violation
 	}
 	for {
@@ -114,7 +114,7 @@
 		if len(line) == 0 {
 			return info, info.checkWhole()
 		}
-		if violation = info.headerLine(line); violation != ViolationNone {
+		if violation = info.parseHeaderLine(line); violation != ViolationNone {
 			return info, violation
 		}
 	}
@@ -133,7 +133,7 @@
 	return line, head[end+1:], ViolationNone
 }
 
-func (h *headInfo) requestLine(line []byte) Violation {
+func (h *headInfo) parseRequestLine(line []byte) Violation {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
 	if !ok || !ok2 || !validToken(method) {
@@ -186,7 +186,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-func (h *headInfo) headerLine(line []byte) Violation {
+func (h *headInfo) parseHeaderLine(line []byte) Violation {
 	if line[0] == ' ' || line[0] == '\t' {
 		return ViolationFolded
 	}
@@ -202,7 +202,7 @@
 	switch {
 	case equalFold(name, "Content-Length"):
 		h.lengths++
-		return h.contentLength(string(bytes.Trim(value, " \t")))
+		return h.parseContentLength(string(bytes.Trim(value, " \t")))
 	case equalFold(name, "Transfer-Encoding"):
 		h.codings++
 		h.isChunked = equalFold(bytes.Trim(value, " \t"), "chunked")
@@ -221,7 +221,7 @@
 	return ViolationNone
 }
 
-func (h *headInfo) contentLength(value string) Violation {
+func (h *headInfo) parseContentLength(value string) Violation {
 	if value == "" || len(value) > maxLengthDigits {
 		return ViolationLength
 	}
--- a/internal/front/limits_test.go
+++ b/internal/front/limits_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// deadlines records the read deadline that is set on a connection.
-type deadlines struct {
+// deadlineRecorder records the read deadline that is set on a connection.
+type deadlineRecorder struct {
 	net.Conn
 	set time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error { d.set = t; return nil }
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error { d.set = t; return nil }
 
 // Guards against an idle connection that is closed although the limits in force allow it longer,
 // and against one that stays open beyond maxAllowed.
@@ -27,7 +27,7 @@
 		"more than maxAllowed":   {time.Hour, maxAllowed.Idle - 20*time.Second},
 	} {
 		cfg := ServerConfig{Limits: Limits{Idle: 20 * time.Second}, Allowed: func() Limits { return Limits{Idle: c.allowed} }}.withDefaults()
-		conn := &deadlines{}
+		conn := &deadlineRecorder{}
 		g := &guardedConn{Conn: conn, cfg: &cfg}
 		if g.SetReadDeadline(at); !conn.set.Equal(at) {
 			t.Errorf("%s: while a request is in progress the deadline is %v later", name, conn.set.Sub(at))
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -95,5 +95,5 @@
 	if err != nil {
 		return true
 	}
-	return socket.NewProbe(raw).Arrival() != socket.Bytes
+	return socket.NewInspector(raw).ReadState() != socket.HasBytes
 }
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -244,39 +244,39 @@
 func (g *guardedConn) startRequest(r *http.Request, number uint64) bool {
 	p := &g.pipeline
 	answer := newPipelinedAnswer()
-	a := &pipelinedRequest{number: number, answer: answer, done: make(chan struct{})}
-	a.tracked = &answerWriter{ResponseWriter: answer, server: p.server, pipelined: true}
+	request := &pipelinedRequest{number: number, answer: answer, done: make(chan struct{})}
+	request.tracked = &answerWriter{ResponseWriter: answer, server: p.server, pipelined: true}
 	p.mu.Lock()
 	if p.closing {
 		p.mu.Unlock()
 		return false
 	}
 	p.lastStarted = number
-	p.waiting = append(p.waiting, a)
+	p.waiting = append(p.waiting, request)
 	ctx := p.withCancel(context.Background(), number)
 	p.mu.Unlock()
 	answer.stopAbandon = context.AfterFunc(ctx, answer.abandon)
 	p.server.inFlight.Add(1)
 	go func() {
 		defer p.server.inFlight.Add(-1)
-		defer close(a.done)
+		defer close(request.done)
 		defer p.leave(number)
 		defer func() {
 			if recover() != nil {
-				a.tracked.cutOff = true // net/http also aborts the connection when a handler panics
+				request.tracked.cutOff = true // net/http also aborts the connection when a handler panics
 			}
 		}()
-		p.server.handler.ServeHTTP(a.tracked, r.WithContext(ctx))
+		p.server.handler.ServeHTTP(request.tracked, r.WithContext(ctx))
 	}()
 	return true
 }
 
 // deliver sends the answer to the server's writer w and waits until the handler has ended. It
 // reports whether the answer was cut off.
-func (a *pipelinedRequest) deliver(w http.ResponseWriter) (cutOff bool) {
-	a.answer.attach(w)
-	<-a.done
-	return a.tracked.cutOff
+func (r *pipelinedRequest) deliver(w http.ResponseWriter) (cutOff bool) {
+	r.answer.attach(w)
+	<-r.done
+	return r.tracked.cutOff
 }
 
 // pipelinedAnswer is the http.ResponseWriter of a request that was started before its turn. It
--- a/internal/front/pipeline_test.go
+++ b/internal/front/pipeline_test.go
@@ -49,17 +49,17 @@
 	first := make(chan struct{})
 	var mu sync.Mutex
 	var order []string
-	note := func(event string) {
+	record := func(event string) {
 		mu.Lock()
 		defer mu.Unlock()
 		order = append(order, event)
 	}
 	_, address := serve(t, ServerConfig{MayPipeline: func(r *http.Request) bool { return r.URL.Path != "/book" }}, func(w http.ResponseWriter, r *http.Request) {
-		note("begin " + r.URL.Path)
+		record("begin " + r.URL.Path)
 		if r.URL.Path == "/1" {
 			<-first
 		}
-		note("end " + r.URL.Path)
+		record("end " + r.URL.Path)
 		io.Copy(w, r.Body)
 	})
 	c := dial(t, address)
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -92,10 +92,10 @@
 
 func TestReplayBody(t *testing.T) {
 	tests := []struct {
-		name, body     string
-		length         int64
-		whole          bool
-		again, afterIt bool // readable again after the buffered bytes, after the whole body
+		name, body           string
+		length               int64
+		whole                bool
+		again, againAfterEnd bool // readable again after the buffered bytes, after the whole body
 	}{
 		{"empty", "", 0, true, true, true},
 		{"fits", "abcd", 4, true, true, true},
@@ -130,7 +130,7 @@
 					t.Errorf("got %q, %v", text, err)
 				}
 			}
-			if _, ok := body.Reader(); ok != test.afterIt || body.Streamed() == test.afterIt {
+			if _, ok := body.Reader(); ok != test.againAfterEnd || body.Streamed() == test.againAfterEnd {
 				t.Errorf("readable again after the whole body: %v", ok)
 			}
 		})
@@ -191,14 +191,14 @@
 	started := make(chan string, 2)
 	proceed, answered := make(chan struct{}), make(chan struct{})
 	var s *Server
-	ahead := func(*http.Request) bool {
+	mayPipeline := func(*http.Request) bool {
 		s.Leave()
 		close(proceed)
 		<-answered
 		return true
 	}
 	var address string
-	s, address = serve(t, ServerConfig{MayPipeline: ahead}, func(w http.ResponseWriter, r *http.Request) {
+	s, address = serve(t, ServerConfig{MayPipeline: mayPipeline}, func(w http.ResponseWriter, r *http.Request) {
 		started <- r.URL.Path
 		<-proceed
 		io.WriteString(w, r.URL.Path)
--- a/internal/idem/fleetmodel_test.go
+++ b/internal/idem/fleetmodel_test.go
@@ -41,16 +41,16 @@
 // only source of randomness. fault names the injected fault, if any, and violation is the first
 // violated guarantee.
 type fleetModel struct {
-	pick      func(n int) int
-	fault     string
-	violation string
-	now       time.Duration
-	entries   [3]*modelEntry
-	messages  []modelMessage
-	requests  []callerRequest
-	ran       map[Key]callerRequest
-	notRun    map[callerRequest]bool
-	made      uint64
+	pick            func(n int) int
+	fault           string
+	violation       string
+	now             time.Duration
+	entries         [3]*modelEntry
+	messages        []modelMessage
+	requests        []callerRequest
+	ran             map[Key]callerRequest
+	notRun          map[callerRequest]bool
+	lastIncarnation uint64
 }
 
 // runModel runs a new model for the given number of steps and returns the first violated guarantee.
@@ -69,8 +69,8 @@
 	if f.entries[i] != nil {
 		f.entries[i].down = true
 	}
-	f.made++
-	f.entries[i] = &modelEntry{started: f.now, Table: NewTable(Config{Self: f.made, EpochLength: time.Minute,
+	f.lastIncarnation++
+	f.entries[i] = &modelEntry{started: f.now, Table: NewTable(Config{Self: f.lastIncarnation, EpochLength: time.Minute,
 		KeepEpochs: 2, MaxKeys: 3, MaxAnswerBytes: 300, MaxAnswerTotal: 500, MaxAdopted: 6})}
 }
 
