--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -2,8 +2,9 @@
 // and formats and parses their values. docs/ENDPOINTS.md and docs/CALLERS.md describe the same
 // contract.
 //
-// The functions of this package run for every request: they allocate at most the string that they
-// return, and report malformed input by a bool instead of an error.
+// The functions of this package run for every request: for well-formed input they allocate at most
+// the string that they return, and they report malformed input by a bool or, for a rate limit, by
+// zero instead of an error.
 package contract
 
 import (
@@ -12,8 +13,8 @@
 	"time"
 )
 
-// Headers that an entry sends to an endpoint with every attempt. All names in
-// this package are in canonical form, so they may index an http.Header directly.
+// Headers that an entry sends to an endpoint with every attempt. All names in this package are in
+// canonical form, so they may index an http.Header directly.
 const (
 	// HeaderDeadline is the time left for the attempt in whole milliseconds.
 	HeaderDeadline = "Tealhall-Deadline-Ms"
@@ -48,8 +49,7 @@
 	HeaderNotRun = "Tealhall-Not-Run"
 )
 
-// Headers between a caller and an entry, besides HeaderService and
-// HeaderIdempotencyKey.
+// Headers between a caller and an entry, besides HeaderService and HeaderIdempotencyKey.
 const (
 	// HeaderCaller names the caller, for fairness between callers.
 	HeaderCaller = "Tealhall-Caller"
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -68,7 +68,7 @@
 		"plain 500":           {500, nil, false},
 		"stated with 500":     {500, []string{"busy"}, false},
 		"stated with 200":     {200, []string{"busy"}, false},
-		"unknown reason":      {503, []string{"tired"}, false},
+		"unknown reason":      {503, []string{"maintenance"}, false},
 		"empty reason":        {503, []string{""}, false},
 		"two statements":      {503, []string{"busy", "draining"}, false},
 		"other spelling":      {503, []string{"Busy"}, false},
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// maxStrayAnswers bounds the answers to other requests that one exchange discards.
+// maxStrayAnswers is the maximum number of answers to other requests that one exchange discards.
 const maxStrayAnswers = 2
 
 // discardStray reads and discards an answer that belongs to another request.
@@ -115,8 +115,8 @@
 }
 
 // checksPerSilentAfter is how many times per Config.SilentAfter a connection is checked after the
-// first check. More than one, because the kernel's first retransmission may fall just after the
-// first check.
+// first check. It is more than one because the kernel's first retransmission may come just after
+// the first check.
 const checksPerSilentAfter = 4
 
 // waitStep returns how long to wait before the connection is checked again.
@@ -189,7 +189,7 @@
 	exchange *exchange
 	source   io.Reader
 	reusable bool
-	// err is what Read returns once the exchange is over.
+	// err is the error that Read returns once the exchange has ended.
 	err error
 }
 
@@ -228,7 +228,8 @@
 func (x *exchange) failBody(err error) error { return x.classify(err, Truncated) }
 
 // classify ends the exchange and returns an *Error with the most specific class known: the reason
-// for which this process closed the connection, else the class of err, else fallback.
+// for which this process closed the connection, else that of the context if it has ended, else the
+// class of err, else fallback.
 func (x *exchange) classify(err error, fallback Failure) error {
 	aborted := x.conn.abortedFor()
 	x.drop()
--- a/internal/forward/config.go
+++ b/internal/forward/config.go
@@ -14,7 +14,8 @@
 // field.
 type Config struct {
 	// MaxConnsPerEndpoint limits the connections to one address, whether busy, idle or being
-	// dialled. Default 16: an endpoint accepts about 240 connections from up to 15 entries.
+	// dialled. Default 16: an endpoint accepts about 240 connections in total, and up to 15
+	// entries share them.
 	MaxConnsPerEndpoint int
 	// DialTimeout limits the time for setting up a connection. Default 1 s.
 	DialTimeout time.Duration
@@ -25,7 +26,7 @@
 	// answer to carry a request that may run only once. Default 1 s.
 	FreshWithin time.Duration
 	// HeaderTimeout limits the wait for the head of the answer after the whole request was
-	// written. Zero means no limit but the request's context.
+	// written. Zero means that only the request's context limits it.
 	HeaderTimeout time.Duration
 	// SilentAfter is how long the endpoint's kernel may send nothing back, while unacknowledged
 	// bytes are retransmitted, before the connection counts as silent. Default 400 ms, twice the
@@ -35,8 +36,8 @@
 	// unacknowledged for this time. It also ends an upload that the endpoint does not read for
 	// this time. Default 15 s.
 	UserTimeout time.Duration
-	// KeepAlive is the idle time before the first TCP keep-alive probe and the
-	// time between probes. Default 5 s.
+	// KeepAlive is the idle time before the first TCP keep-alive probe and the time between
+	// probes. Default 5 s.
 	KeepAlive time.Duration
 	// ContinueTimeout is how long a request with "Expect: 100-continue" waits for the endpoint's
 	// answer before its body is sent. Default 1 s.
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -21,14 +21,14 @@
 	writeBufferSize = 1 << 10
 )
 
-// errHeadTooLarge is the read error when the head of an answer exceeds its limit.
+// errHeadTooLarge is the error of a read when the head of an answer exceeds its limit.
 var errHeadTooLarge = errors.New("the head of the answer is too large")
 
 // conn is one TCP connection to an endpoint. It belongs to one exchange at a time, or to its pool.
 // Other goroutines may only call abort and inspector.Silent.
 type conn struct {
 	net.Conn
-	// tcp is Conn itself, or the connection below it if Conn is TLS; encrypted says which.
+	// tcp is Conn itself, or the connection below it if Conn is TLS. encrypted is set for TLS.
 	tcp       *net.TCPConn
 	encrypted bool
 	inspector *socket.Inspector
@@ -50,7 +50,7 @@
 	aliveAt time.Duration
 
 	abortOnce sync.Once
-	// aborted is why abort closed the connection.
+	// aborted is the Failure for which abort closed the connection.
 	aborted atomic.Uint32
 }
 
@@ -121,5 +121,5 @@
 	})
 }
 
-// abortedFor returns why abort was called, or None.
+// abortedFor returns the reason given to abort, or None if abort was not called.
 func (c *conn) abortedFor() Failure { return Failure(c.aborted.Load()) }
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -63,8 +63,8 @@
 }
 
 // Suspect is called when a connection to address went silent. It closes the idle connections, since
-// a network device that lost the state of one connection may have lost that of all. It closes a
-// busy connection if the endpoint has stopped acknowledging its bytes.
+// a network device that lost the state of one connection may have lost the state of all. It closes
+// a busy connection if the endpoint has stopped acknowledging its bytes.
 func (c *Connections) Suspect(address string) {
 	if p := c.lookup(address); p != nil {
 		p.suspect(c.cfg.SilentAfter)
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -21,8 +21,8 @@
 	DialRefused
 	// DialTimeout: no connection could be set up in time.
 	DialTimeout
-	// DialFailed: the connection could not be set up for another reason, such
-	// as an unreachable network or no file descriptors left.
+	// DialFailed: the connection could not be set up for another reason, such as an unreachable
+	// network or no file descriptors left.
 	DialFailed
 	// NoConnection: all allowed connections to the address are busy.
 	NoConnection
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -13,8 +13,8 @@
 	Dialed, DialFailed uint64
 	// Reused counts requests sent on a connection that had carried another request.
 	Reused uint64
-	// Stale counts idle connections that were found closed by the endpoint, with unexpected bytes
-	// to read, or idle for longer than Config.IdleTimeout.
+	// Stale counts idle connections that could not be reused: closed by the endpoint, with
+	// unexpected bytes to read, or idle for longer than Config.IdleTimeout.
 	Stale uint64
 	// Silent counts connections that went silent.
 	Silent uint64
@@ -57,8 +57,9 @@
 }
 
 // reserve makes room for one more connection. If the limit is reached but some connections are
-// idle, which the caller was not allowed to use, it closes the oldest of these. If all connections
-// are busy, it returns a channel that is closed when the caller should try again.
+// idle, which takeIdle did not return because they are too old for the request, it closes the
+// oldest of them. If all connections are busy, it returns a channel that is closed when the request
+// should try again.
 func (p *pool) reserve(limit int, now time.Duration) (ok bool, freed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +86,7 @@
 // closedChan is a closed channel: a receive from it never blocks.
 var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// wakeWaiters wakes the requests that wait for a connection. The lock is held.
+// wakeWaiters wakes the requests that wait for a connection. The lock mu must be held.
 func (p *pool) wakeWaiters() {
 	if p.freed != nil {
 		close(p.freed)
@@ -131,7 +132,7 @@
 	p.removeConn(c)
 }
 
-// removeConn removes a connection from the list of open ones. The lock is held.
+// removeConn removes a connection from the list of open ones. The lock mu must be held.
 func (p *pool) removeConn(c *conn) {
 	last := len(p.all) - 1
 	moved := p.all[last]
@@ -151,7 +152,7 @@
 	p.wakeWaiters()
 }
 
-// closeIdle closes all idle connections. The lock is held.
+// closeIdle closes all idle connections. The lock mu must be held.
 func (p *pool) closeIdle() {
 	for i, c := range p.idle {
 		p.removeConn(c)
--- a/internal/forward/replay_test.go
+++ b/internal/forward/replay_test.go
@@ -13,10 +13,9 @@
 	// idle is set when the connection fails before the request.
 	idle      bool
 	breakConn func(*endpointConn)
-	// body is the request's body.
-	body string
-	want Failure
-	// arrivals is how often the endpoint may see the second request.
+	body      string
+	want      Failure
+	// arrivals is how many times the second request must arrive at the endpoint.
 	arrivals int32
 }{
 	{"closed while idle", true, func(p *endpointConn) { p.Close() }, "tray", None, 1},
@@ -115,7 +114,7 @@
 		change func(*Outgoing)
 		want   Failure
 	}{
-		{"nobody listens", func(o *Outgoing) { o.Address = unusedAddress(t) }, DialRefused},
+		{"no listener", func(o *Outgoing) { o.Address = unusedAddress(t) }, DialRefused},
 		{"header with line break", func(o *Outgoing) { o.Extra = http.Header{"X": {"a\r\nb: c"}} }, BadRequest},
 		{"header name with space", func(o *Outgoing) { o.Extra = http.Header{"X y": {"a"}} }, BadRequest},
 		{"host with space", func(o *Outgoing) { o.Request.Host = "a b" }, BadRequest},
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -54,13 +54,13 @@
 	NewConn bool
 	// Dial is how long setting up the connection took.
 	Dial time.Duration
-	// Started is when writing the request began, FirstByte when the first byte of an answer
+	// Started is when writing the request began, and FirstByte when the first byte of an answer
 	// arrived. Each is zero if that did not happen.
 	Started, FirstByte time.Duration
 }
 
 // Send sends a request on one connection and returns the head of its answer. The body of the answer
-// is streamed; the caller of Send must close it. When ctx ends, also while the body is being read,
+// is streamed; the caller of Send must close it. When ctx ends, even while the body is being read,
 // the connection is closed, which cancels the endpoint's work. Errors of Send and of the body's
 // Read are of type *Error; reading a truncated body never returns io.EOF. Send never sends a
 // request twice.
@@ -96,7 +96,7 @@
 	conn        *conn
 	ctx         context.Context
 	out         Outgoing
-	// writtenBefore is conn.written at the start.
+	// writtenBefore is the value of conn.written when the exchange began.
 	writtenBefore int64
 	// upload is nil while no goroutine sends a body.
 	upload *upload
--- a/internal/forward/socket/socket.go
+++ b/internal/forward/socket/socket.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveCount is how many keep-alive probes may stay unanswered.
+// keepAliveCount is the number of unanswered keep-alive probes after which a connection ends.
 const keepAliveCount = 3
 
 // KeepAlive returns options with which an idle connection ends after at most four periods if the
--- a/internal/forward/upload.go
+++ b/internal/forward/upload.go
@@ -56,7 +56,7 @@
 	body    io.Reader
 	framing framing
 	trailer http.Header
-	ended   time.Duration // when done was closed
+	ended   time.Duration // when the upload ended
 	clock   func() time.Duration
 
 	stopped atomic.Bool
--- a/internal/forward/wait_test.go
+++ b/internal/forward/wait_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A process that is short of CPU time releases its connections late: all connections to an endpoint
-// are in use although it has a free slot. Requests then failed because no endpoint was available.
-// They must wait for a connection to become free, whether its answer is read whole or dropped. A
-// request whose caller leaves must stop waiting at once.
+// An entry that is short of CPU time releases its connections late: all its connections to an
+// endpoint are in use although the endpoint has a free slot. Requests then failed because no
+// endpoint was available. They must wait for a connection to become free, whether its answer is
+// read whole or dropped. A request whose caller leaves must stop waiting at once.
 func TestRequestsWaitForAFreeConnection(t *testing.T) {
 	e := newEndpoint(t, answerEvery(okAnswer))
 	c := newConnections(t, Config{MaxConnsPerEndpoint: 1, DialTimeout: time.Minute})
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -47,14 +47,14 @@
 	whole      bool
 
 	mu sync.Mutex
-	// streamed is set when bytes beyond the buffer were requested, ended when the body was read to
-	// its end.
+	// streamed is set when bytes beyond the buffer were requested, and ended when the body was read
+	// to its end.
 	streamed, ended bool
 }
 
 // NewReplayBody prepares the body of r and reads up to limits.Buffer bytes of it. It reads nothing
-// if the caller waits for 100-continue and the body may not fit the buffer: the endpoint decides
-// first whether it accepts the body. The error is a *BodyTooLargeError, wraps
+// if the caller waits for 100-continue and the body may not fit the buffer, because the endpoint
+// must first decide whether it accepts the body. The error is a *BodyTooLargeError, wraps
 // os.ErrDeadlineExceeded, or comes from the caller's connection.
 func NewReplayBody(w http.ResponseWriter, r *http.Request, limits BodyLimits) (*ReplayBody, error) {
 	b := &ReplayBody{request: r, controller: http.NewResponseController(w), source: r.Body}
--- a/internal/front/caller_test.go
+++ b/internal/front/caller_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkCall compares calls on a kept connection directly to an endpoint with calls through
-// front and forward, all in one process.
+// BenchmarkCall compares calls that go directly to an endpoint with calls through front and
+// forward, each on one reused connection and all in one process.
 func BenchmarkCall(b *testing.B) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "0123456789012345678901234567890123456789")
--- a/internal/front/copy_test.go
+++ b/internal/front/copy_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// refuseRequest answers a request whose body failed. The header Sent-On states whether a part of
-// the body was sent to the endpoint.
+// refuseRequest answers a request whose body or exchange failed with err. If the body was too
+// large, the header Sent-On states whether a part of the request was sent to the endpoint.
 func refuseRequest(w http.ResponseWriter, err error, sentOn bool) {
 	var large *BodyTooLargeError
 	if !errors.As(err, &large) {
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// refusedPath is the target of the placeholder request.
+// refusedPath is the target of a placeholder request.
 const refusedPath = "/.tealhall/refused"
 
 // placeholderHead is the head of a placeholder request, which the server gets instead of a refused
@@ -25,16 +25,16 @@
 )
 
 // guardedConn is a caller's connection. It checks each head as a whole before it passes the head to
-// net/http. net/http accepts some ambiguous heads and removes the evidence before a handler sees
-// the request: a Content-Length beside a Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded
+// net/http. net/http accepts some ambiguous heads and hides the ambiguity from the handler:
+// a Content-Length beside a Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded
 // headers, bare line feeds. Bodies are passed on as they arrive.
 type guardedConn struct {
 	net.Conn
 	tcp *net.TCPConn // Conn itself, or the connection below its TLS
 	cfg *ServerConfig
 
-	// The fields below belong to the reading goroutine; the server has one at
-	// a time.
+	// The fields below belong to the reading goroutine; the server has one per connection at a
+	// time.
 	head      []byte // bytes read but not yet passed to the server
 	scan      int    // where the search for the end of the head continues
 	ready     int    // bytes at the start of head that may be passed to the server
@@ -248,11 +248,11 @@
 	}
 }
 
-// SetReadDeadline sets the server's deadline. While the server waits for a request, it adds the
-// time by which the limits in force now exceed those known to the server, and an incomplete head
-// also has a deadline of its own. Without that one, a caller that sends byte by byte could use the
-// whole idle timeout for each head. While a request is in progress, the server reads without a
-// deadline, and an expired deadline would cancel that request.
+// SetReadDeadline sets the server's deadline. While the server waits for a request, SetReadDeadline
+// adds the time by which the limits in force now exceed those known to the server, and an
+// incomplete head also has a deadline of its own. Without the head's deadline, a caller that sends
+// byte by byte could use the whole idle timeout for each head. While a request is in progress, the
+// server reads without a deadline, and an expired deadline would cancel that request.
 func (g *guardedConn) SetReadDeadline(t time.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/front/headcheck.go
+++ b/internal/front/headcheck.go
@@ -11,14 +11,14 @@
 
 // Violation is the reason for which a request head is refused. Most violations leave it ambiguous
 // where the request ends or for which host it is. If two programs read such a request differently,
-// they take part of one caller's request for another request.
+// one of them may take a part of it for another request.
 type Violation uint8
 
 // The violations.
 const (
 	// ViolationNone: the head is accepted.
 	ViolationNone Violation = iota
-	// ViolationLineEnd: a line feed without a carriage return, or the reverse.
+	// ViolationLineEnd: the head has a line feed without a carriage return, or the reverse.
 	ViolationLineEnd
 	// ViolationRequestLine: the request line is not "METHOD SP target SP HTTP/1.0 or 1.1".
 	ViolationRequestLine
@@ -212,8 +212,8 @@
 			return ViolationHost
 		}
 	case equalFold(name, "Expect"):
-		// net/http refuses any other expectation itself, without stating that the request did not
-		// run.
+		// net/http itself refuses any other expectation, but does not state that the request did
+		// not run.
 		if value = bytes.Trim(value, " \t"); len(value) > 0 && !equalFold(value, "100-continue") {
 			return ViolationExpectation
 		}
--- a/internal/front/headcheck_test.go
+++ b/internal/front/headcheck_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Pipelined requests keep their own bodies in pieces of any size, and a refusal is sent after the
-// answers to the requests in front of it.
+// Pipelined requests arrive in pieces of any size. Each must get its own body, and a refusal must
+// be sent after the answers to the requests in front of it.
 func TestPipelinedRequestsKeepTheirBodies(t *testing.T) {
 	_, address := serve(t, ServerConfig{}, echo)
 	stream := lines("POST /1 HTTP/1.1", "Host: a", "Content-Length: 3", "", "one") +
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -14,8 +14,8 @@
 	HeaderTimeout, Idle time.Duration
 }
 
-// maxAllowed bounds the result of ServerConfig.Allowed, because a caller occupies memory and a file
-// descriptor for that long.
+// maxAllowed bounds the result of ServerConfig.Allowed, because a caller's connection occupies
+// memory and a file descriptor for that long.
 var maxAllowed = Limits{HeaderBytes: 1 << 20, HeaderTimeout: time.Minute, Idle: 10 * time.Minute}
 
 // wider returns the larger value of each field.
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/forward/socket"
 )
 
-// drainTime is how long a listener that closes still accepts connections that the kernel has
+// drainTime is how long a listener that is closing still accepts connections that the kernel has
 // established or is about to establish. Closing at once would reset them, possibly after the caller
 // has sent a request. The time is several times the round trip to a caller.
 const drainTime = 30 * time.Millisecond
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -37,7 +37,7 @@
 	server *Server
 
 	mu sync.Mutex
-	// heads counts the heads passed to the server, served the requests for which the server has
+	// heads counts the heads passed to the server, and served the requests for which the server has
 	// called its handler. lastStarted is the number of the last request started before its turn.
 	heads, served, lastStarted uint64
 	waiting                    []*pipelinedRequest
@@ -111,7 +111,7 @@
 }
 
 // mayCloseAfter reports whether the answer to the request with the given number may close the
-// connection. It may not while later requests on the connection are in progress. After
+// connection. It must not while later requests on the connection are in progress. After
 // mayCloseAfter has returned true, no further request is started on the connection. The check and
 // the start of a request use the same lock, so that no request runs whose answer can no longer be
 // sent.
@@ -136,8 +136,8 @@
 }
 
 // startReadAhead starts the request whose head was read while another request is in progress, and
-// then reads ahead for the requests behind it. first is a copy of the head and number the number of
-// the request.
+// then reads ahead for the requests behind it. first is a copy of the head, and number is the
+// number of the request.
 func (g *guardedConn) startReadAhead(first []byte, number uint64) {
 	p := &g.pipeline
 	if p.stop != nil || p.server == nil || !g.tryStart(first, number) {
@@ -214,8 +214,8 @@
 	return false
 }
 
-// tryStart starts a request before its turn unless it was started already. It reports whether to
-// read on behind the request.
+// tryStart starts a request before its turn unless it was started already. It reports whether
+// reading ahead may continue after the request.
 func (g *guardedConn) tryStart(head []byte, number uint64) bool {
 	p := &g.pipeline
 	p.mu.Lock()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -18,7 +18,8 @@
 
 // ServerConfig configures a Server. Zero values select the default given at each field.
 type ServerConfig struct {
-	// Limits bounds callers' connections. The defaults are 5 s for a head, 60 s idle and 32 KiB.
+	// Limits bounds callers' connections. The defaults are 32 KiB and 5 s for a head, and 60 s
+	// idle.
 	Limits Limits
 	// Allowed, if not nil, returns limits that raise those of Limits.
 	Allowed func() Limits
@@ -29,9 +30,9 @@
 	UserTimeout time.Duration
 	// TLS, if not nil, enables TLS on callers' connections.
 	TLS *tls.Config
-	// Refuse answers a request whose head was refused; the connection is then closed. Its request
-	// is a placeholder with nothing of the refused request. If Refuse is nil, the answer is a
-	// status without a body.
+	// Refuse answers a request whose head was refused; the connection is then closed. The parameter
+	// r is a placeholder that contains nothing of the refused request. If Refuse is nil, the answer
+	// is a status without a body.
 	Refuse func(w http.ResponseWriter, r *http.Request, violation Violation)
 	// MayPipeline reports whether a request may be started before the requests in front of it on
 	// its connection are answered, because it may run twice. If MayPipeline is nil, no request is
@@ -95,7 +96,7 @@
 }
 
 // http1Only returns a copy of c that negotiates only HTTP/1.1, the one protocol that this server
-// implements. If a caller could negotiate HTTP/2, each of its connections would fail.
+// implements. If a caller could negotiate HTTP/2, all its connections would fail.
 func http1Only(c *tls.Config) *tls.Config {
 	c = c.Clone()
 	c.NextProtos = []string{"http/1.1"}
@@ -278,7 +279,7 @@
 	return w.conn == nil || w.conn.pipeline.mayCloseAfter(w.number)
 }
 
-// Write writes a part of the body, after the head if that was not written yet.
+// Write writes a part of the body. It writes the head first if that was not written yet.
 func (w *answerWriter) Write(p []byte) (int, error) {
 	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
@@ -286,9 +287,9 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// finish is called after the handler returned. The server reads the rest of the body to close the
-// connection without a reset; finish limits the time that a caller which sends nothing more can
-// take.
+// finish is called after the handler has returned. The server then reads the rest of the body in
+// order to close the connection without a reset. finish limits the time for this, because the
+// caller may send nothing more.
 func (w *answerWriter) finish() {
 	if w.body == nil || w.body.finished() {
 		return
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -95,7 +95,7 @@
 		name, body           string
 		length               int64
 		whole                bool
-		again, againAfterEnd bool // readable again after the buffered bytes, after the whole body
+		again, againAfterEnd bool // Reader succeeds after the buffered bytes, and after the whole body, were read
 	}{
 		{"empty", "", 0, true, true, true},
 		{"fits", "abcd", 4, true, true, true},
--- a/internal/idem/adopt.go
+++ b/internal/idem/adopt.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// maxAdoptedHomes is the maximum number of adopted homes. It also bounds homes with empty tables.
+// maxAdoptedHomes is the maximum number of adopted homes. Unlike Config.MaxAdopted, which counts
+// keys, it also bounds homes with empty tables.
 const maxAdoptedHomes = 256
 
 // adoptedAnswerDivisor divides MaxAnswerTotal; the quotient is the maximum size of all adopted
 // answers, so that room is left for the table's own answers.
 const adoptedAnswerDivisor = 2
 
-// UnknownTotal is the total of a hand-over whose number of records is unknown. It is never reached, so
-// that the reply for missing keys is "unknown".
+// UnknownTotal is the total of a hand-over whose number of records is unknown. It is never reached,
+// so that the reply for missing keys is "unknown".
 const UnknownTotal = math.MaxInt
 
 // adoptedKey identifies a key of an adopted home.
@@ -31,14 +32,14 @@
 	// total is the number of keys that the home handed over, or UnknownTotal.
 	total   int
 	rows    map[adoptedKey]row
-	answers int64
-	until   time.Duration
+	answers int64         // bytes of kept answers
+	until   time.Duration // when the home expires
 }
 
 // complete reports whether every key that the home ever began, from oldestEpoch on, has a row. It
-// counts rows and not parts, so that a part that is lost, late, duplicated or from an earlier export
-// of the same home cannot make a hand-over look complete. This is correct because later exports of
-// a sealed home contain no additional keys, and total is the largest total received.
+// counts rows and not parts, so that a part that is lost, late, duplicated or from an earlier
+// export of the same home cannot make a hand-over look complete. This is correct because later
+// exports of a sealed home contain no additional keys, and total is the largest total received.
 func (h *adoptedHome) complete() bool {
 	return len(h.rows) >= h.total
 }
@@ -59,27 +60,28 @@
 	return nil
 }
 
-// Adopt takes over the keys of a sealed home. oldestEpoch is the home's OldestEpoch. complete states
-// that records is the complete result of its Export: the reply for missing keys is then "not run",
-// otherwise "unknown". A hand-over in parts uses AdoptPart.
+// Adopt takes over the keys of a sealed home. oldestEpoch is the home's OldestEpoch. complete
+// states that records is the complete result of its Export: the reply for missing keys is then "not
+// run", otherwise "unknown". A hand-over in parts uses AdoptPart.
 func (t *Table) Adopt(now time.Duration, home uint64, oldestEpoch uint32, records []Record, complete bool) {
 	if !complete {
 		t.AdoptPart(now, home, oldestEpoch, UnknownTotal, records)
 		return
 	}
 	if h := t.adopted.findHome(home); h != nil {
-		// An earlier hand-over may have had an unknown total, which would remain the largest.
+		// An earlier hand-over may have had UnknownTotal, which AdoptPart would keep.
 		t.dropHome(h)
 	}
 	t.AdoptPart(now, home, oldestEpoch, len(records), records)
 }
 
-// AdoptPart takes over some of the keys of a sealed home. total is the number of records of the export
-// to which they belong. Parts may come in any order and more than once. As soon as total different
-// keys are recorded, the reply for missing keys is "not run".
+// AdoptPart takes over some of the keys of a sealed home. total is the number of records of the
+// export to which they belong. Parts may come in any order and more than once. As soon as total
+// different keys are recorded, the reply for missing keys is "not run".
 //
-// Adopted keys are kept as long as the table's own. If there is no room, the homes adopted first are
-// dropped. If a single hand-over is too large, only a part of it is kept and it stays incomplete.
+// Adopted keys are kept as long as the table's own. If there is no room, the homes adopted first
+// are dropped. If a single hand-over is too large, only a part of it is kept and it stays
+// incomplete.
 func (t *Table) AdoptPart(now time.Duration, home uint64, oldestEpoch uint32, total int, records []Record) {
 	t.dropExpiredHomes(now)
 	if home == t.cfg.Self {
@@ -137,8 +139,8 @@
 	h.rows[k] = r
 }
 
-// makeAdoptedKeyRoom drops the homes adopted first until one more key of h fits, and reports whether
-// it does.
+// makeAdoptedKeyRoom drops the homes adopted first until one more key of h fits, and reports
+// whether it does.
 func (t *Table) makeAdoptedKeyRoom(h *adoptedHome) bool {
 	for t.adopted.keys >= t.cfg.MaxAdopted {
 		first := t.adopted.order[0]
@@ -196,8 +198,9 @@
 	Records []Record
 }
 
-// ExportAdopted returns the adopted homes for the next successor, in order of adoption. Without it, a
-// rolling restart would lose the keys of the entries that stopped first when their successors stop.
+// ExportAdopted returns the adopted homes for the next successor, in order of adoption. Without it,
+// a rolling restart would lose the keys of the entries that stopped first when their successors
+// stop.
 func (t *Table) ExportAdopted() []Adoption {
 	adoptions := make([]Adoption, 0, len(t.adopted.order))
 	for _, h := range t.adopted.order {
--- a/internal/idem/answers.go
+++ b/internal/idem/answers.go
@@ -1,7 +1,7 @@
 package idem
 
-// Memory of an answer in addition to its text, in bytes: the Answer itself, and two string headers for
-// each pair of a name and a value.
+// The memory that an answer takes in addition to its text, in bytes: the Answer itself, and two
+// string headers for each pair of a name and a value.
 const (
 	answerOverhead = 64
 	headerOverhead = 32
@@ -41,8 +41,8 @@
 	return a
 }
 
-// makeAnswerRoom drops the oldest answers of the table's own keys until cost more bytes fit. It drops
-// the oldest first because a caller that lost its answer retries soon or not at all.
+// makeAnswerRoom drops the oldest answers of the table's own keys until cost more bytes fit. It
+// drops the oldest first because a caller that lost its answer retries soon or not at all.
 func (t *Table) makeAnswerRoom(cost int64) bool {
 	limit := t.cfg.MaxAnswerTotal - t.adopted.answers
 	if cost > limit {
--- a/internal/idem/bench_test.go
+++ b/internal/idem/bench_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkRequest measures one request: Begin, MayDispatch and Finish. A full table is replaced by an
-// empty one, so that the result includes the growth of the table.
+// BenchmarkRequest measures one request: Begin, MayDispatch and Finish. A full table is replaced by
+// an empty one, so that the result includes the growth of the table.
 func BenchmarkRequest(b *testing.B) {
 	b.ReportAllocs()
 	a := &Answer{Status: 200, Body: make([]byte, 100)}
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkAdoptPart measures the adoption of 256 keys at a time. The table is replaced by an empty one
-// after the last part.
+// BenchmarkAdoptPart measures the adoption of 256 keys at a time. The table is replaced by an empty
+// one after the last part.
 func BenchmarkAdoptPart(b *testing.B) {
 	const part = 256
 	t := NewTable(DefaultConfig(1))
--- a/internal/idem/decision.go
+++ b/internal/idem/decision.go
@@ -8,8 +8,8 @@
 	// Run means that the key is now recorded as running. The caller of Begin ends it with Finish
 	// or Release.
 	Run DecisionKind = iota + 1
-	// Join means that the same request is running. The driver waits for its end and calls Begin
-	// again. A caller that cannot wait so long gets "unknown" as the reply.
+	// Join means that the same request is already running. The driver waits until it ends and calls
+	// Begin again. A caller that cannot wait that long gets the reply "unknown".
 	Join
 	// Replay means that the request is done and Decision.Answer is its answer.
 	Replay
--- a/internal/idem/filter.go
+++ b/internal/idem/filter.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Size of a filter. With 64 Ki keys the rate of false positives is about 1 in 70,000, with 1 Mi keys
-// 1 in 6.
+// Size of a filter. With 64 Ki keys the rate of false positives is about 1 in 70,000, with 1 Mi
+// keys 1 in 6.
 const (
 	filterBits   = 1 << 22
 	filterWords  = filterBits / 64
 	filterHashes = 4
 )
 
-// filter is a Bloom filter, a set of keys of fixed size. It may report a key that was never added, but
-// never misses an added one. This is safe for spent keys: after a false positive a new key is refused
-// as not run, and the caller makes another one.
+// filter is a Bloom filter, a set of keys of fixed size. It may report a key that was never added,
+// but never misses an added one. This is safe for spent keys: after a false positive a new key is
+// refused as not run, and the caller makes another one.
 type filter struct {
 	words []uint64 // nil until the first add
 }
@@ -42,8 +42,8 @@
 	return true
 }
 
-// filterStart returns the position of a key's first bit and the distance between its bits. The key is
-// hashed because some callers may use a counter in place of random bits.
+// filterStart returns the position of a key's first bit and the distance between its bits. The key
+// is hashed because some callers may use a counter in place of random bits.
 func filterStart(random [randomBytes]byte) (at, step uint32) {
 	sum := xxhash.Sum64(random[:])
 	return uint32(sum), uint32(sum>>32) | 1
--- a/internal/idem/fleetmodel_test.go
+++ b/internal/idem/fleetmodel_test.go
@@ -37,9 +37,9 @@
 	deliver func()
 }
 
-// fleetModel is a model of entries, endpoints and callers. pick returns a number below n and is the
-// only source of randomness. fault names the injected fault, if any, and violation is the first
-// violated guarantee.
+// fleetModel is a model of entries, endpoints and callers. pick returns a number from 0 to n-1 and
+// is the only source of randomness. fault names the injected fault, if any, and violation is the
+// first violated guarantee.
 type fleetModel struct {
 	pick            func(n int) int
 	fault           string
@@ -86,8 +86,8 @@
 	}
 }
 
-// step runs one random action. Messages are dropped or stay in flight, so that they get lost, late or
-// out of order, which covers partitions too.
+// step runs one random action. Messages may be lost, or stay in flight and arrive late or out of
+// order. This also covers partitions.
 func (f *fleetModel) step() {
 	i := f.pick(len(f.entries))
 	n := f.entries[i]
@@ -197,7 +197,8 @@
 	}
 }
 
-// runAt is the arrival of the request at an endpoint, which may refuse it.
+// runAt delivers the request of the job j to an endpoint, which runs or refuses it, and sends the
+// result back to n.
 func (f *fleetModel) runAt(n *modelEntry, j *job) {
 	if f.pick(4) == 0 {
 		f.post(n, func() { j.sent = false })
@@ -222,8 +223,8 @@
 	}
 }
 
-// handOver seals an entry and sends its keys to another one, whole or in parts that may get lost or mix
-// with those of an earlier hand-over. If the entry is already leaving, it may end instead.
+// handOver seals an entry and sends its keys to another one, whole or in parts that may get lost or
+// mix with those of an earlier hand-over. If the entry is already leaving, it may end instead.
 func (f *fleetModel) handOver(i int, to *modelEntry) {
 	n := f.entries[i]
 	if n.leaving && f.pick(2) == 0 {
@@ -264,10 +265,10 @@
 	}
 }
 
-// TestFleetModelKeepsGuarantees runs entries, callers and endpoints at random. Callers retry requests
-// through other entries while answers are lost and entries crash, are suspended or cut off, stop and
-// hand over. No key may run twice, no reply "not run" may be or become false, and no answer may reach
-// another request.
+// TestFleetModelKeepsGuarantees runs entries, callers and endpoints at random. Callers retry
+// requests through other entries while answers are lost and entries crash, are suspended or cut
+// off, stop and hand over. No key may run twice, no reply "not run" may be or become false, and no
+// answer may reach another request.
 func TestFleetModelKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := runModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }, "", 300); violation != "" {
@@ -276,8 +277,8 @@
 	})
 }
 
-// TestFleetModelDetectsInjectedFaults proves that the model can fail: each injected fault violates a
-// guarantee in runs that keep all guarantees without it.
+// TestFleetModelDetectsInjectedFaults proves that the model can fail: each injected fault violates
+// a guarantee in runs that keep all guarantees without it.
 func TestFleetModelDetectsInjectedFaults(t *testing.T) {
 	firstViolation := func(fault string) (violation string) {
 		for seed := uint64(0); seed < 300 && violation == ""; seed++ {
--- a/internal/idem/handover.go
+++ b/internal/idem/handover.go
@@ -13,9 +13,9 @@
 	t.sealed = true
 }
 
-// Export returns the table's own keys for a successor, in a stable order. It seals the table, because
-// a successor replies "not run" for every missing key, which is true only if no key begins after the
-// export. Running keys are exported as Unknown. A later export may contain them as Done.
+// Export returns the table's own keys for a successor, in a stable order. It seals the table,
+// because a successor replies "not run" for every missing key, which is true only if no key begins
+// after the export. Running keys are exported as Unknown. A later export may contain them as Done.
 func (t *Table) Export() []Record {
 	t.sealed = true
 	records := make([]Record, 0, t.keys)
--- a/internal/idem/key.go
+++ b/internal/idem/key.go
@@ -2,8 +2,8 @@
 // names its home, the one entry incarnation that may run it, and only the home's Table decides
 // whether the request may be sent.
 //
-// The package does not block, lock, do I/O or read a clock: callers pass in the time. A Table is not
-// safe for concurrent use.
+// The package does not block, lock, do I/O or read a clock: the code that uses it, called the
+// driver, passes in the time. A Table is not safe for concurrent use.
 package idem
 
 import (
--- a/internal/idem/scenarios_test.go
+++ b/internal/idem/scenarios_test.go
@@ -13,10 +13,10 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// faultScenarios are sequences of steps at the entries a, b and c. Their tables keep two epochs of a
-// minute each, and have room for three keys and slightly less than two large answers. A key is written
-// as HOME.EPOCH.NAME. The required result of a step, if any, follows " = ". begin2 comes from another
-// caller, and begin3 with another request.
+// faultScenarios are sequences of steps at the entries a, b and c. Their tables keep two epochs of
+// a minute each, and have room for three keys and slightly less than two large answers. A key is
+// written as HOME.EPOCH.NAME. The required result of a step, if any, follows " = ". In begin2
+// another caller uses the key, and in begin3 the caller uses it for another request.
 var faultScenarios = []struct{ name, steps string }{
 	// The connection breaks after the run and the answer is lost. The caller sends the same key
 	// through entry b, which names the home, and the home replays the answer.
@@ -31,15 +31,15 @@
 	// try of the refused key arrives. It must not run, but new keys may.
 	{"late try after full", `a begin a.1.k1 = run; a begin a.1.k2 = run; a begin a.1.k3 = run
 		a begin a.1.k4 = full; a release a.1.k1; a begin a.1.k4 = spent; a begin a.1.k5 = run`},
-	// The entry is suspended for ten minutes while a write runs, and skips many epochs. It must still
-	// have the running key, or a retry would run it again. A key of an old epoch that arrives for
-	// the first time cannot be distinguished from a dropped one.
+	// The entry is suspended for ten minutes while a write runs, and skips many epochs. It must
+	// still have the running key, or a retry would run it again. A key of an old epoch that arrives
+	// for the first time cannot be distinguished from a dropped one.
 	{"pause over many epochs", `a begin a.1.old = run; a finish a.1.old done; a begin a.2.k = from-future
 		a at 1m; a begin a.2.k = run; a at 10m; a begin a.2.k = join; a begin a.1.old = expired
 		a begin a.2.first = expired; a finish a.2.k done; a begin a.2.k = replay; a keys = 1
 		a at 11m; a begin a.2.k = expired; a keys = 0; a at 1m; a epoch = 12`},
-	// A caller sends another caller's key, or its own key with another request. Neither may disclose
-	// the state or the answer of the first request, also not at a successor.
+	// A caller sends another caller's key, or its own key with another request. Neither may
+	// disclose the state or the answer of the first request, also not at a successor.
 	{"other caller or request", `a begin a.1.k = run; a begin2 a.1.k = mismatch; a begin3 a.1.k = mismatch
 		a finish a.1.k done; a begin2 a.1.k = mismatch; a begin3 a.1.k = mismatch; a hand b
 		b begin2 a.1.k = mismatch; b begin3 a.1.k = mismatch; b begin a.1.k = replay`},
@@ -61,13 +61,13 @@
 		a part b 0 2; a part b 0 2; b begin a.1.k3 = outcome-unknown; b begin a.1.x = outcome-unknown
 		b hand c; c begin a.1.x = outcome-unknown; a part b 2 3; b begin a.1.k3 = outcome-unknown
 		b begin a.1.x = sealed-not-run; b hand c; c begin a.1.x = sealed-not-run`},
-	// Several entries stop within a minute and hand over to the same successor. Keys that do not fit
-	// or are too old are dropped, and their callers are told "unknown".
+	// Several entries stop within a minute and hand over to the same successor. Keys that do not
+	// fit or are too old are dropped, and their callers are told "unknown".
 	{"many hand-overs", `a begin a.1.k1 = run; a begin a.1.k2 = run; c begin c.1.k1 = run; c begin c.1.k2 = run
 		c begin c.1.k3 = run; a at 3m; a hand b; b begin a.2.x = expired; b begin a.3.x = sealed-not-run
 		c hand b; b begin a.1.k1 = not-home; b begin c.1.x = sealed-not-run; b at 2m; b begin c.1.k1 = not-home`},
-	// Large answers exceed the room for answers. The newest are kept, because a caller that lost its
-	// answer retries soon. No key runs again.
+	// Large answers exceed the room for answers. The newest are kept, because a caller that lost
+	// its answer retries soon. No key runs again.
 	{"answers too large", `a begin a.1.k1 = run; a finish a.1.k1 large; a begin a.1.k1 = replay
 		a begin a.1.k2 = run; a finish a.1.k2 too-large; a begin a.1.k3 = run; a finish a.1.k3 large; a begin a.1.k1 = done-no-answer
 		a begin a.1.k2 = done-no-answer; a begin a.1.k3 = replay`},
@@ -163,7 +163,7 @@
 	if back, err := ParseKey(want); back != k || err != nil {
 		t.Fatalf("got %v, %v", back, err)
 	}
-	if _, err := NewKey(1, 1, iotest.ErrReader(errors.New("dry"))); fault.KindOf(err) != fault.BadKey {
+	if _, err := NewKey(1, 1, iotest.ErrReader(errors.New("no random bits left"))); fault.KindOf(err) != fault.BadKey {
 		t.Errorf("NewKey without random bits: got error %v, want kind BadKey", err)
 	}
 	for _, change := range [][2]string{
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -13,8 +13,8 @@
 	result Result
 }
 
-// matches reports whether the row belongs to the same request. The digest covers the caller as well,
-// so that a collision of caller hashes does no harm.
+// matches reports whether the row belongs to the same request. The digest covers the caller as
+// well, so that a collision of caller hashes does no harm.
 func (r *row) matches(caller uint64, d Digest) bool {
 	return r.caller == caller && r.digest == d
 }
@@ -33,16 +33,16 @@
 	}
 }
 
-// Table records the keys of one home, and the keys of homes that handed over their tables to it. It is
-// not safe for concurrent use.
+// Table records the keys of one home, and the keys of homes that handed over their tables to it. It
+// is not safe for concurrent use.
 type Table struct {
 	cfg     Config
 	epoch   uint32
 	sealed  bool
 	epochs  []*epochRows // oldest first
 	keys    int          // rows in epochs
-	running int
-	answers int64 // bytes of the kept answers in epochs
+	running int          // rows in epochs whose result is Running
+	answers int64        // bytes of the kept answers in epochs
 	adopted adoptedHomes
 	stats   Stats
 }
@@ -67,7 +67,8 @@
 	RefusedMismatch uint64
 	// RefusedAfterNotRun counts the requests with a key that came again after the reply "not run".
 	RefusedAfterNotRun uint64
-	// AnswersDropped counts the answers that were too large or made room for newer ones.
+	// AnswersDropped counts the answers that were not kept because they were too large or there
+	// was no room, and those that were dropped to make room for newer ones.
 	AnswersDropped uint64
 	// LateResults counts the results for keys that were neither running nor unknown. A late result
 	// after Release means that a request was sent although its caller was told that it was not
@@ -113,8 +114,8 @@
 }
 
 // Tick advances the epoch and drops the epochs that are no longer kept. now is the time since the
-// process started. After a pause, many epochs may pass at once. A sealed table stays in its epoch, so
-// that its records and its oldest epoch are consistent in a hand-over.
+// process started. After a pause, many epochs may pass at once. A sealed table stays in its epoch,
+// so that its records and its oldest epoch are consistent in a hand-over.
 func (t *Table) Tick(now time.Duration) {
 	t.dropExpiredHomes(now)
 	if t.sealed {
@@ -128,8 +129,9 @@
 	t.dropEpochs()
 }
 
-// Begin decides on a request with key k. caller is a hash of the caller's identity, and d is the digest
-// that binds the request to the key. The decision is Run at most once per key in the table's life.
+// Begin decides on a request with key k. caller is a hash of the caller's identity, and d is the
+// digest that binds the request to the key. The decision is Run at most once per key in the table's
+// life.
 func (t *Table) Begin(now time.Duration, k Key, caller uint64, d Digest) Decision {
 	t.Tick(now)
 	if k.Home != t.cfg.Self {
@@ -144,8 +146,8 @@
 	return t.beginNew(rows, k, caller, d)
 }
 
-// beginKnown decides on a request whose key has a row. It compares the caller and the digest first, so
-// that no caller learns the state of another caller's request.
+// beginKnown decides on a request whose key has a row. It compares the caller and the digest first,
+// so that no caller learns the state of another caller's request.
 func (t *Table) beginKnown(r *row, k Key, caller uint64, d Digest) Decision {
 	if !r.matches(caller, d) {
 		t.stats.RefusedMismatch++
@@ -183,19 +185,19 @@
 	return Decision{Kind: Run, Home: k.Home}
 }
 
-// MayDispatch reports whether k is running, so that its request may be sent to an endpoint. The driver
-// calls it right before sending, because the process may have been suspended since its decision: by
-// then the key may have been released and its caller told "not run". A key runs only once, so true
-// cannot mean a later run of the same key.
+// MayDispatch reports whether k is running, so that its request may be sent to an endpoint. The
+// driver calls it right before sending, because the process may have been suspended since its
+// decision: by then the key may have been released and its caller told "not run". A key runs only
+// once, so true cannot mean a later run of the same key.
 func (t *Table) MayDispatch(k Key) bool {
 	r, _, ok := t.findOwn(k)
 	return ok && r.result == Running
 }
 
-// Release ends a running key whose request was not sent, or provably did not run. The key is then spent
-// and never runs, so that the reply "not run" stays true if an earlier try of the same request arrives
-// late through another entry. Requests that joined the key get Spent from their next Begin. Release
-// does nothing if the key is not running.
+// Release ends a running key whose request was not sent or is proven not to have run. The key is
+// then spent and never runs, so that the reply "not run" stays true if an earlier try of the same
+// request arrives late through another entry. Requests that joined the key get Spent from their
+// next Begin. Release does nothing if the key is not running.
 func (t *Table) Release(k Key) {
 	r, rows, ok := t.findOwn(k)
 	if !ok || r.result != Running {
@@ -209,7 +211,8 @@
 }
 
 // Finish records the result of a running key, Done or Unknown. a may be nil and must not be changed
-// afterwards. A result of Unknown becomes Done if the answer arrives later; no other result changes.
+// afterwards. A result of Unknown becomes Done if the answer arrives later; no other result
+// changes.
 func (t *Table) Finish(k Key, result Result, a *Answer) {
 	r, rows, ok := t.findOwn(k)
 	if !ok || r.result == Done {
--- a/internal/wait/within.go
+++ b/internal/wait/within.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Within runs work and reports whether it ended within limit. Work that did not end continues in
-// its own goroutine.
+// Within runs work and reports whether it ended within limit. If work did not end, it continues
+// in its own goroutine.
 func Within(limit time.Duration, work func()) bool {
 	ended := make(chan struct{})
 	go func() {
