--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -4,7 +4,7 @@
 // It sends each request at most once and on one connection. Once a byte of a request has been
 // written, this package never sends that request again, whatever its method or headers are. The
 // standard http.Transport cannot be used, because it replays a request that carries an
-// Idempotency-Key when a reused connection dies. docs/design/http.md compares the alternatives.
+// Idempotency-Key when a reused connection fails. docs/design/http.md compares the alternatives.
 package forward
 
 import (
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// idleUnusable returns a condition: no idle connection to address can be reused.
+// idleUnusable returns the condition that no idle connection to address can be reused.
 func idleUnusable(c *Connections, address string) func() bool {
 	return func() bool {
 		p := c.lookup(address)
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -9,7 +9,7 @@
 type ConnStats struct {
 	// Idle, Busy and Dialing count the current connections by state.
 	Idle, Busy, Dialing int
-	// Dialed and DialFailed count the connections that were set up and those that failed, so far.
+	// Dialed and DialFailed count the connections that were set up and the dials that failed.
 	Dialed, DialFailed uint64
 	// Reused counts requests sent on a connection that had carried another request.
 	Reused uint64
--- a/internal/front/bodytracker.go
+++ b/internal/front/bodytracker.go
@@ -12,7 +12,7 @@
 	line int
 	// cr is set when the last byte of the line was a carriage return.
 	cr bool
-	// digits is set once the chunk size has a digit, ext once the chunk size has ended.
+	// digits is set once the chunk size has a digit, and ext once the chunk size has ended.
 	digits, ext bool
 }
 
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -25,9 +25,9 @@
 )
 
 // guardedConn is a caller's connection. It checks each head as a whole before it passes the head to
-// net/http. net/http accepts some ambiguous heads and hides the ambiguity from the handler:
-// a Content-Length beside a Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded
-// headers, bare line feeds. Bodies are passed on as they arrive.
+// net/http. net/http accepts some ambiguous heads and hides the ambiguity from the handler: a
+// Content-Length beside a Transfer-Encoding, a Transfer-Encoding in HTTP/1.0, folded headers, bare
+// line feeds. Bodies are passed on as they arrive.
 type guardedConn struct {
 	net.Conn
 	tcp *net.TCPConn // Conn itself, or the connection below its TLS
@@ -48,7 +48,8 @@
 	// headStarted is set from the first byte of a head until the server begins to handle the
 	// request.
 	headStarted atomic.Bool
-	// idle is set while the server waits for a request, used once the first request has arrived.
+	// idle is set while the server waits for a request, and used once the first request has
+	// arrived.
 	idle, used atomic.Bool
 	opened     time.Time
 
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -6,7 +6,7 @@
 )
 
 // Limits bounds the resources of one caller's connection. In the result of ServerConfig.Allowed, a
-// zero field adds nothing to the configured limit.
+// zero field leaves the configured limit as it is.
 type Limits struct {
 	// HeaderBytes bounds the size of a head, HeaderTimeout the time from the first byte of a head
 	// to its end, and Idle the wait for the next request on a connection.
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -21,7 +21,8 @@
 	// Limits bounds callers' connections. The defaults are 32 KiB and 5 s for a head, and 60 s
 	// idle.
 	Limits Limits
-	// Allowed, if not nil, returns limits that raise those of Limits.
+	// Allowed, if not nil, returns limits that apply in place of Limits where they are higher, up
+	// to maxAllowed.
 	Allowed func() Limits
 	// KeepAlive is the interval of TCP keep-alive probes. Default 10 s.
 	KeepAlive time.Duration
