--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -12,7 +12,7 @@
 	errSwitchedProtocols = errors.New("the endpoint switched protocols without a request to do so")
 	errUnframed          = errors.New("the answer has neither a Content-Length nor the chunked coding")
 	errUnacknowledged    = errors.New("the endpoint has stopped acknowledging sent bytes")
-	errStray             = errors.New("the answer belongs to another request")
+	errStrayAnswer       = errors.New("the answer belongs to another request")
 	errHeadTimeout       = errors.New("the connection is alive but no answer arrived")
 )
 
@@ -42,7 +42,7 @@
 			if x.out.Informational != nil {
 				x.out.Informational(resp.StatusCode, resp.Header)
 			}
-		case x.out.Stray != nil && x.out.Stray(resp.Header):
+		case x.out.IsStray != nil && x.out.IsStray(resp.Header):
 			if err := x.discardStray(resp); err != nil {
 				return nil, err
 			}
@@ -52,14 +52,14 @@
 	}
 }
 
-// maxStrayAnswers bounds the answers to other requests that one exchange discards.
+// maxStrayAnswers is the maximum number of answers to other requests that one exchange discards.
 const maxStrayAnswers = 2
 
 // discardStray reads and discards an answer that belongs to another request.
 func (x *exchange) discardStray(resp *http.Response) error {
 	x.strayAnswers++
 	if x.strayAnswers > maxStrayAnswers || unframed(resp, false) {
-		return &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errStray}
+		return &Error{Failure: BadAnswer, Address: x.out.Address, Cause: errStrayAnswer}
 	}
 	x.conn.unlimitHead()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -79,10 +79,10 @@
 	if err == nil {
 		return resp, nil
 	}
-	failure := Died
+	failure := ConnectionLost
 	switch {
 	case errors.Is(x.conn.readErr, os.ErrDeadlineExceeded):
-		failure = Slow
+		failure = AnswerTimeout
 	case x.conn.readErr == nil, x.conn.readErr == errHeadTooLarge:
 		// The connection works; only the data on it is malformed.
 		failure = BadAnswer
@@ -105,7 +105,7 @@
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if x.conn.probe.Silent(cfg.SilentAfter) {
+		if x.conn.inspector.Silent(cfg.SilentAfter) {
 			return &Error{Failure: Silent, Address: x.out.Address, Cause: errUnacknowledged}
 		}
 		if err := x.checkTimeouts(waitStart); err != nil {
@@ -115,8 +115,8 @@
 }
 
 // checksPerSilentAfter is how many times per Config.SilentAfter a connection is checked after the
-// first check. More than one, because the kernel's first retransmission may fall just after the
-// first check.
+// first check. It is more than one because the kernel's first retransmission may come just after
+// the first check.
 const checksPerSilentAfter = 4
 
 // waitStep returns how long to wait before the connection is checked again.
@@ -155,7 +155,7 @@
 		}
 	}
 	if cfg.HeaderTimeout > 0 && cfg.Clock()-waitStart >= cfg.HeaderTimeout {
-		return &Error{Failure: Slow, Address: x.out.Address, Cause: errHeadTimeout}
+		return &Error{Failure: AnswerTimeout, Address: x.out.Address, Cause: errHeadTimeout}
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 	exchange *exchange
 	source   io.Reader
 	reusable bool
-	// err is what Read returns once the exchange is over.
+	// err is the error that Read returns once the exchange has ended.
 	err error
 }
 
@@ -222,13 +222,14 @@
 }
 
 // fail ends an exchange that failed before the body of the answer and classifies err.
-func (x *exchange) fail(err error) error { return x.classify(err, Died) }
+func (x *exchange) fail(err error) error { return x.classify(err, ConnectionLost) }
 
 // failBody ends an exchange that failed in the body of the answer and classifies err.
 func (x *exchange) failBody(err error) error { return x.classify(err, Truncated) }
 
 // classify ends the exchange and returns an *Error with the most specific class known: the reason
-// for which this process closed the connection, else the class of err, else fallback.
+// for which this process closed the connection, else that of the context if it has ended, else the
+// class of err, else fallback.
 func (x *exchange) classify(err error, fallback Failure) error {
 	aborted := x.conn.abortedFor()
 	x.drop()
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -21,17 +21,17 @@
 	writeBufferSize = 1 << 10
 )
 
-// errHeadTooLarge is the read error when the head of an answer exceeds its limit.
+// errHeadTooLarge is the error of a read when the head of an answer exceeds its limit.
 var errHeadTooLarge = errors.New("the head of the answer is too large")
 
 // conn is one TCP connection to an endpoint. It belongs to one exchange at a time, or to its pool.
-// Other goroutines may only call abort and probe.Silent.
+// Other goroutines may only call abort and inspector.Silent.
 type conn struct {
 	net.Conn
-	// tcp is Conn itself, or the connection below it if Conn is TLS; encrypted says which.
+	// tcp is Conn itself, or the connection below it if Conn is TLS. encrypted is set for TLS.
 	tcp       *net.TCPConn
 	encrypted bool
-	probe     *socket.Probe
+	inspector *socket.Inspector
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 
@@ -50,7 +50,7 @@
 	aliveAt time.Duration
 
 	abortOnce sync.Once
-	// aborted is why abort closed the connection.
+	// aborted is the Failure for which abort closed the connection.
 	aborted atomic.Uint32
 }
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: tcp, tcp: tcp, probe: socket.NewProbe(raw), headLeft: math.MaxInt64, aliveAt: now}
+	c := &conn{Conn: tcp, tcp: tcp, inspector: socket.NewInspector(raw), headLeft: math.MaxInt64, aliveAt: now}
 	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	c.writer = bufio.NewWriterSize(c, writeBufferSize)
 	return c, nil
@@ -109,7 +109,7 @@
 // be taken for the answer to the next request, which may be another caller's. With TLS they cannot
 // be detected, because TLS sends records of its own and buffers bytes that it has read.
 func (c *conn) reusable() bool {
-	return !c.encrypted && c.reader.Buffered() == 0 && c.probe.Arrival() == socket.Nothing
+	return !c.encrypted && c.reader.Buffered() == 0 && c.inspector.ReadState() == socket.WouldBlock
 }
 
 // abort closes the connection for the given reason; only the first call has an effect. The endpoint
@@ -121,5 +121,5 @@
 	})
 }
 
-// abortedFor returns why abort was called, or None.
+// abortedFor returns the reason given to abort, or None if abort was not called.
 func (c *conn) abortedFor() Failure { return Failure(c.aborted.Load()) }
