--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestAuditPage(t *testing.T) {
-	type mark struct {
+	type recordSummary struct {
 		Seq     uint64
 		Dropped bool
 	}
@@ -109,21 +109,21 @@
 		name          string
 		size, records int
 		query         string
-		want          []mark
+		want          []recordSummary
 	}{
 		{"empty", 4, 0, "", nil},
-		{"all records", 4, 2, "?since=0", []mark{{1, false}, {2, false}}},
-		{"records after a number", 4, 2, "?since=1&follow=0", []mark{{2, false}}},
-		{"overwritten records", 2, 4, "?since=1", []mark{{3, true}, {4, false}}},
-		{"number of an earlier process", 4, 1, "?since=77", []mark{{1, true}}},
+		{"all records", 4, 2, "?since=0", []recordSummary{{1, false}, {2, false}}},
+		{"records after a number", 4, 2, "?since=1&follow=0", []recordSummary{{2, false}}},
+		{"overwritten records", 2, 4, "?since=1", []recordSummary{{3, true}, {4, false}}},
+		{"number of an earlier process", 4, 1, "?since=77", []recordSummary{{1, true}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			next := openAuditStream(t, context.Background(), serve(t, admintest.Sample{}, newTrail(c.size, c.records)), c.query)
-			var got []mark
+			var got []recordSummary
 			line, err := next()
 			for ; err == nil; line, err = next() {
-				got = append(got, mark{line.Seq, line.Dropped})
+				got = append(got, recordSummary{line.Seq, line.Dropped})
 			}
 			if diff := cmp.Diff(c.want, got); err != io.EOF || diff != "" {
 				t.Errorf("error %v, (-want +got):\n%s", err, diff)
--- a/internal/admin/auditstream.go
+++ b/internal/admin/auditstream.go
@@ -13,8 +13,8 @@
 	// KeepAlive is the longest time without a line on a stream. An empty line is then sent, so
 	// that both ends notice when the other end is gone.
 	KeepAlive = 15 * time.Second
-	// streamWrite bounds one write, in case the client does not read.
-	streamWrite = 10 * time.Second
+	// streamWriteTimeout bounds one write, in case the client does not read.
+	streamWriteTimeout = 10 * time.Second
 )
 
 // audit writes the audit trail as JSON lines: the records after the one with the number "since", and
@@ -107,7 +107,7 @@
 // would block the stream and its goroutine forever.
 func (s *auditStream) write(text []byte) error {
 	// Only the writers of tests have no deadlines.
-	_ = s.control.SetWriteDeadline(time.Now().Add(streamWrite))
+	_ = s.control.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 	if _, err := s.writer.Write(text); err != nil {
 		return err
 	}
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -72,9 +72,9 @@
 	writeJSON(w, http.StatusOK, "ready")
 }
 
-func errorHandler(status int, what, remedy string) http.Handler {
+func errorHandler(status int, message, remedy string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, status, ErrorBody{Error: what, Remedy: remedy})
+		writeJSON(w, status, ErrorBody{Error: message, Remedy: remedy})
 	})
 }
 
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -103,7 +103,7 @@
 	for range 3 {
 		trail.Add(Record{Actor: "self", Action: "tested"})
 	}
-	if room := cap(trail.ring); room > 16 {
-		t.Errorf("the ring has capacity for %d records after 3 were added", room)
+	if capacity := cap(trail.ring); capacity > 16 {
+		t.Errorf("the ring has capacity for %d records after 3 were added", capacity)
 	}
 }
--- a/internal/ctl/audit.go
+++ b/internal/ctl/audit.go
@@ -42,21 +42,21 @@
 
 func (o *options) audit(ctx context.Context, since uint64, follow bool) error {
 	query := url.Values{"since": {strconv.FormatUint(since, 10)}, "follow": {strconv.FormatBool(follow)}}
-	limit := o.timeout
+	maxSilence := o.timeout
 	if follow {
-		limit = followTimeout
+		maxSilence = followTimeout
 	}
 	readCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	errSilent := fault.New(fault.Unavailable, "run the command again; give --since to continue", "the entry sent nothing for %s", limit)
-	watchdog := time.AfterFunc(limit, func() { cancel(errSilent) })
+	errSilent := fault.New(fault.Unavailable, "run the command again; give --since to continue", "the entry sent nothing for %s", maxSilence)
+	watchdog := time.AfterFunc(maxSilence, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	response, err := o.open(readCtx, admin.AuditPath+"?"+query.Encode())
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	err = o.copyTrail(response.Body, func() { watchdog.Reset(limit) })
+	err = o.copyTrail(response.Body, func() { watchdog.Reset(maxSilence) })
 	switch {
 	case ctx.Err() != nil:
 		return nil // the operator ended the command
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -19,8 +19,8 @@
 	outputJSON  = "json"
 )
 
-// show writes value as JSON or, in table format, the text that the page function renders.
-func (o *options) show(value any, page func(*page)) error {
+// show writes value as JSON or, in table format, the text that render writes.
+func (o *options) show(value any, render func(*page)) error {
 	var buffer bytes.Buffer
 	if o.output == outputJSON {
 		encoder := json.NewEncoder(&buffer)
@@ -29,7 +29,7 @@
 			return err
 		}
 	} else {
-		page(newPage(&buffer))
+		render(newPage(&buffer))
 	}
 	_, err := o.out.Write(buffer.Bytes())
 	return err
@@ -109,11 +109,11 @@
 }
 
 // joinNotes joins the texts of the notes that apply.
-func joinNotes(pairs ...note) string {
+func joinNotes(notes ...note) string {
 	var texts []string
-	for _, m := range pairs {
-		if m.applies {
-			texts = append(texts, m.text)
+	for _, n := range notes {
+		if n.applies {
+			texts = append(texts, n.text)
 		}
 	}
 	return strings.Join(texts, ", ")
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -110,7 +110,7 @@
 }
 
 func fleetLines(p *page, s *admin.Status) {
-	f, pl := &s.Fleet, &s.Platform
+	f, platform := &s.Fleet, &s.Platform
 	var revisions []string
 	for _, r := range f.Revisions {
 		revisions = append(revisions, revision(r.Revision)+" on "+number(r.Entries))
@@ -127,12 +127,12 @@
 	}
 	p.line("endpoints  %d live, %d leaving, %d ejected", f.EndpointsLive, f.EndpointsLeaving, f.EndpointsEjected)
 	p.line("readers    %s", strings.Join(f.Readers, ", "))
-	own := "read by other entries"
-	if pl.Reader {
-		own = "read by this entry"
+	readBy := "read by other entries"
+	if platform.Reader {
+		readBy = "read by this entry"
 	}
-	text := joinNotes(note{pl.LastError != "", "; last error: " + pl.LastError})
-	p.line("platform   %s, %d calls, %d failed, at most %g/s%s", own, pl.Calls, pl.Failures, pl.CallsPerSecond, text)
+	text := joinNotes(note{platform.LastError != "", "; last error: " + platform.LastError})
+	p.line("platform   %s, %d calls, %d failed, at most %g/s%s", readBy, platform.Calls, platform.Failures, platform.CallsPerSecond, text)
 }
 
 func trafficLines(p *page, s *admin.Status) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -55,8 +55,8 @@
 	check  bool
 }
 
-// errCut reports that a stop cut off requests; the log has their number.
-var errCut = errors.New("requests in flight were cut off")
+// errRequestsCutOff reports that a stop cut off requests; the log has their number.
+var errRequestsCutOff = errors.New("requests in flight were cut off")
 
 func run(args []string, out, errOut io.Writer, signals <-chan os.Signal) int {
 	command := newCommand(signals)
@@ -74,7 +74,7 @@
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errCut):
+	case errors.Is(err, errRequestsCutOff):
 		return ExitRequestsCutOff
 	case fault.KindOf(err) == fault.BadSettings:
 		return ExitSettings
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		return err
 	}
-	operators, err := startAdmin(s, e.AdminHandler(), serverConfig(stores.admin))
+	adminInterface, err := startAdmin(s, e.AdminHandler(), serverConfig(stores.admin))
 	if err != nil {
 		return err
 	}
-	defer operators.close()
+	defer adminInterface.close()
 	aux, err := startAuxServers(s, e)
 	if err != nil {
 		return err
@@ -63,7 +63,8 @@
 			r.poll()
 		case failure := <-e.Failed():
 			klog.ErrorS(failure, "a server of the entry failed; stopping the entry")
-			// errCut is ignored: stop logs the number of cut requests, and the failure decides the exit code.
+			// errRequestsCutOff is ignored: stop logs the number of cut requests, and the failure
+			// decides the exit code.
 			_ = stop(e, "failure", signals)
 			return failure
 		}
@@ -141,7 +142,7 @@
 	klog.InfoS("stopped", "entry", e.Name(), "took", summary.Took.String(), "requestsCut", summary.Cut,
 		"keysHandedOver", summary.HandedOver, "successors", summary.Successors)
 	if summary.Cut > 0 {
-		return errCut
+		return errRequestsCutOff
 	}
 	return nil
 }
--- a/internal/profile/calendar_test.go
+++ b/internal/profile/calendar_test.go
@@ -71,13 +71,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			inForce, during := s.CloseAt(at)
-			next, coming := s.NextClose(at)
-			if inForce.Name != tc.inForce || during != (tc.inForce != "") {
-				t.Errorf("CloseAt = %q, %v", inForce.Name, during)
+			inForce, hasCurrent := s.CloseAt(at)
+			next, hasNext := s.NextClose(at)
+			if inForce.Name != tc.inForce || hasCurrent != (tc.inForce != "") {
+				t.Errorf("CloseAt = %q, %v", inForce.Name, hasCurrent)
 			}
-			if next.Name != tc.next || coming != (tc.next != "") {
-				t.Errorf("NextClose = %q, %v", next.Name, coming)
+			if next.Name != tc.next || hasNext != (tc.next != "") {
+				t.Errorf("NextClose = %q, %v", next.Name, hasNext)
 			}
 		})
 	}
--- a/internal/profile/traffic_test.go
+++ b/internal/profile/traffic_test.go
@@ -99,7 +99,7 @@
 // A rule that applied a read profile to non-idempotent routes would run their requests twice. A
 // missing rule for a kind would leave future routes of that kind without a profile.
 func TestBadTrafficRulesAreRefused(t *testing.T) {
-	for _, tc := range []struct{ name, old, new, says string }{
+	for _, tc := range []struct{ name, old, new, wantProblem string }{
 		{"read profile for non-idempotent route", `profile = "once"`, `profile = "reads"`, "does not suit non_idempotent routes"},
 		{"no rule for a kind", "[traffic.uploads]\nkind = \"upload\"\nprofile = \"uploads\"\n", "", `no rule covers routes of kind "upload"`},
 		{"only a rule with a priority", "profile = \"uploads\"\n", "profile = \"uploads\"\npriority = 3\n", `no rule covers routes of kind "upload"`},
@@ -112,7 +112,7 @@
 		if text == trafficDocument {
 			t.Fatalf("%s: the replaced text is not in the document", tc.name)
 		}
-		if _, err := Parse([]byte(text), 1); err == nil || !strings.Contains(err.Error(), tc.says) {
+		if _, err := Parse([]byte(text), 1); err == nil || !strings.Contains(err.Error(), tc.wantProblem) {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
