--- a/internal/profile/calendar.go
+++ b/internal/profile/calendar.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	if len(list) > maxCloses {
-		c.report(path, fmt.Sprintf("there are %d closes, more than %d", len(list), maxCloses), "remove those that are over")
+		c.report(path, fmt.Sprintf("there are %d closes, more than %d", len(list), maxCloses), "remove the closes that have ended")
 		return nil
 	}
 	var tables []section
--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -30,7 +30,7 @@
 var fields = []field{
 	{
 		name: "kind", ref: func(p *Policy) any { return &p.Kind }, fixed: true,
-		description: "What the requests are. `read`: idempotent, callers wait. `once`: must not run twice. `bulk`: large, may be slow. `urgent`: idempotent, few, before all others.",
+		description: "Kind of the requests. `read`: idempotent, callers wait. `once`: must not run twice. `bulk`: large, may be slow. `urgent`: idempotent, few, before all others.",
 	},
 	{
 		name: "deadline", ref: func(p *Policy) any { return &p.Deadline },
@@ -40,15 +40,15 @@
 	{
 		name: "objective", ref: func(p *Policy) any { return &p.Objective },
 		min: float64(time.Millisecond), max: float64(time.Hour), allowZero: true,
-		description: "Latency within which an answer has its full value; hedges and early refusals go by it. `0s`: none. A route's own takes its place.",
+		description: "Latency within which an answer has its full value; hedges and early refusals depend on it. `0s`: none. A route's own objective replaces it.",
 	},
 	{
 		name: "looks", ref: func(p *Policy) any { return &p.LoadProbes }, max: 32,
-		description: "Endpoints that may be asked for their load right before a request is sent, within `watch_budget`. `0`: none, the choice goes by what answers and peers told.",
+		description: "Endpoints that may be asked for their load right before a request is sent, within `watch_budget`. `0`: none, endpoints are chosen by the load that their answers and peers reported.",
 	},
 	{
 		name: "queue_limit", ref: func(p *Policy) any { return &p.QueueLimit }, max: 10000,
-		description: "Requests of the service that may wait at one entry. `0`: none waits, what finds no free slot is refused as not run.",
+		description: "Requests of the service that may wait at one entry. `0`: none waits, a request that finds no free slot is refused as not run.",
 	},
 	{
 		name: "queue_order", ref: func(p *Policy) any { return &p.QueueOrder },
@@ -72,7 +72,7 @@
 	},
 	{
 		name: "max_attempts", ref: func(p *Policy) any { return &p.MaxAttempts }, min: 1, max: 5,
-		description: "Tries of one request, the first included. Kind `once` is tried again only where the try before provably did not run.",
+		description: "Attempts of one request, including the first. A request of kind `once` is retried only if the previous attempt provably did not run.",
 	},
 	{
 		name: "hedge_after", ref: func(p *Policy) any { return &p.HedgeAfter },
@@ -81,21 +81,21 @@
 	},
 	{
 		name: "watch_budget", ref: func(p *Policy) any { return &p.WatchBudget }, max: 0.2,
-		description: "Share of the endpoints' slot time that the probes of all entries together may take. In a shared pool the smallest one holds.",
+		description: "Share of the endpoints' slot time that the probes of all entries together may take. In a shared pool the smallest value applies.",
 	},
 	{
 		name: "eject_max_share", ref: func(p *Policy) any { return &p.EjectMaxShare }, max: 0.5,
-		description: "Largest share of the pool's endpoints ejected at once. `0`: no ejection. In a shared pool the smallest one holds.",
+		description: "Largest share of the pool's endpoints ejected at once. `0`: no ejection. In a shared pool the smallest value applies.",
 	},
 	{
 		name: "eject_base", ref: func(p *Policy) any { return &p.EjectBase },
 		min: float64(100 * time.Millisecond), max: float64(time.Hour),
-		description: "Time of a first ejection; it grows with each further one in a row. In a shared pool the smallest one holds.",
+		description: "Duration of a first ejection; consecutive ejections last longer, up to `eject_max`. In a shared pool the smallest value applies.",
 	},
 	{
 		name: "eject_max", ref: func(p *Policy) any { return &p.EjectMax },
 		min: float64(100 * time.Millisecond), max: float64(time.Hour),
-		description: "Longest time of an ejection. In a shared pool the smallest one holds.",
+		description: "Longest duration of an ejection. In a shared pool the smallest value applies.",
 	},
 	{
 		name: "max_body", ref: func(p *Policy) any { return &p.MaxBodyBytes }, max: 16 * gigabyte,
@@ -107,7 +107,7 @@
 	},
 	{
 		name: "entries_per_domain", ref: func(p *Policy) any { return &p.EntriesPerDomain }, min: 0, max: 16,
-		description: "Entries of each failure domain that callers of the service are sent to. `0`: one entry in each region, which then sees every request and every slot; callers of other failure domains have a longer way.",
+		description: "Entries of each failure domain that callers of the service are sent to. `0`: one entry in each region, which then sees every request and every slot; requests from callers in other failure domains travel further.",
 	},
 }
 
--- a/internal/profile/localtime.go
+++ b/internal/profile/localtime.go
@@ -3,8 +3,8 @@
 import "time"
 
 // When clocks go forward, some local times do not exist; when they go back, some occur twice. A
-// close is extended to its longest interpretation, because close settings that apply an hour too
-// long are safer than a close that is an hour too short.
+// close is given its longest interpretation, because close settings that apply for an hour too long
+// are safer than a close that is an hour too short.
 
 // firstInstant returns the instant at which a close with the given local start begins. For an
 // ambiguous time it is the earlier instant, for a nonexistent time the instant of the clock change.
--- a/internal/profile/problem.go
+++ b/internal/profile/problem.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// maxProblemsInMessage bounds the text of a DocumentError; its Problems are
-// always complete.
+// maxProblemsInMessage bounds the text of a DocumentError; its Problems are always complete.
 const maxProblemsInMessage = 100
 
 // Problem is one error or warning in a document.
--- a/internal/profile/profiles.go
+++ b/internal/profile/profiles.go
@@ -49,7 +49,7 @@
 	c.reportUnknownKeys(closeTable, fieldNames())
 	for _, f := range fields {
 		if _, given := closeTable.values[f.name]; given && f.fixed {
-			c.report(closeTable.child(f.name), "the setting can not differ during a close", "set it in the profile itself")
+			c.report(closeTable.child(f.name), "the setting cannot differ during a close", "set it in the profile itself")
 			refused[f.name] = true
 		}
 	}
--- a/internal/profile/rules.go
+++ b/internal/profile/rules.go
@@ -71,7 +71,7 @@
 
 // checkRules reports the rules that the policy of one mode violates. blocks are the tables that may
 // set the mode's settings, the one with precedence first. Rules that involve a rejected setting are
-// skipped, because the policy has that setting's default instead.
+// skipped, because p holds a default in place of the rejected value.
 func (c *checker) checkRules(p *Policy, blocks []section, refused map[string]bool) {
 	for _, r := range rules {
 		if r.violated(p) && !containsAny(refused, r.fields) {
@@ -106,8 +106,9 @@
 }
 
 // urgentReserve is the share of a pool's slots that services of other kinds may not use if an
-// urgent service shares the pool. Without it, bulk requests, which use a slot for long and are
-// never cut off, could occupy every slot, and an urgent request would wait for an entire upload.
+// urgent service shares the pool. Without it, bulk requests, which use a slot for a long
+// time and are never cut off, could occupy every slot, and an urgent request would wait for an
+// entire upload.
 const urgentReserve = 0.1
 
 // shareTolerance absorbs rounding errors in a sum of decimal shares.
--- a/internal/profile/traffic.go
+++ b/internal/profile/traffic.go
@@ -125,7 +125,7 @@
 		r := &table.Routes()[i]
 		rule := s.trafficRuleFor(r.Kind, r.Priority)
 		if rule == nil {
-			return nil, fault.New(fault.BadProfile, "add a [traffic] rule for the kind to the profiles", "no profile treats %s routes such as %q", r.Kind, r.Name)
+			return nil, fault.New(fault.BadProfile, "add a [traffic] rule for the kind to the profiles", "no traffic rule applies to %s routes such as %q", r.Kind, r.Name)
 		}
 		for _, part := range r.Parts {
 			bound.addPart(r, part, services[part.Service], rule.Profile, s.modes[rule.Profile])
