--- a/internal/settings/certs/certs.go
+++ b/internal/settings/certs/certs.go
@@ -156,7 +156,8 @@
 }
 
 // Client returns a client configuration for one connection. It presents the store's certificate and
-// trusts only the store's authorities. If serverName is empty, the caller must set it.
+// trusts only the store's authorities. If serverName is empty, ServerName must be set before the
+// handshake.
 func (s *Store) Client(serverName string) *tls.Config {
 	m := s.material()
 	return &tls.Config{
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -105,18 +105,19 @@
 	}
 }
 
-// checkAdvertised checks an address that others dial, which must name one VM and port. If it is
-// empty, the listen address is advertised and must meet the same condition.
+// checkAdvertised checks an address that callers or peers dial, which must contain a specific IP
+// address and port. If it is empty, the listen address is advertised and must meet the same
+// condition.
 func (c *checker) checkAdvertised(field, value, listenField, listen string) {
 	if value != "" {
 		if parsed, ok := c.parseAddress(field, value); ok && !dialable(parsed) {
-			c.report(field, "give the IP number and port of this VM", "others cannot dial %s", value)
+			c.report(field, "give the IP address and port of this VM", "other VMs cannot dial %s", value)
 		}
 		return
 	}
 	if parsed, err := netip.ParseAddrPort(listen); err == nil && !dialable(parsed) {
-		c.report(field, fmt.Sprintf("set it, or let %s name one IP number and port", listenField),
-			"others cannot dial %s, which %s names", listen, listenField)
+		c.report(field, fmt.Sprintf("set it, or give a specific IP address and port in %s", listenField),
+			"other VMs cannot dial %s, the value of %s", listen, listenField)
 	}
 }
 
@@ -137,7 +138,7 @@
 	} else if u, err := url.Parse(p.URL); err != nil || u.Host == "" || !slices.Contains([]string{"http", "https"}, u.Scheme) {
 		c.report("platform.url", "write http://HOST:PORT or https://HOST:PORT", "%q is not a valid base URL", p.URL)
 	}
-	if !(p.CallsPerSecond >= 0.1 && p.CallsPerSecond <= 100) { // also refuses NaN
+	if !(p.CallsPerSecond >= 0.1 && p.CallsPerSecond <= 100) { // also rejects NaN
 		c.report("platform.calls_per_second", "give a number from 0.1 to 100", "%v is out of range", p.CallsPerSecond)
 	}
 	c.checkDuration("platform.timeout", p.Timeout, 100*time.Millisecond, time.Minute)
@@ -156,7 +157,7 @@
 func (c *checker) checkPeers(p *Peers) {
 	for _, seed := range p.Seeds {
 		if parsed, ok := c.parseAddress("peers.seeds", seed); ok && !dialable(parsed) {
-			c.report("peers.seeds", "give the IP number and port of a peer", "%s cannot be dialled", seed)
+			c.report("peers.seeds", "give the IP address and port of a peer", "%s cannot be dialled", seed)
 		}
 	}
 	c.checkDuration("peers.heartbeat", p.Heartbeat, 100*time.Millisecond, 30*time.Second)
@@ -239,7 +240,7 @@
 }
 
 func (c *checker) checkFloat(field string, value, highest float64) {
-	if !(value >= 0 && value <= highest) { // also refuses NaN
+	if !(value >= 0 && value <= highest) { // also rejects NaN
 		c.report(field, fmt.Sprintf("give a number from 0 to %g", highest), "%v is out of range", value)
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -93,9 +93,9 @@
 	case e.Unit == "duration":
 		return `a duration such as "250ms", "90s" or "1m30s"`
 	case e.Unit == unitText:
-		return "a text in quotes"
+		return "a string in quotes"
 	case e.Unit == unitList:
-		return "a list of texts in quotes"
+		return "a list of strings in quotes"
 	case e.Unit == unitBool:
 		return "true or false"
 	case e.Unit == "calls/s":
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,8 +60,8 @@
 	// Terms are the figures of the contract with the platform, each as NAME=VALUE in the platform's
 	// notation; none by default.
 	Terms []string `toml:"terms"`
-	// CheckEvery is the shortest time between two reads by an entry for which other entries read;
-	// default 10s.
+	// CheckEvery is the shortest time between two reads of the service by an entry that relies on
+	// other readers; default 10s.
 	CheckEvery Duration `toml:"check_every" unit:"duration"`
 	// ChangeGap is the shortest time between two watches of a value, so that changes in quick
 	// succession are read together; default 0s.
@@ -76,16 +76,16 @@
 	// only seconds later. Entries then wait for the readers to read the service for them; default
 	// false.
 	FirstStart bool `toml:"first_start"`
-	// AlwaysCurrent declares that no answer of the service is older than any answer it gave before
-	// to anyone. An entry that starts then serves with the service's answer alone, without waiting
-	// for confirmation from peers; default false.
+	// AlwaysCurrent declares that no answer of the service is older than any earlier answer that it
+	// gave to any client. An entry that starts then serves on the service's answer alone, without
+	// waiting for confirmation from peers; default false.
 	AlwaysCurrent bool `toml:"always_current"`
 	// ListIsFinal declares that an endpoint missing from the list of VMs has ended; default false.
 	ListIsFinal bool `toml:"list_is_final"`
 	// MissingAfter is how long an endpoint missing from the list may still be used; default 30s.
 	MissingAfter Duration `toml:"missing_after" unit:"duration"`
-	// KeepLast is like MissingAfter, for the endpoints of a pool of which the list has none left;
-	// default 24h.
+	// KeepLast replaces MissingAfter for the endpoints of a pool if the list contains none of them
+	// any more; default 24h.
 	KeepLast Duration `toml:"keep_last" unit:"duration"`
 }
 
@@ -190,10 +190,10 @@
 	// LoadProbesPerEndpoint bounds the load probes per second that all entries together send to one
 	// endpoint; default 0, which means no bound.
 	LoadProbesPerEndpoint float64 `toml:"looks_per_endpoint" unit:"looks/s"`
-	// WarmupOver is the multiple of its published rate that all entries together may send to a cold
-	// endpoint in any second; default 1.
+	// WarmupOver bounds the requests that all entries together send to a cold endpoint in any
+	// second, as a multiple of the rate published for the endpoint; default 1.
 	WarmupOver float64 `toml:"warmup_over" unit:"times"`
-	// WarmupSlack is the number of requests allowed beyond that; default 0.
+	// WarmupSlack is the number of requests allowed beyond WarmupOver; default 0.
 	WarmupSlack float64 `toml:"warmup_slack" unit:"requests"`
 	// HeapGrowth is the percentage by which the heap may grow between garbage collections, unless
 	// the environment variable GOGC is set; default 400.
@@ -222,15 +222,15 @@
 	// AnswersTTL is the longest time for which callers may cache a directory answer, which says
 	// which entries to use. A planned stop continues to serve for that time; default 12s.
 	AnswersTTL Duration `toml:"answers_ttl" unit:"duration"`
-	// StopGrace is how long after the expiry of the directory answers a planned stop reports the
-	// requests that are still running; default 30s.
+	// StopGrace is the time from the expiry of the directory answers until a planned stop reports
+	// the requests that are still running; default 30s.
 	StopGrace Duration `toml:"stop_grace" unit:"duration"`
-	// StopUpload is how long after the expiry of the directory answers a planned stop cuts off the
-	// requests that are still running, such as long uploads; default 15m.
+	// StopUpload is the time from the expiry of the directory answers until a planned stop cuts off
+	// the requests that are still running, such as long uploads; default 15m.
 	StopUpload Duration `toml:"stop_upload" unit:"duration"`
-	// StopWithin is the time after its signal within which a planned stop must end, because the
-	// process is killed then. The earlier steps leave the rest of this time to requests in flight;
-	// default 0, which means no limit.
+	// StopWithin is the time from the stop signal until the process is killed, within which a
+	// planned stop must end. Requests in flight get what the earlier steps leave of it; default 0,
+	// which means no limit.
 	StopWithin Duration `toml:"stop_within" unit:"duration"`
 }
 
