--- a/client/client_test.go
+++ b/client/client_test.go
@@ -161,10 +161,10 @@
 	now := time.Unix(1000, 0)
 	d := newDirectory(Options{Seeds: []string{"seed", "stopped"}, Clock: func() time.Time { return now }}, nil)
 	cache := func(service string, until time.Duration, addresses ...string) {
-		k := d.entriesFor(service)
-		k.expires = now.Add(until)
+		s := d.entriesFor(service)
+		s.expires = now.Add(until)
 		for _, address := range addresses {
-			k.entries = append(k.entries, contract.EntryAddress{Address: address})
+			s.entries = append(s.entries, contract.EntryAddress{Address: address})
 		}
 	}
 	cache("bookings", -2*time.Second, "stopped", "a")
--- a/client/directory.go
+++ b/client/directory.go
@@ -53,63 +53,63 @@
 // entries returns the entries for a service in the order to try them. Of concurrent calls one
 // refreshes an expired list and the others wait for it.
 func (d *directory) entries(ctx context.Context, service string) ([]contract.EntryAddress, error) {
-	k := d.entriesFor(service)
-	if list, ok := d.cached(k); ok {
+	s := d.entriesFor(service)
+	if list, ok := d.cached(s); ok {
 		return list, nil
 	}
 	select {
-	case k.refreshing <- struct{}{}:
-		defer func() { <-k.refreshing }()
+	case s.refreshing <- struct{}{}:
+		defer func() { <-s.refreshing }()
 	case <-ctx.Done():
 		return nil, fault.Wrap(ctx.Err(), fault.Unavailable, "allow more time", "the context ended before an entry was asked")
 	}
-	if list, ok := d.cached(k); ok {
+	if list, ok := d.cached(s); ok {
 		return list, nil
 	}
-	return d.refresh(ctx, service, k)
+	return d.refresh(ctx, service, s)
 }
 
 func (d *directory) entriesFor(service string) *serviceEntries {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	k, ok := d.services[service]
+	s, ok := d.services[service]
 	if !ok {
-		k = &serviceEntries{refreshing: make(chan struct{}, 1)}
-		d.services[service] = k
+		s = &serviceEntries{refreshing: make(chan struct{}, 1)}
+		d.services[service] = s
 	}
-	return k
+	return s
 }
 
 // cached returns the entries of a list that has not expired.
-func (d *directory) cached(k *serviceEntries) ([]contract.EntryAddress, bool) {
+func (d *directory) cached(s *serviceEntries) ([]contract.EntryAddress, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(k.entries) == 0 || !d.opts.Clock().Before(k.expires) {
+	if len(s.entries) == 0 || !d.opts.Clock().Before(s.expires) {
 		return nil, false
 	}
-	return d.ordered(k.entries), true
+	return d.ordered(s.entries), true
 }
 
 // refresh requests the entries of a service. If no entry answers, it returns the expired list: entries
 // that have stopped refuse the connection, which is a safe failure.
-func (d *directory) refresh(ctx context.Context, service string, k *serviceEntries) ([]contract.EntryAddress, error) {
+func (d *directory) refresh(ctx context.Context, service string, s *serviceEntries) ([]contract.EntryAddress, error) {
 	sent := d.opts.Clock()
 	answer, err := d.fetch(ctx, service)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err != nil && len(k.entries) == 0 {
+	if err != nil && len(s.entries) == 0 {
 		return nil, err
 	}
 	if err != nil {
-		k.expires = d.opts.Clock().Add(refreshRetryDelay)
-		return d.ordered(k.entries), nil
+		s.expires = d.opts.Clock().Add(refreshRetryDelay)
+		return d.ordered(s.entries), nil
 	}
-	k.entries = answer.Entries
+	s.entries = answer.Entries
 	// The entry counts the time to live from its response. Counted from the request, the list cannot
 	// expire later here than at the entry.
-	k.expires = sent.Add(time.Duration(answer.TTLMillis) * time.Millisecond)
+	s.expires = sent.Add(time.Duration(answer.TTLMillis) * time.Millisecond)
 	d.latestRevision = max(d.latestRevision, answer.Revision)
-	return d.ordered(k.entries), nil
+	return d.ordered(s.entries), nil
 }
 
 // addresses returns the addresses to ask which entries to use: the entries of all lists, whatever
@@ -121,16 +121,16 @@
 func (d *directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	answers := slices.Collect(maps.Values(d.services))
-	slices.SortFunc(answers, func(a, b *serviceEntries) int { return b.expires.Compare(a.expires) })
+	lists := slices.Collect(maps.Values(d.services))
+	slices.SortFunc(lists, func(a, b *serviceEntries) int { return b.expires.Compare(a.expires) })
 	var addresses []string
 	add := func(address string) {
 		if !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
-	for _, k := range answers {
-		for _, e := range k.entries {
+	for _, s := range lists {
+		for _, e := range s.entries {
 			add(e.Address)
 		}
 	}
--- a/client/sendtracker.go
+++ b/client/sendtracker.go
@@ -16,13 +16,13 @@
 type sendTracker struct{ sent atomic.Bool }
 
 // withTrace returns a context that makes net/http set the tracker.
-func (m *sendTracker) withTrace(ctx context.Context) context.Context {
+func (t *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteHeaderField: func(string, []string) { m.sent.Store(true) },
+		WroteHeaderField: func(string, []string) { t.sent.Store(true) },
 	})
 }
 
-func (m *sendTracker) load() bool { return m.sent.Load() }
+func (t *sendTracker) anySent() bool { return t.sent.Load() }
 
 // isDialError reports whether err occurred while a connection was opened.
 func isDialError(err error) bool {
--- a/client/session.go
+++ b/client/session.go
@@ -134,14 +134,14 @@
 
 // try sends the request to one entry.
 func (s *session) try(ctx context.Context, entry contract.EntryAddress) Result {
-	sent := new(sendTracker)
-	req, err := s.build(sent.withTrace(ctx), entry)
+	tracker := new(sendTracker)
+	req, err := s.newRequest(tracker.withTrace(ctx), entry)
 	if err != nil {
 		return Result{Outcome: NotRun, Reason: "bad-request", Err: err}
 	}
 	resp, err := s.client.http.Do(req)
 	if err != nil {
-		return s.failedResult(ctx, entry, sent, err)
+		return s.failedResult(ctx, entry, tracker, err)
 	}
 	defer resp.Body.Close()
 	body, err := readAnswer(resp.Body, s.client.opts.MaxAnswer)
@@ -158,13 +158,13 @@
 // failedResult returns the result of a try that got no response. The outcome is NotRun only if no
 // connection could be opened and no header was written before, since net/http may have tried a reused
 // connection first. It marks the entry as failed unless the caller's context ended.
-func (s *session) failedResult(ctx context.Context, entry contract.EntryAddress, sent *sendTracker, err error) Result {
+func (s *session) failedResult(ctx context.Context, entry contract.EntryAddress, tracker *sendTracker, err error) Result {
 	if ctx.Err() == nil {
 		s.client.directory.markFailed(entry)
 	}
 	r := Result{Outcome: Unknown, Entry: entry.Name, Key: s.key}
 	r.Err = fault.Wrap(err, fault.Unavailable, "check that the entry runs and can be reached", "entry %s did not respond", entry.Name)
-	if isDialError(err) && !sent.load() {
+	if isDialError(err) && !tracker.anySent() {
 		r.Outcome = NotRun
 	}
 	return r
@@ -183,7 +183,7 @@
 	return data, nil
 }
 
-func (s *session) build(ctx context.Context, entry contract.EntryAddress) (*http.Request, error) {
+func (s *session) newRequest(ctx context.Context, entry contract.EntryAddress) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, s.request.Method, s.client.opts.url(entry.Address, s.request.Path), s.request.body())
 	if err != nil {
 		return nil, fault.Wrap(err, fault.BadRequest, "give a method and a path that starts with a slash", "cannot build the request")
--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -80,19 +80,19 @@
 	before   int64
 }
 
-func (w *lateRequestCounter) startCounting() {
-	requests := w.endpoint.Stats().Requests
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.counting, w.before = true, requests
+func (c *lateRequestCounter) startCounting() {
+	requests := c.endpoint.Stats().Requests
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counting, c.before = true, requests
 }
 
-func (w *lateRequestCounter) report() LeavingReport {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := LeavingReport{Endpoint: w.endpoint.VM.Name, How: w.how, Counted: w.counting}
-	if w.counting {
-		r.LateRequests = int(w.endpoint.Stats().Requests - w.before)
+func (c *lateRequestCounter) report() LeavingReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := LeavingReport{Endpoint: c.endpoint.VM.Name, How: c.how, Counted: c.counting}
+	if c.counting {
+		r.LateRequests = int(c.endpoint.Stats().Requests - c.before)
 	}
 	return r
 }
--- a/internal/demo/pairedcalls.go
+++ b/internal/demo/pairedcalls.go
@@ -59,7 +59,7 @@
 	for _, address := range order {
 		d, err := p.call(address, fmt.Sprintf("pair-%d", n))
 		if err != nil {
-			p.fail()
+			p.countFailure()
 			return
 		}
 		took[address] = d
@@ -71,7 +71,7 @@
 	_ = p.entryLatency.RecordValue(took[p.entry].Microseconds())
 }
 
-func (p *pairedCalls) fail() {
+func (p *pairedCalls) countFailure() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed++
@@ -99,10 +99,10 @@
 	return took, standin.CheckAnswer(body, id, standin.AnswerSize(id))
 }
 
-func (p *pairedCalls) report() AddedReport {
+func (p *pairedCalls) report() AddedLatencyReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return AddedReport{
+	return AddedLatencyReport{
 		Pairs:     p.count,
 		Failed:    p.failed,
 		DirectP50: quantileLatency(p.directLatency, 50),
--- a/internal/demo/print.go
+++ b/internal/demo/print.go
@@ -32,13 +32,13 @@
 			fmt.Fprintf(out, "  %s: %d because of %q\n", s.Service, s.Reasons[reason], reason)
 		}
 	}
-	r.printAdded(out)
+	r.printAddedLatency(out)
 	r.printProbes(out)
 	r.printGuarantees(out)
 }
 
-func (r *Report) printAdded(out io.Writer) {
-	a := r.Added
+func (r *Report) printAddedLatency(out io.Writer) {
+	a := r.AddedLatency
 	fmt.Fprintf(out, "\nlatency added by an entry (%d paired calls, %d failed)\n", a.Pairs, a.Failed)
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "  \tp50\tp99")
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -8,13 +8,13 @@
 
 // Report is the result of a run.
 type Report struct {
-	Took     time.Duration
-	Services []ServiceReport
-	Added    AddedReport
-	Probes   []ProbeReport
-	Change   ChangeReport
-	Leaving  []LeavingReport
-	Stop     StopReport
+	Took         time.Duration
+	Services     []ServiceReport
+	AddedLatency AddedLatencyReport
+	Probes       []ProbeReport
+	Change       ChangeReport
+	Leaving      []LeavingReport
+	Stop         StopReport
 	// CutOff counts answers that were cut off before the caller had read them completely.
 	CutOff int
 	// RanTwice are the ids and keys of once-only requests that ran more than once.
@@ -36,8 +36,8 @@
 	FalseNotRun []string
 }
 
-// AddedReport compares calls through an entry with calls made directly to an endpoint.
-type AddedReport struct {
+// AddedLatencyReport compares calls through an entry with calls made directly to an endpoint.
+type AddedLatencyReport struct {
 	Pairs, Failed        int
 	DirectP50, DirectP99 time.Duration
 	EntryP50, EntryP99   time.Duration
@@ -54,11 +54,11 @@
 }
 
 // share returns the share of the slot time that probes used.
-func (w ProbeReport) share() float64 {
-	if w.SlotTime <= 0 {
+func (p ProbeReport) share() float64 {
+	if p.SlotTime <= 0 {
 		return 0
 	}
-	return float64(w.Spent) / float64(w.SlotTime)
+	return float64(p.Spent) / float64(p.SlotTime)
 }
 
 // ChangeReport tells when a profile change came into force.
@@ -125,8 +125,8 @@
 	add(len(r.RanTwice) > 0, "%d once-only requests ran more than once, first: %s", len(r.RanTwice), first(r.RanTwice))
 	add(r.CutOff > 0, "%d answers were cut off", r.CutOff)
 	add(r.Stop.Cut > 0, "the planned stop of %s cut off %d requests", r.Stop.Entry, r.Stop.Cut)
-	for _, w := range r.Probes {
-		add(w.share() > w.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", w.Pool, 100*w.share(), 100*w.Budget)
+	for _, p := range r.Probes {
+		add(p.share() > p.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", p.Pool, 100*p.share(), 100*p.Budget)
 	}
 	for _, l := range r.Leaving {
 		add(!l.Counted, "requests to %s were not counted after it began to leave", l.Endpoint)
--- a/internal/demo/report_test.go
+++ b/internal/demo/report_test.go
@@ -21,7 +21,7 @@
 			Service: onceService, Kind: "once-only write", Sent: 3, Done: 2, NotRun: 1,
 			P50: 11 * time.Millisecond, P99: 32 * time.Millisecond, Reasons: map[string]int{"queue-full": 1},
 		}},
-		Added: AddedReport{Pairs: 300, DirectP50: 2 * time.Millisecond, DirectP99: 3 * time.Millisecond,
+		AddedLatency: AddedLatencyReport{Pairs: 300, DirectP50: 2 * time.Millisecond, DirectP99: 3 * time.Millisecond,
 			EntryP50: 2200 * time.Microsecond, EntryP99: 3300 * time.Microsecond},
 		Probes:  []ProbeReport{{Pool: onceService, Probes: 2, Spent: 12 * time.Millisecond, SlotTime: 90 * time.Second, Budget: 0.02}},
 		Change:  ChangeReport{Revision: 2, InForce: []InForce{{Entry: "entry-1", After: 800 * time.Microsecond}}},
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -150,12 +150,12 @@
 // countLateRequests starts counting the requests that a leaving endpoint gets after leavingGrace.
 func (s *session) countLateRequests(ctx context.Context, e *Endpoint, how string) {
 	s.printProgress("%s is leaving: %s", e.VM.Name, how)
-	w := &lateRequestCounter{endpoint: e, how: how}
-	s.lateRequests = append(s.lateRequests, w)
+	counter := &lateRequestCounter{endpoint: e, how: how}
+	s.lateRequests = append(s.lateRequests, counter)
 	announcedAt := time.Now()
 	go func() {
 		wait.For(ctx, time.Until(announcedAt.Add(leavingGrace)))
-		w.startCounting()
+		counter.startCounting()
 	}()
 }
 
--- a/internal/demo/sessionreport.go
+++ b/internal/demo/sessionreport.go
@@ -9,11 +9,11 @@
 // report collects the counters. All requests must have ended.
 func (s *session) report() *Report {
 	r := &Report{
-		Took:   time.Since(s.began),
-		Added:  s.pairs.report(),
-		Change: s.changes.report(s.fleet.names),
-		Stop:   s.stop,
-		CutOff: s.transport.count(),
+		Took:         time.Since(s.began),
+		AddedLatency: s.pairs.report(),
+		Change:       s.changes.report(s.fleet.names),
+		Stop:         s.stop,
+		CutOff:       s.transport.count(),
 	}
 	for _, t := range s.tallies {
 		r.Services = append(r.Services, t.report(s.fleet.Ledger))
@@ -21,8 +21,8 @@
 			r.RanTwice = append(t.ranTwice(s.fleet.Ledger), s.fleet.Ledger.RanTwice()...)
 		}
 	}
-	for _, w := range s.lateRequests {
-		r.Leaving = append(r.Leaving, w.report())
+	for _, counter := range s.lateRequests {
+		r.Leaving = append(r.Leaving, counter.report())
 	}
 	r.Probes = s.fleet.ProbeReports()
 	return r
@@ -31,18 +31,18 @@
 // ProbeReports returns, for each pool, the slot time that probes have used since the fleet started,
 // as counted by the endpoints.
 func (f *Fleet) ProbeReports() []ProbeReport {
-	took := time.Since(f.startedAt)
+	elapsed := time.Since(f.startedAt)
 	budgets := f.watchBudgets()
 	var out []ProbeReport
 	for _, p := range f.cfg.Pools {
-		w := ProbeReport{Pool: p.Name, Budget: budgets[p.Name]}
+		r := ProbeReport{Pool: p.Name, Budget: budgets[p.Name]}
 		for _, e := range f.endpointsOf(p.Name) {
 			stats := e.Stats()
-			w.Probes += stats.Probes
-			w.Spent += stats.ProbeSlotTime
-			w.SlotTime += time.Duration(e.VM.Slots) * took
+			r.Probes += stats.Probes
+			r.Spent += stats.ProbeSlotTime
+			r.SlotTime += time.Duration(e.VM.Slots) * elapsed
 		}
-		out = append(out, w)
+		out = append(out, r)
 	}
 	return out
 }
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -130,10 +130,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var twice []string
-	for id := range t.sent {
-		name := requestID(t.service, id+1)
-		if ledger.Request(name).Runs > 1 {
-			twice = append(twice, name)
+	for i := range t.sent {
+		id := requestID(t.service, i+1)
+		if ledger.Request(id).Runs > 1 {
+			twice = append(twice, id)
 		}
 	}
 	return twice
--- a/internal/fleetload/document.go
+++ b/internal/fleetload/document.go
@@ -49,14 +49,14 @@
 profile = "%[1]s"
 `
 
-// document returns a profile document with a profile of its own for each service. Documents of
-// different rounds differ.
-func document(services, round int) []byte {
+// document returns a profile document with a profile of its own for each service. Documents with
+// different numbers differ.
+func document(services, number int) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# round %d\nformat = 1\n", round)
+	fmt.Fprintf(&b, "# round %d\nformat = 1\n", number)
 	for i := range services {
 		kind := profileKinds[i%len(profileKinds)]
-		fmt.Fprintf(&b, profileText, serviceName(i), kind, fmt.Sprintf("%ds", 5+round%5), i%9)
+		fmt.Fprintf(&b, profileText, serviceName(i), kind, fmt.Sprintf("%ds", 5+number%5), i%9)
 	}
 	return []byte(b.String())
 }
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -58,8 +58,8 @@
 	endpoints       []*endpoint
 	entries         []*entry.Entry
 	platformClients []*platformClient
-	// round is the number of profile documents published so far.
-	round int
+	// documents is the number of profile documents published so far.
+	documents int
 }
 
 // newFleet starts the configuration service and the endpoints of a fleet, but not its entries.
@@ -94,8 +94,8 @@
 
 // publish puts the next profile document into the configuration service.
 func (f *fleet) publish() (revision uint64) {
-	f.round++
-	return f.platform.Put(published.ProfilesValue, document(f.services, f.round))
+	f.documents++
+	return f.platform.Put(published.ProfilesValue, document(f.services, f.documents))
 }
 
 // listeners are the sockets on which one entry accepts callers and peers.
--- a/internal/standin/endpoint_test.go
+++ b/internal/standin/endpoint_test.go
@@ -267,12 +267,12 @@
 	endpoint.Server().BlackHole()
 	clock.Advance(serviceTime)
 	endpoint.AwaitIdle()
-	late, cancelLate := context.WithTimeout(t.Context(), noAnswerWait)
-	defer cancelLate()
+	waitCtx, cancelWait := context.WithTimeout(t.Context(), noAnswerWait)
+	defer cancelWait()
 	select {
 	case got := <-running:
 		t.Errorf("got an answer over the silent connection: %+v", got)
-	case <-late.Done():
+	case <-waitCtx.Done():
 	}
 	cancel()
 	<-running
@@ -283,9 +283,9 @@
 		t.Fatalf("request over a new connection got %+v", got)
 	}
 	endpoint.Server().BlackHole() // the connection is idle in the pool now
-	lost, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
+	lostCtx, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
 	defer cancelLost()
-	if got := <-send(lost, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
+	if got := <-send(lostCtx, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
 		t.Errorf("request over the silent connection got %+v", got)
 	}
 	if err := endpoint.Close(t.Context()); err != nil {
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -77,11 +77,11 @@
 			return c, err
 		}
 	}
-	c.answer, err = parseAnswer(query, c.id.request)
+	c.answer, err = parseAnswerSpec(query, c.id.request)
 	return c, err
 }
 
-func parseAnswer(query url.Values, request string) (answerSpec, error) {
+func parseAnswerSpec(query url.Values, request string) (answerSpec, error) {
 	spec := answerSpec{id: query.Get(IDParameter), status: http.StatusOK, chunked: query.Has(ChunkedParameter)}
 	if spec.id == "" {
 		spec.id = request
