--- a/client/callerspage_test.go
+++ b/client/callerspage_test.go
@@ -37,8 +37,9 @@
 	return ""
 }
 
-// Callers in other languages follow the rules in docs/CALLERS.md. If a reason is missing there, or this
-// package has a reason that no entry gives, they and this package treat the same response differently.
+// Callers in other languages follow the rules in docs/CALLERS.md. If a reason is missing there, or
+// this package has a reason that no entry gives, those callers and this package treat the same
+// response differently.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile(callersPage)
 	if err != nil {
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
 // Package client sends requests to services behind tealhall. It asks an entry which entries to use,
-// caches the list for its time to live, picks an entry, fails over to others, makes idempotency keys
-// and reports each outcome as a typed value.
+// caches the list for its time to live, picks an entry, fails over to others, makes idempotency
+// keys and reports each outcome as a typed value.
 //
 // Callers in other languages can use the same HTTP interface: see docs/CALLERS.md.
 package client
@@ -36,7 +36,7 @@
 type Options struct {
 	// Seeds are addresses (IP:port) of entries from which the client requests its first list.
 	Seeds []string
-	// Caller is the caller's name, by which entries share capacity fairly between callers; required.
+	// Caller is the caller's name; required. Entries divide capacity fairly between callers by it.
 	Caller string
 	// Domain is the caller's failure domain, or "".
 	Domain string
@@ -46,8 +46,8 @@
 	// TLS, if not nil, makes the client connect to entries over TLS and says how to verify their
 	// certificates. If HTTP is set, its transport needs the same configuration.
 	TLS *tls.Config
-	// MaxAnswer is the largest response body in bytes; 0 means 64 MiB. For a larger one the outcome is
-	// Unknown and Result.Err says why.
+	// MaxAnswer is the largest response body in bytes; 0 means 64 MiB. If a response body is
+	// larger, the outcome is Unknown and Result.Err says why.
 	MaxAnswer int64
 	// Clock returns the time; nil means time.Now.
 	Clock func() time.Time
@@ -64,7 +64,8 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once sends the request with an idempotency key: it runs at most once over all tries of one Do.
+	// Once sends the request with an idempotency key, so that it runs at most once over all tries
+	// of one Do.
 	Once bool
 }
 
@@ -99,7 +100,7 @@
 	Err error
 }
 
-// Limits of one Do.
+// Limits of one Do and of the connections to entries.
 const (
 	maxTries   = 4
 	firstPause = 20 * time.Millisecond
@@ -107,7 +108,8 @@
 	idleConns  = 64
 	// dialTimeout is the longest time to open a connection to an entry.
 	dialTimeout = time.Second
-	maxAnswer   = 64 << 20
+	// maxAnswer is the default of Options.MaxAnswer.
+	maxAnswer = 64 << 20
 )
 
 // Client sends requests through tealhall. It is safe for concurrent use.
@@ -142,8 +144,8 @@
 	return &Client{opts: opts, http: &httpClient, directory: newDirectory(opts, &httpClient)}, nil
 }
 
-// newHTTP returns the HTTP client that is used if Options has none. It does not decompress responses,
-// so that their length and digest headers match the body.
+// newHTTP returns the HTTP client that is used if Options.HTTP is nil. It does not decompress
+// responses, so that their length and digest headers match the body.
 func newHTTP(tlsConfig *tls.Config) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		TLSClientConfig:     tlsConfig,
@@ -174,8 +176,8 @@
 
 // Do sends a request and tries again where that is safe: through another entry when the request was
 // not run or may run twice, and with the same key when the response to a request that must run once
-// was lost. Do returns an error only if it knows no entry to use; NotRun and Unknown are outcomes, not
-// errors.
+// was lost. Do returns an error only if it has no list of entries for the service; NotRun and
+// Unknown are outcomes, not errors.
 func (c *Client) Do(ctx context.Context, req Request) (Result, error) {
 	entries, err := c.directory.entries(ctx, req.Service)
 	if err != nil {
@@ -190,7 +192,7 @@
 	const randomBytes = 16
 	var random [randomBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return "", fault.Wrap(err, fault.BadKey, "check the system's source of randomness", "no random bytes")
+		return "", fault.Wrap(err, fault.BadKey, "check the system's source of randomness", "cannot read random bytes")
 	}
 	return prefix + hex.EncodeToString(random[:]), nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,10 +19,10 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Guards against a request that runs twice and against one that is reported as "not run" although it
-// ran. In both cases the response to the first try is lost, another entry answers "not run" to the
-// second try, and the client takes this answer for the whole request. The table has every order of
-// tries that led to these faults, with the keys used.
+// Guards against a request that runs twice and against a request that is reported as "not run"
+// although it ran. In both cases the response to the first try is lost, another entry answers "not
+// run" to the second try, and the client takes this answer for the whole request. The table has
+// every order of tries that led to these faults, with the keys used.
 func TestDo(t *testing.T) {
 	once := Request{Service: "s", Method: http.MethodPost, Path: "/", Body: []byte("x"), Once: true}
 	post := Request{Service: "s", Method: http.MethodPost, Path: "/", Body: []byte("x")}
@@ -136,8 +136,8 @@
 	}
 }
 
-// When the list of entries has expired and no entry answers with a new one, the client must keep using
-// the old list: otherwise requests fail although entries serve.
+// When the list of entries has expired and no entry answers with a new one, the client must keep
+// using the old list: otherwise requests fail although entries serve.
 func TestExpiredEntriesAreUsedWhenRefreshFails(t *testing.T) {
 	f, c := startFleet(t, []string{"done", "done"})
 	now := time.Unix(1000, 0)
@@ -153,10 +153,10 @@
 	}
 }
 
-// A caller writes rarely and reads all the time. After the planned stop of an entry, the expired list
-// for the writes still names this entry first, while the list for the reads does not. The client
-// requested a new list from the stopped entry on a connection that was being closed, and the request
-// was cut off. It must ask the entries of the newest list first.
+// A caller writes rarely and reads all the time. After the planned stop of an entry, the expired
+// list for the writes still names this entry first, while the list for the reads does not. The
+// client requested a new list from the stopped entry on a connection that was being closed, and the
+// request was cut off. It must ask the entries of the newest list first.
 func TestNewestEntriesAreAskedFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(Options{Seeds: []string{"seed", "stopped"}, Clock: func() time.Time { return now }}, nil)
@@ -191,8 +191,8 @@
 	}
 }
 
-// A caller that cancels its request must not mark the entry as failed: otherwise the next request, for
-// example after a page was closed early, goes to a farther entry for no reason.
+// A caller that cancels its request must not mark the entry as failed: otherwise the next request,
+// for example after a page was closed early, goes to a farther entry for no reason.
 func TestCallerCancellationDoesNotMarkEntryFailed(t *testing.T) {
 	f, c := startFleet(t, []string{"hang", "done"}, []string{})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/client/dial.go
+++ b/client/dial.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A connection can be dead although it is open at both ends, because a device on the path has lost its
-// state. A request on it gets no response until its deadline. These times limit how long it takes to
-// detect this; the kernel of a live entry acknowledges at once.
+// A connection can be dead although it is open at both ends, because a device on the path has lost
+// its state. A request on it gets no response until its deadline. These times limit how long it
+// takes to detect such a connection. The kernel of a live entry acknowledges bytes at once.
 const (
 	// unackedTimeout is how long sent bytes may stay unacknowledged.
 	unackedTimeout = 2 * time.Second
--- a/client/directory.go
+++ b/client/directory.go
@@ -26,23 +26,25 @@
 	refreshRetryDelay = time.Second
 )
 
-// directory caches the entries to use for each service for their time to live.
+// directory caches, for each service, the list of entries to use until its time to live is over.
 type directory struct {
 	opts Options
 	http *http.Client
 
-	mu             sync.Mutex
-	services       map[string]*serviceEntries
-	avoidUntil     map[string]time.Time
+	mu         sync.Mutex
+	services   map[string]*serviceEntries
+	avoidUntil map[string]time.Time // by entry address
+	// latestRevision is the highest revision that an entry has sent with a list.
 	latestRevision uint64
 }
 
 // serviceEntries is the cached list of entries for one service.
 type serviceEntries struct {
-	// refreshing is a lock: the goroutine that fills it refreshes the list for all that wait.
+	// refreshing has one element while a goroutine refreshes the list. Other goroutines wait until
+	// it is empty.
 	refreshing chan struct{}
 	entries    []contract.EntryAddress
-	// expires is when the list has to be refreshed.
+	// expires is the time from which the list has to be refreshed.
 	expires time.Time
 }
 
@@ -90,8 +92,8 @@
 	return d.ordered(s.entries), true
 }
 
-// refresh requests the entries of a service. If no entry answers, it returns the expired list: entries
-// that have stopped refuse the connection, which is a safe failure.
+// refresh requests the entries of a service. If no entry answers, it returns the expired list:
+// entries that have stopped refuse the connection, which is a safe failure.
 func (d *directory) refresh(ctx context.Context, service string, s *serviceEntries) ([]contract.EntryAddress, error) {
 	sent := d.opts.Clock()
 	answer, err := d.fetch(ctx, service)
@@ -105,19 +107,20 @@
 		return d.ordered(s.entries), nil
 	}
 	s.entries = answer.Entries
-	// The entry counts the time to live from its response. Counted from the request, the list cannot
-	// expire later here than at the entry.
+	// The entry counts the time to live from its response. Counted from the request, the list
+	// cannot expire later here than at the entry.
 	s.expires = sent.Add(time.Duration(answer.TTLMillis) * time.Millisecond)
 	d.latestRevision = max(d.latestRevision, answer.Revision)
 	return d.ordered(s.entries), nil
 }
 
-// addresses returns the addresses to ask which entries to use: the entries of all lists, whatever
-// their service, those of the newest list first, then the seeds.
+// addresses returns the addresses from which to request a list, in order: the entries of the cached
+// lists of all services, beginning with the list that expires last, and then the seeds.
 //
-// Guards against a caller that is idle for longer than its list is valid and then asks an entry that
-// has stopped meanwhile, on a connection whose end it has not noticed yet: the request breaks off,
-// although the list for another service has entries that serve.
+// The order guards against a caller whose list for a service has expired and still names an entry
+// that has stopped. If the caller requested the new list from that entry on a connection that is
+// being closed, the request would break off, although the list for another service names entries
+// that serve.
 func (d *directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,8 +149,8 @@
 	return d.latestRevision
 }
 
-// markFailed records that an entry did not answer, so that it is tried last for avoidDuration. It also
-// removes expired records.
+// markFailed records that an entry did not answer, so that it is tried last for avoidDuration. It
+// also removes expired records.
 func (d *directory) markFailed(entry contract.EntryAddress) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +163,7 @@
 	}
 }
 
-// fetch requests the list from one address after the other until one answers.
+// fetch requests the list from one address after the other until an entry sends one.
 func (d *directory) fetch(ctx context.Context, service string) (contract.EntriesAnswer, error) {
 	var last error
 	for _, address := range d.addresses() {
@@ -204,8 +207,9 @@
 	return answer, nil
 }
 
-// ordered returns the entries in the order to try them: first one drawn by weight, then the others in
-// the order of the list, and last the entries that failed recently. The caller holds d.mu.
+// ordered returns the entries in the order to try them: first an entry drawn at random by weight,
+// then the others in the order of the list, and last the entries that failed recently. The caller
+// holds d.mu.
 func (d *directory) ordered(entries []contract.EntryAddress) []contract.EntryAddress {
 	now := d.opts.Clock()
 	var good, bad []contract.EntryAddress
--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -59,8 +59,8 @@
 	return f, c
 }
 
-// closedAddress returns an address where nothing listens: the lowest ports belong to services that are
-// not in use. A port that was just closed would not do, since the next listener may get it.
+// closedAddress returns an address where nothing listens: the lowest ports belong to services that
+// are not in use. A port that was just closed would not do, since the next listener may get it.
 func closedAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }
 
 func (f *fakeFleet) handler(name string) http.Handler {
@@ -102,7 +102,8 @@
 	return script[0]
 }
 
-// respond carries out one step of a script: "done", "lost", "cut", "large", "redirect", "hang", or a
+// respond carries out one step of a script: "done", "lost" (no response), "cut" (half a response),
+// "large" (a body above MaxAnswer), "redirect", "hang" (no response until the caller cancels), or a
 // status with any number of outcomes and a reason.
 func (f *fakeFleet) respond(w http.ResponseWriter, r *http.Request, step string) {
 	switch step {
--- a/client/sendtracker.go
+++ b/client/sendtracker.go
@@ -10,9 +10,10 @@
 
 // sendTracker records whether any part of a request may have been sent.
 //
-// Guards against a false "not run": net/http retries a request with an Idempotency-Key or a safe method
-// by itself when a reused connection breaks. If the retry cannot open a connection, its error looks as
-// if nothing had been sent. The tracker is set when the first header is written to any connection.
+// Guards against a false "not run": net/http retries a request with an Idempotency-Key or a safe
+// method by itself when a reused connection breaks. If the retry cannot open a connection, the
+// error of the retry looks as if nothing had been sent. The tracker is set when the first header is
+// written to any connection.
 type sendTracker struct{ sent atomic.Bool }
 
 // withTrace returns a context that makes net/http set the tracker.
--- a/client/session.go
+++ b/client/session.go
@@ -17,8 +17,8 @@
 	request Request
 	entries []contract.EntryAddress
 	key     string
-	// mayHaveRun is set while an earlier try may have run or may still run, and no later response has
-	// settled whether it did.
+	// mayHaveRun is set while an earlier try may have run or may still run, and no later response
+	// has settled whether it did.
 	mayHaveRun bool
 }
 
@@ -58,10 +58,10 @@
 // reconcile corrects the result of a try by the results of the tries before it.
 //
 // Guards against a false "not run" and against a second run: a try whose response was lost may have
-// run, and "not run" from another entry is about the later try only. If it counted for
-// the whole request, the caller would repeat the request, or this package would repeat it with a new
-// key. So after a lost response, "not run" is accepted only with a reason that is given after the home
-// of the key has looked the key up.
+// run, and "not run" from another entry is about the later try only. If that answer counted for the
+// whole request, the caller would repeat the request, or this package would repeat it with a new
+// key. So after a lost response, "not run" is accepted only with a reason that is given after the
+// home of the key has looked the key up.
 func (s *session) reconcile(r Result) Result {
 	switch r.Outcome {
 	case Done:
@@ -79,8 +79,8 @@
 	return r
 }
 
-// settlesKey has the reasons of "not run" that an entry gives only after the home of the key has looked
-// the key up: the request with this key did not run there and never will.
+// settlesKey has the reasons for "not run" that an entry gives only after the home of the key has
+// looked the key up: the request with this key did not run there and never will.
 var settlesKey = map[string]bool{
 	"key-spent":        true,
 	"home-stopped":     true,
@@ -92,9 +92,9 @@
 	"endpoints-refuse": true,
 }
 
-// otherEntryMayHelp has the reasons for which another entry may be able to serve the request. All other
-// reasons concern the service, and an immediate retry would only add load. The empty reason stands for
-// an entry that could not be reached.
+// otherEntryMayHelp has the reasons for which another entry may be able to serve the request. All
+// other reasons concern the service, and an immediate retry would only add load. The empty reason
+// stands for an entry that could not be reached.
 var otherEntryMayHelp = map[string]bool{
 	"":               true,
 	"starting":       true,
@@ -119,11 +119,11 @@
 	}
 }
 
-// homeUnreachable is the reason of an entry that could not reach the home of a key. Another entry may
-// reach it.
+// homeUnreachable is the reason of an entry that could not reach the home of a key. Another entry
+// may reach it.
 const homeUnreachable = "home-unreachable"
 
-// idempotent reports whether HTTP defines the method as safe to repeat.
+// idempotent reports whether HTTP defines the method as idempotent.
 func idempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -156,8 +156,8 @@
 }
 
 // failedResult returns the result of a try that got no response. The outcome is NotRun only if no
-// connection could be opened and no header was written before, since net/http may have tried a reused
-// connection first. It marks the entry as failed unless the caller's context ended.
+// connection could be opened and no header was written before, since net/http may have tried a
+// reused connection first. It marks the entry as failed unless the caller's context ended.
 func (s *session) failedResult(ctx context.Context, entry contract.EntryAddress, tracker *sendTracker, err error) Result {
 	if ctx.Err() == nil {
 		s.client.directory.markFailed(entry)
