--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -12,7 +12,8 @@
 // of them at once.
 type connections struct {
 	clock Clock
-	// delay postpones the first read of each new connection. It simulates the set-up cost.
+	// delay postpones the first read of each new connection. It simulates the cost of setting up a
+	// connection.
 	delay time.Duration
 
 	accepted atomic.Int64
@@ -79,8 +80,8 @@
 }
 
 // conn is a connection that can be silenced: it then drops incoming and outgoing data and hides
-// that the peer closed it. Both sides see the same when a device between them, such as a NAT
-// gateway, has lost the state of the connection.
+// that the peer closed it. It simulates a device on the path, such as a NAT gateway, that has lost
+// the state of the connection.
 type conn struct {
 	net.Conn
 	conns     *connections
@@ -89,11 +90,11 @@
 
 	closeOnce       sync.Once
 	closed          chan struct{}
-	readDeadlineSet chan struct{} // a read deadline was set
+	readDeadlineSet chan struct{} // signals that a read deadline was set while silent
 }
 
 // Read drops incoming data while the connection is silent. It still returns after Close and at a
-// read deadline, because the HTTP server uses these to interrupt its own pending reads.
+// read deadline, because the HTTP server uses both to interrupt its own pending reads.
 func (c *conn) Read(p []byte) (int, error) {
 	c.setUp()
 	for {
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -29,8 +29,8 @@
 
 // EndpointStats are the counters of an Endpoint. Requests do not include probes.
 type EndpointStats struct {
-	// Requests counts the requests that arrived, Runs those that got a slot and Finished those that
-	// ran to completion.
+	// Requests counts the requests that arrived, Runs the requests that got a slot and Finished the
+	// requests that ran to completion.
 	Requests int64 `json:"requests"`
 	Runs     int64 `json:"runs"`
 	Finished int64 `json:"finished"`
@@ -38,8 +38,9 @@
 	NotRun map[contract.NotRunReason]int64 `json:"not_run"`
 	// Failed counts the requests that were refused without contract.HeaderNotRun.
 	Failed int64 `json:"failed"`
-	// CancelledQueued counts the requests that were cancelled in the queue, CancelledRunning those
-	// cancelled in a slot. Late counts the requests whose deadline passed in a slot.
+	// CancelledQueued counts the requests that were cancelled in the queue, CancelledRunning the
+	// requests that were cancelled in a slot. Late counts the requests whose deadline passed in a
+	// slot.
 	CancelledQueued  int64 `json:"cancelled_queued"`
 	CancelledRunning int64 `json:"cancelled_running"`
 	Late             int64 `json:"late"`
--- a/internal/standin/endpoint_test.go
+++ b/internal/standin/endpoint_test.go
@@ -20,8 +20,8 @@
 	noAnswerWait = 50 * time.Millisecond
 )
 
-// testEndpoint is an endpoint with its own client. A shared client might still have dead connections
-// to the same address from another test.
+// testEndpoint is an endpoint with its own client. A shared client might still have dead
+// connections to the same address from another test.
 type testEndpoint struct {
 	*Endpoint
 	client *http.Client
@@ -90,7 +90,7 @@
 		path     string
 		deadline string
 		slotTime time.Duration // how far the clock is advanced
-		status   int           // zero: the connection is closed
+		status   int           // zero if the caller gets no complete answer
 		header   map[string]string
 		counted  EndpointStats
 	}{
--- a/internal/standin/endpointconfig.go
+++ b/internal/standin/endpointconfig.go
@@ -93,7 +93,7 @@
 	Hang bool `json:"hang,omitempty"`
 	// CutAnswer closes the connection in the middle of each answer.
 	CutAnswer bool `json:"cut_answer,omitempty"`
-	// IgnoreIdleOnly queues requests that are to be refused unless a slot is idle.
+	// IgnoreIdleOnly queues a request that asks for an idle slot instead of refusing it.
 	IgnoreIdleOnly bool `json:"ignore_idle_only,omitempty"`
 	// Load, if not nil, is reported instead of the real load.
 	Load *contract.Load `json:"load,omitempty"`
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -18,7 +18,7 @@
 type call struct {
 	id          identity
 	probe       bool
-	idleOnly    bool          // refuse it if no slot is idle
+	idleOnly    bool          // refuse the call if no slot is idle
 	hasDeadline bool          // deadline is set
 	deadline    time.Duration // on the endpoint's clock
 	answer      answerSpec
@@ -226,7 +226,7 @@
 	}
 }
 
-// runEnd is the way in which a run ended.
+// runEnd says how a run ended.
 type runEnd int
 
 const (
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,7 +12,7 @@
 
 const (
 	// keptRevisions is the number of revisions kept of each value, for the faults that serve old
-	// ones.
+	// revisions.
 	keptRevisions = 8
 	// maxWatchWait is the longest wait of a watch.
 	maxWatchWait = time.Minute
@@ -27,9 +27,9 @@
 	firstRevision uint64                       // the revision of each name's first value
 	values        map[string][]published.Value // the latest revisions, oldest first
 	faults        PlatformFaults
-	frozen        map[string]uint64 // revisions served while Stale
+	frozen        map[string]uint64 // latest revisions served under the fault Stale, by name
 	changed       chan struct{}     // closed when values or faults change
-	lastLagging   bool              // the last call under OlderReplica went to the lagging replica
+	lastLagging   bool              // the last call under the fault OlderReplica went to the lagging replica
 	stats         callCounter
 }
 
@@ -154,7 +154,7 @@
 	p.stats.end(isWatch)
 }
 
-// delay waits for the Delay fault, or until the client disconnects.
+// delay waits for the time that the fault Delay sets, or until the client disconnects.
 func (p *Platform) delay(r *http.Request) {
 	p.mu.Lock()
 	delay := p.faults.Delay
@@ -170,7 +170,7 @@
 	}
 }
 
-// serveWatch answers once a later revision exists, the wait is over or the service goes down. A
+// serveWatch answers once a later revision exists, the wait is over or the fault Down is set. A
 // lagging replica answers at once with its current revision.
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, name string, watch watchParams, lagging bool) {
 	fired, stop := p.clock.After(watch.wait)
--- a/internal/standin/platformfaults.go
+++ b/internal/standin/platformfaults.go
@@ -17,7 +17,7 @@
 	Delay time.Duration `json:"delay_ns,omitempty"`
 	// Stale keeps serving the revisions that were current when the fault began.
 	Stale bool `json:"stale,omitempty"`
-	// OlderReplica has every other call answered by a replica that is one revision behind.
+	// OlderReplica sends every other call to a replica that is one revision behind.
 	OlderReplica bool `json:"older_replica,omitempty"`
 	// Cut closes the connection in the middle of each body.
 	Cut Cut `json:"cut,omitempty"`
@@ -82,7 +82,8 @@
 	return found
 }
 
-// visibleRevisions returns the kept revisions of name, without those newer than a Stale fault.
+// visibleRevisions returns the kept revisions of name. Under the fault Stale, it leaves out
+// revisions that were published after the fault began.
 func (p *Platform) visibleRevisions(name string) []published.Value {
 	kept := p.values[name]
 	if !p.faults.Stale {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -24,9 +24,9 @@
 
 	mu           sync.Mutex
 	address      string
-	reservedPort *os.File     // reserves the port while stopped; nil if unsupported
-	http         *http.Server // nil while stopped
-	served       chan struct{}
+	reservedPort *os.File           // reserves the port while stopped; nil if unsupported
+	http         *http.Server       // nil while stopped
+	served       chan struct{}      // closed when http no longer accepts connections
 	cancel       context.CancelFunc // cancels all requests
 }
 
@@ -123,8 +123,9 @@
 // AcceptedConnections returns the total number of accepted connections.
 func (s *Server) AcceptedConnections() int64 { return s.conns.accepted.Load() }
 
-// detach marks the server as stopped and returns what its caller needs to end it; the server is nil
-// if it was stopped already.
+// detach marks the server as stopped. It returns the HTTP server, which is nil if the server was
+// already stopped, the channel that is closed when the HTTP server no longer accepts connections,
+// and the function that cancels all requests.
 func (s *Server) detach() (*http.Server, chan struct{}, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
