--- a/internal/fleetload/caller.go
+++ b/internal/fleetload/caller.go
@@ -20,7 +20,7 @@
 )
 
 // caller sends requests over one persistent connection. It does little else, so that the processor
-// time of a call is that of the entry and the endpoint.
+// time of a call is almost only that of the entry and the endpoint.
 type caller struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// sendPaced sends requests at a fixed interval until ctx ends. If a call takes longer than the
-// interval, the next request follows at once.
+// sendPaced sends requests at the interval every until ctx ends, beginning after first. If a call
+// takes longer than the interval, the next request follows at once.
 func (c *caller) sendPaced(ctx context.Context, first, every time.Duration) error {
 	due := time.Now().Add(first)
 	for sleep(ctx, time.Until(due)) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// run sends rate calls a second during window. It returns the cores used, the calls a second and
-// the 50th and 99th percentiles of their latency. With a rate of 0 it sends no calls.
+// run sends rate calls a second during window. It returns the cores used, the calls a second that
+// were made and the 50th and 99th percentiles of their latency. With a rate of 0 it sends no calls.
 func (cs callers) run(ctx context.Context, rate int, window time.Duration) (CallRound, error) {
 	ctx, cancel := context.WithTimeout(ctx, window)
 	defer cancel()
--- a/internal/fleetload/calls.go
+++ b/internal/fleetload/calls.go
@@ -38,8 +38,9 @@
 // callersPerService is the number of callers of each service that is called.
 const callersPerService = 8
 
-// The first service that is called without keys and the first that is called with keys. Every
-// len(profileKinds)-th service after it has the same kind and is called too.
+// The index of the first service that is called without keys, and of the first service that is
+// called with keys. Every len(profileKinds)-th service after the first one has the same kind and is
+// called too.
 const (
 	firstReadService = 0
 	firstOnceService = 1
@@ -87,8 +88,10 @@
 	return Fit(rates, cores)
 }
 
-// connectCallers connects callers of the services of one kind: through go to the entries that the
-// fleet names for them, direct, the same number, to the endpoints. Close both also after an error.
+// connectCallers connects callers of the services that are called with keys or without keys. It
+// returns the callers that are connected to the entries that the fleet names for them, and the same
+// number of callers that are connected directly to the endpoints. Close both groups also after an
+// error.
 func (f *fleet) connectCallers(ctx context.Context, keyed bool) (through, direct callers, err error) {
 	first := firstReadService
 	if keyed {
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -12,7 +12,8 @@
 	// these fleets has EndpointsEntries entries in one region.
 	Endpoints        []int
 	EndpointsEntries int
-	// Target is the fleet size that the project is designed for. Zero entries leave it out.
+	// Target is the fleet size that the project is designed for. With zero entries, no such fleet
+	// is measured.
 	Target Size
 	// IdleRounds is the number of rounds, each as long as IdleWindow, in which an idle fleet is
 	// measured.
@@ -20,12 +21,13 @@
 	IdleWindow time.Duration
 	// PlatformWindow is how long calls to the configuration service are counted after the rounds; 0
 	// counts none. An entry checks the service every 10 s or less often, so a window below 30 s
-	// says little.
+	// gives no reliable rate.
 	PlatformWindow time.Duration
 	// Settle is the pause between the start of a fleet and the first round.
 	Settle time.Duration
-	// Publications is the number of documents published, Departures the number of endpoints that
-	// leave, while the time is measured until every entry knows.
+	// Publications is the number of documents that are published, Departures the number of
+	// endpoints that leave. The run measures the time until every entry has learned of each of
+	// these changes.
 	Publications int
 	Departures   int
 	// FaultPublications is the number of documents published while the service is slow, and again
--- a/internal/fleetload/connmemory.go
+++ b/internal/fleetload/connmemory.go
@@ -9,9 +9,10 @@
 // and stacks together, in bytes. Each line is fitted over Config.ConnectionCounts; its slope is the
 // memory of one connection or request.
 type ConnectionMemory struct {
-	// Connection is for idle connections of callers.
+	// Connection is fitted for idle connections of callers.
 	Connection Line `json:"connection"`
-	// Request is for requests that wait in the entry's queue, their callers' connections included.
+	// Request is fitted for requests that wait in the entry's queue, including their callers'
+	// connections.
 	Request Line `json:"request"`
 }
 
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -13,7 +13,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// benchSizes are the size of an installation of today and the size that the project is designed
+// benchSizes are the size of an existing installation and the size that the project is designed
 // for.
 var benchSizes = []Size{
 	{Entries: 15, Endpoints: 33, Regions: 1, Domains: 3},
--- a/internal/fleetload/departure_test.go
+++ b/internal/fleetload/departure_test.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// largeInstallation is the size of a large installation of today.
+// largeInstallation is the size of a large existing installation.
 var largeInstallation = Size{Entries: 141, Endpoints: 421, Regions: 1, Domains: 4}
 
 // BenchmarkEndpointLeaving measures what it costs an entry to learn from a peer that an endpoint is
--- a/internal/fleetload/document.go
+++ b/internal/fleetload/document.go
@@ -15,8 +15,8 @@
 	minServices     = 3
 )
 
-// servicesFor returns the number of services of a fleet with so many endpoints: at least
-// minServices, and otherwise as many endpoints to a service as at the target size.
+// servicesFor returns the number of services of a fleet with this number of endpoints: at least
+// minServices, and otherwise so many that a service has as many endpoints as at the target size.
 func servicesFor(endpoints int) int {
 	share := float64(endpoints) * targetServices / targetEndpoints
 	return max(minServices, int(math.Round(share)))
@@ -24,8 +24,8 @@
 
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i+1) }
 
-// profileKinds are the kinds of the services, in rotation. firstReadService and firstOnceService
-// are indexes of it.
+// profileKinds are the kinds that the services have in rotation. firstReadService and
+// firstOnceService are indexes into it.
 var profileKinds = []string{"read", "once", "read", "bulk", "urgent"}
 
 const profileText = `
--- a/internal/fleetload/endpoint.go
+++ b/internal/fleetload/endpoint.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// endpointSlots is the number of slots of each instance in the project's requirements.
+	// endpointSlots is the number of slots of each endpoint in the project's requirements.
 	endpointSlots = 2
 	// endpointIncarnation is the incarnation of every endpoint.
 	endpointIncarnation = 1
@@ -23,8 +23,8 @@
 type endpoint struct {
 	vm     published.VM
 	server *http.Server
-	// unblock, if not nil, points to a channel that delays all answers but those to probes until it
-	// is closed.
+	// unblock, if not nil, points to a channel. Until the channel is closed, the endpoint answers
+	// only probes.
 	unblock  atomic.Pointer[chan struct{}]
 	draining atomic.Bool
 	// drainingSentAt is the time of the first answer with the draining header, in nanoseconds since
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -102,7 +102,8 @@
 type listeners struct{ callers, peers *net.TCPListener }
 
 // loopback returns the address of the i-th VM among the loopback addresses with this second octet.
-// Each VM has an address of its own, as it would on a network, and with it all port numbers.
+// Each VM has an address of its own, as it would on a network, so that it has the
+// whole range of port numbers to itself.
 func loopback(octet byte, i int) net.IP {
 	return net.IPv4(127, octet, byte(i/vmsPerSubnet), byte(i%vmsPerSubnet+1))
 }
@@ -253,8 +254,8 @@
 	})
 }
 
-// close stops all entries at once, then the endpoints and the configuration service, without
-// draining.
+// close stops all entries at the same time and then the endpoints and the configuration service,
+// without draining.
 func (f *fleet) close() {
 	var ending sync.WaitGroup
 	for _, e := range f.entries {
--- a/internal/fleetload/idle.go
+++ b/internal/fleetload/idle.go
@@ -10,8 +10,8 @@
 	// Processor is the share of one core; 1 is a whole core. It includes the answers of the
 	// simulated endpoints and configuration service to probes and watches.
 	Processor float64 `json:"processor"`
-	// BytesOut and BytesIn are bytes a second of the TCP streams of the peer links. MaxBytesOut is
-	// the largest BytesOut of any entry.
+	// BytesOut and BytesIn are the bytes a second that an entry sends and receives on the TCP
+	// streams of its peer links. MaxBytesOut is the largest BytesOut of any entry.
 	BytesOut    float64 `json:"bytes_out_per_s"`
 	BytesIn     float64 `json:"bytes_in_per_s"`
 	MaxBytesOut float64 `json:"most_bytes_out_per_s"`
@@ -25,8 +25,8 @@
 	Heap   float64 `json:"heap_bytes"`
 	Stacks float64 `json:"stack_bytes"`
 	// PlatformCalls is the number of calls a second of the whole fleet to the configuration service
-	// in Config.PlatformWindow. PlatformWatches is the number of watches that wait there, Readers
-	// the number of entries that watch.
+	// in Config.PlatformWindow. PlatformWatches is the number of watches that wait at the service,
+	// Readers the number of entries that watch it.
 	PlatformCalls   float64 `json:"platform_calls_per_s"`
 	PlatformWatches int     `json:"platform_watches"`
 	Readers         int     `json:"readers"`
--- a/internal/fleetload/propagation.go
+++ b/internal/fleetload/propagation.go
@@ -56,13 +56,13 @@
 	Published Propagation `json:"published"`
 	// Slow is for a document published while each call to the service takes slowCall.
 	Slow Propagation `json:"published_slow"`
-	// OneReader is for a document published while only one entry reaches the service, and that
-	// entry watches it.
+	// OneReader is for a document published while only one entry reaches the service, and this
+	// entry watches the service.
 	OneReader Propagation `json:"published_one_reader"`
-	// OneNonReader is for a document published while only one entry reaches the service, and that
-	// entry does not watch it because other entries do.
+	// OneNonReader is for a document published while only one entry reaches the service, and this
+	// entry does not watch the service because other entries do.
 	OneNonReader Propagation `json:"published_one_other"`
-	// Leaving is for an endpoint that says in an answer that it drains.
+	// Leaving is for an endpoint that reports in an answer that it is draining.
 	Leaving Propagation `json:"leaving"`
 }
 
@@ -129,8 +129,8 @@
 	return -1
 }
 
-// measureDepartures lets endpoints leave one after the other, each from another service. It
-// measures from the first answer in which the endpoint says that it drains.
+// measureDepartures lets endpoints of different services leave one after the other. It measures
+// from the first answer in which the endpoint reports that it is draining.
 func (f *fleet) measureDepartures(ctx context.Context, tries int) (Propagation, error) {
 	var s propagationSamples
 	for i := range min(tries, f.services) {
@@ -149,8 +149,8 @@
 }
 
 // awaitDrainingAnswer sends requests for the i-th service through all entries in turn until the
-// departing endpoint has said that it drains, in an answer to a request or to a probe. It returns
-// the time of that answer.
+// departing endpoint has reported that it is draining, in an answer to a request or to a probe. It
+// returns the time of that answer.
 func (f *fleet) awaitDrainingAnswer(ctx context.Context, i int, departing *endpoint) (time.Time, error) {
 	limited, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
@@ -162,7 +162,7 @@
 			return time.Time{}, err
 		}
 	}
-	return time.Time{}, fmt.Errorf("%s has not answered that it drains within %s", departing.vm.Name, propagationTimeout)
+	return time.Time{}, fmt.Errorf("%s has not reported within %s that it is draining", departing.vm.Name, propagationTimeout)
 }
 
 // drainingCallPause is the pause between the requests of awaitDrainingAnswer.
--- a/internal/fleetload/slopes.go
+++ b/internal/fleetload/slopes.go
@@ -2,7 +2,7 @@
 
 // Slopes show how the costs of an entry grow with the size of the fleet, for fleets in one region.
 type Slopes struct {
-	// ByEntry is the series over the number of entries, ByEndpoint the one over the number of
+	// ByEntry is the series over the number of entries, ByEndpoint the series over the number of
 	// endpoints.
 	ByEntry    Series `json:"by_entry"`
 	ByEndpoint Series `json:"by_endpoint"`
