--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -14,14 +14,15 @@
 	inForceAction   = "in-force"
 )
 
-// changeLog records from the audit trails when each revision of the profiles came into force on each
-// entry.
+// changeLog records from the audit trails when each revision of the profiles came into force on
+// each entry.
 type changeLog struct {
 	mu        sync.Mutex
 	inForceAt map[string]map[uint64]time.Time // by entry name and revision
-	latest    map[string]uint64
-	reverted  []string
+	latest    map[string]uint64               // the revision in force, by entry name
+	reverted  []string                        // describes each return to an older revision
 
+	// revision is the revision that report is about, published the time at which it was published.
 	revision  uint64
 	published time.Time
 }
@@ -47,7 +48,7 @@
 	c.inForceAt[entry][r.Revision] = r.Wall
 }
 
-// expect sets the revision that report covers and the time at which it was published.
+// expect sets the revision that report is about and the time at which the revision was published.
 func (c *changeLog) expect(revision uint64, published time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,11 +74,11 @@
 // lateRequestCounter counts the requests that a leaving endpoint gets after leavingGrace.
 type lateRequestCounter struct {
 	endpoint *Endpoint
-	how      string
+	how      string // how the endpoint's leaving became known
 
 	mu       sync.Mutex
-	counting bool
-	before   int64
+	counting bool  // leavingGrace has passed
+	before   int64 // the requests that the endpoint got before counting began
 }
 
 func (c *lateRequestCounter) startCounting() {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -29,7 +29,8 @@
 	pairedService = "paired-calls"
 )
 
-// firstHedge and changedHedge are the setting before and after the profile change during the run.
+// firstHedge and changedHedge are the hedge delay of the reads before and after the profile change
+// during the run.
 const (
 	firstHedge   = `hedge_after = "150ms"`
 	changedHedge = `hedge_after = "120ms"`
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,5 +1,6 @@
-// Package demo runs a complete fleet in one process, on loopback: entries, with a simulated platform
-// and simulated endpoints from package standin. The demo command and end-to-end tests use it.
+// Package demo runs a complete fleet in one process, on loopback: entries, with a simulated
+// platform and simulated endpoints from package standin. The demo command and end-to-end tests use
+// it.
 package demo
 
 import (
@@ -38,10 +39,10 @@
 type PoolConfig struct {
 	Name      string
 	Endpoints int
-	// Endpoint configures each endpoint; its name, incarnation and ledger are overwritten.
+	// Endpoint configures each endpoint; NewFleet sets the name, the incarnation and the ledger.
 	Endpoint standin.EndpointConfig
-	// ServiceTime, if not nil, returns the service times of the i-th endpoint. Endpoints cannot
-	// share random service times, which are not safe for concurrent use.
+	// ServiceTime, if not nil, returns the service times of the i-th endpoint. Each endpoint needs
+	// its own random service times, because they are not safe for concurrent use.
 	ServiceTime func(i int) standin.ServiceTime
 	// ListedAddress, if not nil, maps the address at which an endpoint listens to its address in
 	// the platform's list, such as the address of a proxy before the endpoint.
--- a/internal/demo/pairedcalls.go
+++ b/internal/demo/pairedcalls.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// pair makes one pair of calls. The order alternates from pair to pair.
+// pair makes the n-th pair of calls. The order of the two calls alternates from pair to pair.
 func (p *pairedCalls) pair(n int) {
 	order := []string{p.direct, p.entry}
 	if n%2 == 0 {
--- a/internal/demo/print.go
+++ b/internal/demo/print.go
@@ -29,7 +29,7 @@
 	})
 	for _, s := range r.Services {
 		for _, reason := range slices.Sorted(maps.Keys(s.Reasons)) {
-			fmt.Fprintf(out, "  %s: %d because of %q\n", s.Service, s.Reasons[reason], reason)
+			fmt.Fprintf(out, "  %s: %d requests not done, reason %q\n", s.Service, s.Reasons[reason], reason)
 		}
 	}
 	r.printAddedLatency(out)
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -15,7 +15,7 @@
 	Change       ChangeReport
 	Leaving      []LeavingReport
 	Stop         StopReport
-	// CutOff counts answers that were cut off before the caller had read them completely.
+	// CutOff counts the answers that were cut off before the caller had read them completely.
 	CutOff int
 	// RanTwice are the ids and keys of once-only requests that ran more than once.
 	RanTwice []string
@@ -30,8 +30,8 @@
 	// Reasons counts the requests that were not done, by reason.
 	Reasons  map[string]int
 	P50, P99 time.Duration
-	// Wrong describes the wrong answers. FalseNotRun are the ids of requests that were reported as
-	// not run although they ran.
+	// Wrong describes the wrong answers. FalseNotRun has the ids of the requests that were reported
+	// as not run although they ran.
 	Wrong       []string
 	FalseNotRun []string
 }
@@ -43,7 +43,7 @@
 	EntryP50, EntryP99   time.Duration
 }
 
-// ProbeReport is the slot time that probes of a pool's endpoints used.
+// ProbeReport is the slot time that probes used at the endpoints of a pool.
 type ProbeReport struct {
 	Pool   string
 	Probes int64
@@ -65,13 +65,13 @@
 type ChangeReport struct {
 	Revision uint64
 	InForce  []InForce
-	// Missing are the entries on which the change is not in force. Reverted describes each return of
-	// an entry to an older revision.
+	// Missing names the entries on which the change is not in force. Reverted describes each return
+	// of an entry to an older revision.
 	Missing  []string
 	Reverted []string
 }
 
-// InForce is the time between publication of a change and its coming into force on an entry.
+// InForce is the time from the publication of a change until it came into force on an entry.
 type InForce struct {
 	Entry string
 	After time.Duration
@@ -79,6 +79,7 @@
 
 // LeavingReport is the number of requests that a leaving endpoint got after leavingGrace.
 type LeavingReport struct {
+	// How says how the endpoint's leaving became known.
 	Endpoint, How string
 	// Counted is false if the run ended before leavingGrace had passed.
 	Counted      bool
@@ -87,8 +88,11 @@
 
 // StopReport is the result of the planned stop of an entry.
 type StopReport struct {
-	Entry            string
-	Cut              int
+	Entry string
+	// Cut counts the requests that the stop cut off.
+	Cut int
+	// Keys counts the idempotency keys that were handed over, Successors the entries that took them
+	// over.
 	Keys, Successors int
 	Took             time.Duration
 }
--- a/internal/demo/report_test.go
+++ b/internal/demo/report_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// tally.report compares the reported outcomes with the ledger. Without the comparison, the demo would
-// pass although endpoints ran requests that were reported as not run, or never ran requests that
-// were reported as done.
+// tally.report compares the reported outcomes with the ledger. Without the comparison, the demo
+// would pass although endpoints ran requests that were reported as not run, or never ran requests
+// that were reported as done.
 func TestTallyComparesOutcomesWithLedger(t *testing.T) {
 	e, err := standin.NewEndpoint(standin.EndpointConfig{Name: "e", ServiceTime: standin.Constant(time.Millisecond)})
 	if err != nil {
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -16,8 +16,8 @@
 )
 
 // The times of the scripted changes, counted from the start of the session. A planned stop of an
-// entry takes as long as callers may cache answers that name the entry, so it begins early and the
-// session does not end before it.
+// entry takes as long as callers may cache lists of entries that name the entry, so the stop begins
+// early and the session does not end before it.
 const (
 	publishAt     = 1 * time.Second
 	stopEntryAt   = 2 * time.Second
@@ -26,15 +26,15 @@
 	uploadsFrom   = 7 * time.Second
 	minDuration   = 15 * time.Second
 	progressEvery = 1 * time.Second
-	// leavingGrace is how long an endpoint may still get new requests after it began to leave.
+	// leavingGrace is how long an endpoint may still get new requests after it has begun to leave.
 	leavingGrace = 3 * time.Second
 )
 
 const (
 	// callerCount is the number of callers that send requests.
 	callerCount = 6
-	// largestFleet is the fleet size by which entries divide the watch budget. The demo never runs
-	// more entries.
+	// largestFleet is the number of entries between which the watch budget is divided. The demo
+	// never runs more entries.
 	largestFleet = 4
 )
 
@@ -139,7 +139,7 @@
 func (s *session) stopEntry(ctx context.Context) {
 	entries := s.fleet.entries()
 	leaving := entries[len(entries)-1]
-	s.printProgress("%s begins a planned stop; callers may cache answers that name it for some seconds", leaving.Name())
+	s.printProgress("%s begins a planned stop, which lasts until callers no longer cache entry lists that name it", leaving.Name())
 	s.fleet.RemoveEntry(leaving)
 	summary := leaving.Stop(ctx)
 	s.stop = StopReport{Entry: leaving.Name(), Cut: summary.Cut, Keys: summary.HandedOver, Successors: summary.Successors, Took: summary.Took}
--- a/internal/demo/sessionreport.go
+++ b/internal/demo/sessionreport.go
@@ -6,7 +6,7 @@
 	"github.com/tealhall/tealhall/internal/profile"
 )
 
-// report collects the counters. All requests must have ended.
+// report returns the report of the session. All requests must have ended.
 func (s *session) report() *Report {
 	r := &Report{
 		Took:         time.Since(s.began),
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -112,8 +112,8 @@
 	s.tally.add(id, result, time.Since(began), checkAnswer(id, size, request, result, err))
 }
 
-// checkAnswer returns an error if an answer with status 200 is not the answer that the endpoint must
-// give to the request. It ignores failed requests and other statuses.
+// checkAnswer returns an error if an answer with status 200 is not the answer that the endpoint
+// must give to the request. It returns nil for failed requests and for answers with another status.
 func checkAnswer(id string, size int64, request client.Request, result client.Result, err error) error {
 	if err != nil || result.Status != http.StatusOK {
 		return nil
