--- a/cmd/tealhallbench/fleet.go
+++ b/cmd/tealhallbench/fleet.go
@@ -19,7 +19,7 @@
 // defaultProcs leaves half of a 12-core machine to other work.
 const defaultProcs = 6
 
-// fleetFlags are the flags that are not part of fleetload.Config.
+// fleetFlags holds the flags that are not part of fleetload.Config.
 type fleetFlags struct {
 	procs    int
 	json     bool
@@ -50,18 +50,18 @@
 	f.IntVar(&config.Target.Domains, "target-domains", config.Target.Domains, "failure domains of the largest fleet")
 	f.IntVar(&config.IdleRounds, "rounds", config.IdleRounds, "rounds in which an idle fleet is measured")
 	f.DurationVar(&config.IdleWindow, "window", config.IdleWindow, "duration of each of these rounds")
-	f.DurationVar(&config.PlatformWindow, "platform-window", config.PlatformWindow, "time in which calls to the configuration service are counted, best 30s or more; 0 for none")
+	f.DurationVar(&config.PlatformWindow, "platform-window", config.PlatformWindow, "time for which calls to the configuration service are counted, at least 30s for a reliable rate; 0 for none")
 	f.IntVar(&config.Publications, "publications", config.Publications, "documents published while every entry reaches the configuration service")
-	f.IntVar(&config.FaultPublications, "fault-publications", config.FaultPublications, "documents published while the service is slow, or reachable by one reader only")
-	f.DurationVar(&config.CallWindow, "call-window", config.CallWindow, "duration of each rate of calls")
-	f.IntVar(&config.NonReaderPublications, "other-publications", config.NonReaderPublications, "documents published while only an entry that does not watch the service can read them")
+	f.IntVar(&config.FaultPublications, "fault-publications", config.FaultPublications, "documents published while the configuration service is slow, and again while only one reader reaches it")
+	f.DurationVar(&config.CallWindow, "call-window", config.CallWindow, "duration of the calls at each rate")
+	f.IntVar(&config.NonReaderPublications, "other-publications", config.NonReaderPublications, "documents published while only an entry that does not watch the configuration service reaches it")
 	f.IntVar(&config.Departures, "leavings", config.Departures, "endpoints that leave, one after the other")
 	f.IntSliceVar(&config.Rates, "rates", config.Rates, "rates at which calls are measured, in calls a second")
 	f.IntVar(&config.CallRounds, "call-rounds", config.CallRounds, "rounds over all rates; 0 leaves calls out")
 	f.IntVar(&flags.procs, "procs", flags.procs, "cores to use at most")
 	f.BoolVar(&flags.json, "json", false, "print JSON")
 	f.BoolVar(&flags.markdown, "markdown", false, "print the tables of docs/measurements/fleet.md")
-	f.StringVar(&flags.profile, "cpu-profile", "", "write a processor profile of the whole run to this file")
+	f.StringVar(&flags.profile, "cpu-profile", "", "write a CPU profile of the whole run to this file")
 	f.DurationVar(&flags.limit, "limit", flags.limit, "end the run after this time")
 	c.MarkFlagsMutuallyExclusive("json", "markdown")
 	return c
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startProfile starts a processor profile if a file is named; stop ends it.
+// startProfile starts a CPU profile if name is not empty; stop ends it.
 func startProfile(name string) (stop func(), err error) {
 	if name == "" {
 		return func() {}, nil
--- a/cmd/tealhallstandin/endpoint.go
+++ b/cmd/tealhallstandin/endpoint.go
@@ -41,12 +41,12 @@
 	set.IntVar(&config.Slots, "slots", standin.DefaultSlots, "requests processed at the same time")
 	set.IntVar(&config.QueueLimit, "queue", standin.DefaultQueueLimit, "longest queue; -1 for none")
 	set.DurationVar(&config.ProbeTime, "probe-time", standin.DefaultProbeTime, "slot time of a probe")
-	set.Float64Var(&config.ColdFactor, "cold-factor", 1, "factor on service times at the start")
-	set.DurationVar(&config.ColdTime, "cold-time", 0, "time over which the cold factor falls to 1")
+	set.Float64Var(&config.ColdFactor, "cold-factor", 1, "factor on the slot times of requests and probes at the start")
+	set.DurationVar(&config.ColdTime, "cold-time", 0, "time over which the factor of --cold-factor falls to 1")
 	set.DurationVar(&config.ConnectTime, "connect-time", 0, "delay of the first byte of each new connection")
 	set.DurationVar(&flags.serviceTime, "service-time", standin.DefaultServiceTime, "mean service time")
 	set.StringVar(&flags.distribution, "distribution", "constant", "constant, exponential or log-normal")
-	set.Float64Var(&flags.sigma, "sigma", 0.5, "spread of the log-normal distribution")
+	set.Float64Var(&flags.sigma, "sigma", 0.5, "standard deviation of the logarithm of log-normal service times")
 	set.Uint64Var(&flags.seed, "seed", 1, "seed of the distribution")
 	set.StringVar(&flags.control, "control", "", "IP:port of the control interface; none by default")
 	set.DurationVar(&flags.linger, "linger", 5*time.Second, "how long to keep refusing new requests after the drain began")
@@ -90,8 +90,8 @@
 	return drain(endpoint, flags)
 }
 
-// drain refuses new requests for the linger time, so that entries that have not heard of the drain learn
-// of it from the refusals, and then stops once the last request has finished.
+// drain refuses new requests for the linger time, so that entries that have not heard of the drain
+// learn of it from the refusals, and then stops once the last request has finished.
 func drain(endpoint *standin.Endpoint, flags endpointFlags) error {
 	endpoint.Drain()
 	klog.InfoS("Draining", "name", flags.config.Name, "load", endpoint.Load().String())
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), flags.stopTimeout)
 	defer cancel()
 	if err := endpoint.Close(ctx); err != nil {
-		return fault.Wrap(err, fault.Unavailable, "allow more with --stop-timeout", "requests in flight were cut off")
+		return fault.Wrap(err, fault.Unavailable, "allow more time with --stop-timeout", "requests in flight were cut off")
 	}
 	stats := endpoint.Stats()
 	klog.InfoS("Stopped", "name", flags.config.Name, "requests", stats.Requests, "finished", stats.Finished)
--- a/cmd/tealhallstandin/main.go
+++ b/cmd/tealhallstandin/main.go
@@ -1,5 +1,6 @@
-// Command tealhallstandin simulates the environment of tealhall in separate processes, for trials: the
-// platform's configuration service and application endpoints. It is not part of an installation.
+// Command tealhallstandin simulates the environment of tealhall in separate processes, for trials:
+// the platform's configuration service and application endpoints. It is not part of an
+// installation.
 package main
 
 import (
@@ -13,7 +14,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:   "tealhallstandin",
-		Short: "Stand-ins for the platform and for endpoints",
+		Short: "Simulate the platform's configuration service or an application endpoint",
 	}
 	root.AddCommand(platformCommand(), endpointCommand())
 	os.Exit(program.Run(root, program.Failure))
--- a/cmd/tealhallstandin/platform.go
+++ b/cmd/tealhallstandin/platform.go
@@ -44,7 +44,7 @@
 	set.StringVar(&flags.profiles, "profiles", "", "file with the profile document (TOML)")
 	set.StringVar(&flags.vms, "vms", "", "file with the VM list (JSON)")
 	set.Uint64Var(&flags.firstRevision, "first-revision", 1,
-		"first revision; give a higher one than before when entries keep running")
+		"revision of the first values; above all earlier revisions if entries keep running")
 	return command
 }
 
@@ -108,7 +108,7 @@
 		return nil
 	}
 	if _, err := published.ParseVMs(published.Value{Name: f.name, Revision: revision, Data: data}); err != nil {
-		klog.ErrorS(err, "Entries will refuse this VM list")
+		klog.ErrorS(err, "Entries will refuse the published VM list")
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 		}
 		for i := range files {
 			if err := files[i].publish(service); err != nil {
-				klog.ErrorS(err, "Keeping the published content", "value", files[i].name)
+				klog.ErrorS(err, "Cannot publish the file; its last content stays published", "value", files[i].name)
 			}
 		}
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -20,7 +20,7 @@
 var (
 	// linkPattern finds the targets of links, except those to the web.
 	linkPattern = regexp.MustCompile(`\]\(([^)\s:]+)\)`)
-	// pathPattern finds the names of files and folders of this repository in code spans.
+	// pathPattern finds the paths of files and folders of this repository in code spans.
 	pathPattern = regexp.MustCompile("`((?:internal|client|cmd|docs|examples)/[\\w./-]+)`")
 	// headerPattern finds the names of tealhall's own headers.
 	headerPattern      = regexp.MustCompile(`Tealhall-[A-Z][A-Za-z]*(?:-[A-Z][A-Za-z]*)*`)
@@ -46,7 +46,7 @@
 	return found
 }
 
-// Guards against dead references: a page is renamed or removed, but another page still links to it.
+// Guards against broken links: a page is renamed or removed, but another page still links to it.
 func TestLinksResolve(t *testing.T) {
 	all := pages(t)
 	for name, text := range all {
