--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -8,14 +8,14 @@
 
 // Report is the result of a run.
 type Report struct {
-	Took     time.Duration
-	Services []ServiceReport
-	Added    AddedReport
-	Probes   []ProbeReport
-	Change   ChangeReport
-	Leaving  []LeavingReport
-	Stop     StopReport
-	// CutOff counts answers that were cut off before the caller had read them completely.
+	Took         time.Duration
+	Services     []ServiceReport
+	AddedLatency AddedLatencyReport
+	Probes       []ProbeReport
+	Change       ChangeReport
+	Leaving      []LeavingReport
+	Stop         StopReport
+	// CutOff counts the answers that were cut off before the caller had read them completely.
 	CutOff int
 	// RanTwice are the ids and keys of once-only requests that ran more than once.
 	RanTwice []string
@@ -30,20 +30,20 @@
 	// Reasons counts the requests that were not done, by reason.
 	Reasons  map[string]int
 	P50, P99 time.Duration
-	// Wrong describes the wrong answers. FalseNotRun are the ids of requests that were reported as
-	// not run although they ran.
+	// Wrong describes the wrong answers. FalseNotRun has the ids of the requests that were reported
+	// as not run although they ran.
 	Wrong       []string
 	FalseNotRun []string
 }
 
-// AddedReport compares calls through an entry with calls made directly to an endpoint.
-type AddedReport struct {
+// AddedLatencyReport compares calls through an entry with calls made directly to an endpoint.
+type AddedLatencyReport struct {
 	Pairs, Failed        int
 	DirectP50, DirectP99 time.Duration
 	EntryP50, EntryP99   time.Duration
 }
 
-// ProbeReport is the slot time that probes of a pool's endpoints used.
+// ProbeReport is the slot time that probes used at the endpoints of a pool.
 type ProbeReport struct {
 	Pool   string
 	Probes int64
@@ -54,24 +54,24 @@
 }
 
 // share returns the share of the slot time that probes used.
-func (w ProbeReport) share() float64 {
-	if w.SlotTime <= 0 {
+func (p ProbeReport) share() float64 {
+	if p.SlotTime <= 0 {
 		return 0
 	}
-	return float64(w.Spent) / float64(w.SlotTime)
+	return float64(p.Spent) / float64(p.SlotTime)
 }
 
 // ChangeReport tells when a profile change came into force.
 type ChangeReport struct {
 	Revision uint64
 	InForce  []InForce
-	// Missing are the entries on which the change is not in force. Reverted describes each return of
-	// an entry to an older revision.
+	// Missing names the entries on which the change is not in force. Reverted describes each return
+	// of an entry to an older revision.
 	Missing  []string
 	Reverted []string
 }
 
-// InForce is the time between publication of a change and its coming into force on an entry.
+// InForce is the time from the publication of a change until it came into force on an entry.
 type InForce struct {
 	Entry string
 	After time.Duration
@@ -79,6 +79,7 @@
 
 // LeavingReport is the number of requests that a leaving endpoint got after leavingGrace.
 type LeavingReport struct {
+	// How says how the endpoint's leaving became known.
 	Endpoint, How string
 	// Counted is false if the run ended before leavingGrace had passed.
 	Counted      bool
@@ -87,8 +88,11 @@
 
 // StopReport is the result of the planned stop of an entry.
 type StopReport struct {
-	Entry            string
-	Cut              int
+	Entry string
+	// Cut counts the requests that the stop cut off.
+	Cut int
+	// Keys counts the idempotency keys that were handed over, Successors the entries that took them
+	// over.
 	Keys, Successors int
 	Took             time.Duration
 }
@@ -125,8 +129,8 @@
 	add(len(r.RanTwice) > 0, "%d once-only requests ran more than once, first: %s", len(r.RanTwice), first(r.RanTwice))
 	add(r.CutOff > 0, "%d answers were cut off", r.CutOff)
 	add(r.Stop.Cut > 0, "the planned stop of %s cut off %d requests", r.Stop.Entry, r.Stop.Cut)
-	for _, w := range r.Probes {
-		add(w.share() > w.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", w.Pool, 100*w.share(), 100*w.Budget)
+	for _, p := range r.Probes {
+		add(p.share() > p.Budget, "probes of %s took %.3f%% of its slot time, more than the budget of %.3f%%", p.Pool, 100*p.share(), 100*p.Budget)
 	}
 	for _, l := range r.Leaving {
 		add(!l.Counted, "requests to %s were not counted after it began to leave", l.Endpoint)
--- a/internal/fleetload/document.go
+++ b/internal/fleetload/document.go
@@ -15,8 +15,8 @@
 	minServices     = 3
 )
 
-// servicesFor returns the number of services of a fleet with so many endpoints: at least
-// minServices, and otherwise as many endpoints to a service as at the target size.
+// servicesFor returns the number of services of a fleet with this number of endpoints: at least
+// minServices, and otherwise so many that a service has as many endpoints as at the target size.
 func servicesFor(endpoints int) int {
 	share := float64(endpoints) * targetServices / targetEndpoints
 	return max(minServices, int(math.Round(share)))
@@ -24,8 +24,8 @@
 
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i+1) }
 
-// profileKinds are the kinds of the services, in rotation. firstReadService and firstOnceService
-// are indexes of it.
+// profileKinds are the kinds that the services have in rotation. firstReadService and
+// firstOnceService are indexes into it.
 var profileKinds = []string{"read", "once", "read", "bulk", "urgent"}
 
 const profileText = `
@@ -49,14 +49,14 @@
 profile = "%[1]s"
 `
 
-// document returns a profile document with a profile of its own for each service. Documents of
-// different rounds differ.
-func document(services, round int) []byte {
+// document returns a profile document with a profile of its own for each service. Documents with
+// different numbers differ.
+func document(services, number int) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# round %d\nformat = 1\n", round)
+	fmt.Fprintf(&b, "# round %d\nformat = 1\n", number)
 	for i := range services {
 		kind := profileKinds[i%len(profileKinds)]
-		fmt.Fprintf(&b, profileText, serviceName(i), kind, fmt.Sprintf("%ds", 5+round%5), i%9)
+		fmt.Fprintf(&b, profileText, serviceName(i), kind, fmt.Sprintf("%ds", 5+number%5), i%9)
 	}
 	return []byte(b.String())
 }
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -58,8 +58,8 @@
 	endpoints       []*endpoint
 	entries         []*entry.Entry
 	platformClients []*platformClient
-	// round is the number of profile documents published so far.
-	round int
+	// documents is the number of profile documents published so far.
+	documents int
 }
 
 // newFleet starts the configuration service and the endpoints of a fleet, but not its entries.
@@ -94,15 +94,16 @@
 
 // publish puts the next profile document into the configuration service.
 func (f *fleet) publish() (revision uint64) {
-	f.round++
-	return f.platform.Put(published.ProfilesValue, document(f.services, f.round))
+	f.documents++
+	return f.platform.Put(published.ProfilesValue, document(f.services, f.documents))
 }
 
 // listeners are the sockets on which one entry accepts callers and peers.
 type listeners struct{ callers, peers *net.TCPListener }
 
 // loopback returns the address of the i-th VM among the loopback addresses with this second octet.
-// Each VM has an address of its own, as it would on a network, and with it all port numbers.
+// Each VM has an address of its own, as it would on a network, so that it has the
+// whole range of port numbers to itself.
 func loopback(octet byte, i int) net.IP {
 	return net.IPv4(127, octet, byte(i/vmsPerSubnet), byte(i%vmsPerSubnet+1))
 }
@@ -253,8 +254,8 @@
 	})
 }
 
-// close stops all entries at once, then the endpoints and the configuration service, without
-// draining.
+// close stops all entries at the same time and then the endpoints and the configuration service,
+// without draining.
 func (f *fleet) close() {
 	var ending sync.WaitGroup
 	for _, e := range f.entries {
--- a/internal/standin/endpointserve.go
+++ b/internal/standin/endpointserve.go
@@ -18,7 +18,7 @@
 type call struct {
 	id          identity
 	probe       bool
-	idleOnly    bool          // refuse it if no slot is idle
+	idleOnly    bool          // refuse the call if no slot is idle
 	hasDeadline bool          // deadline is set
 	deadline    time.Duration // on the endpoint's clock
 	answer      answerSpec
@@ -77,11 +77,11 @@
 			return c, err
 		}
 	}
-	c.answer, err = parseAnswer(query, c.id.request)
+	c.answer, err = parseAnswerSpec(query, c.id.request)
 	return c, err
 }
 
-func parseAnswer(query url.Values, request string) (answerSpec, error) {
+func parseAnswerSpec(query url.Values, request string) (answerSpec, error) {
 	spec := answerSpec{id: query.Get(IDParameter), status: http.StatusOK, chunked: query.Has(ChunkedParameter)}
 	if spec.id == "" {
 		spec.id = request
@@ -226,7 +226,7 @@
 	}
 }
 
-// runEnd is the way in which a run ended.
+// runEnd says how a run ended.
 type runEnd int
 
 const (
