--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -181,10 +181,10 @@
 func TestHandover(t *testing.T) {
 	part := message.Handover{Home: 4, Total: 1, OldestEpoch: 2, Records: []idem.Record{{Caller: 5, Result: idem.Done,
 		Answer: &idem.Answer{Status: 200, Header: [][2]string{{"Content-Type", "text/plain"}}, Body: []byte("booked")}}}}
-	n := &recordingHandler{hello: helloOf("b", 2)}
-	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	handler := &recordingHandler{hello: helloOf("b", 2)}
+	withPair(t, handler, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		ack, err := p.links.Handover(context.Background(), peerAddress, part)
-		if diff := cmp.Diff([]message.Handover{part}, n.handovers); err != nil || !ack.Accepted || diff != "" {
+		if diff := cmp.Diff([]message.Handover{part}, handler.handovers); err != nil || !ack.Accepted || diff != "" {
 			t.Errorf("%v, error %v, (-sent +received):\n%s", ack, err, diff)
 		}
 		large := part
--- a/internal/peer/helper_test.go
+++ b/internal/peer/helper_test.go
@@ -141,33 +141,33 @@
 	handovers []message.Handover
 }
 
-func (n *recordingHandler) Hello(message.Hello) (message.Hello, error) { return n.hello, n.refuse }
+func (r *recordingHandler) Hello(message.Hello) (message.Hello, error) { return r.hello, r.refuse }
 
-func (n *recordingHandler) Update(u message.Update) (message.Ack, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.updates = append(n.updates, u)
-	return message.Ack{Accepted: !n.refuseUpdates}, nil
+func (r *recordingHandler) Update(u message.Update) (message.Ack, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updates = append(r.updates, u)
+	return message.Ack{Accepted: !r.refuseUpdates}, nil
 }
 
-func (n *recordingHandler) Fetch(f message.Fetch) (message.Document, error) {
-	if n.fetch == nil {
+func (r *recordingHandler) Fetch(f message.Fetch) (message.Document, error) {
+	if r.fetch == nil {
 		return message.Document{}, fault.New(fault.NotFound, "publish 100% of it", "no value %s", f.Name)
 	}
-	return n.fetch(f)
+	return r.fetch(f)
 }
 
-func (n *recordingHandler) Handover(h message.Handover) (message.Ack, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.handovers = append(n.handovers, h)
+func (r *recordingHandler) Handover(h message.Handover) (message.Ack, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.handovers = append(r.handovers, h)
 	return message.Ack{Accepted: true}, nil
 }
 
-func (n *recordingHandler) received() []message.Update {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]message.Update(nil), n.updates...)
+func (r *recordingHandler) received() []message.Update {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]message.Update(nil), r.updates...)
 }
 
 const peerAddress = "10.0.0.2:7070"
@@ -186,12 +186,12 @@
 }
 
 // withPair runs a test in a synctest bubble on a pair whose link was requested.
-func withPair(t *testing.T, n *recordingHandler, cfg Config, self message.Hello, test func(t *testing.T, p *pair)) {
+func withPair(t *testing.T, handler *recordingHandler, cfg Config, self message.Hello, test func(t *testing.T, p *pair)) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pair{net: newPipeNetwork(), handler: n}
+		p := &pair{net: newPipeNetwork(), handler: handler}
 		cfg.Dial = p.net.Dial
 		cfg.Jitter = func() float64 { return 0.5 }
-		p.server = NewServer(cfg, n)
+		p.server = NewServer(cfg, handler)
 		served := make(chan error, 1)
 		go func() { served <- p.server.Serve(p.net) }()
 		p.links = NewLinks(cfg, func() message.Hello { return self },
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -101,8 +101,8 @@
 // reconnect at the same time.
 func (l *link) backoff(failures int) time.Duration {
 	doublings := min(max(failures-maxQuickDials, 0), maxDoublings)
-	most := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
-	return most/2 + time.Duration(l.cfg.Jitter()*float64(most/2))
+	ceiling := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
+	return ceiling/2 + time.Duration(l.cfg.Jitter()*float64(ceiling/2))
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -43,6 +43,6 @@
 }
 
 // addAge adds the time that a value waited to its age, up to most.
-func addAge(millis uint64, waited time.Duration, most uint64) uint64 {
-	return min(millis+uint64(max(waited, 0).Milliseconds()), most)
+func addAge(millis uint64, waited time.Duration, limit uint64) uint64 {
+	return min(millis+uint64(max(waited, 0).Milliseconds()), limit)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -69,15 +69,15 @@
 
 // Defaults of Config.
 const (
-	defaultHeartbeat     = time.Second
-	defaultCallTimeout   = 3 * time.Second
-	defaultDialTimeout   = 3 * time.Second
-	defaultBackoffMin    = 200 * time.Millisecond
-	defaultBackoffMax    = 5 * time.Second
-	defaultHandoverBytes = 256 << 10
-	defaultDocumentBytes = 1 << 20
-	defaultConnections   = 256
-	defaultBytes         = 9000
+	defaultHeartbeat      = time.Second
+	defaultCallTimeout    = 3 * time.Second
+	defaultDialTimeout    = 3 * time.Second
+	defaultBackoffMin     = 200 * time.Millisecond
+	defaultBackoffMax     = 5 * time.Second
+	defaultHandoverBytes  = 256 << 10
+	defaultDocumentBytes  = 1 << 20
+	defaultConnections    = 256
+	defaultBytesPerSecond = 9000
 )
 
 // Fixed limits of the protocol.
@@ -110,7 +110,7 @@
 	setDefault(&c.HandoverBytes, defaultHandoverBytes)
 	setDefault(&c.DocumentBytes, defaultDocumentBytes)
 	setDefault(&c.Connections, defaultConnections)
-	setDefault(&c.BytesPerSecond, defaultBytes)
+	setDefault(&c.BytesPerSecond, defaultBytesPerSecond)
 	if c.Dial == nil {
 		c.Dial = dialTCP(c.unackedTimeout())
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestUpdatesArriveUnchanged(t *testing.T) {
-	n := &recordingHandler{hello: helloOf("b", 2)}
-	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	handler := &recordingHandler{hello: helloOf("b", 2)}
+	withPair(t, handler, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		first := message.Update{From: 1, Sequence: 1, State: message.EntryServing, Epoch: 3,
 			Profiles: message.Mark{Revision: 4, Digest: 5}, VMs: message.Mark{Revision: 6, Digest: 7}, Reader: true, Rate: 8,
 			Evidence:    []message.Evidence{{VM: "vm-1", Incarnation: 9, Kind: message.EvidenceLeaving, AgeMillis: 10}},
@@ -32,7 +32,7 @@
 				t.Errorf("update %d was not acked", u.Sequence)
 			}
 		}
-		if diff := cmp.Diff([]message.Update{first, second}, n.received()); diff != "" {
+		if diff := cmp.Diff([]message.Update{first, second}, handler.received()); diff != "" {
 			t.Errorf("received (-sent +received):\n%s", diff)
 		}
 		if stats := p.links.Stats()[0]; stats.State != LinkOpen || stats.Messages != 2 || stats.Peer.Name != "b" {
@@ -113,8 +113,8 @@
 // arrives, while a new connection works.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	cfg := Config{Heartbeat: time.Second, CallTimeout: 3 * time.Second}
-	n := &recordingHandler{hello: helloOf("b", 2)}
-	withPair(t, n, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
+	handler := &recordingHandler{hello: helloOf("b", 2)}
+	withPair(t, handler, cfg, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.silenceAll()
 		// The ping times out, and the link opens again after the back-off.
 		advance(cfg.Heartbeat + cfg.CallTimeout + defaultBackoffMin)
@@ -122,8 +122,8 @@
 		if stats.State != LinkOpen || stats.Opened != 2 {
 			t.Fatalf("stats after the connection went silent: %+v", stats)
 		}
-		if acked := p.deliver(message.Update{Sequence: 7}); !acked || n.received()[0].Sequence != 7 {
-			t.Errorf("acked %v, received %v", acked, n.received())
+		if acked := p.deliver(message.Update{Sequence: 7}); !acked || handler.received()[0].Sequence != 7 {
+			t.Errorf("acked %v, received %v", acked, handler.received())
 		}
 		if open := p.server.Stats().Connections; open != 1 {
 			t.Errorf("the server has %d connections, want 1", open)
@@ -182,8 +182,8 @@
 // An update waits while the link is dialling. If a newer update replaces it, its sender is
 // notified, and the newer one arrives with ages that include the waiting time.
 func TestUpdateWaitsWhileLinkDials(t *testing.T) {
-	n := &recordingHandler{hello: helloOf("b", 2)}
-	withPair(t, n, Config{BackoffMax: defaultBackoffMin}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	handler := &recordingHandler{hello: helloOf("b", 2)}
+	withPair(t, handler, Config{BackoffMax: defaultBackoffMin}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		p.net.setDialDelay(2 * time.Second)
 		p.net.silenceAll()
 		advance(5 * time.Second) // the ping has timed out and the next dial has begun
@@ -197,7 +197,7 @@
 		if !cmp.Equal(first, []bool{false}) || !cmp.Equal(second, []bool{true}) {
 			t.Fatalf("acked: first %v, second %v", first, second)
 		}
-		got := n.received()[0]
+		got := handler.received()[0]
 		if age := got.Evidence[0].AgeMillis; age < 70_500 || age > 72_000 || got.LoadReports[0].AgeMillis != 65_535 {
 			t.Errorf("received %+v", got)
 		}
@@ -267,10 +267,10 @@
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
-	n := &recordingHandler{hello: helloOf("b", 2)}
-	withPair(t, n, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
+	handler := &recordingHandler{hello: helloOf("b", 2)}
+	withPair(t, handler, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		release := make(chan struct{})
-		n.fetch = func(message.Fetch) (message.Document, error) {
+		handler.fetch = func(message.Fetch) (message.Document, error) {
 			<-release
 			return message.Document{}, nil
 		}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -197,25 +197,25 @@
 }
 
 // HelloAccepted implements wire.Remote.
-func (c *session) HelloAccepted() bool { return c.peer.Load() != nil }
+func (sess *session) HelloAccepted() bool { return sess.peer.Load() != nil }
 
 // IdleTimeout implements wire.Remote. A connection without an accepted Hello has a fixed time to
 // send one, regardless of other traffic; afterwards the peer has to send pings or updates.
-func (c *session) IdleTimeout() time.Duration {
-	if !c.HelloAccepted() {
-		return c.server.cfg.DialTimeout - time.Since(c.opened)
+func (sess *session) IdleTimeout() time.Duration {
+	if !sess.HelloAccepted() {
+		return sess.server.cfg.DialTimeout - time.Since(sess.opened)
 	}
 	return serverIdleTimeout
 }
 
 // serve answers calls until the connection ends. Each connection has its own net/rpc server, so
 // that its receiver knows which peer calls it.
-func (c *session) serve() {
+func (sess *session) serve() {
 	server := rpc.NewServer()
-	if err := server.RegisterName(wire.ServiceName, &receiver{c}); err != nil {
+	if err := server.RegisterName(wire.ServiceName, &receiver{sess}); err != nil {
 		klog.ErrorS(err, "peer calls cannot be served; report this as a defect")
-		c.codec.Close()
+		sess.codec.Close()
 		return
 	}
-	server.ServeCodec(c.codec)
+	server.ServeCodec(sess.codec)
 }
--- a/internal/published/generation_test.go
+++ b/internal/published/generation_test.go
@@ -14,13 +14,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		generations := rapid.Uint64Range(1, 1<<18)
 		count := rapid.Uint64Range(0, 1<<44-1)
-		e, before, after := generations.Draw(rt, "generation"), count.Draw(rt, "before"), count.Draw(rt, "after")
-		old, unsettled, settled := published.InGeneration(e-1, before), published.Unsettled(published.InGeneration(e, after)), published.InGeneration(e, after)
-		if old >= unsettled || unsettled >= published.InGeneration(e, 0) || published.Settled(unsettled) || !published.Settled(settled) {
+		generation, before, after := generations.Draw(rt, "generation"), count.Draw(rt, "before"), count.Draw(rt, "after")
+		old, unsettled, settled := published.InGeneration(generation-1, before), published.Unsettled(published.InGeneration(generation, after)), published.InGeneration(generation, after)
+		if old >= unsettled || unsettled >= published.InGeneration(generation, 0) || published.Settled(unsettled) || !published.Settled(settled) {
 			rt.Fatalf("%d, %d, %d are not in order", old, unsettled, settled)
 		}
 		for _, r := range []uint64{unsettled, settled} {
-			if published.GenerationOf(r) != e || published.ServiceRevision(r) != after {
+			if published.GenerationOf(r) != generation || published.ServiceRevision(r) != after {
 				rt.Fatalf("%d is revision %d of generation %d", r, published.ServiceRevision(r), published.GenerationOf(r))
 			}
 		}
--- a/internal/published/patch_test.go
+++ b/internal/published/patch_test.go
@@ -25,7 +25,7 @@
 		rows := map[string]VM{}
 		var evacuated []string
 		var ahead, behind History
-		behindAt, whole, fitting := uint64(0), 0, 0
+		behindAt, whole, applied := uint64(0), 0, 0
 		for revision := uint64(1); revision <= 40; revision++ {
 			for range rapid.IntRange(1, 4).Draw(rt, "changes") {
 				vm := rowOf(rapid.IntRange(0, 30).Draw(rt, "row"), rapid.IntRange(0, 3).Draw(rt, "version"))
@@ -55,7 +55,7 @@
 				whole++
 				continue
 			}
-			made, got, err := behind.Patched(revision, data)
+			patched, got, err := behind.Patched(revision, data)
 			if err != nil {
 				if fault.KindOf(err) != fault.BadMessage {
 					rt.Fatal(err)
@@ -63,15 +63,15 @@
 				whole++
 				continue
 			}
-			fitting++
+			applied++
 			if !bytes.Equal(got, ahead.text) {
 				rt.Fatalf("difference to revision %d from %d:\n%s\n%s", revision, behindAt, got, ahead.text)
 			}
-			if read, err := ParseVMs(Value{Revision: revision, Data: got}); err != nil || !reflect.DeepEqual(read, made) {
+			if read, err := ParseVMs(Value{Revision: revision, Data: got}); err != nil || !reflect.DeepEqual(read, patched) {
 				rt.Fatalf("the list differs from its text: %v", err)
 			}
 		}
-		if len(ahead.steps) > 0 && behindAt > 0 && fitting == 0 && whole == 0 {
+		if len(ahead.steps) > 0 && behindAt > 0 && applied == 0 && whole == 0 {
 			rt.Fatal("no difference was made or refused")
 		}
 	})
--- a/internal/route/repair.go
+++ b/internal/route/repair.go
@@ -74,15 +74,15 @@
 			continue
 		}
 		names[key] = r.Name
-		p.checkBounds(&r)
+		p.correctRoute(&r)
 		usable = append(usable, r)
 	}
 	return usable
 }
 
-// checkBounds corrects a route's kind, timeout, objective, priority and attempts. A route of an
+// correctRoute corrects a route's kind, timeout, objective, priority and attempts. A route of an
 // unknown kind is treated as NonIdempotent, the kind that permits the least.
-func (p *problems) checkBounds(r *Route) {
+func (p *problems) correctRoute(r *Route) {
 	if !slices.Contains(Kinds(), r.Kind) {
 		p.add("route %q: requests of the unknown kind %q run once at most", r.Name, r.Kind)
 		r.Kind = NonIdempotent
