--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -150,7 +150,8 @@
 }
 
 // Newer reports whether l replaces other. The later version wins. Between limits of the same
-// version, period and rate decide, so that every entry chooses the same one.
+// version, the later period wins, and then the higher rate, so that every entry chooses the same
+// limit.
 func (l Limit) Newer(other Limit) bool {
 	return cmp.Or(cmp.Compare(l.Version, other.Version), cmp.Compare(l.Period, other.Period), cmp.Compare(l.Rate, other.Rate)) > 0
 }
@@ -226,7 +227,7 @@
 	OldestEpoch uint32
 }
 
-// Ack is the answer to a message that needs no answer with content.
+// Ack is the answer to an Update or a Handover.
 type Ack struct {
 	Accepted bool   `cbor:"1,keyasint,omitempty"`
 	Reason   string `cbor:"2,keyasint,omitempty"`
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -96,7 +96,7 @@
 func (l *Links) call(ctx context.Context, address string, m wire.Method, args, reply any) error {
 	lk := l.find(address)
 	if lk == nil {
-		return fault.New(fault.PeerDown, "name the peer in Set first", "there is no link to %s", address)
+		return fault.New(fault.PeerDown, "name the peer in SetPeers first", "there is no link to %s", address)
 	}
 	return lk.call(ctx, m, args, reply)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -96,7 +96,8 @@
 	pingBytes = 130
 	pingShare = 0.1
 	// maxPingPeriod bounds the time between pings. serverIdleTimeout is the silence after which a
-	// server closes a connection. It only removes connections of lost peers, so it is far longer.
+	// server closes a connection. It only removes connections of lost peers, so it is far longer
+	// than maxPingPeriod.
 	maxPingPeriod     = 15 * time.Second
 	serverIdleTimeout = 60 * time.Second
 )
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -91,7 +91,7 @@
 		{"largest document", peerAddress, answer(large), 1 << 20, "", ""},
 		{"too large", peerAddress, answer(append(large, 'x')), 0, fault.BadMessage, "publish a smaller document"},
 		{"refused", peerAddress, nil, 0, fault.NotFound, "publish 100 percent of it"},
-		{"unknown address", "10.0.0.9:1", nil, 0, fault.PeerDown, "name the peer in Set first"},
+		{"unknown address", "10.0.0.9:1", nil, 0, fault.PeerDown, "name the peer in SetPeers first"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,8 +109,8 @@
 }
 
 // Guards against an entry that keeps using load reports of a peer that it can no longer reach. A
-// network device has lost the state of the open connection, so nothing is refused and nothing
-// arrives, while a new connection works.
+// network device has lost the state of the open connection: sent bytes are neither refused nor
+// delivered, while a new connection works.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	cfg := Config{Heartbeat: time.Second, CallTimeout: 3 * time.Second}
 	handler := &recordingHandler{hello: helloOf("b", 2)}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -164,8 +164,8 @@
 }
 
 // closeOlder records the peer of the newest session and closes older connections of the same peer.
-// A peer that dials again has abandoned the older ones. This end may never learn that if the
-// network lost them, and they would take up the bound on connections until their idle timeout.
+// A peer that dials again has abandoned the older ones. If the network lost them, this end may
+// never notice, and they would count towards the bound on connections until their idle timeout.
 func (s *Server) closeOlder(newest *session, peer message.Hello) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/tcp_other.go
+++ b/internal/peer/tcp_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// setUserTimeout does nothing, because the kernel has no such option here. Heartbeats alone detect
-// a dead connection.
+// setUserTimeout does nothing, because the option TCP_USER_TIMEOUT exists only on Linux. Heartbeats
+// alone detect a dead connection.
 func setUserTimeout(*net.TCPConn, time.Duration) {}
--- a/internal/peer/wire/codec.go
+++ b/internal/peer/wire/codec.go
@@ -181,8 +181,8 @@
 type ServerCodec struct {
 	stream
 	remote Remote
-	method Method
-	slots  chan struct{}
+	method Method        // of the latest request
+	slots  chan struct{} // has an element for each request in progress
 }
 
 var _ rpc.ServerCodec = (*ServerCodec)(nil)
@@ -211,8 +211,8 @@
 }
 
 // awaitAnswers waits until no request is in progress. After a Hello, this keeps the codec from
-// applying the short timeout of unknown peers to a peer whose Hello is still being processed; such
-// links would end after a few seconds.
+// applying the short timeout of unknown peers to a peer whose Hello is still being processed, which
+// would end its link after a few seconds.
 func (c *ServerCodec) awaitAnswers() {
 	for range cap(c.slots) {
 		c.slots <- struct{}{}
--- a/internal/peer/wire/frame.go
+++ b/internal/peer/wire/frame.go
@@ -25,8 +25,8 @@
 	err         error
 }
 
-// frameBufferBytes is the size of the read buffer of each peer connection. An entry has two
-// connections to each other entry. Most messages are shorter.
+// frameBufferBytes is the size of the read buffer of each peer connection. It is small, because an
+// entry has two connections to each other entry and most messages are shorter.
 const frameBufferBytes = 1 << 10
 
 // NewFrameReader returns a reader of r that passes on messages of up to limit bytes.
@@ -108,7 +108,7 @@
 	count := -int(int8(first))
 	if count > 8 {
 		return 0, 0, fault.New(fault.BadMessage, "let only tealhall entries dial the peer port",
-			"the bytes are no peer message")
+			"the bytes are not a peer message")
 	}
 	b, err = f.in.Peek(offset + 1 + count)
 	if err != nil {
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -47,8 +47,7 @@
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Packer packs the updates that are sent on one connection. It is not safe for
-// concurrent use.
+// Packer packs the updates that are sent on one connection. It is not safe for concurrent use.
 type Packer struct {
 	profiles, vms                message.Mark
 	evidenceDigest, recordDigest uint64
--- a/internal/peer/wire/wire_test.go
+++ b/internal/peer/wire/wire_test.go
@@ -29,7 +29,7 @@
 		{"largest length announced", []byte{0xf8, 255, 255, 255, 255, 255, 255, 255, 255}, "where at most 64 are allowed"},
 		{"one byte too long", []byte{65, 1}, "a message of 65 bytes"},
 		{"empty message", []byte{0}, "a message of 0 bytes"},
-		{"length of nine bytes", []byte{0xf7, 1}, "no peer message"},
+		{"length of nine bytes", []byte{0xf7, 1}, "not a peer message"},
 		{"HTTP request", []byte("GET / HTTP/1.1\r\n\r\n"), "a message of 71 bytes"},
 		{"TLS to a plain port", []byte{0x16, 0x03, 0x01, 0x02, 0x00, 0x01}, "unexpected EOF"},
 		{"endless type definitions", endless, "more than 64 type definitions"},
--- a/internal/published/follow.go
+++ b/internal/published/follow.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// minUnchangedWait is the shortest time after which a service that delays its answers ends a watch
-// without a change. A shorter time means that the service answers at once without a change.
+// minUnchangedWait distinguishes a service that delays its answers from one that answers at once: a
+// watch that ends without a change after a shorter time was answered at once.
 const minUnchangedWait = time.Second
 
 // FollowOptions are the hooks and limits of Follow.
@@ -48,8 +48,8 @@
 
 // Follow watches name until ctx ends and passes every answer to deliver: later revisions, earlier
 // ones (from a lagging replica) and unchanged ones, which show that the service still answers. The
-// receiver decides which revision is in force. Follow itself never watches from an earlier
-// revision than the latest that it received. Deliver runs on the goroutine of the loop.
+// receiver decides which revision is in force. Follow itself never watches from an earlier revision
+// than the latest that it received. The function deliver runs on the goroutine of the loop.
 //
 // After a failure, and after an immediate answer without a later revision, the loop waits for the
 // back-off. The latter prevents a tight loop of calls to a lagging replica or to a service that
--- a/internal/published/generation.go
+++ b/internal/published/generation.go
@@ -4,21 +4,21 @@
 
 // A service that was restored from a copy continues from an earlier revision and assigns some
 // revisions a second time. The upper bits of a list's revision are therefore its generation, so
-// that a list of VMs of a later generation compares as later than all lists of earlier ones. The
-// lower bits are the service's own revision, which leaves room for 100 changes a second over
-// thousands of years.
+// that a list of VMs of a later generation compares as later than all lists of earlier ones.
+// Generation g uses the value 2g for settled lists and 2g-1 for unsettled ones. The lower bits are
+// the service's own revision, which leaves room for 100 changes a second over thousands of years.
 const generationShift = 44
 
 // InGeneration returns the revision of a list in a generation of the service. Generation 0 means
 // that the service reports none.
 func InGeneration(gen, revision uint64) uint64 { return 2*gen<<generationShift | revision }
 
-// Unsettled returns the revision of a list that was made while the service may still lack data
-// that it lost. It is later than all revisions of the generation before, and earlier than all
-// settled ones of its own.
+// Unsettled converts a revision that InGeneration returned into that of an unsettled list, which
+// was made while a restored service may still lack data. The result is later than all revisions of
+// the generation before, and earlier than all settled revisions of its own generation.
 func Unsettled(revision uint64) uint64 { return revision - 1<<generationShift }
 
-// Settled reports whether a revision is one that InGeneration returned, rather than Unsettled.
+// Settled reports whether a revision was returned by InGeneration rather than by Unsettled.
 func Settled(revision uint64) bool { return revision>>generationShift%2 == 0 }
 
 // GenerationOf returns the generation of a revision.
--- a/internal/published/patch.go
+++ b/internal/published/patch.go
@@ -56,7 +56,7 @@
 	h.AddPatched(list, text)
 }
 
-// AddPatched records a list that Patched returned.
+// AddPatched records a list that Patched returned, whose text needs no check.
 func (h *History) AddPatched(list VMList, text []byte) {
 	rows := rowsOf(list)
 	if h.rows == nil {
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -43,8 +43,8 @@
 }
 
 // LivenessChecker is a service that can be asked cheaply whether it answers and which revision it
-// has. A watch without changes is silent, and so is a service that stopped answering or that lost
-// the watch.
+// has. A waiting watch cannot show this: it is silent as long as nothing changes, and just as
+// silent when the service has stopped answering or has lost the watch.
 type LivenessChecker interface {
 	// Liveness makes one cheap call.
 	Liveness(ctx context.Context) (Liveness, error)
@@ -53,7 +53,7 @@
 	RenewWatch()
 }
 
-// Liveness is the progress of a service in revisions of its own, which count all changes.
+// Liveness is the progress of a service in the service's own revisions, which count all changes.
 type Liveness struct {
 	// Latest is the newest revision that the service has, or had a moment ago. Delivered is the
 	// revision up to which watches have delivered changes, 0 if there is no watch.
@@ -62,8 +62,8 @@
 
 // Resumer is a service that can continue from a known list of VMs without reading it.
 type Resumer interface {
-	// Resume passes on a list that was in force. It has no effect if the service already has a
-	// newer one.
+	// Resume makes the service continue from a list that was in force. It has no effect if the
+	// service already has a newer list.
 	Resume(list Value)
 }
 
--- a/internal/published/roster.go
+++ b/internal/published/roster.go
@@ -14,7 +14,7 @@
 type Roster struct {
 	vms       map[string]VM
 	evacuated map[string]bool
-	// reports is the number of reports that each VM had made at its latest change.
+	// reports is the number of reports that each VM had made when Put last recorded it.
 	reports map[string]int64
 	// removed are the VMs that were removed most recently, the oldest first.
 	removed []removal
@@ -87,9 +87,9 @@
 }
 
 // CarryOver completes r, which was read from a service that was restored from a copy, with the
-// earlier roster. The copy is older, so VMs that were leaving or removed before stay so. VMs and
-// evacuated domains that the copy lacks are kept until the service has them again or Settle
-// removes them.
+// earlier roster. The copy is older, so a VM that was leaving stays leaving in the same
+// incarnation, and a removed VM stays removed unless it has reported since. VMs and evacuated
+// domains that the copy lacks are kept until the service has them again or Settle removes them.
 func (r *Roster) CarryOver(before *Roster) {
 	r.removed = slices.Clone(before.removed)
 	for _, removed := range before.removed {
