--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -185,7 +185,7 @@
 	withPair(t, handler, Config{}, helloOf("a", 1), func(t *testing.T, p *pair) {
 		ack, err := p.links.Handover(context.Background(), peerAddress, part)
 		if diff := cmp.Diff([]message.Handover{part}, handler.handovers); err != nil || !ack.Accepted || diff != "" {
-			t.Errorf("%v, error %v, (-sent +received):\n%s", ack, err, diff)
+			t.Errorf("ack %v, error %v, (-sent +received):\n%s", ack, err, diff)
 		}
 		large := part
 		large.Records = []idem.Record{{Answer: &idem.Answer{Body: make([]byte, defaultHandoverBytes+overLimitBytes)}}}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -86,8 +86,8 @@
 // The first dials after a failure follow each other quickly, and the very first one is repeated in
 // parallel until one of them ends. This guards against entries that lose power together: the SYN
 // to an entry that starts a little later is lost, and the kernel retransmits it after a whole
-// second, during which callers learn of one entry only. repeatDialInterval is far above a round
-// trip between regions.
+// second, during which each entry names only itself to callers. repeatDialInterval is far above a
+// round trip between regions.
 const (
 	maxQuickDials      = 6
 	repeatDialInterval = 150 * time.Millisecond
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -60,9 +60,9 @@
 }
 
 // Deliver hands an update to a link and never blocks. At most one update waits for each peer, and
-// a newer one replaces it. Done is called exactly once. The receipt is acked if the peer accepted
-// the update, and not if the update was replaced, the link was down, or the link broke before the
-// answer.
+// a newer one replaces it. The function done is called exactly once. The receipt is acked if the
+// peer accepted the update, and not if the update was replaced, the link was down, or the link
+// broke before the answer.
 //
 // If the link is known to be down, done is called before Deliver returns. If a newer update
 // replaces this one, done is called during the newer call of Deliver. Otherwise it is called on
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -52,9 +52,9 @@
 	DocumentBytes int
 	// Connections bounds the open connections of a server; the default is 256.
 	Connections int
-	// BytesPerSecond is the bandwidth bound for updates; the default is 9,000. Pings to all peers
-	// together use at most a tenth of it, packet headers included, so they become rarer in a large
-	// fleet.
+	// BytesPerSecond is the bandwidth bound that the caller of Links.Deliver observes for updates;
+	// the default is 9,000. Pings to all peers together use at most a tenth of it, packet headers
+	// included, so they become rarer in a large fleet.
 	BytesPerSecond int
 	// ServerTLS encrypts accepted connections; nil means plain TCP.
 	ServerTLS *tls.Config
--- a/internal/peer/wire/wire.go
+++ b/internal/peer/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire encodes the messages between entries: gob messages under net/rpc with a compact
-// header, replies that carry typed errors, and regular updates packed relative to what the
-// connection already carried.
+// header, replies that carry typed errors, and regular updates packed relative to the earlier
+// updates on the connection.
 //
 // Compatibility: gob, and CBOR for the types that every link carries, ignore fields that the
 // receiver does not know and leave absent ones zero. A release may therefore add fields and
--- a/internal/published/backoff.go
+++ b/internal/published/backoff.go
@@ -6,8 +6,8 @@
 )
 
 // Backoff spreads the retries of a failing call over time: exponential growth with full jitter, so
-// that readers that failed together do not retry together. It has no clock or lock; each loop owns
-// one.
+// that readers that failed together do not retry together. It has no clock or lock; each loop has
+// its own Backoff.
 type Backoff struct {
 	// Min is the largest possible first delay. The ceiling doubles with every failure.
 	Min time.Duration
--- a/internal/published/patch_test.go
+++ b/internal/published/patch_test.go
@@ -100,7 +100,7 @@
 	addList(12)
 	data, ok := h.Since(10)
 	if !ok || len(data) > 300 {
-		t.Errorf("%v, %d bytes: %s", ok, len(data), data)
+		t.Errorf("difference exists: %v, %d bytes: %s", ok, len(data), data)
 	}
 	if _, ok := h.Since(9); ok {
 		t.Error("a difference from a list that was never added")
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -140,7 +140,7 @@
 func TestUnreadableDocumentIsRefused(t *testing.T) {
 	for _, text := range []string{"", "{", `{"routes":7}`, string(Encode(sample())) + "x"} {
 		if _, err := Parse([]byte(text)); fault.KindOf(err) != fault.BadProfile {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v", text, err)
 		}
 	}
 }
