--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -86,8 +86,8 @@
 // The first dials after a failure follow each other quickly, and the very first one is repeated in
 // parallel until one of them ends. This guards against entries that lose power together: the SYN
 // to an entry that starts a little later is lost, and the kernel retransmits it after a whole
-// second, during which callers learn of one entry only. repeatDialInterval is far above a round
-// trip between regions.
+// second, during which each entry names only itself to callers. repeatDialInterval is far above a
+// round trip between regions.
 const (
 	maxQuickDials      = 6
 	repeatDialInterval = 150 * time.Millisecond
@@ -101,8 +101,8 @@
 // reconnect at the same time.
 func (l *link) backoff(failures int) time.Duration {
 	doublings := min(max(failures-maxQuickDials, 0), maxDoublings)
-	most := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
-	return most/2 + time.Duration(l.cfg.Jitter()*float64(most/2))
+	ceiling := min(l.cfg.BackoffMin<<doublings, l.cfg.BackoffMax)
+	return ceiling/2 + time.Duration(l.cfg.Jitter()*float64(ceiling/2))
 }
 
 func pause(ctx context.Context, d time.Duration) {
