--- a/internal/admin/admintest/sample.go
+++ b/internal/admin/admintest/sample.go
@@ -74,7 +74,7 @@
 			Outstanding: 1, Foreign: 1, LoadReportAge: 0.04, Connections: 3, Latency: 0.012, Slowness: 1, SlowStart: 1},
 		{Name: "waste-2", Pool: "waste", Address: "10.0.1.2:80", Region: "mx", FailureDomain: "mx-b", State: "live", Quota: "cold-elsewhere", Slots: 2,
 			LoadReportAge: -1, Latency: 0.09, Slowness: 6.5, FailureRate: 0.4, SlowStart: 1,
-			Ejection: &admin.EjectionView{Why: "40 % of its answers failed", For: 12, TrialIn: 3, Consecutive: 2, Clears: "three trial requests that succeed"}},
+			Ejection: &admin.EjectionView{Why: "40 % of its answers failed", Remaining: 12, TrialIn: 3, Consecutive: 2, Clears: "three trial requests that succeed"}},
 		{Name: "waste-3", Pool: "waste", Address: "10.0.1.3:80", Region: "mx", FailureDomain: "mx-c", State: "leaving", Quota: "leaving", Missing: true,
 			Slots: 2, Outstanding: 2, LoadReportAge: 1, Latency: 0.013, Slowness: 1.1, SlowStart: 1},
 	}
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -337,8 +337,8 @@
 // EjectionView says why an endpoint is ejected and what ends that.
 type EjectionView struct {
 	Why string `json:"why"`
-	// For is the remaining time in which the endpoint gets only trial requests.
-	For float64 `json:"for_seconds"`
+	// Remaining is the time in which the endpoint gets only trial requests.
+	Remaining float64 `json:"for_seconds"`
 	// TrialIn is the time until the next trial request may be sent.
 	TrialIn float64 `json:"trial_in_seconds"`
 	// Consecutive counts consecutive ejections; the ejection time grows with it.
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -16,16 +16,16 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Set is a set of endpoint indexes below SetCapacity.
+// Set is a set of endpoint indexes below MaxSetSize.
 type Set uint64
 
-// SetCapacity is the number of endpoints of a pool that a Set can hold.
+// MaxSetSize is the number of endpoints of a pool that a Set can hold.
 // Indexes beyond it are never members.
-const SetCapacity = 64
+const MaxSetSize = 64
 
 // With returns s and index i.
 func (s Set) With(i int) Set {
-	if i < 0 || i >= SetCapacity {
+	if i < 0 || i >= MaxSetSize {
 		return s
 	}
 	return s | 1<<uint(i)
@@ -33,7 +33,7 @@
 
 // Has reports whether i is in s.
 func (s Set) Has(i int) bool {
-	return i >= 0 && i < SetCapacity && s&(1<<uint(i)) != 0
+	return i >= 0 && i < MaxSetSize && s&(1<<uint(i)) != 0
 }
 
 // Request describes the request that needs an endpoint.
--- a/internal/core/balance/records.go
+++ b/internal/core/balance/records.go
@@ -58,13 +58,13 @@
 const maxDoublings = 10
 
 // median returns the median service time of the pool's measured live endpoints, or 0. It considers
-// the first SetCapacity of them.
+// the first MaxSetSize of them.
 func median(p *table.Pool) float64 {
-	var sorted [SetCapacity]float64
+	var sorted [MaxSetSize]float64
 	count := 0
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if !e.TakesWork() || e.ServiceNanos <= 0 || count == SetCapacity {
+		if !e.TakesWork() || e.ServiceNanos <= 0 || count == MaxSetSize {
 			continue
 		}
 		at := count
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -45,8 +45,8 @@
 		c.HelloReceived(0, peer, out)
 	}
 	mark := message.Mark{Revision: 1, Digest: 1}
-	c.Offer(0, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform, Profiles: snapshot}, out)
-	c.Offer(0, Offered{Name: published.VMsValue, Mark: mark, Source: assign.Platform, VMs: list}, out)
+	c.Offer(0, OfferedValue{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform, Profiles: snapshot}, out)
+	c.Offer(0, OfferedValue{Name: published.VMsValue, Mark: mark, Source: assign.Platform, VMs: list}, out)
 	out.Reset()
 	return c, out
 }
--- a/internal/core/bounds_test.go
+++ b/internal/core/bounds_test.go
@@ -24,14 +24,14 @@
 			State: message.EntryServing, Capacity: 160})
 	}
 	var out Actions
-	c.Pulled(sec, Pull{From: 2}, records, true, &out)
+	c.PullDone(sec, Pull{From: 2}, records, true, &out)
 	offer := func(revision, incarnation uint64) {
 		l := published.VMList{Revision: revision}
 		for i := range endpoints {
 			l.VMs = append(l.VMs, published.VM{Name: fmt.Sprint("endpoint-", i), Incarnation: incarnation, Role: published.EndpointRole, State: published.Live,
 				Region: "r", Domain: "d0", Pool: "p", Address: fmt.Sprintf("10.10.%d.%d:80", i/250, i%250), Slots: 2})
 		}
-		c.Offer(2*sec, Offered{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, VMs: l}, &out)
+		c.Offer(2*sec, OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, VMs: l}, &out)
 	}
 	offer(1, 1)
 	offer(2, 2)
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -266,7 +266,7 @@
 }
 
 func (h *clusterHarness) offer(n *node, v published.Value, source uint64) {
-	o := Offered{Name: v.Name, Source: source, Mark: message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}}
+	o := OfferedValue{Name: v.Name, Source: source, Mark: message.Mark{Revision: v.Revision, Digest: xxhash.Sum64(v.Data)}}
 	if v.Name == published.VMsValue {
 		o.VMs, o.Problem = published.ParseVMs(v)
 	} else {
@@ -308,7 +308,7 @@
 		if answered {
 			records = to.UnmarkedRecords(p.Marks)
 		}
-		h.do(n, func(now time.Duration, out *Actions) { n.Pulled(now, p, records, answered, out) })
+		h.do(n, func(now time.Duration, out *Actions) { n.PullDone(now, p, records, answered, out) })
 	})
 }
 
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -147,7 +147,7 @@
 		live:             true,
 		hedge:            hedge,
 		idleOnly:         choice.IdleOnly,
-		hadEasyRoom:      loadKnown && placement.HasEasyRoom(e),
+		hadHeadroom:      loadKnown && placement.HasHeadroom(e),
 		fillsEndpoint:    loadKnown && placement.MakesNearlyFull(e) && e.HasRoom() && placement.Pace(&e.Probed) <= 1,
 		index:            index,
 		incarnation:      e.Incarnation,
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -148,7 +148,7 @@
 
 func (h *entryHarness) offerList(list published.VMList) {
 	h.do(func(out *Actions) {
-		h.Offer(h.now, Offered{Name: published.VMsValue, Mark: message.Mark{Revision: list.Revision, Digest: list.Revision}, VMs: list}, out)
+		h.Offer(h.now, OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: list.Revision, Digest: list.Revision}, VMs: list}, out)
 	})
 }
 
@@ -166,7 +166,7 @@
 		h.Fatal(err)
 	}
 	h.do(func(out *Actions) {
-		h.Offer(h.now, Offered{Name: published.ProfilesValue, Mark: message.Mark{Revision: revision, Digest: revision}, Profiles: bound}, out)
+		h.Offer(h.now, OfferedValue{Name: published.ProfilesValue, Mark: message.Mark{Revision: revision, Digest: revision}, Profiles: bound}, out)
 	})
 	h.Confirm(h.now, published.ProfilesValue)
 }
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -96,9 +96,9 @@
 	s.storeRecord(now, &r, 0, nil)
 }
 
-// Pulled stores the records that a peer returned to a pull. answered is false if the peer did not
+// PullDone stores the records that a peer returned to a pull. answered is false if the peer did not
 // answer.
-func (s *Scheduler) Pulled(now time.Duration, from uint64, list []message.Record, answered bool) {
+func (s *Scheduler) PullDone(now time.Duration, from uint64, list []message.Record, answered bool) {
 	s.refreshTopology()
 	before := s.records.digest
 	for i := range list {
@@ -321,7 +321,7 @@
 }
 
 // PullFrom returns the peer from which to pull now the records that this entry lacks. The caller
-// ends each pull with Pulled.
+// ends each pull with PullDone.
 func (s *Scheduler) PullFrom(now time.Duration) (uint64, bool) {
 	l := &s.pulls
 	if l.target == 0 || l.underWay || now < l.notBefore {
--- a/internal/core/health/eject.go
+++ b/internal/core/health/eject.go
@@ -20,10 +20,11 @@
 	// SlowFactor is the multiple of the pool's median latency above which an endpoint is a
 	// straggler.
 	SlowFactor float64
-	// Busy is the utilization of the slots of all endpoints that are not ejected. A straggler is
-	// not ejected if the remaining endpoints lack the capacity for the load, because a slow slot
-	// is better than a queue. Failing endpoints add no capacity, so they are ejected at any load.
-	Busy float64
+	// Utilization is the share in use of the slots of all endpoints that are not ejected. A
+	// straggler is not ejected if the remaining endpoints lack the capacity for the load, because a
+	// slow slot is better than a queue. Failing endpoints add no capacity, so they are ejected at
+	// any load.
+	Utilization float64
 }
 
 // Defaults of Limits.
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -37,7 +37,7 @@
 
 func newSimulation(n int, behave func(int, time.Duration) Observation) *simulation {
 	s := &simulation{now: start, step: 2 * ms, behave: behave, sent: make([]int, n), rng: rand.New(rand.NewPCG(1, 2))}
-	s.limits = Limits{MaxShare: 0.34, Base: time.Second, Max: 20 * time.Second, Busy: 0.5}
+	s.limits = Limits{MaxShare: 0.34, Base: time.Second, Max: 20 * time.Second, Utilization: 0.5}
 	s.pool.Endpoints = make([]table.Endpoint, n)
 	for i := range s.pool.Endpoints {
 		s.pool.Endpoints[i].Slots = 2
@@ -126,8 +126,8 @@
 			return answer(time.Duration(noise.ExpFloat64() * float64(normalLatency)))
 		}, nil, 10 * time.Minute, ""},
 		{"a straggler is not ejected when the others lack capacity", 6, firstEndpointsBad(1, always, answer(4*normalLatency)),
-			func(s *simulation) { s.limits.Busy = 0.95 }, 10 * time.Second, ""},
-		{"an endpoint that fails fast is ejected at any load", 6, firstEndpointsBad(1, always, refused), func(s *simulation) { s.limits.Busy = 1 }, 500 * ms, "eject 0"},
+			func(s *simulation) { s.limits.Utilization = 0.95 }, 10 * time.Second, ""},
+		{"an endpoint that fails fast is ejected at any load", 6, firstEndpointsBad(1, always, refused), func(s *simulation) { s.limits.Utilization = 1 }, 500 * ms, "eject 0"},
 		{"an endpoint that fails fast and reports a queue is ejected", 6, firstEndpointsBad(1, always, Observation{Outcome: RefusedNotRun, Queued: 9}), nil, 500 * ms, "eject 0"},
 		{"an endpoint that fails fast is ejected in a pool of two", 2, firstEndpointsBad(1, always, refused), nil, 500 * ms, "eject 0"},
 		{"load shedding by all endpoints ejects no endpoint", 6, func(i int, now time.Duration) Observation {
@@ -225,7 +225,7 @@
 		s := newSimulation(n, firstEndpointsBad(0, 0, Observation{}))
 		s.step = 20 * ms
 		s.limits.MaxShare = rapid.Float64Range(0, 0.5).Draw(t, "share")
-		s.limits.Busy = rapid.Float64Range(0, 1).Draw(t, "busy")
+		s.limits.Utilization = rapid.Float64Range(0, 1).Draw(t, "busy")
 		anyOf := func(t *rapid.T) *table.Endpoint { return &s.pool.Endpoints[rapid.IntRange(0, n-1).Draw(t, "endpoint")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"observe": func(t *rapid.T) {
--- a/internal/core/health/sweep.go
+++ b/internal/core/health/sweep.go
@@ -282,7 +282,7 @@
 // endpoint is ejected.
 func (s *sweep) othersHaveCapacity() bool {
 	inUse := float64(s.live - s.ejected)
-	return s.limits.Busy*inUse <= maxUtilization*(inUse-1)
+	return s.limits.Utilization*inUse <= maxUtilization*(inUse-1)
 }
 
 func (s *sweep) why(h *table.Health) string {
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -150,7 +150,7 @@
 		Max:      published.EjectMax,
 	}
 	if slots := p.Slots(); slots > 0 {
-		limits.Busy = 1 - float64(p.capacity(now).Free)/float64(slots)
+		limits.Utilization = 1 - float64(p.capacity(now).Free)/float64(slots)
 	}
 	return limits
 }
--- a/internal/core/largefleetharness_test.go
+++ b/internal/core/largefleetharness_test.go
@@ -292,7 +292,7 @@
 	done := func(records []message.Record, answered bool) {
 		f.schedule(e, messageCost+time.Duration(len(records))*recordCost, func() {
 			e.bytes += 90*len(records) + 5*len(p.Marks)
-			f.do(e, func(now time.Duration, out *Actions) { e.Pulled(now, p, records, answered, out) })
+			f.do(e, func(now time.Duration, out *Actions) { e.PullDone(now, p, records, answered, out) })
 		})
 	}
 	if !e.linked[p.Address] || !f.reaches(e, to) || !f.reaches(to, e) {
--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -112,8 +112,8 @@
 	return true
 }
 
-// probeNextBatch sends the next batch of load probes, or calls decide if there is no endpoint left
-// to probe.
+// probeNextBatch sends the next batch of load probes, or calls decidePlacement if there is no
+// endpoint left to probe.
 func (c *Core) probeNextBatch(now time.Duration, r *request, out *Actions) {
 	p := r.pool
 	remaining := r.policy.LoadProbes - len(r.probeRound.probed)
@@ -136,7 +136,7 @@
 		c.probeLoad(r, i, out)
 	}
 	if r.probeRound.pending == 0 {
-		c.decide(now, r, out)
+		c.decidePlacement(now, r, out)
 	}
 }
 
@@ -182,9 +182,9 @@
 	}
 	i := p.find(end.Probe.Endpoint, end.Probe.Incarnation)
 	view := c.placementView(now, r)
-	perfect := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unhealthy && view.IsOptimal(e)
+	optimal := i >= 0 && end.OK && end.Load.Known && !end.Misdirected && !end.Unhealthy && view.IsOptimal(e)
 	switch {
-	case perfect && c.dispatchProbed(now, r, i, out):
+	case optimal && c.dispatchProbed(now, r, i, out):
 	case r.probeRound.pending == 0:
 		c.probeNextBatch(now, r, out)
 	}
@@ -226,9 +226,10 @@
 	}
 }
 
-// decide ends a round in which no endpoint is left to probe. It dispatches r to the best endpoint,
-// starts a delayed round, refuses r if the pool has no live endpoint, or puts r into the queue.
-func (c *Core) decide(now time.Duration, r *request, out *Actions) {
+// decidePlacement ends a round in which no endpoint is left to probe. It dispatches r to the best
+// endpoint, starts a delayed round, refuses r if the pool has no live endpoint, or puts r into the
+// queue. In a round for a second attempt, decideSecondAttempt decides instead.
+func (c *Core) decidePlacement(now time.Duration, r *request, out *Actions) {
 	best := c.bestChoice(now, r)
 	if r.probeRound.second {
 		c.decideSecondAttempt(now, r, best, out)
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -140,7 +140,7 @@
 	// ageAt is when the rows are aged next; agedRows is scratch memory for that.
 	ageAt    time.Duration
 	agedRows []*row
-	// silent holds the entries whose silence was noticed here since the last TakeSilent.
+	// silent holds the entries whose silence was noticed here since the last TakeSilences.
 	silent []Silence
 }
 
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -69,9 +69,9 @@
 	return out
 }
 
-// TakeSilent appends the entries whose silence was noticed here since the last call to out. They
+// TakeSilences appends the entries whose silence was noticed here since the last call to out. They
 // are reported only where some entries are not watched by all others.
-func (t *Table) TakeSilent(out []Silence) []Silence {
+func (t *Table) TakeSilences(out []Silence) []Silence {
 	if t.relays {
 		out = append(out, t.silent...)
 	}
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -43,7 +43,7 @@
 	}
 	if end.Kind == EndComplete && a.status < http.StatusInternalServerError {
 		r.service.typical.Observe(a.latency(now))
-		if a.hadEasyRoom {
+		if a.hadHeadroom {
 			r.service.work.Observe(a.latency(now))
 		}
 		if a.fillsEndpoint {
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -12,7 +12,7 @@
 // other domains could serve in time would be refused.
 
 const (
-	// busyProbes is how many consecutive load probes in a failure domain must find no easy room,
+	// busyProbes is how many consecutive load probes in a failure domain must find no headroom,
 	// together with a request that found no room at all, for the domain to count as busy.
 	busyProbes = 3
 	// busyFor is how long the domain counts as busy after the latest of these probes.
@@ -23,7 +23,7 @@
 // domain.
 func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
-	if HasEasyRoom(e) {
+	if HasHeadroom(e) {
 		d.noRoomProbes = 0
 		return
 	}
@@ -31,7 +31,7 @@
 	d.noRoomAt = now
 }
 
-// isBusy reports whether the latest load probes in a failure domain found no easy room.
+// isBusy reports whether the latest load probes in a failure domain found no headroom.
 func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
 	return d != nil && d.noRoomProbes >= busyProbes && now-d.noRoomAt < busyFor
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -104,7 +104,7 @@
 
 // IsOptimal reports whether no other endpoint could be a better choice than e.
 func (v *View) IsOptimal(e *table.Endpoint) bool {
-	return v.granted(e) && HasEasyRoom(e) && v.Now >= e.AvoidUntil && !e.Missing &&
+	return v.granted(e) && HasHeadroom(e) && v.Now >= e.AvoidUntil && !e.Missing &&
 		e.CurrentDoubt(v.Now) < SlightDoubt && (v.isNear(e) || v.Request.Kilobytes < smallExchangeKilobytes)
 }
 
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -22,7 +22,7 @@
 	// failures counts consecutive failed contacts.
 	failures  int
 	lostUntil time.Duration
-	// noRoomProbes counts consecutive load probes that found no easy room, the latest at noRoomAt.
+	// noRoomProbes counts consecutive load probes that found no headroom, the latest at noRoomAt.
 	noRoomProbes int
 	noRoomAt     time.Duration
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -69,12 +69,12 @@
 }
 
 // Guards against long probe rounds: only an idle endpoint ended a round, so that a read probed
-// nine endpoints that had room but were working on other requests. Now an endpoint with easy room
+// nine endpoints that had room but were working on other requests. Now an endpoint with headroom
 // ends it; with two slots that is an idle endpoint.
-func TestEasyRoomEndsProbeRound(t *testing.T) {
+func TestHeadroomEndsProbeRound(t *testing.T) {
 	for _, c := range []struct {
 		running, slots, pace int32
-		easy                 bool
+		headroom             bool
 	}{
 		{0, 1, 100, true}, {1, 1, 100, false},
 		{0, 2, 100, true}, {1, 2, 100, false}, {0, 2, 500, false},
@@ -83,7 +83,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d at %d", c.running, c.slots, c.pace), func(t *testing.T) {
 			e := endpoint("a", c.running, c.slots, c.pace, 0)
-			if got := viewOf(e).IsOptimal(&e); got != c.easy {
+			if got := viewOf(e).IsOptimal(&e); got != c.headroom {
 				t.Errorf("ends the probe round: %v", got)
 			}
 		})
@@ -91,7 +91,7 @@
 }
 
 // Guards against a fixed number of parallel probes. On a quiet day three of four endpoints have
-// easy room, and three probes at a time made three and a half probes per request, of which two
+// headroom, and three probes at a time made three and a half probes per request, of which two
 // were not needed. When most endpoints are busy, one probe at a time would take many round trips.
 // The number of parallel probes follows the results of earlier ones.
 func TestBatchSizeFollowsProbeResults(t *testing.T) {
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -40,8 +40,8 @@
 	slowdownSamples int
 	// fillTrialAt is when an endpoint may next be made nearly full to measure the slowdown.
 	fillTrialAt time.Duration
-	// easyShare is the smoothed share of load probes that found easy room.
-	easyShare float64
+	// headroomShare is the smoothed share of load probes that found headroom.
+	headroomShare float64
 	// shortAt is when a request that could be in time last found no room, 0 for never.
 	shortAt time.Duration
 	// arrivedAt is when the latest request arrived, and arrivalGap the smoothed time between two
@@ -54,32 +54,32 @@
 
 // NewPoolState returns the state before anything was learned.
 func NewPoolState() PoolState {
-	return PoolState{slowdown: initialSlowdown, easyShare: initialEasyShare}
+	return PoolState{slowdown: initialSlowdown, headroomShare: initialHeadroomShare}
 }
 
 const (
 	// maxBatch is the largest number of endpoints that are probed at a time.
 	maxBatch = 3
-	// initialEasyShare is the assumed share of load probes that find easy room before the first
-	// probe, and easyWeight the weight of one probe.
-	initialEasyShare = 0.5
-	easyWeight       = 0.05
+	// initialHeadroomShare is the assumed share of load probes that find headroom before the first
+	// probe, and headroomWeight the weight of one probe.
+	initialHeadroomShare = 0.5
+	headroomWeight       = 0.05
 )
 
 // NoteProbe records the result of a load probe of an endpoint.
 func (p *PoolState) NoteProbe(e *table.Endpoint) {
 	found := 0.0
-	if HasEasyRoom(e) {
+	if HasHeadroom(e) {
 		found = 1
 	}
-	p.easyShare += easyWeight * (found - p.easyShare)
+	p.headroomShare += headroomWeight * (found - p.headroomShare)
 }
 
 // Batch returns how many endpoints to probe at a time: as many as it usually takes to find one
-// with easy room. A further probe round costs a round trip, a fraction of a millisecond in the own
+// with headroom. A further probe round costs a round trip, a fraction of a millisecond in the own
 // domain; an unnecessary probe costs the endpoint the work of answering it.
 func (p *PoolState) Batch() int {
-	return int(min(max(math.Round(1/max(p.easyShare, 1.0/maxBatch)), 1), maxBatch))
+	return int(min(max(math.Round(1/max(p.headroomShare, 1.0/maxBatch)), 1), maxBatch))
 }
 
 // Slowdown returns the factor by which work takes longer at nearly full endpoints.
@@ -129,11 +129,11 @@
 // NoteFill records that a request was sent to an endpoint that it makes nearly full.
 func (p *PoolState) NoteFill(now time.Duration) { p.fillTrialAt = now + fillTrialEvery }
 
-// HasEasyRoom reports whether an endpoint has easy room by its probed load: it would start one
+// HasHeadroom reports whether an endpoint has headroom by its probed load: it would start one
 // more request at once, at the usual pace, and would not be nearly full afterwards. An endpoint
-// with six slots is seldom idle but usually has easy room: when probe rounds ended only at an idle
+// with six slots is seldom idle but usually has headroom: when probe rounds ended only at an idle
 // endpoint, a request used all its load probes, six on a quiet day.
-func HasEasyRoom(e *table.Endpoint) bool {
+func HasHeadroom(e *table.Endpoint) bool {
 	return e.HasRoom() && Pace(&e.Probed) <= 1 && !MakesNearlyFull(e)
 }
 
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -12,9 +12,9 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Offered is a parsed published value that the driver got from the platform or a peer. Parsing
+// OfferedValue is a parsed published value that the driver got from the platform or a peer. Parsing
 // depends only on the text, so all entries accept and refuse the same values.
-type Offered struct {
+type OfferedValue struct {
 	// Name is published.ProfilesValue or published.VMsValue.
 	Name string
 	Mark message.Mark
@@ -36,7 +36,7 @@
 
 // Offer processes a published value. It is put in force only if its revision is later than the one
 // in force and it is valid as a whole.
-func (c *Core) Offer(now time.Duration, o Offered, out *Actions) {
+func (c *Core) Offer(now time.Duration, o OfferedValue, out *Actions) {
 	t := c.tracker(o.Name)
 	from := t.InForce().Revision
 	if o.Source == assign.Platform || o.Mark.Revision > from {
@@ -85,7 +85,7 @@
 	out.note(n)
 }
 
-func (c *Core) putInForce(now time.Duration, t *assign.Tracker, o Offered, note Note, out *Actions) {
+func (c *Core) putInForce(now time.Duration, t *assign.Tracker, o OfferedValue, note Note, out *Actions) {
 	if o.Problem != nil {
 		t.Settle(o.Mark, false)
 		c.counters.RefusedDocuments++
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -26,7 +26,7 @@
 	inForce := h.snapshot
 	h.do(func(out *Actions) {
 		mark := message.Mark{Revision: 2, Digest: 2}
-		h.Offer(h.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: inForce}, out)
+		h.Offer(h.now+time.Second, OfferedValue{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: inForce}, out)
 	})
 	if got := reason(); got != ReasonUnknownService {
 		t.Errorf("with a later revision from a peer: %v", got)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -136,7 +136,7 @@
 
 // spreadSilent reports to the fleet the entries that this entry found silent.
 func (c *Core) spreadSilent(now time.Duration) {
-	for _, s := range c.fleet.members.TakeSilent(nil) {
+	for _, s := range c.fleet.members.TakeSilences(nil) {
 		c.fleet.gossip.ReportSilent(now, s.Name, s.Incarnation, s.Version)
 	}
 }
@@ -149,7 +149,7 @@
 	Marks []uint32
 }
 
-// PullDue returns the pull to run now, if any. The driver ends each pull with Pulled.
+// PullDue returns the pull to run now, if any. The driver ends each pull with PullDone.
 func (c *Core) PullDue(now time.Duration) (Pull, bool) {
 	from, due := c.fleet.gossip.PullFrom(now)
 	if !due {
@@ -157,15 +157,15 @@
 	}
 	address, known := c.peerAddressOf(from)
 	if !known || address == "" {
-		c.fleet.gossip.Pulled(now, from, nil, false)
+		c.fleet.gossip.PullDone(now, from, nil, false)
 		return Pull{}, false
 	}
 	return Pull{From: from, Address: address, Marks: c.fleet.gossip.Marks(nil)}, true
 }
 
-// Pulled ends a pull with the records that the peer returned, if it answered.
-func (c *Core) Pulled(now time.Duration, p Pull, records []message.Record, answered bool, out *Actions) {
-	c.fleet.gossip.Pulled(now, p.From, records, answered)
+// PullDone ends a pull with the records that the peer returned, if it answered.
+func (c *Core) PullDone(now time.Duration, p Pull, records []message.Record, answered bool, out *Actions) {
+	c.fleet.gossip.PullDone(now, p.From, records, answered)
 	c.applyRecords(now, records, out)
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -55,9 +55,9 @@
 	hedge    bool
 	forward  bool
 	idleOnly bool
-	// hadEasyRoom is set if the endpoint had easy room by its last load probe, fillsEndpoint if
+	// hadHeadroom is set if the endpoint had headroom by its last load probe, fillsEndpoint if
 	// this attempt nearly filled it.
-	hadEasyRoom, fillsEndpoint bool
+	hadHeadroom, fillsEndpoint bool
 	index                      int
 	incarnation                uint64
 	sentAt                     time.Duration
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -109,7 +109,7 @@
 	switch {
 	case r.probeRound.pending > 0:
 	case c.secondAttemptDecided(now, r):
-		c.decide(now, r, out)
+		c.decidePlacement(now, r, out)
 	default:
 		c.probeNextBatch(now, r, out)
 	}
@@ -122,7 +122,7 @@
 	if best.Index < 0 {
 		return !c.overdue(now, r, r.typicalWork())
 	}
-	return placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
+	return placement.HasHeadroom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected)
 }
 
 // decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint
@@ -133,7 +133,7 @@
 		c.endProbeRound(r)
 		return
 	}
-	if !placement.HasEasyRoom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected) || !c.dispatchProbed(now, r, best.Index, out) {
+	if !placement.HasHeadroom(&r.pool.Endpoints[best.Index]) || !c.overdue(now, r, best.Expected) || !c.dispatchProbed(now, r, best.Index, out) {
 		c.endProbeRound(r)
 	}
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -140,9 +140,9 @@
 // EjectionView says why an endpoint is ejected and what ends the ejection.
 type EjectionView struct {
 	Why, Clears string
-	// For is how much longer no ordinary work is sent, TrialIn the time until the next trial
+	// Remaining is how much longer no ordinary work is sent, TrialIn the time until the next trial
 	// request is allowed.
-	For, TrialIn time.Duration
+	Remaining, TrialIn time.Duration
 	// Consecutive is the number of consecutive ejections, this one included.
 	Consecutive int
 }
@@ -343,7 +343,7 @@
 	return &EjectionView{
 		Why:         why.Why,
 		Clears:      why.Clears,
-		For:         max(0, e.Health.EjectedUntil-now),
+		Remaining:   max(0, e.Health.EjectedUntil-now),
 		TrialIn:     max(0, e.Health.TrialAt-now),
 		Consecutive: max(1, int(e.Health.Ejections)),
 	}
--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -125,7 +125,7 @@
 		return notes
 	}
 	e := v.Ejection
-	ejected := fmt.Sprintf("ejected for %s (%d in a row): %s; clears by %s, next in %s", span(e.For), e.Consecutive, e.Why, e.Clears, span(e.TrialIn))
+	ejected := fmt.Sprintf("ejected for %s (%d in a row): %s; clears by %s, next in %s", span(e.Remaining), e.Consecutive, e.Why, e.Clears, span(e.TrialIn))
 	return strings.TrimPrefix(notes+", "+ejected, ", ")
 }
 
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -220,7 +220,7 @@
 		klog.V(1).InfoS("could not pull records from a peer", "peer", pull.Address, "err", err)
 	}
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
-		c.Pulled(now, pull, records, err == nil, out)
+		c.PullDone(now, pull, records, err == nil, out)
 	})
 }
 
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -265,12 +265,12 @@
 
 // offerPatched passes to the core a list of VMs that was made from a peer's difference.
 func (e *Entry) offerPatched(v published.Value, list published.VMList, source uint64) {
-	e.offerParsed(v, core.Offered{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
+	e.offerParsed(v, core.OfferedValue{Name: v.Name, Mark: markOf(v), Source: source, VMs: list}, true)
 }
 
 // offerParsed passes a value to the core and stores its text if it comes into force. patched says
 // that the value was made from a difference.
-func (e *Entry) offerParsed(v published.Value, offered core.Offered, patched bool) {
+func (e *Entry) offerParsed(v published.Value, offered core.OfferedValue, patched bool) {
 	var inForce *profile.Snapshot
 	e.engine.event(func(now time.Duration, c *core.Core, out *core.Actions) {
 		c.Offer(now, offered, out)
@@ -303,8 +303,8 @@
 }
 
 // parse parses a value's text. It takes no lock, since parsing a large document takes long.
-func (e *Entry) parse(v published.Value) core.Offered {
-	o := core.Offered{Name: v.Name, Mark: markOf(v)}
+func (e *Entry) parse(v published.Value) core.OfferedValue {
+	o := core.OfferedValue{Name: v.Name, Mark: markOf(v)}
 	if v.Name == published.VMsValue {
 		o.VMs, o.Problem = published.ParseVMs(v)
 		return o
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -219,7 +219,7 @@
 	if ejection := e.Ejection; ejection != nil {
 		v.Ejection = &admin.EjectionView{
 			Why:         ejection.Why,
-			For:         ejection.For.Seconds(),
+			Remaining:   ejection.Remaining.Seconds(),
 			TrialIn:     ejection.TrialIn.Seconds(),
 			Consecutive: ejection.Consecutive,
 			Clears:      ejection.Clears,
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -56,8 +56,8 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	c.Offer(0, core.Offered{Name: published.ProfilesValue, Mark: message.Mark{Revision: 1, Digest: 1}, Source: assign.Platform, Profiles: snapshot}, &out)
-	c.Offer(0, core.Offered{Name: published.VMsValue, Mark: message.Mark{Revision: 1, Digest: 1}, Source: assign.Platform,
+	c.Offer(0, core.OfferedValue{Name: published.ProfilesValue, Mark: message.Mark{Revision: 1, Digest: 1}, Source: assign.Platform, Profiles: snapshot}, &out)
+	c.Offer(0, core.OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: 1, Digest: 1}, Source: assign.Platform,
 		VMs: published.VMList{Revision: 1, VMs: vms}}, &out)
 	for _, vm := range vms[size.Endpoints+1:] {
 		c.HelloReceived(0, hello(vm), &out)
@@ -145,7 +145,7 @@
 		var out core.Actions
 		for i := uint64(2); b.Loop(); i++ {
 			vms[0].Incarnation = i
-			c.Offer(time.Duration(i)*time.Second, core.Offered{Name: published.VMsValue, Mark: message.Mark{Revision: i, Digest: i},
+			c.Offer(time.Duration(i)*time.Second, core.OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: i, Digest: i},
 				Source: assign.Platform, VMs: published.VMList{Revision: i, VMs: vms}}, &out)
 			out.Reset()
 		}
@@ -158,7 +158,7 @@
 		}
 		var out core.Actions
 		for i := uint64(2); b.Loop(); i++ {
-			c.Offer(time.Duration(i)*time.Second, core.Offered{Name: published.ProfilesValue, Mark: message.Mark{Revision: i, Digest: i},
+			c.Offer(time.Duration(i)*time.Second, core.OfferedValue{Name: published.ProfilesValue, Mark: message.Mark{Revision: i, Digest: i},
 				Source: assign.Platform, Profiles: snapshot}, &out)
 			out.Reset()
 		}
--- a/internal/fleetload/departure_test.go
+++ b/internal/fleetload/departure_test.go
@@ -48,7 +48,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				c.Offer(time.Second, core.Offered{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, Source: assign.Platform, VMs: list}, &out)
+				c.Offer(time.Second, core.OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, Source: assign.Platform, VMs: list}, &out)
 				out.Reset()
 			}
 		})
