--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -150,7 +150,7 @@
 		return
 	}
 	if e.Kind != EndNotWritten && e.Kind != EndNotRun {
-		r.weakestOutcome = OutcomeUnknown
+		r.attemptsOutcome = OutcomeUnknown
 	}
 	if r.committed != 0 || r.live() > 0 {
 		return
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -37,7 +37,7 @@
 // fail ends a request with tealhall's own answer. The outcome is the weakest of all its attempts:
 // it is "not run" only if no attempt may have run.
 func (c *Core) fail(now time.Duration, r *request, reason Reason, out *Actions) {
-	outcome := r.weakestOutcome
+	outcome := r.attemptsOutcome
 	if r.live() > 0 {
 		outcome = OutcomeUnknown
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -96,8 +96,8 @@
 	// keyed is set while the idempotency table lists the request's key as running here.
 	keyed      bool
 	replayable bool
-	// weakestOutcome is the weakest outcome among the ended attempts.
-	weakestOutcome Outcome
+	// attemptsOutcome is OutcomeUnknown if an ended attempt may have run, else OutcomeNotRun.
+	attemptsOutcome Outcome
 	// committed is the attempt whose answer is passed on to the caller, 0 if there is none yet.
 	committed  Attempt
 	attempts   [MaxAttempts + 1]attempt
@@ -200,16 +200,16 @@
 		limit = a.Timeout
 	}
 	*r = request{
-		arrival:        a,
-		service:        sv,
-		pool:           pool,
-		policy:         policy,
-		phase:          phaseActive,
-		arrived:        now,
-		deadline:       now + limit,
-		mayRunTwice:    safeToRunTwice(policy.Kind, a.Safe && !c.Routed()),
-		replayable:     a.Replayable,
-		weakestOutcome: OutcomeNotRun,
+		arrival:         a,
+		service:         sv,
+		pool:            pool,
+		policy:          policy,
+		phase:           phaseActive,
+		arrived:         now,
+		deadline:        now + limit,
+		mayRunTwice:     safeToRunTwice(policy.Kind, a.Safe && !c.Routed()),
+		replayable:      a.Replayable,
+		attemptsOutcome: OutcomeNotRun,
 	}
 	r.age = sv.estimateAge(a.Timeout)
 	c.requests[a.ID] = r
@@ -359,11 +359,11 @@
 	if r.phase == phaseJoined {
 		c.removeWaiter(r)
 	}
-	c.now, r.callerGone, r.outcome = now, true, r.weakestOutcome
+	c.now, r.callerGone, r.outcome = now, true, r.attemptsOutcome
 	if r.live() > 0 {
 		r.outcome = OutcomeUnknown
 	}
-	c.settleKey(now, r, r.weakestOutcome, nil, out)
+	c.settleKey(now, r, r.attemptsOutcome, nil, out)
 	c.finish(r, out)
 	c.drainPool(now, p, out)
 	return false
