--- a/internal/core/assign/assign.go
+++ b/internal/core/assign/assign.go
@@ -12,13 +12,13 @@
 )
 
 // Readers returns the incarnations of up to perDomain entries of a failure domain that watch the
-// platform for all others, the highest score first.
+// configuration service for all others, the highest score first.
 func Readers(entries []Member, domain string, perDomain int) []uint64 {
 	return topScored(entries, domainOf, domain, Key(scopeReader, domain), perDomain)
 }
 
 // ReaderRank returns how many other entries of its failure domain precede the entry self as readers
-// of the platform, or -1 if self is not in entries.
+// of the configuration service, or -1 if self is not in entries.
 func ReaderRank(self uint64, entries []Member) int {
 	own := slices.IndexFunc(entries, func(m Member) bool { return m.Incarnation == self })
 	if own < 0 {
--- a/internal/core/assign/assign_test.go
+++ b/internal/core/assign/assign_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Guards against too many calls to the platform by a fleet that grows, or by a fleet whose entries
-// know no other entry and each assume that they are alone.
+// Guards against too many calls to the configuration service by a fleet that grows, or by a fleet
+// whose entries know no other entry and each assume that they are alone.
 func TestCheckRateIsBounded(t *testing.T) {
 	limits := DefaultCheckLimits()
 	for _, c := range []struct{ known, fleet int }{{15, 15}, {60, 60}, {1, 60}, {600, 600}, {0, 600}} {
--- a/internal/core/assign/fetch.go
+++ b/internal/core/assign/fetch.go
@@ -10,7 +10,7 @@
 type Fetch struct {
 	// From is Platform or the incarnation of a peer.
 	From uint64
-	// After is the revision above which a revision is useful.
+	// After is a revision; only a later one is useful.
 	After uint64
 }
 
@@ -27,8 +27,8 @@
 // maxSources bounds how many peers with a newer revision are remembered.
 const maxSources = 4
 
-// platformEvery makes every third fetch in a row without a result ask the platform while there are
-// sources, in case they cannot be reached.
+// platformEvery makes every third fetch in a row without a result ask the configuration service
+// while there are sources, in case they cannot be reached.
 const platformEvery = 3
 
 // fetchPlan decides when to fetch next, and from where.
@@ -73,7 +73,7 @@
 
 // Next returns the fetch that is due now, if any. The caller ends each fetch with Done; until then
 // no other fetch is due. peers are the reachable entries; an entry without a revision in force asks
-// them alternately with the platform.
+// them alternately with the configuration service.
 func (t *Tracker) Next(now time.Duration, peers []uint64) (Fetch, bool) {
 	p := &t.plan
 	fresh := t.inForce.Revision == 0
@@ -131,8 +131,8 @@
 }
 
 // handleMissing handles an answer without the wanted revision. A peer that does not have it is
-// removed from the sources. When the platform does not have it and no peer reports it, the revision
-// was a false hint.
+// removed from the sources. When the configuration service does not have it and no peer reports it,
+// the revision was a false hint.
 func (p *fetchPlan) handleMissing(now time.Duration, f Fetch, t *Tracker) {
 	if f.From != Platform {
 		p.sources = slices.DeleteFunc(p.sources, func(s Source) bool { return s.Peer == f.From })
@@ -154,8 +154,8 @@
 }
 
 // Pause records that the process slept for gap until now. A fetch that was under way is given up,
-// and the platform's confirmation no longer counts. This guards against a late wake-up after which
-// the entry takes its old revision for the latest.
+// and the configuration service's confirmation no longer counts. This guards against a late wake-up
+// after which the entry takes its old revision for the latest.
 func (t *Tracker) Pause(now, gap time.Duration) {
 	t.plan.fetching = false
 	t.plan.failures = max(t.plan.failures, platformEvery-1)
--- a/internal/core/assign/hash.go
+++ b/internal/core/assign/hash.go
@@ -1,8 +1,8 @@
-// Package assign divides work among entries without an election: which entries read the platform,
-// which entry probes an endpoint, which entries serve a service. Every entry computes the same
-// division from the entries that it knows. Two entries that know different entries compute
-// divisions with overlaps or gaps for as long as they differ; an overlap costs calls, and each
-// entry's own slow check closes a gap.
+// Package assign divides work among entries without an election: which entries read the
+// configuration service, which entry probes an endpoint, which entries serve a service. Every entry
+// computes the same division from the entries that it knows. Two entries that know different
+// entries compute divisions with overlaps or gaps for as long as they differ; an overlap costs
+// calls, and each entry's own slow check closes a gap.
 //
 // The package also tracks the revision in force of a published value. Everything here is pure: time
 // is passed in as the duration since the process started. Nothing is safe for concurrent use.
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is an entry among which work is divided.
+// Member is one of the entries among which work is divided.
 type Member struct {
 	Incarnation uint64
 	Region      string
--- a/internal/core/assign/period.go
+++ b/internal/core/assign/period.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// CheckLimits bounds how often entries read the platform in addition to the readers' watches.
+// CheckLimits bounds how often entries read the configuration service in addition to the readers'
+// watches.
 type CheckLimits struct {
 	// Shortest is the shortest time between two checks of one entry. It bounds the fleet's rate
 	// even when an entry is wrong about the fleet's size.
@@ -19,7 +20,8 @@
 	Values int
 }
 
-// DefaultCheckLimits keeps all checks together at 20 calls/s, 1 % of the platform's capacity.
+// DefaultCheckLimits keeps all checks together at 20 calls/s, 1 % of the configuration service's
+// capacity.
 func DefaultCheckLimits() CheckLimits {
 	return CheckLimits{Shortest: 10 * time.Second, Longest: 2 * time.Minute, FleetRate: 20, Values: 2}
 }
--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// Platform is the source number of the platform itself; any other source is the incarnation of a
-// peer.
+// Platform is the source number of the configuration service itself; any other source is the
+// incarnation of a peer.
 const Platform uint64 = 0
 
 // OfferResult is what to do with an offered revision.
@@ -59,8 +59,8 @@
 	StartGrace time.Duration
 	// HintPause is how long callers' hints are ignored after a false one.
 	HintPause time.Duration
-	// AlwaysCurrent says that the platform never answers with an older revision than it gave any
-	// reader before. A fresh entry then needs no peers to confirm the revision.
+	// AlwaysCurrent says that the configuration service never answers with an older revision than
+	// it gave any reader before. A fresh entry then needs no peers to confirm the revision.
 	AlwaysCurrent bool
 }
 
@@ -100,7 +100,8 @@
 
 	inForce message.Mark
 	refused message.Mark
-	// confirmedAt is when the platform last confirmed that inForce is its latest revision.
+	// confirmedAt is when the configuration service last confirmed that inForce is its latest
+	// revision.
 	confirmedAt time.Duration
 	confirmed   bool
 
@@ -128,8 +129,8 @@
 	return 0
 }
 
-// ConfirmedAt returns when the platform last confirmed that the revision in force is its latest,
-// and whether it ever did.
+// ConfirmedAt returns when the configuration service last confirmed that the revision in force is
+// its latest, and whether it ever did.
 func (t *Tracker) ConfirmedAt() (time.Duration, bool) { return t.confirmedAt, t.confirmed }
 
 // highestJudged returns the highest revision whose text was accepted or refused here.
@@ -146,8 +147,8 @@
 }
 
 // classify compares a mark with the revision in force. This guards against an older replica of the
-// platform and a peer that slept, which would change profiles back: only a higher revision can
-// pass.
+// configuration service and a peer that slept, which would change profiles back: only a higher
+// revision can pass.
 func (t *Tracker) classify(m message.Mark) OfferResult {
 	switch {
 	case m.Revision < t.inForce.Revision || m.Revision == 0:
@@ -178,15 +179,15 @@
 	return true
 }
 
-// Confirm records that a watch at the platform ended without a newer revision.
+// Confirm records that a watch at the configuration service ended without a newer revision.
 func (t *Tracker) Confirm(now time.Duration) { t.confirm(now) }
 
 func (t *Tracker) confirm(now time.Duration) {
 	t.confirmedAt, t.confirmed = now, true
 }
 
-// NotePeerRevision records the revision that a peer has. If it is newer than any revision judged
-// here, a fetch from that peer becomes due after the source's delay.
+// NotePeerRevision records the revision that a peer has. If it is newer than every revision
+// accepted or refused here, a fetch from that peer becomes due after the source's delay.
 func (t *Tracker) NotePeerRevision(now time.Duration, revision uint64, s Source) {
 	t.addReporter(s.Peer)
 	if revision > t.highestJudged() {
@@ -195,8 +196,8 @@
 }
 
 // NoteCallerRevision records the revision that a caller has seen in another entry's answer. It is a
-// hint: when neither the platform nor a peer has such a revision, callers' hints are ignored for
-// HintPause, so that a caller that invents revisions causes few calls.
+// hint: when neither the configuration service nor a peer has such a revision, callers' hints are
+// ignored for HintPause, so that a caller that invents revisions causes few calls.
 func (t *Tracker) NoteCallerRevision(now time.Duration, revision uint64) {
 	if revision > t.highestJudged() && now >= t.plan.hintsIgnoredUntil {
 		t.plan.requestRevision(now, revision)
@@ -217,9 +218,9 @@
 }
 
 // Ready reports whether this entry may serve: a revision is in force, and either enough of the
-// reachable peers have reported their revision, none of them a newer one, or a platform that is
-// always current has confirmed it. Once true, it stays true. The reason is for operators and is
-// empty when ready.
+// reachable peers have reported their revision, none of them a newer one, or a configuration
+// service that is always current has confirmed it. Once true, it stays true. The reason is for
+// operators and is empty when ready.
 //
 // This guards against a fresh entry that asks a lagging replica and puts an older revision in force
 // than the fleet has; callers would see settings change back.
--- a/internal/core/assign/tracker_test.go
+++ b/internal/core/assign/tracker_test.go
@@ -74,9 +74,9 @@
 }
 
 // Covers all entries starting again after a power loss: each knows two peers that are still
-// starting and have not reported a revision. Where the platform never answers with an older
-// revision, its confirmation is enough; where it may, or while a peer knows of a newer revision,
-// the entry waits.
+// starting and have not reported a revision. Where the configuration service never answers with an
+// older revision, its confirmation is enough; where it may, or while a peer knows of a newer
+// revision, the entry waits.
 func TestReadyWhenPlatformConfirmsRevision(t *testing.T) {
 	for _, current := range []bool{false, true} {
 		tr := NewTracker(0, TrackerConfig{AlwaysCurrent: current})
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -16,11 +16,11 @@
 	"github.com/tealhall/tealhall/internal/fault"
 )
 
-// Set is a set of endpoint indexes below MaxSetSize.
+// Set is a set of endpoint indexes, each below MaxSetSize.
 type Set uint64
 
-// MaxSetSize is the number of endpoints of a pool that a Set can hold.
-// Indexes beyond it are never members.
+// MaxSetSize is the largest number of endpoints of a pool that a Set can hold. Indexes from
+// MaxSetSize on are never members.
 const MaxSetSize = 64
 
 // With returns s and index i.
@@ -168,7 +168,7 @@
 	Claims       = "claims"
 )
 
-// Default is the policy that is used unless a profile names another.
+// Default is the policy that is used if the settings name no valid one.
 const Default = Claims
 
 // Policies returns the names that New accepts.
--- a/internal/core/balance/records.go
+++ b/internal/core/balance/records.go
@@ -37,7 +37,7 @@
 
 // noteFailure records an attempt without a usable answer. An endpoint that fails fast is idle and
 // quick, and so looks best by load and latency. The growing delay keeps it from attracting the
-// pool's traffic until the health system has ejected it.
+// pool's traffic until package health has ejected it.
 func (r *endpointRecord) noteFailure(now time.Duration) {
 	r.avoidUntil = now + min(avoidMax, avoidMin<<r.failures)
 	r.failures = min(r.failures+1, maxDoublings)
--- a/internal/core/budget/repeats.go
+++ b/internal/core/budget/repeats.go
@@ -196,7 +196,7 @@
 	return &LoadProbes{perEndpoint: perEndpoint, rateBucket: bucket{started: true}}
 }
 
-// Request earns the load probes of one request.
+// Request adds the number of load probes that one request earns.
 func (b *LoadProbes) Request(probes int) { b.saved = min(maxSavedLoadProbes, b.saved+float64(probes)) }
 
 // TrySpend spends one load probe and reports true if both bounds allow it. endpoints is the number
--- a/internal/core/callers.go
+++ b/internal/core/callers.go
@@ -75,10 +75,10 @@
 }
 
 // EntriesNear returns the addresses of up to most entries that are live, ready and not leaving, for
-// a caller in a failure domain. It names the strongest entries of the caller's own domain, and
-// others only if that domain has hardly any: an entry in another domain would send the caller's
-// requests to endpoints there. If all of these entries are suspected, it names the suspected ones,
-// so that an entry that is alone still names itself.
+// a caller in a failure domain. It names the entries with the most capacity in the caller's own
+// domain, and others only if that domain has fewer than enoughNearby: an entry in another domain
+// would send the caller's requests to endpoints there. If all of these entries are suspected, it
+// names the suspected ones, so that an entry that is alone still names itself.
 func (c *Core) EntriesNear(domain string, most int) []string {
 	var near, far []*member.Entry
 	var suspected []string
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -24,7 +24,7 @@
 )
 
 // clusterHarness runs a few cores with the messages between them and simulates endpoints and the
-// platform. A test may replace any of its functions.
+// configuration service. A test may replace any of its functions.
 type clusterHarness struct {
 	testing.TB
 	now    time.Duration
@@ -34,7 +34,7 @@
 	tick       time.Duration
 	nodes      []*node
 	deliveries []delivery
-	values     map[string]published.Value // on the platform
+	values     map[string]published.Value // of the configuration service
 	nextID     RequestID
 	keysMade   uint64
 	// cut reports whether all messages from one entry to another are dropped.
@@ -42,7 +42,8 @@
 	// lose reports whether a link accepts a message and loses it.
 	lose         func(from, to *node, u *message.Update) bool
 	platformDown func(n *node) bool
-	// platformMute reports whether the platform leaves an entry's calls without an answer.
+	// platformMute reports whether the configuration service leaves an entry's calls without an
+	// answer.
 	platformMute func(n *node) bool
 	// probeTime is how long a probe takes, probedAt when each probe began.
 	probeTime time.Duration
@@ -142,7 +143,7 @@
 	return n
 }
 
-// publish stores a value on the platform.
+// publish stores a value on the configuration service.
 func (h *clusterHarness) publish(name string, revision uint64, text string) {
 	h.values[name] = published.Value{Name: name, Revision: revision, Data: []byte(text)}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -3,9 +3,9 @@
 // explicit monotonic time, and its outputs are Actions for the driver. It has no goroutine, lock,
 // clock or I/O, so a driver can run many cores in one process.
 //
-// A driver calls one method at a time (it owns the lock if it needs one), carries out the appended
-// actions and reports their results as further events. Times are durations since the process
-// started; they never go back.
+// A driver (package entry, or a test harness) calls one method at a time, carries out the appended
+// actions and reports their results as further events. A driver with several goroutines has to hold
+// a lock during each call. Times are durations since the process started; they never go back.
 package core
 
 import (
@@ -57,7 +57,7 @@
 	// AnswersTTL is the longest time for which a caller may cache the list of entries that it
 	// should use; 0 means the default of package directory.
 	AnswersTTL time.Duration
-	// ReadersPerDomain is how many entries of a failure domain read the platform.
+	// ReadersPerDomain is how many entries of a failure domain read the configuration service.
 	ReadersPerDomain int
 	// PeerBytesPerSecond and PeerMessagesPerSecond bound the traffic sent to all peers together; 0
 	// means the defaults of package gossip.
@@ -73,14 +73,14 @@
 	// WarmupOver and WarmupSlack bound the requests that all entries together send to a cold
 	// endpoint in any second: WarmupOver times its published rate, plus WarmupSlack.
 	WarmupOver, WarmupSlack float64
-	// CheckEvery is the shortest time between two reads of the platform by an entry that relies on
-	// other readers; 0 means the default of package assign.
+	// CheckEvery is the shortest time between two reads of the configuration service by an entry
+	// that relies on other readers; 0 means the default of package assign.
 	CheckEvery time.Duration
 	// FirstStart says that the whole fleet starts for the first time, and that callers send nothing
 	// in the first seconds.
 	FirstStart bool
 	// StartFetchDelay is how long this entry waits after its start before it reads the published
-	// values from the platform: peers may already have them, or may be reading them.
+	// values from the configuration service: peers may already have them, or may be reading them.
 	StartFetchDelay time.Duration
 	// AlwaysCurrent is passed to assign.TrackerConfig.
 	AlwaysCurrent bool
@@ -89,7 +89,7 @@
 	MissingAfter, KeepLast time.Duration
 }
 
-// DefaultConfig returns the configuration of an entry in a fleet of at most 60.
+// DefaultConfig returns the configuration of an entry in a fleet of at most 60 entries.
 func DefaultConfig(self message.Hello) Config {
 	return Config{
 		Self:             self,
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -159,8 +159,8 @@
 // Outcome is what tealhall states about whether a request was run.
 type Outcome uint8
 
-// The outcomes. A request with several attempts gets the weakest of their outcomes, unless one of
-// the answers was passed on.
+// The outcomes. Unless an answer was passed on, a request with several attempts gets OutcomeUnknown
+// if any of them may have run, and OutcomeNotRun otherwise.
 const (
 	// OutcomeDone: an endpoint answered and this is its answer.
 	OutcomeDone Outcome = iota + 1
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -68,7 +68,7 @@
 	rate        uint32
 	rateAt      time.Duration
 	rateArrived uint64
-	// reader says that this entry is assigned to read the platform.
+	// reader says that this entry is assigned to read the configuration service.
 	reader  bool
 	readers readers
 	// ownRecord is this entry's record as announced to the others at announcedAt. epochDue is when
@@ -354,7 +354,7 @@
 }
 
 // tickFleet expires outdated knowledge of VMs and other entries, decides whether this entry reads
-// the platform, and fetches published values.
+// the configuration service, and fetches published values.
 func (c *Core) tickFleet(now time.Duration, out *Actions) {
 	c.noteAcked(now, out)
 	c.applyChanges(now, c.fleet.members.Tick(now), "silence", out)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -146,9 +146,10 @@
 }
 
 // Guards against entries that use an old profile for minutes because only one entry per failure
-// domain reads the platform, or because only a single entry can reach it. 15 entries must have a
-// published profile within 2 s. If a single entry reaches the platform, 4 s are allowed: the time
-// until it sees that no reader does, one read, and the spread through the fleet.
+// domain reads the configuration service, or because only a single entry can reach it. 15 entries
+// must have a published profile within 2 s. If a single entry reaches the configuration service,
+// the bound is 4 s: the time until it sees that no reader does, one read, and the spread through
+// the fleet.
 func TestProfileIsInForceEverywhereWithinSeconds(t *testing.T) {
 	for only := -1; only < 15; only++ {
 		h := newServingCluster(t, 15, "counts/c1")
@@ -164,10 +165,10 @@
 	}
 }
 
-// Guards against ordinary limits during a close because the platform is down. The calendar is part
-// of the document, so the close begins and ends on time at all entries, also at one that is
-// replaced meanwhile and has only peers to ask. A replica that comes back with an older document
-// during the close changes nothing.
+// Guards against ordinary limits during a close because the configuration service is down. The
+// calendar is part of the document, so the close begins and ends on time at all entries, also at
+// one that is replaced meanwhile and has only peers to ask. A replica that comes back with an older
+// document during the close changes nothing.
 func TestCloseBeginsAndEndsWithoutPlatform(t *testing.T) {
 	h := newServingCluster(t, 4, "counts/c1")
 	h.republish(2, "queue_limit = 96", "queue_limit = 200")
@@ -220,10 +221,10 @@
 }
 
 // Checks that a partition needs no operator. Both halves serve their callers, a profile reaches
-// only one half, half of the entries are replaced, and the platform goes down before the network
-// heals. The halves name only entries that they hear. Within 4 s after the network heals (2 s of
-// back-off, a heartbeat, a fetch) all entries have the profile, hear each other and name all
-// entries to callers.
+// only one half, half of the entries are replaced, and the configuration service goes down before
+// the network heals. The halves name only entries that they hear. Within 4 s after the network
+// heals (2 s of back-off, a heartbeat, a fetch) all entries have the profile, hear each other and
+// name all entries to callers.
 func TestPartitionHealsByItself(t *testing.T) {
 	h := newServingCluster(t, 6, "counts/c1", "counts/c2")
 	h.cut = separatesHalves
@@ -316,8 +317,8 @@
 
 // Guards against a caller that got an answer under revision 2 and sees the old limits again at an
 // entry that still has revision 1. The entry fetches while it processes the request; with the
-// platform down it gets the revision from a peer one heartbeat later. A caller that invents
-// revisions causes a few calls to the platform and not one per request.
+// configuration service down it gets the revision from a peer one heartbeat later. A caller that
+// invents revisions causes a few calls to the configuration service and not one per request.
 func TestLaterRevisionOfCallerIsFetched(t *testing.T) {
 	h := newServingCluster(t, 3, "counts/c1")
 	n := h.nodes[0]
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -144,7 +144,7 @@
 //
 //	peers × size of a heartbeat / (heartbeatShare × BytesPerSecond)
 //
-// and the same for messages, but at least HeartbeatMin.
+// or the same with messages in place of bytes, if that is longer, but at least HeartbeatMin.
 func (c Config) HeartbeatPeriod(peers int) time.Duration {
 	c = c.withDefaults()
 	byBytes := float64(peers*heartbeatBytes) / (heartbeatShare * c.BytesPerSecond)
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -18,8 +18,8 @@
 	freshTime  = time.Second
 	maxRecords = 4096
 	// recordGap is the shortest time between two messages with records to a peer. Other entries
-	// must learn quickly that an entry has stopped reading the platform, so that they can take
-	// over, and each step of the tree may wait for this gap.
+	// must learn quickly that an entry has stopped reading the configuration service, so that they
+	// can take over, and each step of the tree may wait for this gap.
 	recordGap = 50 * time.Millisecond
 	// recordsPerMessage bounds the records in one message.
 	recordsPerMessage = maxFresh
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -49,7 +49,7 @@
 	c.spreadLimit(now, e)
 	p.recountLimits()
 	if rate != from {
-		c.auditLimit(e, from, "its answer says so", out)
+		c.auditLimit(e, from, "reported in its answer", out)
 	}
 }
 
@@ -117,7 +117,7 @@
 	e.Limit.Version, e.Limit.Period, e.Limit.SpreadAt = known.Version, known.Period, known.at
 	p.recountLimits()
 	if from != known.Rate {
-		c.auditLimit(e, from, actor+" says so", out)
+		c.auditLimit(e, from, "reported by "+actor, out)
 	}
 }
 
--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -31,7 +31,7 @@
 	// ListIsFinal says that the list follows the VMs closely and is never truncated: a VM that it
 	// does not name has ended or is about to end. No list is held then, and a missing endpoint is
 	// used only if no other endpoint can be used. It is dropped after MissingAfter or KeepLast,
-	// whether it answers or not; after an outage of the platform's service, the list may name it
+	// whether it answers or not; after an outage of the configuration service, the list may name it
 	// again within that time.
 	ListIsFinal bool
 	// HeartbeatInterval returns the time between heartbeats to each watched entry, each of which is
--- a/internal/core/member/finallist_test.go
+++ b/internal/core/member/finallist_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards against an entry that drops endpoints too early or keeps them forever after an outage of
-// the platform's service, in which the list's rows of most endpoints expired. They are listed again
-// two seconds after the service returns. If missing endpoints were dropped at once, all
+// the configuration service, in which the list's rows of most endpoints expired. They are listed
+// again two seconds after the service returns. If missing endpoints were dropped at once, all
 // requests would go to the first one that is listed again; if they were kept for good, requests
 // would go to endpoints that have ended. They stay for a short time, marked as missing, and an
 // endpoint that is not listed again is dropped whether it still answers or not.
--- a/internal/core/member/list.go
+++ b/internal/core/member/list.go
@@ -39,7 +39,8 @@
 // What a list says about a VM counts at once: that it exists, that it is leaving, that another
 // incarnation replaced it. A VM that the list does not name counts as missing only later, and not
 // at all while too many are missing at once. This guards against a list that was truncated or made
-// while the platform itself was failing, which would leave the whole fleet without endpoints.
+// while the configuration service itself was failing, which would leave the whole fleet without
+// endpoints.
 func (t *Table) ApplyList(now time.Duration, l published.VMList) []Change {
 	if l.Revision < t.list.revision {
 		why := fmt.Sprintf("list revision %s is older than %s", published.RevisionText(l.Revision), published.RevisionText(t.list.revision))
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -24,8 +24,8 @@
 // about to be written, and answers that arrived during the freeze; callers have given up or were
 // answered by other entries. On waking, whatever runs first, the entry must send nothing that is
 // past its deadline and must not blame the endpoints for the pause. The test runs without other
-// faults, and with an endpoint that left, a profile that changed and a platform that went down
-// meanwhile: within 3 s of waking the entry has to learn that from its peers.
+// faults, and with an endpoint that left, a profile that changed and a configuration service that
+// went down meanwhile: within 3 s of waking the entry has to learn that from its peers.
 func TestEntryRecoversAfterPause(t *testing.T) {
 	for _, timersFirst := range []bool{false, true} {
 		for _, otherFaults := range []bool{false, true} {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -305,8 +305,8 @@
 
 // Delays before a later revision is fetched from a peer. Traffic between failure domains is
 // expensive, and a peer in the same domain usually has the revision a moment later. An entry that
-// reads the platform gets the revision from there, once a series of changes is over. Both delays
-// are far below the seconds within which a revision has to be in force.
+// reads the configuration service gets the revision from there, once a series of changes is over.
+// Both delays are far below the seconds within which a revision has to be in force.
 const (
 	farSourceDelay    = 150 * time.Millisecond
 	readerSourceDelay = 450 * time.Millisecond
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -36,7 +36,8 @@
 // SlowPace is the pace from which on a VM counts as slow.
 const SlowPace = 2.0
 
-// SlightDoubt is the doubt that remains some seconds after one failure.
+// SlightDoubt is the doubt about an endpoint (see table.Endpoint.Doubt) that remains some seconds
+// after one failure.
 const SlightDoubt = 0.1
 
 // Request is the data of a request that the choice of its endpoint depends on.
@@ -101,7 +102,8 @@
 	doubtRecovery = 0.25
 )
 
-// NoteOutcome records how an attempt at an endpoint ended.
+// NoteOutcome raises the doubt about an endpoint after a failed attempt and lowers it after a good
+// answer.
 func NoteOutcome(now time.Duration, e *table.Endpoint, failed bool) {
 	doubt := e.CurrentDoubt(now)
 	if failed {
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -12,8 +12,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// OfferedValue is a parsed published value that the driver got from the platform or a peer. Parsing
-// depends only on the text, so all entries accept and refuse the same values.
+// OfferedValue is a parsed published value that the driver got from the configuration service or a
+// peer. Parsing depends only on the text, so all entries accept and refuse the same values.
 type OfferedValue struct {
 	// Name is published.ProfilesValue or published.VMsValue.
 	Name string
@@ -63,8 +63,8 @@
 	}
 }
 
-// Unreadable records that the value on the platform cannot be read. The revision in force stays
-// until the platform returns another value.
+// Unreadable records that the value on the configuration service cannot be read. The revision in
+// force stays until the configuration service returns another value.
 func (c *Core) Unreadable(name string, problem error, out *Actions) {
 	text := problemText(problem)
 	if c.explained.unreadable[name] == text {
@@ -126,12 +126,13 @@
 	return problem.Error()
 }
 
-// Confirm records that the platform has no later revision than the one in force.
+// Confirm records that the configuration service has no later revision of the named published value
+// than the one in force.
 func (c *Core) Confirm(now time.Duration, name string) {
 	c.tracker(name).Confirm(now)
 }
 
-// InForce returns the mark of the value's revision in force.
+// InForce returns the mark of the revision in force of the named published value.
 func (c *Core) InForce(name string) message.Mark { return c.tracker(name).InForce() }
 
 // FetchDone records that a fetch ended. The driver has passed a fetched value to Offer before.
@@ -140,9 +141,9 @@
 }
 
 // noteCallerRevision records the revision that a caller sent. If it is later than the one in force,
-// this entry is behind and fetches at once. A starting entry ignores it: it asks the platform and
-// its peers anyway, and an invented revision would keep it from becoming ready for as long as the
-// platform is down.
+// this entry is behind and fetches at once. A starting entry ignores it: it asks the configuration
+// service and its peers anyway, and an invented revision would keep it from becoming ready for as
+// long as the configuration service is down.
 func (c *Core) noteCallerRevision(now time.Duration, revision uint64, out *Actions) {
 	if c.state == message.EntryStarting || revision <= c.fleet.profiles.InForce().Revision {
 		return
@@ -176,8 +177,8 @@
 	out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
 }
 
-// periodicCheck reads the platform at a low rate even if other entries are the readers, so that an
-// error about which entries read cannot last.
+// periodicCheck reads the configuration service at a low rate even if other entries are the
+// readers, so that an error about which entries read cannot last.
 func (c *Core) periodicCheck(now time.Duration, out *Actions) {
 	if now < c.fleet.nextCheck {
 		return
@@ -222,7 +223,8 @@
 	return f.reachable
 }
 
-// peerAddressOf returns the peer address of an incarnation; the platform's address is "".
+// peerAddressOf returns the peer address of an incarnation; the configuration service's address is
+// "".
 func (c *Core) peerAddressOf(incarnation uint64) (string, bool) {
 	if incarnation == assign.Platform {
 		return "", true
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -11,7 +11,8 @@
 )
 
 // Guards against an entry that reports itself behind forever: it once read an unreadable text from
-// the platform, does not read the platform any more, and has a later revision from a peer.
+// the configuration service, does not read the configuration service any more, and has a later
+// revision from a peer.
 func TestEntryIsNotBehindOnceUnreadableTextIsReplaced(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 	h.publish(1, harnessRoutes())
--- a/internal/core/quota/limit.go
+++ b/internal/core/quota/limit.go
@@ -88,7 +88,8 @@
 	return owners, min(rate, total) / float64(owners)
 }
 
-// Settled reports whether an answer that reports another limit, or none, may be believed.
+// Settled reports whether the endpoint's limit last changed so long ago that an answer that raises
+// or withdraws it is newer than that change. An earlier answer may be older and is ignored.
 func Settled(now time.Duration, e *table.Endpoint) bool { return now-e.Limit.Since >= limitSettleTime }
 
 // RenewalDue reports whether this entry is an owner that should spread again that the limit holds.
--- a/internal/core/readers.go
+++ b/internal/core/readers.go
@@ -9,14 +9,15 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// readerSilence is how long no reader of this region may have reached the platform before this
-// entry reads by itself. It is short, because a reader reports at once when it no longer reaches
-// the platform, and published changes are delayed until another entry reads. startSilence replaces
-// it for an entry that has just started and hears its peers one by one.
+// readerSilence is how long no reader of this region may have reached the configuration service
+// before this entry reads by itself. It is short, because a reader reports at once when it no
+// longer reaches the configuration service, and published changes are delayed until another entry
+// reads. startSilence replaces it for an entry that has just started and hears its peers one by
+// one.
 const (
 	readerSilence = 400 * time.Millisecond
-	// standbyGap is the time between the standby groups in which entries return to a platform that
-	// answers again: several times the time that it takes to notify all other entries.
+	// standbyGap is the time between the standby groups in which entries return to a configuration
+	// service that answers again: several times the time that it takes to notify all other entries.
 	standbyGap   = 100 * time.Millisecond
 	startSilence = 1500 * time.Millisecond
 	// firstStartSilence replaces startSilence when the whole fleet starts for the first time:
@@ -25,15 +26,16 @@
 	firstStartSilence = 4 * time.Second
 )
 
-// readers records which entries read the platform for the fleet, and whether they reach it.
+// readers records which entries read the configuration service for the fleet, and whether they
+// reach it.
 //
-// Readers are assigned among the entries that are known, whether or not they reach the platform. If
-// only entries that are not readers reach it, a published profile would come into force only with
-// the periodic check of one of them, after ten seconds or more. Therefore, when no reader reports
-// that it reaches the platform, further entries try: a few of each failure domain first and all
-// others later. An entry that reaches the platform goes on reading until an assigned reader reaches
-// it again. If all entries tried at once, the calls caused by a change of readers would grow with
-// the fleet.
+// Readers are assigned among the entries that are known, whether or not they reach the
+// configuration service. If only entries that are not readers reach it, a published profile would
+// come into force only with the periodic check of one of them, after ten seconds or more.
+// Therefore, when no reader reports that it reaches the configuration service, further entries try:
+// a few of each failure domain first and all others later. An entry that reaches the configuration
+// service goes on reading until an assigned reader reaches it again. If all entries tried at once,
+// the calls caused by a change of readers would grow with the fleet.
 type readers struct {
 	// assigned are the incarnations of this region's readers.
 	assigned []uint64
@@ -41,10 +43,10 @@
 	stale bool
 	// standbyGroup is the number of silence periods after which this entry tries to read.
 	standbyGroup int
-	// platformAnswered says that the platform answered this entry's latest call, platformSilent
-	// that it did not answer the latest liveness check in time.
+	// platformAnswered says that the configuration service answered this entry's latest call,
+	// platformSilent that it did not answer the latest liveness check in time.
 	platformAnswered, platformSilent bool
-	// reachedAt is when a reader was last known to reach the platform.
+	// reachedAt is when a reader was last known to reach the configuration service.
 	reachedAt time.Duration
 	// standbyActive says that this entry reads although it is not an assigned reader.
 	standbyActive bool
@@ -88,23 +90,23 @@
 	return group
 }
 
-// Reader reports whether this entry should read the platform itself.
+// Reader reports whether this entry should read the configuration service itself.
 func (c *Core) Reader() bool {
 	c.assignReaders()
 	return c.fleet.reader || c.fleet.readers.standbyActive
 }
 
-// AssignedReader reports whether this entry is an assigned reader, whether or not the platform
-// answers it.
+// AssignedReader reports whether this entry is an assigned reader, whether or not the configuration
+// service answers it.
 func (c *Core) AssignedReader() bool {
 	c.assignReaders()
 	return c.fleet.reader
 }
 
 // standbyLiveness bounds the liveness checks of the last standby group as a whole. Without the
-// bound, a fleet that waited for a platform that was down called it a hundred times a second. The
-// first entry that gets an answer notifies all others, so recovery is found at once however many
-// entries check.
+// bound, a fleet that waited for a configuration service that was down called it a hundred times a
+// second. The first entry that gets an answer notifies all others, so recovery is found at once
+// however many entries check.
 var standbyLiveness = assign.CheckLimits{Longest: 10 * time.Second, FleetRate: 20, Values: 1}
 
 // LivenessPause returns the time between two liveness checks of this entry. usual is the pause of
@@ -121,13 +123,14 @@
 	return assign.CheckPeriod(len(c.fleet.assignMembers), limits), true
 }
 
-// PlatformAnswered records whether the platform answered this entry's latest call.
+// PlatformAnswered records whether the configuration service answered this entry's latest call.
 func (c *Core) PlatformAnswered(ok bool) { c.fleet.readers.platformAnswered = ok }
 
-// PlatformAlive records whether the platform answered this entry's latest liveness check in time.
+// PlatformAlive records whether the configuration service answered this entry's latest liveness
+// check in time.
 func (c *Core) PlatformAlive(ok bool) { c.fleet.readers.platformSilent = !ok }
 
-// reachesPlatform reports whether this entry reads the platform and gets answers.
+// reachesPlatform reports whether this entry reads the configuration service and gets answers.
 func (c *Core) reachesPlatform() bool {
 	r := &c.fleet.readers
 	return c.Reader() && r.platformAnswered && !r.platformSilent
@@ -142,8 +145,8 @@
 		return
 	}
 	if c.anyEntryReachesPlatform(now) && !(r.standbyActive && c.reachesPlatform()) {
-		// Another entry reads. Entries that tried without success stop: otherwise a platform that
-		// recovers would get the reads of all of them at once.
+		// Another entry reads. Entries that tried without success stop: otherwise a configuration
+		// service that recovers would get the reads of all of them at once.
 		r.reachedAt, r.standbyActive = now, false
 		return
 	}
@@ -157,8 +160,8 @@
 	r.standbyActive = now >= max(r.reachedAt+time.Duration(group)*readerSilence, c.startReadDelay())
 }
 
-// mayRead reports whether another entry can be expected to read the platform: it was heard, and it
-// is starting or serving.
+// mayRead reports whether another entry can be expected to read the configuration service: it was
+// heard, and it is starting or serving.
 func (c *Core) mayRead(e *member.Entry) bool {
 	_, heard := c.fleet.peers[e.VM.Incarnation]
 	return heard && !e.Suspected && e.State <= message.EntryServing && e.VM.State == published.Live
@@ -166,14 +169,14 @@
 
 // isCutOff reports whether this entry hears no other entry. In a large fleet an entry watches only
 // a few neighbors and assumes that all others are live until an entry that watches them reports
-// otherwise. Without this check their last status, for instance that they read the platform, would
-// count forever.
+// otherwise. Without this check their last status, for instance that they read the configuration
+// service, would count forever.
 func (c *Core) isCutOff(now time.Duration) bool {
 	return now-c.fleet.heardAt >= c.fleet.members.SuspectAfter()
 }
 
 // anyEntryReachesPlatform reports whether any entry of this region reports that it reaches the
-// platform.
+// configuration service.
 func (c *Core) anyEntryReachesPlatform(now time.Duration) bool {
 	f := &c.fleet
 	if c.isCutOff(now) {
@@ -188,8 +191,8 @@
 	return false
 }
 
-// ReadDelay returns how long this entry leaves the platform to the assigned readers after the
-// platform has recovered: they notify all others once they reach it.
+// ReadDelay returns how long this entry leaves the configuration service to the assigned readers
+// after the configuration service has recovered: they notify all others once they reach it.
 func (c *Core) ReadDelay() time.Duration {
 	c.assignReaders()
 	if c.fleet.reader {
@@ -198,9 +201,9 @@
 	return time.Duration(c.fleet.readers.standbyGroup) * standbyGap
 }
 
-// startReadDelay returns how long a starting entry leaves the platform to the readers. While its
-// peers have other records than this entry, it may simply not have heard of the readers yet: 472
-// entries that lost power together would each read 1.5 s later.
+// startReadDelay returns how long a starting entry leaves the configuration service to the readers.
+// While its peers have other records than this entry, it may simply not have heard of the readers
+// yet: 472 entries that lost power together would each read 1.5 s later.
 func (c *Core) startReadDelay() time.Duration {
 	if c.cfg.FirstStart || !c.RecordsAgree() {
 		return firstStartSilence
@@ -209,10 +212,10 @@
 }
 
 // waitsForReaders reports whether an entry that knows no revision of a value yet waits for other
-// entries to report one. Without this wait, each entry of a starting fleet asked the platform again
-// and again, until the operator had published the value, for what one reader in each failure domain
-// reads and passes on anyway. An entry that starts alone gets the value from the first peer that it
-// connects to; after a power loss most entries get it from the few readers.
+// entries to report one. Without this wait, each entry of a starting fleet asked the configuration
+// service again and again, until the operator had published the value, for what one reader in each
+// failure domain reads and passes on anyway. An entry that starts alone gets the value from the
+// first peer that it connects to; after a power loss most entries get it from the few readers.
 func (c *Core) waitsForReaders(now time.Duration, t *assign.Tracker) bool {
 	if t.InForce().Revision != 0 || t.Wanted() != 0 {
 		return false
@@ -224,7 +227,7 @@
 }
 
 // assignedReaderReachesPlatform reports whether an assigned reader of this region reaches the
-// platform.
+// configuration service.
 func (c *Core) assignedReaderReachesPlatform(now time.Duration) bool {
 	c.assignReaders()
 	f := &c.fleet
--- a/internal/core/readers_test.go
+++ b/internal/core/readers_test.go
@@ -6,8 +6,9 @@
 )
 
 // Guards against a published profile that comes into force only after the readers' watches time
-// out, because the platform has just stopped answering the readers. Their liveness checks fail
-// within 0.7 s, they report that at once, and other entries take over within the rest of 2 s.
+// out, because the configuration service has just stopped answering the readers. Their liveness
+// checks fail within 0.7 s, they report that at once, and other entries take over within the rest
+// of 2 s.
 func TestOthersReadWhenReadersGetNoAnswer(t *testing.T) {
 	h := newServingCluster(t, 15, "counts/c1")
 	silent := map[*node]bool{}
@@ -40,9 +41,10 @@
 	}
 }
 
-// Guards against calls to the platform that grow with the fleet when it stops answering the
-// readers: all 59 other entries tried to read, and each reported so to all others. A few entries of
-// each failure domain are enough; if they get no answer either, further ones follow a moment later.
+// Guards against calls to the configuration service that grow with the fleet when it stops
+// answering the readers: all 59 other entries tried to read, and each reported so to all others. A
+// few entries of each failure domain are enough; if they get no answer either, further ones follow
+// a moment later.
 func TestFewEntriesTakeOverFromSilentReaders(t *testing.T) {
 	for _, alsoSilent := range []bool{false, true} {
 		h := newServingCluster(t, 60, "counts/c1")
@@ -83,9 +85,9 @@
 }
 
 // Guards against a store that gets the reads of a whole fleet right after its recovery, when it can
-// bear them least. The platform is silent for all entries until each of them tries to read. On
-// recovery it first answers an entry that is not an assigned reader, and all 59 others read as
-// well, one after the other, until an assigned reader noticed.
+// bear them least. The configuration service is silent for all entries until each of them tries to
+// read. On recovery it first answers an entry that is not an assigned reader, and all 59 others
+// read as well, one after the other, until an assigned reader noticed.
 func TestFewEntriesReadRecoveredPlatform(t *testing.T) {
 	h := newServingCluster(t, 60, "counts/c1")
 	h.run(5 * sec)
@@ -127,9 +129,9 @@
 	}
 }
 
-// Guards against liveness checks of a platform that is down whose rate grows with the fleet: after
-// eight seconds of silence each entry checked every 0.4 s, more than a hundred calls a second. All
-// entries of the last standby group together may make 20 checks a second.
+// Guards against liveness checks of a configuration service that is down whose rate grows with the
+// fleet: after eight seconds of silence each entry checked every 0.4 s, more than a hundred calls a
+// second. All entries of the last standby group together may make 20 checks a second.
 func TestLivenessChecksDoNotGrowWithFleet(t *testing.T) {
 	const usual, earlierGroups, maxRate = 400 * ms, 24, 20.0
 	for _, entries := range []int{6, 15, 60} {
@@ -154,9 +156,9 @@
 }
 
 // Guards against an entry that serves by an old profile because it is cut off from all others while
-// callers and the platform reach it. It watched nine of 59 others and assumed that the rest were
-// live. Their last status, that some of them read the platform, stayed valid, so the entry got a
-// new profile only with its periodic check, a minute or two later.
+// callers and the configuration service reach it. It watched nine of 59 others and assumed that the
+// rest were live. Their last status, that some of them read the configuration service, stayed
+// valid, so the entry got a new profile only with its periodic check, a minute or two later.
 func TestIsolatedEntryReadsPlatform(t *testing.T) {
 	h := newServingCluster(t, 60, "counts/c1")
 	var isolated *node
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -10,10 +10,10 @@
 )
 
 // Rules for announcing this entry's record again. A change of its state, or of whether it reads the
-// platform, is announced at once. Its rate is a weight in answers to callers and in shares of
-// bounds, where a deviation of a quarter does little harm. The announced epoch of its keys may lag
-// by one of the five epochs that are kept; the lag spreads out the announcements of entries that
-// started together.
+// configuration service, is announced at once. Its rate is a weight in answers to callers and in
+// shares of bounds, where a deviation of a quarter does little harm. The announced epoch of its
+// keys may lag by one of the five epochs that are kept; the lag spreads out the announcements of
+// entries that started together.
 const (
 	minRateInterval       = 2 * time.Second
 	minRelativeRateChange = 0.25
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -34,8 +34,8 @@
 	out.request(Directive{ID: a.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
 }
 
-// fail ends a request with tealhall's own answer. The outcome is the weakest of all its attempts:
-// it is "not run" only if no attempt may have run.
+// fail ends a request with tealhall's own answer. The outcome is "not run" only if no
+// attempt may have run, and otherwise "unknown".
 func (c *Core) fail(now time.Duration, r *request, reason Reason, out *Actions) {
 	outcome := r.attemptsOutcome
 	if r.live() > 0 {
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -295,7 +295,7 @@
 }
 
 // applyCalendar starts and ends a close by the local calendar, so that the mode also changes while
-// the platform is down.
+// the configuration service is down.
 func (c *Core) applyCalendar(now time.Duration, out *Actions) {
 	if c.snapshot == nil {
 		return
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against a late start after a power loss, while callers wait for the first entry that
-// serves. The platform is always current, so its two answers make an entry ready in the tick that
-// follows them, not only in the next tick of the fleet.
+// serves. The configuration service is always current, so its two answers make an entry ready in
+// the tick that follows them, not only in the next tick of the fleet.
 func TestEntryReadyInOneTickAfterPowerLoss(t *testing.T) {
 	h := newClusterHarness(t, 0)
 	h.config = func(cfg *Config) { cfg.AlwaysCurrent = true }
@@ -40,9 +40,10 @@
 	}
 }
 
-// Guards against entries that read the platform before their first link is open although every peer
-// has the values. In a fleet of 130 a replaced entry made eleven calls, and a rolling restart of
-// all entries 1,400. An entry waits a quarter of a second for a peer and asks that peer at once.
+// Guards against entries that read the configuration service before their first link is open
+// although every peer has the values. In a fleet of 130 a replaced entry made eleven calls, and a
+// rolling restart of all entries 1,400. An entry waits a quarter of a second for a peer and asks
+// that peer at once.
 func TestStartingEntryAsksPeersFirst(t *testing.T) {
 	start := func(meets bool) (fetches []FetchFrom) {
 		h := newServingCluster(t, 2, "counts/c1")
@@ -152,10 +153,10 @@
 	}
 }
 
-// Guards against repeated calls of all entries to the platform when a fleet starts for the first
-// time and the profiles are published seconds later: 92 of the 246 calls of a quiet day with 19
-// entries, and 1,400 calls with 126. Only readers ask, and the other entries get the values from
-// peers; if no reader gets an answer, all entries ask in the end.
+// Guards against repeated calls of all entries to the configuration service when a fleet starts for
+// the first time and the profiles are published seconds later: 92 of the 246 calls of a quiet day
+// with 19 entries, and 1,400 calls with 126. Only readers ask, and the other entries get the values
+// from peers; if no reader gets an answer, all entries ask in the end.
 func TestOnlyReadersAskPlatformOnFirstStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -1,4 +1,4 @@
-// Package table defines the data that the systems of the decision core work on: endpoints grouped
+// Package table defines the data that the packages of the decision core work on: endpoints grouped
 // in pools. The types are plain data; each of the other packages of the core owns the fields that
 // it maintains. Times are durations since the process started, on the monotonic clock that the
 // driver passes in.
@@ -49,7 +49,8 @@
 // Load returns the number of requests at the endpoint, as estimated from the probed load.
 func (l *ProbedLoad) Load() int32 { return l.Running + l.Waiting + l.SentSince }
 
-// Health is owned by the health system.
+// Health holds the measurements of an endpoint and the state of its ejection. It is owned by
+// package health.
 type Health struct {
 	// EjectedUntil is the time before which the endpoint gets only trial requests; 0 when it is
 	// not ejected. Trial requests from TrialAt on may end the ejection earlier.
@@ -184,7 +185,7 @@
 // endpoint that failed for some seconds is tried again soon afterwards.
 const doubtHalfLife = 4 * time.Second
 
-// CurrentDoubt returns the doubt as it has decayed by now.
+// CurrentDoubt returns Doubt as it has decayed between DoubtAt and now.
 func (e *Endpoint) CurrentDoubt(now time.Duration) float64 {
 	if e.Doubt == 0 || now <= e.DoubtAt {
 		return e.Doubt
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -31,7 +31,7 @@
 	// InFlight counts the requests in the core, and Rate the arrivals per second.
 	InFlight int
 	Rate     uint32
-	// Reader says that this entry reads the platform itself.
+	// Reader says that this entry reads the configuration service itself.
 	Reader bool
 	// Snapshot is the document in force, nil before the first one.
 	Snapshot *profile.Snapshot
@@ -63,8 +63,8 @@
 	// Refused is the latest revision that was found invalid, or 0, and RefusedWhy the reason.
 	Refused    uint64
 	RefusedWhy string
-	// ConfirmedAt is when the platform last confirmed that the revision in force is the latest;
-	// valid if Confirmed.
+	// ConfirmedAt is when the configuration service last confirmed that the revision in force is
+	// the latest; valid if Confirmed.
 	ConfirmedAt time.Duration
 	Confirmed   bool
 	// StaleAt is when an older revision than the one in force was last offered;
@@ -73,7 +73,7 @@
 	Stale   bool
 	// Problems lists what was corrected in the document in force or left out of it.
 	Problems []string
-	// Unreadable says why the platform's current value cannot be read, "" if it can.
+	// Unreadable says why the configuration service's current value cannot be read, "" if it can.
 	Unreadable string
 }
 
@@ -168,7 +168,8 @@
 	// revision older than the one in force was last offered. Both are by the value's name.
 	refused map[string]string
 	staleAt map[string]time.Duration
-	// unreadable says why the platform's current value cannot be read, by the value's name.
+	// unreadable says why the configuration service's current value cannot be read, by the value's
+	// name.
 	unreadable map[string]string
 }
 
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -113,7 +113,7 @@
 	end.Load, end.Draining, end.Incarnation, end.Misdirected = head.Load, head.Draining, head.Incarnation, head.Misdirected
 }
 
-// fetch gets a published value from a peer or the platform.
+// fetch gets a published value from a peer or the configuration service.
 func (e *Entry) fetch(f core.FetchFrom) {
 	ctx, cancel := context.WithTimeout(e.life, fetchTimeout)
 	defer cancel()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -234,13 +234,13 @@
 }
 
 // platformStartDelay returns how long a starting entry waits to hear from a peer before it reads
-// the platform: the links to its seeds open within a tenth of a second. The seeds themselves read
-// at once, so that a fleet that lost power as a whole gets the values from them.
+// the configuration service: the links to its seeds open within a tenth of a second. The seeds
+// themselves read at once, so that a fleet that lost power as a whole gets the values from them.
 //
 // Beyond leastDelay, entries are spread over delaySpread, with few of them early, so that the
-// values that the first entries read reach the other entries before those read the platform as
-// well. If the seeds are down too, the first of 14 entries reads after 0.7 s on average, and a
-// tenth of 472 entries have read by then.
+// values that the first entries read reach the other entries before those read the configuration
+// service as well. If the seeds are down too, the first of 14 entries reads after 0.7 s on average,
+// and a tenth of 472 entries have read by then.
 func (e *Entry) platformStartDelay() time.Duration {
 	const leastDelay, delaySpread = 250 * time.Millisecond, time.Second
 	seeds := e.settings.Peers.Seeds
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -13,17 +13,17 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// livenessTimeout is how long the platform may take to answer a liveness check before this entry
-// tells its peers not to rely on this entry as a reader. A later answer shows that the platform is
-// slow but alive, so this entry continues to read.
+// livenessTimeout is how long the configuration service may take to answer a liveness check before
+// this entry tells its peers not to rely on this entry as a reader. A later answer shows that the
+// configuration service is slow but alive, so this entry continues to read.
 const livenessTimeout = 300 * time.Millisecond
 
-// livenessChecks is the state of a reader's liveness checks: cheap calls to the platform in
-// addition to the watches. They guard against a platform that stops answering some entries, readers
-// included: the watches of these entries wait without an error, and published changes would come
-// into force only when the watches time out. They also guard against a platform that forgets a
-// watch, for example because it dropped its history: the platform answers new calls, but the watch
-// waits without an error.
+// livenessChecks is the state of a reader's liveness checks: cheap calls to the configuration
+// service in addition to the watches. They guard against a configuration service that stops
+// answering some entries, readers included: the watches of these entries wait without an error, and
+// published changes would come into force only when the watches time out. They also guard against a
+// configuration service that forgets a watch, for example because it dropped its history: the
+// configuration service answers new calls, but the watch waits without an error.
 type livenessChecks struct {
 	platform published.LivenessChecker
 	every    time.Duration
@@ -32,12 +32,12 @@
 	// renewed counts the watches that were renewed.
 	renewed atomic.Uint64
 	// failed is set if the latest check had no answer. Nothing is read while it is set: the next
-	// check detects the platform's return sooner and at a lower cost than a read.
+	// check detects the configuration service's return sooner and at a lower cost than a read.
 	failed atomic.Bool
 	// answered is set if a check was answered since this entry began to read.
 	answered atomic.Bool
-	// latest is the newest revision that the platform had at the previous check, renewedAt when a
-	// watch was last renewed.
+	// latest is the newest revision that the configuration service had at the previous check,
+	// renewedAt when a watch was last renewed.
 	latest    uint64
 	renewedAt time.Duration
 	// nextSpread is the time of the next check if checks are spread, as for entries of the last
@@ -115,10 +115,10 @@
 	}
 }
 
-// renewWatch renews the watch if it still has not delivered the revision that the platform had at
-// the previous check. Without this, a profile that was published while the platform dropped its
-// history came into force only when the watches timed out, 3 s later, and the list of VMs had to
-// be read as well.
+// renewWatch renews the watch if it still has not delivered the revision that the configuration
+// service had at the previous check. Without this, a profile that was published while the
+// configuration service dropped its history came into force only when the watches timed out, 3 s
+// later, and the list of VMs had to be read as well.
 func (e *Entry) renewWatch(result published.Liveness) {
 	previous := e.liveness.latest
 	e.liveness.latest = result.Latest
@@ -136,14 +136,14 @@
 	e.engine.view(func(_ time.Duration, c *core.Core) { c.PlatformAlive(inTime) })
 }
 
-// shouldRead reports whether this entry should read the platform now.
+// shouldRead reports whether this entry should read the configuration service now.
 func (e *Entry) shouldRead() bool { return e.isReader() && e.liveness.allowsRead(e.assigned()) }
 
 // allowsRead reports whether the results of the liveness checks allow a reader to read. An entry
 // that is not assigned to read becomes a reader when the assigned readers get no answer. It would
 // most likely get none either, so it waits until one of its checks is answered. Otherwise, while
-// the platform is down, each entry of the fleet in turn would send it reads, which cost ten times
-// as much as checks.
+// the configuration service is down, each entry of the fleet in turn would send it reads, which
+// cost ten times as much as checks.
 func (l *livenessChecks) allowsRead(assigned bool) bool {
 	return !l.failed.Load() && (assigned || !l.enabled() || l.answered.Load())
 }
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -51,7 +51,7 @@
 func (p *fakePlatform) RenewWatch() { p.renewed.Add(1) }
 
 // newReadingEntry starts an entry that makes a liveness check every 20 ms. It returns the entry's
-// platform, the entry and a function that waits for a condition.
+// configuration service, the entry and a function that waits for a condition.
 func newReadingEntry(t *testing.T) (*fakePlatform, *entry.Entry, func(what string, holds func() bool)) {
 	t.Helper()
 	platform := &fakePlatform{fixedPlatform: fixedPlatform{
--- a/internal/entry/livenesschecks_test.go
+++ b/internal/entry/livenesschecks_test.go
@@ -14,10 +14,10 @@
 	return published.Liveness{}, nil
 }
 
-// The platform was down, and 87 entries that read in place of the assigned readers each sent two or
-// more reads before a liveness check, which costs a tenth of a read, had shown that the platform
-// does not answer: 270 calls in four seconds. An entry that is not an assigned reader must wait for
-// an answered check.
+// The configuration service was down, and 87 entries that read in place of the assigned readers
+// each sent two or more reads before a liveness check, which costs a tenth of a read, had shown
+// that the configuration service does not answer: 270 calls in four seconds. An entry that is not
+// an assigned reader must wait for an answered check.
 func TestUnassignedReaderWaitsForLivenessCheck(t *testing.T) {
 	for _, tt := range []struct {
 		name                           string
@@ -44,7 +44,7 @@
 // An entry of the last standby group waits for a random time before its check, up to 14 s in a
 // fleet of 139. When the readers of its failure domain stopped and the entry became assigned to
 // read, it kept waiting: it read for all others and did not notice for those seconds that the
-// platform had stopped answering it.
+// configuration service had stopped answering it.
 func TestNewlyAssignedReaderChecksLivenessAtOnce(t *testing.T) {
 	const pause = 7 * time.Second
 	for range 100 {
--- a/internal/entry/published.go
+++ b/internal/entry/published.go
@@ -20,11 +20,12 @@
 	"github.com/tealhall/tealhall/internal/wait"
 )
 
-// readerCheckInterval is how often an entry checks whether it has to read the platform.
+// readerCheckInterval is how often an entry checks whether it has to read the configuration
+// service.
 const readerCheckInterval = 200 * time.Millisecond
 
-// readRetry bounds the time between the attempts of an entry that cannot reach the platform: all
-// entries of a fleet may be trying at once.
+// readRetry bounds the time between the attempts of an entry that cannot reach the configuration
+// service: all entries of a fleet may be trying at once.
 var readRetry = assign.CheckLimits{Shortest: 2 * time.Second, Longest: 30 * time.Second, FleetRate: 20, Values: 2}
 
 // documents has the texts of the values in force, which peers fetch, and the recent changes to the
@@ -90,7 +91,7 @@
 	return d.byName[name]
 }
 
-// followLoop watches a value at the platform while this entry is a reader.
+// followLoop watches a value at the configuration service while this entry is a reader.
 func (e *Entry) followLoop(ctx context.Context, name string) {
 	e.awaitPeers(ctx)
 	for ctx.Err() == nil {
@@ -109,11 +110,11 @@
 	return delay
 }
 
-// startWait is how long a starting entry waits to learn of others before it reads the platform:
-// otherwise each entry of a starting fleet would read as if it were alone. discoveryWait replaces
-// startWait while the entry and its peers have different records, which lasts seconds when hundreds
-// of entries start together. It also replaces startWait at the first start of a whole fleet, when
-// it may take longer until another entry appears.
+// startWait is how long a starting entry waits to learn of others before it reads the configuration
+// service: otherwise each entry of a starting fleet would read as if it were alone. discoveryWait
+// replaces startWait while the entry and its peers have different records, which lasts seconds when
+// hundreds of entries start together. It also replaces startWait at the first start of a whole
+// fleet, when it may take longer until another entry appears.
 const (
 	startWait     = time.Second
 	discoveryWait = 3 * time.Second
@@ -170,8 +171,8 @@
 	}
 }
 
-// assigned reports whether this entry is assigned to read the platform, rather than reading in
-// place of the assigned entries.
+// assigned reports whether this entry is assigned to read the configuration service, rather than
+// reading in place of the assigned entries.
 func (e *Entry) assigned() (assigned bool) {
 	e.engine.view(func(_ time.Duration, c *core.Core) { assigned = c.AssignedReader() })
 	return assigned
@@ -197,7 +198,7 @@
 		published.Follow(ctx, e.platform, name, e.documents.get(name).Revision, options, e.platformAnswered)
 		return
 	}
-	// A watch may wait long before it shows that the platform answers, so read first.
+	// A watch may wait long before it shows that the configuration service answers, so read first.
 	if v, err := e.platform.Read(ctx, name); err == nil {
 		e.platformAnswered(v)
 	} else if ctx.Err() == nil {
@@ -208,7 +209,7 @@
 	published.Follow(ctx, e.platform, name, after, options, e.platformAnswered)
 }
 
-// tryResume lets the platform's service continue from the list of VMs that is in force here, and
+// tryResume lets the configuration service continue from the list of VMs that is in force here, and
 // reports whether the service can do so. Peers have already sent this list, which is large.
 func (e *Entry) tryResume(name string) bool {
 	service, can := e.platform.service.(published.Resumer)
@@ -233,7 +234,7 @@
 }
 
 // cancelWhenNotReading cancels the watch once this entry should no longer read: other entries read,
-// or the platform does not answer.
+// or the configuration service does not answer.
 func (e *Entry) cancelWhenNotReading(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
 		wait.For(ctx, readerCheckInterval)
--- a/internal/entry/published_test.go
+++ b/internal/entry/published_test.go
@@ -3,8 +3,9 @@
 import "testing"
 
 // Fifteen entries start together and exchange hellos one after another. Each entry that took the
-// first two for the whole fleet would read the platform, with the calls of a reader, until it knew
-// of the others. Discovery is over when the number of known entries has not changed for a while.
+// first two for the whole fleet would read the configuration service, with the calls of a reader,
+// until it knew of the others. Discovery is over when the number of known entries has not changed
+// for a while.
 func TestDiscoveryEndsWhenEntryCountIsStable(t *testing.T) {
 	m := discovery{unchangedNeeded: discoveryChecks}
 	for _, known := range []int{1, 1, 1, 1, 1, 1, 2, 3, 3, 3, 5, 9, 9, 14, 15, 15, 15, 15} {
