--- a/internal/core/loadprobes.go
+++ b/internal/core/loadprobes.go
@@ -164,7 +164,7 @@
 		e.NoteProbed(probedLoadOf(now, end.Load))
 		c.noteReportedCold(now, p, e, end.Load.Cold)
 		p.placementState.NoteProbe(e)
-		p.placementState.NoteRoom(now, e)
+		p.placementState.NoteHeadroom(now, e)
 	default:
 		p.loadless++
 	}
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -19,22 +19,22 @@
 	busyFor = 500 * time.Millisecond
 )
 
-// NoteRoom records the result of a load probe of an endpoint for the busy state of its failure
+// NoteHeadroom records the result of a load probe of an endpoint for the busy state of its failure
 // domain.
-func (p *PoolState) NoteRoom(now time.Duration, e *table.Endpoint) {
+func (p *PoolState) NoteHeadroom(now time.Duration, e *table.Endpoint) {
 	d := p.domain(e.Domain)
 	if HasHeadroom(e) {
-		d.noRoomProbes = 0
+		d.noHeadroomProbes = 0
 		return
 	}
-	d.noRoomProbes++
-	d.noRoomAt = now
+	d.noHeadroomProbes++
+	d.noHeadroomAt = now
 }
 
 // isBusy reports whether the latest load probes in a failure domain found no headroom.
 func (p *PoolState) isBusy(now time.Duration, name string) bool {
 	d := p.domains[name]
-	return d != nil && d.noRoomProbes >= busyProbes && now-d.noRoomAt < busyFor
+	return d != nil && d.noHeadroomProbes >= busyProbes && now-d.noHeadroomAt < busyFor
 }
 
 // leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -60,7 +60,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := manyDomains(c.own)
 			for i := range c.probes {
-				v.PoolState.NoteRoom(v.Now, &c.probes[i])
+				v.PoolState.NoteHeadroom(v.Now, &c.probes[i])
 			}
 			v.Now += c.later
 			if c.short {
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -22,9 +22,10 @@
 	// failures counts consecutive failed contacts.
 	failures  int
 	lostUntil time.Duration
-	// noRoomProbes counts consecutive load probes that found no headroom, the latest at noRoomAt.
-	noRoomProbes int
-	noRoomAt     time.Duration
+	// noHeadroomProbes counts consecutive load probes that found no headroom, the latest at
+	// noHeadroomAt.
+	noHeadroomProbes int
+	noHeadroomAt     time.Duration
 }
 
 // domain returns the state of a failure domain, creating it if needed.
