--- a/internal/core/assign/tracker.go
+++ b/internal/core/assign/tracker.go
@@ -12,7 +12,7 @@
 // incarnation of a peer.
 const Platform uint64 = 0
 
-// OfferResult is what to do with an offered revision.
+// OfferResult is how Tracker.Offer classifies a revision.
 type OfferResult uint8
 
 // The results of an offer.
--- a/internal/core/queue/wait.go
+++ b/internal/core/queue/wait.go
@@ -66,9 +66,9 @@
 	return time.Duration(float64(max(0, ahead-idle)) * c.interval.at(now, between))
 }
 
-// Ahead returns how many waiting items are expected to be served before the item: those of higher
-// or the same priority, and of its own class those of its own caller and as many as the other
-// callers may be served meanwhile.
+// Ahead returns how many waiting items are expected to be served before the item: all of other
+// classes with the same or a higher priority and, in its own class, those of its own caller and for
+// each other caller one more than these, since callers take turns.
 func (q *Queue) Ahead(it Item) int {
 	ahead := 0
 	for _, c := range q.classes {
--- a/internal/core/reason.go
+++ b/internal/core/reason.go
@@ -88,5 +88,5 @@
 // Status returns the HTTP status that belongs to the reason.
 func (r Reason) Status() int { return reasonTexts[r].status }
 
-// Remedy returns what the caller can do about it.
+// Remedy returns what the caller can do about the reason.
 func (r Reason) Remedy() string { return reasonTexts[r].remedy }
