--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -267,7 +267,7 @@
 	e.engine.view(func(_ time.Duration, c *core.Core) { records = c.UnmarkedRecords(marks) })
 	data, err := wire.MarshalRecords(records)
 	if err != nil {
-		return message.Document{}, fault.Wrap(err, fault.BadMessage, "report this as a defect", "cannot encode the records")
+		return message.Document{}, fault.Wrap(err, fault.BadMessage, "report this as a defect", "can't encode the records")
 	}
 	return message.Document{Name: message.RecordsValue, Data: data}, nil
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -59,7 +59,7 @@
 func writeJSON(w http.ResponseWriter, r *http.Request, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		http.Error(w, "the answer cannot be encoded", http.StatusInternalServerError)
+		http.Error(w, "the answer can't be encoded", http.StatusInternalServerError)
 		return
 	}
 	data = append(data, '\n')
