--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -96,14 +96,14 @@
 	}
 }
 
-// Guards against a ring that is allocated at its full size. The trail is sized for a busy hour, which
-// is half a megabyte, but most entries add only a few records.
+// Guards against a ring that is allocated at its full size. The trail is sized for a busy hour,
+// which is half a megabyte, but most entries add only a few records.
 func TestRingGrowsOnDemand(t *testing.T) {
 	trail := New(4096, fixedClock, nil)
 	for range 3 {
 		trail.Add(Record{Actor: "self", Action: "tested"})
 	}
-	if room := cap(trail.ring); room > 16 {
-		t.Errorf("the ring has capacity for %d records after 3 were added", room)
+	if capacity := cap(trail.ring); capacity > 16 {
+		t.Errorf("the ring has capacity for %d records after 3 were added", capacity)
 	}
 }
--- a/internal/core/published_test.go
+++ b/internal/core/published_test.go
@@ -11,7 +11,8 @@
 )
 
 // Guards against an entry that reports itself behind forever: it once read an unreadable text from
-// the platform, does not read the platform any more, and has a later revision from a peer.
+// the configuration service, does not read the configuration service any more, and has a later
+// revision from a peer.
 func TestEntryIsNotBehindOnceUnreadableTextIsReplaced(t *testing.T) {
 	h := newEntryHarness(t, idleEndpoints(1, "d0")...)
 	h.publish(1, harnessRoutes())
@@ -26,7 +27,7 @@
 	inForce := h.snapshot
 	h.do(func(out *Actions) {
 		mark := message.Mark{Revision: 2, Digest: 2}
-		h.Offer(h.now+time.Second, Offered{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: inForce}, out)
+		h.Offer(h.now+time.Second, OfferedValue{Name: published.ProfilesValue, Mark: mark, Source: assign.Platform + 7, Profiles: inForce}, out)
 	})
 	if got := reason(); got != ReasonUnknownService {
 		t.Errorf("with a later revision from a peer: %v", got)
--- a/internal/fleetload/departure_test.go
+++ b/internal/fleetload/departure_test.go
@@ -11,7 +11,7 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// largeInstallation is the size of a large installation of today.
+// largeInstallation is the size of a large existing installation.
 var largeInstallation = Size{Entries: 141, Endpoints: 421, Regions: 1, Domains: 4}
 
 // BenchmarkEndpointLeaving measures what it costs an entry to learn from a peer that an endpoint is
@@ -48,7 +48,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				c.Offer(time.Second, core.Offered{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, Source: assign.Platform, VMs: list}, &out)
+				c.Offer(time.Second, core.OfferedValue{Name: published.VMsValue, Mark: message.Mark{Revision: revision, Digest: revision}, Source: assign.Platform, VMs: list}, &out)
 				out.Reset()
 			}
 		})
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -4,7 +4,7 @@
 // It sends each request at most once and on one connection. Once a byte of a request has been
 // written, this package never sends that request again, whatever its method or headers are. The
 // standard http.Transport cannot be used, because it replays a request that carries an
-// Idempotency-Key when a reused connection dies. docs/design/http.md compares the alternatives.
+// Idempotency-Key when a reused connection fails. docs/design/http.md compares the alternatives.
 package forward
 
 import (
@@ -63,8 +63,8 @@
 }
 
 // Suspect is called when a connection to address went silent. It closes the idle connections, since
-// a network device that lost the state of one connection may have lost that of all. It closes a
-// busy connection if the endpoint has stopped acknowledging its bytes.
+// a network device that lost the state of one connection may have lost the state of all. It closes
+// a busy connection if the endpoint has stopped acknowledging its bytes.
 func (c *Connections) Suspect(address string) {
 	if p := c.lookup(address); p != nil {
 		p.suspect(c.cfg.SilentAfter)
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -6,7 +6,7 @@
 )
 
 // Limits bounds the resources of one caller's connection. In the result of ServerConfig.Allowed, a
-// zero field adds nothing to the configured limit.
+// zero field leaves the configured limit as it is.
 type Limits struct {
 	// HeaderBytes bounds the size of a head, HeaderTimeout the time from the first byte of a head
 	// to its end, and Idle the wait for the next request on a connection.
@@ -14,8 +14,8 @@
 	HeaderTimeout, Idle time.Duration
 }
 
-// maxAllowed bounds the result of ServerConfig.Allowed, because a caller occupies memory and a file
-// descriptor for that long.
+// maxAllowed bounds the result of ServerConfig.Allowed, because a caller's connection occupies
+// memory and a file descriptor for that long.
 var maxAllowed = Limits{HeaderBytes: 1 << 20, HeaderTimeout: time.Minute, Idle: 10 * time.Minute}
 
 // wider returns the larger value of each field.
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -37,7 +37,7 @@
 	server *Server
 
 	mu sync.Mutex
-	// heads counts the heads passed to the server, served the requests for which the server has
+	// heads counts the heads passed to the server, and served the requests for which the server has
 	// called its handler. lastStarted is the number of the last request started before its turn.
 	heads, served, lastStarted uint64
 	waiting                    []*pipelinedRequest
@@ -111,7 +111,7 @@
 }
 
 // mayCloseAfter reports whether the answer to the request with the given number may close the
-// connection. It may not while later requests on the connection are in progress. After
+// connection. It must not while later requests on the connection are in progress. After
 // mayCloseAfter has returned true, no further request is started on the connection. The check and
 // the start of a request use the same lock, so that no request runs whose answer can no longer be
 // sent.
@@ -136,8 +136,8 @@
 }
 
 // startReadAhead starts the request whose head was read while another request is in progress, and
-// then reads ahead for the requests behind it. first is a copy of the head and number the number of
-// the request.
+// then reads ahead for the requests behind it. first is a copy of the head, and number is the
+// number of the request.
 func (g *guardedConn) startReadAhead(first []byte, number uint64) {
 	p := &g.pipeline
 	if p.stop != nil || p.server == nil || !g.tryStart(first, number) {
@@ -214,8 +214,8 @@
 	return false
 }
 
-// tryStart starts a request before its turn unless it was started already. It reports whether to
-// read on behind the request.
+// tryStart starts a request before its turn unless it was started already. It reports whether
+// reading ahead may continue after the request.
 func (g *guardedConn) tryStart(head []byte, number uint64) bool {
 	p := &g.pipeline
 	p.mu.Lock()
@@ -244,39 +244,39 @@
 func (g *guardedConn) startRequest(r *http.Request, number uint64) bool {
 	p := &g.pipeline
 	answer := newPipelinedAnswer()
-	a := &pipelinedRequest{number: number, answer: answer, done: make(chan struct{})}
-	a.tracked = &answerWriter{ResponseWriter: answer, server: p.server, pipelined: true}
+	request := &pipelinedRequest{number: number, answer: answer, done: make(chan struct{})}
+	request.tracked = &answerWriter{ResponseWriter: answer, server: p.server, pipelined: true}
 	p.mu.Lock()
 	if p.closing {
 		p.mu.Unlock()
 		return false
 	}
 	p.lastStarted = number
-	p.waiting = append(p.waiting, a)
+	p.waiting = append(p.waiting, request)
 	ctx := p.withCancel(context.Background(), number)
 	p.mu.Unlock()
 	answer.stopAbandon = context.AfterFunc(ctx, answer.abandon)
 	p.server.inFlight.Add(1)
 	go func() {
 		defer p.server.inFlight.Add(-1)
-		defer close(a.done)
+		defer close(request.done)
 		defer p.leave(number)
 		defer func() {
 			if recover() != nil {
-				a.tracked.cutOff = true // net/http also aborts the connection when a handler panics
+				request.tracked.cutOff = true // net/http also aborts the connection when a handler panics
 			}
 		}()
-		p.server.handler.ServeHTTP(a.tracked, r.WithContext(ctx))
+		p.server.handler.ServeHTTP(request.tracked, r.WithContext(ctx))
 	}()
 	return true
 }
 
 // deliver sends the answer to the server's writer w and waits until the handler has ended. It
 // reports whether the answer was cut off.
-func (a *pipelinedRequest) deliver(w http.ResponseWriter) (cutOff bool) {
-	a.answer.attach(w)
-	<-a.done
-	return a.tracked.cutOff
+func (r *pipelinedRequest) deliver(w http.ResponseWriter) (cutOff bool) {
+	r.answer.attach(w)
+	<-r.done
+	return r.tracked.cutOff
 }
 
 // pipelinedAnswer is the http.ResponseWriter of a request that was started before its turn. It
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -52,9 +52,9 @@
 	DocumentBytes int
 	// Connections bounds the open connections of a server; the default is 256.
 	Connections int
-	// BytesPerSecond is the bandwidth bound for updates; the default is 9,000. Pings to all peers
-	// together use at most a tenth of it, packet headers included, so they become rarer in a large
-	// fleet.
+	// BytesPerSecond is the bandwidth bound that the caller of Links.Deliver observes for updates;
+	// the default is 9,000. Pings to all peers together use at most a tenth of it, packet headers
+	// included, so they become rarer in a large fleet.
 	BytesPerSecond int
 	// ServerTLS encrypts accepted connections; nil means plain TCP.
 	ServerTLS *tls.Config
@@ -69,15 +69,15 @@
 
 // Defaults of Config.
 const (
-	defaultHeartbeat     = time.Second
-	defaultCallTimeout   = 3 * time.Second
-	defaultDialTimeout   = 3 * time.Second
-	defaultBackoffMin    = 200 * time.Millisecond
-	defaultBackoffMax    = 5 * time.Second
-	defaultHandoverBytes = 256 << 10
-	defaultDocumentBytes = 1 << 20
-	defaultConnections   = 256
-	defaultBytes         = 9000
+	defaultHeartbeat      = time.Second
+	defaultCallTimeout    = 3 * time.Second
+	defaultDialTimeout    = 3 * time.Second
+	defaultBackoffMin     = 200 * time.Millisecond
+	defaultBackoffMax     = 5 * time.Second
+	defaultHandoverBytes  = 256 << 10
+	defaultDocumentBytes  = 1 << 20
+	defaultConnections    = 256
+	defaultBytesPerSecond = 9000
 )
 
 // Fixed limits of the protocol.
@@ -96,7 +96,8 @@
 	pingBytes = 130
 	pingShare = 0.1
 	// maxPingPeriod bounds the time between pings. serverIdleTimeout is the silence after which a
-	// server closes a connection. It only removes connections of lost peers, so it is far longer.
+	// server closes a connection. It only removes connections of lost peers, so it is far longer
+	// than maxPingPeriod.
 	maxPingPeriod     = 15 * time.Second
 	serverIdleTimeout = 60 * time.Second
 )
@@ -110,7 +111,7 @@
 	setDefault(&c.HandoverBytes, defaultHandoverBytes)
 	setDefault(&c.DocumentBytes, defaultDocumentBytes)
 	setDefault(&c.Connections, defaultConnections)
-	setDefault(&c.BytesPerSecond, defaultBytes)
+	setDefault(&c.BytesPerSecond, defaultBytesPerSecond)
 	if c.Dial == nil {
 		c.Dial = dialTCP(c.unackedTimeout())
 	}
--- a/internal/standin/endpoint_test.go
+++ b/internal/standin/endpoint_test.go
@@ -20,8 +20,8 @@
 	noAnswerWait = 50 * time.Millisecond
 )
 
-// testEndpoint is an endpoint with its own client. A shared client might still have dead connections
-// to the same address from another test.
+// testEndpoint is an endpoint with its own client. A shared client might still have dead
+// connections to the same address from another test.
 type testEndpoint struct {
 	*Endpoint
 	client *http.Client
@@ -90,7 +90,7 @@
 		path     string
 		deadline string
 		slotTime time.Duration // how far the clock is advanced
-		status   int           // zero: the connection is closed
+		status   int           // zero if the caller gets no complete answer
 		header   map[string]string
 		counted  EndpointStats
 	}{
@@ -267,12 +267,12 @@
 	endpoint.Server().BlackHole()
 	clock.Advance(serviceTime)
 	endpoint.AwaitIdle()
-	late, cancelLate := context.WithTimeout(t.Context(), noAnswerWait)
-	defer cancelLate()
+	waitCtx, cancelWait := context.WithTimeout(t.Context(), noAnswerWait)
+	defer cancelWait()
 	select {
 	case got := <-running:
 		t.Errorf("got an answer over the silent connection: %+v", got)
-	case <-late.Done():
+	case <-waitCtx.Done():
 	}
 	cancel()
 	<-running
@@ -283,9 +283,9 @@
 		t.Fatalf("request over a new connection got %+v", got)
 	}
 	endpoint.Server().BlackHole() // the connection is idle in the pool now
-	lost, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
+	lostCtx, cancelLost := context.WithTimeout(t.Context(), noAnswerWait)
 	defer cancelLost()
-	if got := <-send(lost, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
+	if got := <-send(lostCtx, endpoint, "/", contract.HeaderIdempotencyKey, "lost"); got.err == nil {
 		t.Errorf("request over the silent connection got %+v", got)
 	}
 	if err := endpoint.Close(t.Context()); err != nil {
