--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -97,7 +97,7 @@
 	response, delivery, err := e.connections.Send(ctx, forward.Outgoing{
 		Address: end.Probe.Address,
 		Request: request,
-		IsStray: func(answer http.Header) bool { return e.dialect.Stray(request.Header, answer) },
+		IsStray: func(answer http.Header) bool { return e.dialect.IsStray(request.Header, answer) },
 	})
 	e.instruments.countConnection(delivery)
 	if err != nil {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -39,7 +39,7 @@
 		Once:          d.Once,
 		MaySend:       maySend,
 		IsStray: func(answer http.Header) bool {
-			return x.entry.dialect.Stray(x.request.Header, answer)
+			return x.entry.dialect.IsStray(x.request.Header, answer)
 		},
 	})
 	x.entry.instruments.countConnection(delivery)
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -22,8 +22,9 @@
 	// load and the endpoint itself. expected is the name of the endpoint that is expected at the
 	// address, request has the headers that were sent.
 	ReadHead(expected string, request, answer http.Header, status int) core.Head
-	// Stray reports whether an answer belongs to another request.
-	Stray(request, answer http.Header) bool
+	// IsStray reports whether an answer belongs to another request than the one with the given
+	// headers.
+	IsStray(request, answer http.Header) bool
 	// OwnHeaders lists the headers of endpoints that are meant only for the entry.
 	OwnHeaders() []string
 	// Mark adds the headers that every answer of an entry carries.
@@ -120,8 +121,9 @@
 	return h
 }
 
-// Stray implements Dialect: the contract has no names for attempts.
-func (nativeDialect) Stray(_, _ http.Header) bool { return false }
+// IsStray implements Dialect. In the contract an answer does not name its attempt, so none is known
+// to be stray.
+func (nativeDialect) IsStray(_, _ http.Header) bool { return false }
 
 // ownHeaders are the headers that entries set for callers and endpoints set for entries. An
 // endpoint's answer must not carry them to a caller: a stray "not-run" in it would be a false
