--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -153,7 +153,7 @@
 	}
 	terms, err := platform.ParseTerms(s.Platform.Terms)
 	if err != nil {
-		// The error lists the problems of the terms and of the profiles together.
+		// The error lists the problems of platform.terms and of the profiles together.
 		return nil, errors.Join(err, checkProfiles(s))
 	}
 	terms.Apply(s)
--- a/internal/fleetload/changes.go
+++ b/internal/fleetload/changes.go
@@ -58,8 +58,8 @@
 	t.updated = make(chan struct{})
 }
 
-// await waits until count entries have learned of a change or ctx ends. It returns how many seconds
-// after since each entry learned of it, and the number of entries that have not.
+// await waits until count entries have learned of a change or ctx ends. It returns the seconds from
+// the time since until each entry learned of it, and the number of entries that have not.
 func (t *changeTracker) await(ctx context.Context, c change, count int, since time.Time) (delays []float64, missing int) {
 	for {
 		t.mu.Lock()
--- a/internal/fleetload/connmemory.go
+++ b/internal/fleetload/connmemory.go
@@ -27,8 +27,8 @@
 	return ConnectionMemory{Connection: idle, Request: waiting}, err
 }
 
-// fitConnectionMemory measures memory at several numbers of connections and fits a line. A caller
-// itself adds only a bare socket.
+// fitConnectionMemory measures memory at several numbers of connections and fits a line. The
+// measured process also runs the callers, each of which adds only a socket without buffers.
 func (f *fleet) fitConnectionMemory(ctx context.Context, counts []int, waiting bool) (Line, error) {
 	unblock := make(chan struct{})
 	release := func() {
--- a/internal/fleetload/fleet.go
+++ b/internal/fleetload/fleet.go
@@ -102,8 +102,7 @@
 type listeners struct{ callers, peers *net.TCPListener }
 
 // loopback returns the address of the i-th VM among the loopback addresses with this second octet.
-// Each VM has an address of its own, as it would on a network, so that it has the
-// whole range of port numbers to itself.
+// Each VM has an address of its own, as on a network, so that it can use all port numbers.
 func loopback(octet byte, i int) net.IP {
 	return net.IPv4(127, octet, byte(i/vmsPerSubnet), byte(i%vmsPerSubnet+1))
 }
--- a/internal/fleetload/run.go
+++ b/internal/fleetload/run.go
@@ -60,9 +60,9 @@
 // startLimit bounds the time until all entries of a fleet are ready.
 const startLimit = 30 * time.Second
 
-// startFleet starts a fleet and waits for Config.Settle. heap and stacks are the memory in use
-// before the entries start, which the simulated endpoints and configuration service use. Close the
-// fleet also after an error.
+// startFleet starts a fleet and waits for Config.Settle after the entries are ready. heap and
+// stacks are the memory in use before the entries start, that is, the memory of the simulated
+// endpoints and of the simulated configuration service. Close the fleet also after an error.
 func startFleet(ctx context.Context, c Config, size Size) (f *fleet, ready time.Duration, heap, stacks uint64, err error) {
 	f, err = newFleet(size)
 	if err != nil {
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Suspect is called when a connection to address went silent. It closes the idle connections, since
-// a network device that lost the state of one connection may have lost the state of all. It closes
-// a busy connection if the endpoint has stopped acknowledging its bytes.
+// Suspect closes the idle connections to address after one connection to it went silent, because a
+// network device that lost the state of one connection may have lost the state of all. It also
+// closes each busy connection on which the endpoint has stopped acknowledging bytes.
 func (c *Connections) Suspect(address string) {
 	if p := c.lookup(address); p != nil {
 		p.suspect(c.cfg.SilentAfter)
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -41,8 +41,8 @@
 	stats  ConnStats
 }
 
-// takeIdle removes and returns the most recently used idle connection, if it was alive at or after
-// since. Otherwise it returns nil.
+// takeIdle removes and returns the most recently used idle connection, if it was alive at the
+// time since or later. Otherwise it returns nil.
 func (p *pool) takeIdle(since time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +109,7 @@
 	p.all = append(p.all, c)
 }
 
-// putIdle makes a connection idle after it delivered a whole answer at now.
+// putIdle makes a connection idle after it delivered a whole answer at the time now.
 func (p *pool) putIdle(c *conn, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,8 +175,8 @@
 	}
 }
 
-// sweep closes idle connections that were last alive before since or that the endpoint closed. It
-// retires the pool if it has no connections and was last used before since.
+// sweep closes idle connections that were last alive before the time since or that the endpoint
+// closed. It retires the pool if it has no connections and was last used before that time.
 func (p *pool) sweep(since time.Duration) (retired bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/pipeline.go
+++ b/internal/front/pipeline.go
@@ -188,7 +188,7 @@
 }
 
 // headLength returns the length of the head at the start of b, including its empty line, or 0 if
-// the head is incomplete. The search for the empty line begins at from.
+// the head is incomplete. The search for the empty line begins at index from.
 func headLength(b []byte, from int) int {
 	i := bytes.Index(b[max(0, from):], []byte("\r\n\r\n"))
 	if i < 0 {
--- a/internal/idem/config.go
+++ b/internal/idem/config.go
@@ -14,8 +14,8 @@
 
 // Config bounds a Table.
 type Config struct {
-	// Self is the incarnation whose keys the table runs. No other process may ever use the same
-	// number; see Key.Home.
+	// Self is the incarnation of this entry. Only requests whose keys have this home may run here.
+	// No other process may ever use the same number; see Key.Home.
 	Self uint64
 	// EpochLength is the duration of an epoch.
 	EpochLength time.Duration
--- a/internal/idem/table.go
+++ b/internal/idem/table.go
@@ -130,8 +130,8 @@
 }
 
 // Begin decides on a request with key k. caller is a hash of the caller's identity, and d is the
-// digest that binds the request to the key. The decision is Run at most once per key in the table's
-// life.
+// digest that binds the request to the key. The decision is Run at most once per key during the
+// lifetime of the table.
 func (t *Table) Begin(now time.Duration, k Key, caller uint64, d Digest) Decision {
 	t.Tick(now)
 	if k.Home != t.cfg.Self {
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -42,7 +42,7 @@
 	return u, done, ok
 }
 
-// addAge adds the time that a value waited to its age, up to most.
+// addAge adds the time that a value waited to its age, up to limit.
 func addAge(millis uint64, waited time.Duration, limit uint64) uint64 {
 	return min(millis+uint64(max(waited, 0).Milliseconds()), limit)
 }
--- a/internal/profile/snapshot.go
+++ b/internal/profile/snapshot.go
@@ -71,8 +71,8 @@
 // Closes returns the closes of the calendar, sorted by start.
 func (s *Snapshot) Closes() []Close { return slices.Clone(s.closes) }
 
-// CloseAt returns the close in force at wall. If several overlap, it returns the one that started
-// first, and among those that started together the first by name.
+// CloseAt returns the close in force at the wall-clock time wall. If several overlap, it returns
+// the one that started first, and among those that started together the first by name.
 func (s *Snapshot) CloseAt(wall time.Time) (Close, bool) {
 	for _, c := range s.closes {
 		if c.Start.After(wall) {
@@ -85,7 +85,7 @@
 	return Close{}, false
 }
 
-// NextClose returns the first close that starts after wall.
+// NextClose returns the first close that starts after the wall-clock time wall.
 func (s *Snapshot) NextClose(wall time.Time) (Close, bool) {
 	i := sort.Search(len(s.closes), func(i int) bool { return s.closes[i].Start.After(wall) })
 	if i == len(s.closes) {
--- a/internal/profile/traffic.go
+++ b/internal/profile/traffic.go
@@ -19,8 +19,8 @@
 	Profile     string
 }
 
-// lowestPriority is the lowest priority of a policy, and highestPriority is the priority of routes
-// of rank 0. All ranks from highestPriority on get lowestPriority.
+// The bounds of a policy's priority. Routes are ranked in the opposite order: rank 0, the highest,
+// gets highestPriority, each further rank one less, and ranks of 9 and more get lowestPriority.
 const (
 	lowestPriority  = 0
 	highestPriority = 9
--- a/internal/published/generation.go
+++ b/internal/published/generation.go
@@ -27,7 +27,7 @@
 // ServiceRevision returns the service's own revision, without the generation.
 func ServiceRevision(revision uint64) uint64 { return revision & (1<<generationShift - 1) }
 
-// RevisionText returns a revision in readable form.
+// RevisionText returns a revision in readable form, in which the generation is called the era.
 func RevisionText(revision uint64) string {
 	text := strconv.FormatUint(ServiceRevision(revision), 10)
 	if gen := GenerationOf(revision); gen > 0 {
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -34,11 +34,11 @@
 type Service interface {
 	// Read returns the current value of name.
 	Read(ctx context.Context, name string) (Value, error)
-	// Watch returns when the value of name has a later revision than after, or with an error of
-	// kind fault.PlatformDown when the service ended the wait. A wait that ends without a change
-	// returns a Value with Revision == after and no data, which confirms that revision. If the
-	// service has an older revision, or had to be read anew, Watch returns its current value. One
-	// waiting Watch counts as one call to the service.
+	// Watch returns when the value of name has a later revision than the revision after, or with an
+	// error of kind fault.PlatformDown when the service ended the wait. A wait that ends without a
+	// change returns a Value with Revision == after and no data, which confirms that revision. If
+	// the service has an older revision, or had to be read anew, Watch returns its current value.
+	// One waiting Watch counts as one call to the service.
 	Watch(ctx context.Context, name string, after uint64) (Value, error)
 }
 
--- a/internal/published/vms.go
+++ b/internal/published/vms.go
@@ -20,8 +20,8 @@
 	DefaultSlots = 2
 	// MaxSlots is the largest number of slots that the list may give.
 	MaxSlots = 1024
-	// maxNameBytes bounds every name in the list; the longest keys in stores of users have 200
-	// bytes.
+	// maxNameBytes bounds every name in the list. The longest keys in the metadata stores of users
+	// have 200 bytes.
 	maxNameBytes = 200
 	// maxProblems bounds the number of problems that an error lists.
 	maxProblems = 8
@@ -30,7 +30,7 @@
 const remedyVMs = "correct the VM list at the platform"
 
 // ParseVMs parses the list of VMs of a published value and validates it as a whole. One invalid VM
-// refuses the list, because applying only a part of the list would look as if VMs had been
+// makes it refuse the whole list, because a list without that VM would look as if the VM had been
 // removed. Unknown fields are ignored, because the platform owns the list and may add fields.
 // Endpoints without slots get DefaultSlots.
 func ParseVMs(value Value) (VMList, error) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -83,7 +83,7 @@
 // Duration returns m as a duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Table is a compiled document.
+// Table is the compiled form of a document with routes.
 type Table struct {
 	routes   []Route // sorted by name
 	services []Service
@@ -102,7 +102,8 @@
 // Limits returns the limits on what callers may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Problems describes what was corrected in the document or left out, in a limited number of texts.
+// Problems describes the parts of the document that were corrected or left out. The number of
+// descriptions is limited.
 func (t *Table) Problems() []string { return t.problems }
 
 // Find returns the route of a request: among the routes of its host the one with the longest prefix
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -173,8 +173,9 @@
 	KeyAnswerBytes int `toml:"key_answer_bytes" unit:"bytes"`
 	// KeyTableBytes bounds the total size of the stored answers; default 16777216.
 	KeyTableBytes int `toml:"key_table_bytes" unit:"bytes"`
-	// LargestFleet is the largest number of entries that may run at once. Each entry spends the
-	// watch budget divided by this number, not by the number of peers that it sees; default 60.
+	// LargestFleet is the largest number of entries that may run at once. Each entry may use
+	// a profile's watch_budget divided by this number, not by the number of peers that it knows;
+	// default 60.
 	LargestFleet int `toml:"largest_fleet" unit:"entries"`
 	// Cores is the number of CPU cores available to this entry. Callers are sent first to entries
 	// with more cores; default 0, which means the cores visible to the process.
--- a/internal/standin/clock_other.go
+++ b/internal/standin/clock_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// sleepUntil waits until due with the accuracy of the runtime's timer.
+// sleepUntil waits until the time due with the accuracy of the runtime's timer.
 func sleepUntil(due time.Time) {
 	time.Sleep(time.Until(due))
 }
