--- a/internal/admin/admintest/sample.go
+++ b/internal/admin/admintest/sample.go
@@ -98,7 +98,7 @@
 		Mode:      status.Mode,
 		TimeZone:  "America/Mexico_City",
 		Services: []admin.ServiceView{{Service: "waste-entries", Profile: "waste", Pool: "waste", Kind: "once", Deadline: 5, QueueLimit: 64,
-			Priority: 7, SlotShare: 0.8, RetryBudget: 0.1, WatchBudget: 0.01, KeyRequired: true}},
+			Priority: 7, SlotShare: 0.8, RetryBudget: 0.1, ProbeBudget: 0.01, KeyRequired: true}},
 		Closes:   []admin.CloseView{{Name: "january", From: Wall.Add(-18 * time.Hour), To: Wall.Add(6 * time.Hour)}},
 		Warnings: []string{"line 9: profiles.waste.hedge_after: no effect; remove it"},
 		Text:     "version = 1\n",
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -374,7 +374,7 @@
 	Priority    int     `json:"priority"`
 	SlotShare   float64 `json:"slot_share"`
 	RetryBudget float64 `json:"retry_budget"`
-	WatchBudget float64 `json:"watch_budget"`
+	ProbeBudget float64 `json:"watch_budget"`
 	HedgeAfter  float64 `json:"hedge_after_seconds"`
 	KeyRequired bool    `json:"key_required"`
 }
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -60,7 +60,7 @@
 				t.Errorf("%s, another drains %v: the endpoint gets %.0f %% of the requests", name, drains, 100*share)
 			}
 			if slots := h.nodes[0].pools["counts"].Slots(); slots > 12 {
-				t.Errorf("%s: the watch budget is a share of %d slots, there are 12", name, slots)
+				t.Errorf("%s: the probe budget is a share of %d slots, there are 12", name, slots)
 			}
 			if done := countReplies(all, OutcomeDone); done < len(all)*99/100 {
 				t.Errorf("%s, another drains %v: only %d of %d reads were answered", name, drains, done, len(all))
--- a/internal/core/healthprobes.go
+++ b/internal/core/healthprobes.go
@@ -17,7 +17,7 @@
 	maxProbesPerTick = 4
 )
 
-// startHealthProbes probes, within the watch budget, endpoints whose load has not been seen for
+// startHealthProbes probes, within the probe budget, endpoints whose load has not been seen for
 // probeAfter. Answers to requests count as well, so a busy endpoint is not probed. Each endpoint is
 // assigned to one entry. Where the entries' views differ, several of them may probe it; the
 // budget still holds, since each entry spends only its fixed part.
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -290,7 +290,7 @@
 	for _, p := range c.poolRows {
 		p.slotUsers = make([]queue.SlotUser, len(p.services))
 		limits, _ := c.snapshot.PoolLimits(p.Name, c.closing)
-		p.healthProbes.SetShare(limits.WatchBudget)
+		p.healthProbes.SetShare(limits.ProbeBudget)
 	}
 }
 
--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -177,7 +177,7 @@
 	for i := range v.Services {
 		s := &v.Services[i]
 		rows[i] = []string{s.Service, s.Profile, s.Pool, s.Kind, span(s.Deadline), number(s.QueueLimit), number(s.Priority),
-			percent(s.SlotShare), percent(s.RetryBudget), percent(s.WatchBudget), joinNotes(note{s.KeyRequired, "key required"})}
+			percent(s.SlotShare), percent(s.RetryBudget), percent(s.ProbeBudget), joinNotes(note{s.KeyRequired, "key required"})}
 	}
 	p.table([]string{"SERVICE", "PROFILE", "POOL", "KIND", "DEADLINE", "QUEUE", "PRIORITY", "SLOTS", "RETRIES", "PROBES", "NOTES"}, rows)
 }
--- a/internal/demo/session.go
+++ b/internal/demo/session.go
@@ -33,7 +33,7 @@
 const (
 	// callerCount is the number of callers that send requests.
 	callerCount = 6
-	// largestFleet is the number of entries between which the watch budget is divided. The demo
+	// largestFleet is the number of entries between which the probe budget is divided. The demo
 	// never runs more entries.
 	largestFleet = 4
 )
--- a/internal/demo/sessionreport.go
+++ b/internal/demo/sessionreport.go
@@ -32,7 +32,7 @@
 // as counted by the endpoints.
 func (f *Fleet) ProbeReports() []ProbeReport {
 	elapsed := time.Since(f.startedAt)
-	budgets := f.watchBudgets()
+	budgets := f.probeBudgets()
 	var out []ProbeReport
 	for _, p := range f.cfg.Pools {
 		r := ProbeReport{Pool: p.Name, Budget: budgets[p.Name]}
@@ -47,15 +47,15 @@
 	return out
 }
 
-// watchBudgets returns, for each pool, the smallest watch budget of the pool's services.
-func (f *Fleet) watchBudgets() map[string]float64 {
+// probeBudgets returns, for each pool, the smallest probe budget of the pool's services.
+func (f *Fleet) probeBudgets() map[string]float64 {
 	budgets := make(map[string]float64)
 	snapshot, err := profile.Parse(f.cfg.Profiles, 1)
 	if err != nil {
 		return budgets
 	}
 	for _, service := range snapshot.Services() {
-		budget := service.Policy(false).WatchBudget
+		budget := service.Policy(false).ProbeBudget
 		if known, ok := budgets[service.Pool]; !ok || budget < known {
 			budgets[service.Pool] = budget
 		}
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -264,7 +264,7 @@
 			Priority:    p.Priority,
 			SlotShare:   p.SlotShare,
 			RetryBudget: p.RetryBudget,
-			WatchBudget: p.WatchBudget,
+			ProbeBudget: p.ProbeBudget,
 			HedgeAfter:  p.HedgeAfter.Seconds(),
 			KeyRequired: p.RequireKey,
 		})
--- a/internal/profile/defaults.go
+++ b/internal/profile/defaults.go
@@ -14,7 +14,7 @@
 		CallerShare:      0.25,
 		RetryBudget:      0.1,
 		MaxAttempts:      3,
-		WatchBudget:      0.02,
+		ProbeBudget:      0.02,
 		EjectMaxShare:    0.3,
 		EjectBase:        5 * time.Second,
 		EjectMax:         2 * time.Minute,
@@ -27,7 +27,7 @@
 		p.QueueLimit = 128
 		p.QueueOrder = ByArrival
 		p.Priority = 7
-		p.WatchBudget = 0.01
+		p.ProbeBudget = 0.01
 		p.RequireKey = true
 	case Bulk:
 		p.Deadline = 5 * time.Minute
@@ -35,7 +35,7 @@
 		p.QueueOrder = ByArrival
 		p.Priority = 1
 		p.SlotShare = 0.5
-		p.WatchBudget = 0.005
+		p.ProbeBudget = 0.005
 		p.EjectMaxShare = 0.2
 		p.MaxBodyBytes = 256 * megabyte
 	case Urgent:
--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -80,7 +80,7 @@
 		description: "How long the first attempt may stay unanswered before a second one starts elsewhere. `0s`: no hedge.",
 	},
 	{
-		name: "watch_budget", ref: func(p *Policy) any { return &p.WatchBudget }, max: 0.2,
+		name: "watch_budget", ref: func(p *Policy) any { return &p.ProbeBudget }, max: 0.2,
 		description: "Share of the endpoints' slot time that the probes of all entries together may take. In a shared pool the smallest value applies.",
 	},
 	{
--- a/internal/profile/parse_test.go
+++ b/internal/profile/parse_test.go
@@ -77,14 +77,14 @@
 		t.Fatal("service scans is missing, or service photos exists")
 	}
 	ordinary := Default(Bulk)
-	ordinary.Deadline, ordinary.WatchBudget = time.Hour, 0
+	ordinary.Deadline, ordinary.ProbeBudget = time.Hour, 0
 	closePolicy := ordinary
 	closePolicy.Deadline, closePolicy.MaxBodyBytes = 90*time.Second, 3<<30
 	if *scans.Policy(false) != ordinary || *scans.Policy(true) != closePolicy {
 		t.Errorf("scans = %+v", scans)
 	}
 
-	limits := PoolLimits{WatchBudget: 0, EjectMaxShare: 0.2, EjectBase: 5 * time.Second, EjectMax: 2 * time.Minute}
+	limits := PoolLimits{ProbeBudget: 0, EjectMaxShare: 0.2, EjectBase: 5 * time.Second, EjectMax: 2 * time.Minute}
 	if got, ok := s.PoolLimits("field", false); !ok || got != limits {
 		t.Errorf("ordinary limits = %+v", got)
 	}
@@ -148,7 +148,7 @@
 			p.SlotShare > 0 && p.SlotShare <= 1 && p.CallerShare > 0 && p.CallerShare <= 1 &&
 			(p.QueueLimit == 0 || p.CallerShare*float64(p.QueueLimit) >= 1) &&
 			p.RetryBudget >= 0 && p.RetryBudget <= 1 && p.MaxAttempts >= 1 && p.MaxAttempts <= 5 &&
-			p.WatchBudget >= 0 && p.WatchBudget <= 0.2 && p.EjectMaxShare >= 0 && p.EjectMaxShare <= 0.5 &&
+			p.ProbeBudget >= 0 && p.ProbeBudget <= 0.2 && p.EjectMaxShare >= 0 && p.EjectMaxShare <= 0.5 &&
 			p.EjectBase > 0 && p.EjectBase <= p.EjectMax && p.MaxBodyBytes >= 0 && p.EntriesPerDomain >= 0
 		if !valid {
 			t.Errorf("%s: accepted an invalid policy with closing=%v: %+v", s.Name, closing, *p)
--- a/internal/profile/policy.go
+++ b/internal/profile/policy.go
@@ -64,8 +64,9 @@
 	// HedgeAfter is how long the first attempt may remain unanswered before a hedge starts; 0
 	// disables hedging.
 	HedgeAfter time.Duration
-	// WatchBudget is the share of the endpoints' slot time that probes may take, 0 to 0.2.
-	WatchBudget float64
+	// ProbeBudget, in documents watch_budget, is the share of the endpoints' slot time that probes
+	// may take, 0 to 0.2.
+	ProbeBudget float64
 	// EjectMaxShare is the largest share of the pool's endpoints that may be ejected at once, 0 to
 	// 0.5.
 	EjectMaxShare float64
--- a/internal/profile/pool.go
+++ b/internal/profile/pool.go
@@ -9,7 +9,7 @@
 // service. If several services share a pool, each limit is the smallest value among their profiles,
 // so that no profile's limit is exceeded.
 type PoolLimits struct {
-	WatchBudget         float64
+	ProbeBudget         float64
 	EjectMaxShare       float64
 	EjectBase, EjectMax time.Duration
 }
@@ -53,7 +53,7 @@
 
 func limitsOf(p *Policy) PoolLimits {
 	return PoolLimits{
-		WatchBudget:   p.WatchBudget,
+		ProbeBudget:   p.ProbeBudget,
 		EjectMaxShare: p.EjectMaxShare,
 		EjectBase:     p.EjectBase,
 		EjectMax:      p.EjectMax,
@@ -62,7 +62,7 @@
 
 func smallestLimits(a, b PoolLimits) PoolLimits {
 	return PoolLimits{
-		WatchBudget:   min(a.WatchBudget, b.WatchBudget),
+		ProbeBudget:   min(a.ProbeBudget, b.ProbeBudget),
 		EjectMaxShare: min(a.EjectMaxShare, b.EjectMaxShare),
 		EjectBase:     min(a.EjectBase, b.EjectBase),
 		EjectMax:      min(a.EjectMax, b.EjectMax),
--- a/internal/published/roster.go
+++ b/internal/published/roster.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxRemoved bounds how many removed VMs a Roster remembers.
+// maxRemoved bounds how many removed VMs a Roster records.
 const maxRemoved = 4096
 
 // Roster is the set of VMs and evacuated failure domains of a service, maintained by single
@@ -74,8 +74,8 @@
 // List returns the list of VMs, sorted by name.
 func (r *Roster) List() VMList { return listOf(r.vms, slices.Sorted(maps.Keys(r.evacuated))) }
 
-// RememberRemoved remembers the VMs of the earlier roster that are no longer in r.
-func (r *Roster) RememberRemoved(before *Roster) {
+// RecordRemoved records the VMs of the earlier roster that are no longer in r as removed.
+func (r *Roster) RecordRemoved(before *Roster) {
 	for name := range before.vms {
 		if _, found := r.vms[name]; !found {
 			r.removed = append(r.removed, removal{name, before.reports[name]})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -174,7 +174,7 @@
 	// KeyTableBytes bounds the total size of the stored answers; default 16777216.
 	KeyTableBytes int `toml:"key_table_bytes" unit:"bytes"`
 	// LargestFleet is the largest number of entries that may run at once. Each entry may use
-	// a profile's watch_budget divided by this number, not by the number of peers that it knows;
+	// a profile's probe budget divided by this number, not by the number of peers that it knows;
 	// default 60.
 	LargestFleet int `toml:"largest_fleet" unit:"entries"`
 	// Cores is the number of CPU cores available to this entry. Callers are sent first to entries
