--- a/internal/core/assign/assign.go
+++ b/internal/core/assign/assign.go
@@ -20,7 +20,7 @@
 // ReaderRank returns how many other entries of its failure domain precede the entry self as readers
 // of the configuration service, or -1 if self is not in entries.
 func ReaderRank(self uint64, entries []Member) int {
-	own := slices.IndexFunc(entries, func(m Member) bool { return m.Incarnation == self })
+	own := slices.IndexFunc(entries, func(m Member) bool { return m.ID == self })
 	if own < 0 {
 		return -1
 	}
@@ -28,7 +28,7 @@
 	key := Key(scopeReader, domain)
 	score := Score(key, self)
 	for i := range entries {
-		if entries[i].Domain == domain && Score(key, entries[i].Incarnation) > score {
+		if entries[i].Domain == domain && Score(key, entries[i].ID) > score {
 			rank++
 		}
 	}
@@ -50,9 +50,9 @@
 	key := Key(scopeProbe, endpoint)
 	var owner, best uint64
 	for i := range entries {
-		score := Score(key, entries[i].Incarnation)
+		score := Score(key, entries[i].ID)
 		if owner == 0 || score > best {
-			owner, best = entries[i].Incarnation, score
+			owner, best = entries[i].ID, score
 		}
 	}
 	return owner
@@ -107,7 +107,7 @@
 		if place(entries[i]) != name {
 			continue
 		}
-		score := Score(key, entries[i].Incarnation)
+		score := Score(key, entries[i].ID)
 		at := len(scores)
 		for at > 0 && scores[at-1] < score {
 			at--
@@ -115,7 +115,7 @@
 		if at >= n {
 			continue
 		}
-		scores, chosen = slices.Insert(scores, at, score), slices.Insert(chosen, at, entries[i].Incarnation)
+		scores, chosen = slices.Insert(scores, at, score), slices.Insert(chosen, at, entries[i].ID)
 		scores, chosen = scores[:min(n, len(scores))], chosen[:min(n, len(chosen))]
 	}
 	return chosen
--- a/internal/core/assign/assign_test.go
+++ b/internal/core/assign/assign_test.go
@@ -13,7 +13,7 @@
 func members(n, domains int) []Member {
 	list := make([]Member, n)
 	for i := range list {
-		list[i] = Member{Incarnation: uint64(100 + i), Domain: fmt.Sprint("domain-", i%domains)}
+		list[i] = Member{ID: uint64(100 + i), Domain: fmt.Sprint("domain-", i%domains)}
 	}
 	return list
 }
@@ -36,12 +36,12 @@
 		for i := range 40 {
 			name := fmt.Sprint("name-", i)
 			before, after := ProbeOwner(all, name), ProbeOwner(left, name)
-			if before != all[gone].Incarnation && before != after {
+			if before != all[gone].ID && before != after {
 				rt.Fatalf("probing of %s moved from entry %d to entry %d", name, before, after)
 			}
 			was, is := ServiceEntries(name, all, per), ServiceEntries(name, left, per)
 			for _, id := range was {
-				if id != all[gone].Incarnation && !slices.Contains(is, id) {
+				if id != all[gone].ID && !slices.Contains(is, id) {
 					rt.Fatalf("%s lost entry %d", name, id)
 				}
 			}
@@ -81,7 +81,7 @@
 	}
 	readers := 0
 	for _, m := range all {
-		if IsReader(m.Incarnation, all, 2) {
+		if IsReader(m.ID, all, 2) {
 			readers++
 		}
 	}
@@ -118,7 +118,7 @@
 func TestOneEntryPerRegionServesService(t *testing.T) {
 	var all []Member
 	for i := range uint64(12) {
-		all = append(all, Member{Incarnation: i + 1, Region: fmt.Sprint("r", i%2), Domain: fmt.Sprint("d", i%6)})
+		all = append(all, Member{ID: i + 1, Region: fmt.Sprint("r", i%2), Domain: fmt.Sprint("d", i%6)})
 	}
 	left := all[1:]
 	for i := range 40 {
@@ -127,7 +127,7 @@
 		if len(was) != 2 || len(is) != 2 {
 			t.Fatalf("%s is served by %v, then by %v", service, was, is)
 		}
-		if was[0] != all[0].Incarnation && was[0] != is[0] || was[1] != is[1] {
+		if was[0] != all[0].ID && was[0] != is[0] || was[1] != is[1] {
 			t.Errorf("%s moved from %v to %v although its entries stayed", service, was, is)
 		}
 	}
--- a/internal/core/assign/hash.go
+++ b/internal/core/assign/hash.go
@@ -14,9 +14,9 @@
 
 // Member is one of the entries among which work is divided.
 type Member struct {
-	Incarnation uint64
-	Region      string
-	Domain      string
+	ID     uint64
+	Region string
+	Domain string
 }
 
 // Key hashes a text for use with Score. The scope separates kinds of work, so that the same entry
@@ -27,8 +27,8 @@
 
 // Score returns the rendezvous score of an entry for a key. The entry with the highest score does
 // the work; when an entry leaves, only its own work moves.
-func Score(key, incarnation uint64) uint64 {
-	return mix(key ^ mix(incarnation))
+func Score(key, id uint64) uint64 {
+	return mix(key ^ mix(id))
 }
 
 // mix is the finalizer of the SplitMix64 generator: a bijection that spreads incarnations, which
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -17,7 +17,7 @@
 	c.now = now
 	r, a := c.attemptOf(h.ID, h.Attempt)
 	if r == nil {
-		out.request(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
+		out.addDirective(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
 		return
 	}
 	a.status = h.Status
@@ -28,7 +28,7 @@
 		c.commit(r, h, out)
 		return
 	}
-	out.request(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
+	out.addDirective(Directive{ID: h.ID, Step: StepDiscard, Attempt: h.Attempt})
 }
 
 // attemptOf returns a running attempt and its request, or nil.
@@ -103,7 +103,7 @@
 	if !r.mayRunTwice && ambiguousStatus(h.Status) {
 		outcome = OutcomeUnknown
 	}
-	out.request(Directive{ID: h.ID, Step: StepCommit, Attempt: h.Attempt, Outcome: outcome})
+	out.addDirective(Directive{ID: h.ID, Step: StepCommit, Attempt: h.Attempt, Outcome: outcome})
 	c.cancelOthers(r, h.Attempt, out)
 }
 
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -182,28 +182,28 @@
 // New returns a picker for one pool. The picker owns rng.
 func New(policy string, cfg Config, rng *rand.Rand) (Picker, error) {
 	cfg = cfg.withDefaults()
-	base := view{cfg: cfg, rng: rng}
+	base := basePolicy{cfg: cfg, rng: rng}
 	switch policy {
 	case Random:
-		return &random{view: base}, nil
+		return &random{basePolicy: base}, nil
 	case RoundRobin:
-		return &roundRobin{view: base, next: rng.IntN(1 << 16)}, nil
+		return &roundRobin{basePolicy: base, next: rng.IntN(1 << 16)}, nil
 	case LeastOutstanding:
-		return &leastOutstanding{view: base}, nil
+		return &leastOutstanding{basePolicy: base}, nil
 	case P2COwn:
-		return &twoChoices{view: base}, nil
+		return &twoChoices{basePolicy: base}, nil
 	case P2CReports:
-		return &twoChoices{view: base, reports: true}, nil
+		return &twoChoices{basePolicy: base, reports: true}, nil
 	case Prequal:
-		return &prequal{view: base}, nil
+		return &prequal{basePolicy: base}, nil
 	case LeastLoad:
-		return &leastLoad{view: base}, nil
+		return &leastLoad{basePolicy: base}, nil
 	case Shares:
-		return &shares{view: base}, nil
+		return &shares{basePolicy: base}, nil
 	case CentralQueue:
-		return &centralQueue{view: base}, nil
+		return &centralQueue{basePolicy: base}, nil
 	case Claims:
-		return &claims{view: base}, nil
+		return &claims{basePolicy: base}, nil
 	}
 	return nil, fault.New(fault.BadSettings,
 		"use one of "+strings.Join(Policies(), ", "),
--- a/internal/core/balance/view.go
+++ b/internal/core/balance/base.go
@@ -20,35 +20,35 @@
 
 // view is the part that all policies share: which endpoints are eligible, and the update of the
 // fields of table.Endpoint that this package owns (Reported, ServiceNanos).
-type view struct {
+type basePolicy struct {
 	cfg Config
 	rng *rand.Rand
 }
 
-func (v *view) Changed(time.Duration, *table.Pool, []string)           {}
-func (v *view) PeerHeard(int, time.Duration)                           {}
-func (v *view) Dispatched(time.Duration, *table.Pool, int)             {}
-func (v *view) PeerReported(time.Duration, *table.Pool, int, PeerLoad) {}
+func (b *basePolicy) Changed(time.Duration, *table.Pool, []string)           {}
+func (b *basePolicy) PeerHeard(int, time.Duration)                           {}
+func (b *basePolicy) Dispatched(time.Duration, *table.Pool, int)             {}
+func (b *basePolicy) PeerReported(time.Duration, *table.Pool, int, PeerLoad) {}
 
-func (v *view) LoadReported(_ time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
+func (b *basePolicy) LoadReported(_ time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
 	e := &p.Endpoints[i]
 	if s.Seen && (!e.Reported.Seen || s.At > e.Reported.At) {
 		e.Reported = s
 	}
 }
 
-func (v *view) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
+func (b *basePolicy) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
 	e := &p.Endpoints[i]
-	v.noteLoad(now, e, obs)
+	b.noteLoad(now, e, obs)
 	// A refusal or failure is quick; counting it as service time would make an endpoint that
 	// refuses everything look fast.
 	if !obs.Refused && !obs.Failed {
-		v.measure(e, obs.Latency)
+		b.measure(e, obs.Latency)
 	}
 }
 
 // noteLoad records the load that an answer reported.
-func (v *view) noteLoad(now time.Duration, e *table.Endpoint, obs Observation) {
+func (b *basePolicy) noteLoad(now time.Duration, e *table.Endpoint, obs Observation) {
 	if !obs.HasLoad {
 		return
 	}
@@ -63,7 +63,7 @@
 }
 
 // measure records a service time.
-func (v *view) measure(e *table.Endpoint, latency time.Duration) {
+func (b *basePolicy) measure(e *table.Endpoint, latency time.Duration) {
 	if e.ServiceNanos == 0 {
 		e.ServiceNanos = float64(latency)
 		return
@@ -73,11 +73,11 @@
 }
 
 // service returns the endpoint's service time in nanoseconds, or the assumed one.
-func (v *view) service(e *table.Endpoint) float64 {
+func (b *basePolicy) serviceTime(e *table.Endpoint) float64 {
 	if e.ServiceNanos > 0 {
 		return e.ServiceNanos
 	}
-	return float64(v.cfg.ServiceTime)
+	return float64(b.cfg.ServiceTime)
 }
 
 // usable reports whether e may get a request and is not ejected.
@@ -141,7 +141,7 @@
 
 // begin does the first steps of every policy. It returns the eligibility for the choice, or a
 // finished choice.
-func (v *view) begin(now time.Duration, p *table.Pool, req Request) (eligibility, Choice, bool) {
+func (b *basePolicy) begin(now time.Duration, p *table.Pool, req Request) (eligibility, Choice, bool) {
 	if c, ok := trial(now, p, req); ok {
 		return notEjected, c, true
 	}
@@ -153,14 +153,14 @@
 }
 
 // pickRandom returns a random eligible endpoint other than not.
-func (v *view) pickRandom(now time.Duration, p *table.Pool, tried Set, s eligibility, not int) (int, bool) {
+func (b *basePolicy) pickRandom(now time.Duration, p *table.Pool, tried Set, s eligibility, not int) (int, bool) {
 	count, chosen := 0, -1
 	for i := range p.Endpoints {
 		if i == not || !eligible(now, p, i, tried, s) {
 			continue
 		}
 		count++
-		if v.rng.IntN(count) == 0 {
+		if b.rng.IntN(count) == 0 {
 			chosen = i
 		}
 	}
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -36,7 +36,7 @@
 // next free slot there, whichever entry used it before. Otherwise an entry would starve while
 // others reuse their slots for their own requests.
 type claims struct {
-	view
+	basePolicy
 	order   order
 	peers   peerLoads
 	records []endpointRecord
@@ -91,7 +91,7 @@
 
 // LoadReported implements Picker.
 func (c *claims) LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
-	c.view.LoadReported(now, p, i, s)
+	c.basePolicy.LoadReported(now, p, i, s)
 	if s.Seen {
 		c.peers.setReported(s.At, i, s.Foreign)
 	}
@@ -168,9 +168,9 @@
 // one costs: a round trip, or a wait in the endpoint's queue.
 func (c *claims) foreign(now time.Duration, i int, e *table.Endpoint, req Request) float64 {
 	if req.MustQueue {
-		return c.peers.expected(now, i, c.service(e))
+		return c.peers.expected(now, i, c.serviceTime(e))
 	}
-	return c.peers.foreign(now, i, c.service(e))
+	return c.peers.foreign(now, i, c.serviceTime(e))
 }
 
 // passOver reports whether an endpoint should not be used now: it failed a moment ago, or is so
@@ -207,7 +207,7 @@
 			continue
 		}
 		e, r := &p.Endpoints[i], &c.records[i]
-		service, slots := c.service(e), float64(max(1, e.Slots))
+		service, slots := c.serviceTime(e), float64(max(1, e.Slots))
 		foreign := c.peers.expected(now, i, service)
 		load := float64(e.Outstanding) + foreign
 		ahead := max(0, load-slots)
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -27,8 +27,8 @@
 }
 
 type peerState struct {
-	heard    time.Duration
-	believed bool
+	heard time.Duration
+	valid bool
 }
 
 func (l *peerLoads) reset(endpoints, peers int) {
@@ -64,7 +64,7 @@
 		return
 	}
 	peer := &l.peers[from]
-	peer.believed = true
+	peer.valid = true
 	peer.heard = max(peer.heard, at)
 }
 
@@ -81,7 +81,7 @@
 	l.oldest = now
 	for j := range l.peers {
 		peer := &l.peers[j]
-		if !peer.believed {
+		if !peer.valid {
 			continue
 		}
 		if now-peer.heard > silence {
@@ -93,7 +93,7 @@
 }
 
 func (l *peerLoads) forget(j int) {
-	l.peers[j].believed = false
+	l.peers[j].valid = false
 	for i := range l.endpoints {
 		at := i*len(l.peers) + j
 		l.endpoints[i].sum -= l.counts[at]
--- a/internal/core/balance/prequal.go
+++ b/internal/core/balance/prequal.go
@@ -30,7 +30,7 @@
 // results, each of which is used a limited number of times. The policy prefers endpoints that are
 // not hot, then the least load, then the lowest latency.
 type prequal struct {
-	view
+	basePolicy
 	results [probePoolSize]probeResult
 	count   int
 }
@@ -40,7 +40,7 @@
 
 // LoadReported implements Picker.
 func (q *prequal) LoadReported(now time.Duration, p *table.Pool, i int, s table.ReportedLoad) {
-	q.view.LoadReported(now, p, i, s)
+	q.basePolicy.LoadReported(now, p, i, s)
 	if s.Seen {
 		q.put(probeResult{i, p.Endpoints[i].Outstanding + s.Foreign, p.Endpoints[i].ServiceNanos, s.At, probeUses})
 	}
@@ -48,7 +48,7 @@
 
 // Answered implements Picker.
 func (q *prequal) Answered(now time.Duration, p *table.Pool, i int, obs Observation) {
-	q.view.Answered(now, p, i, obs)
+	q.basePolicy.Answered(now, p, i, obs)
 	if obs.HasLoad && !obs.Failed {
 		q.put(probeResult{i, int32(obs.InFlight + obs.Queued), p.Endpoints[i].ServiceNanos, now, probeUses})
 	}
--- a/internal/core/balance/reports.go
+++ b/internal/core/balance/reports.go
@@ -9,7 +9,7 @@
 // centralQueue sends a request only to a slot that is idle by the entry's own count; until there
 // is one, the request waits in the entry. With one entry for the whole load it is a single queue
 // with perfect knowledge, the reference for the other policies.
-type centralQueue struct{ view }
+type centralQueue struct{ basePolicy }
 
 // Pick implements Picker.
 func (q *centralQueue) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
@@ -41,7 +41,7 @@
 
 // leastLoad takes the endpoint with the least known load: own attempts and the last reported
 // foreign load, which is weighted less as it ages.
-type leastLoad struct{ view }
+type leastLoad struct{ basePolicy }
 
 // Pick implements Picker.
 func (l *leastLoad) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
--- a/internal/core/balance/shares.go
+++ b/internal/core/balance/shares.go
@@ -14,7 +14,7 @@
 // not fill itself, and asks it to refuse the request if no slot is idle. After maxBorrowTries
 // endpoints were tried, the request waits unless that endpoint belongs to this entry's own share.
 type shares struct {
-	view
+	basePolicy
 	order order
 }
 
--- a/internal/core/balance/simple.go
+++ b/internal/core/balance/simple.go
@@ -7,7 +7,7 @@
 )
 
 // random picks any eligible endpoint.
-type random struct{ view }
+type random struct{ basePolicy }
 
 // Pick implements Picker.
 func (r *random) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
@@ -21,7 +21,7 @@
 
 // roundRobin takes the endpoints in order, beginning at a random one.
 type roundRobin struct {
-	view
+	basePolicy
 	next int
 }
 
@@ -43,7 +43,7 @@
 
 // leastOutstanding picks the endpoint with the fewest own attempts per slot, and a random one
 // among equals.
-type leastOutstanding struct{ view }
+type leastOutstanding struct{ basePolicy }
 
 // Pick implements Picker.
 func (l *leastOutstanding) Pick(now time.Duration, p *table.Pool, req Request, _ time.Duration) Choice {
@@ -78,7 +78,7 @@
 // twoChoices compares two random endpoints and takes the less loaded one, by own attempts alone or
 // with the reported foreign load added.
 type twoChoices struct {
-	view
+	basePolicy
 	reports bool
 }
 
@@ -106,11 +106,11 @@
 
 // foreign returns the reported foreign load, which is weighted less as it ages: after one service
 // time about half of the reported attempts have ended.
-func (v *view) foreign(now time.Duration, e *table.Endpoint) float64 {
+func (b *basePolicy) foreign(now time.Duration, e *table.Endpoint) float64 {
 	if !e.Reported.Seen {
 		return 0
 	}
-	service := v.service(e)
+	service := b.serviceTime(e)
 	age := float64(now - e.Reported.At)
 	return float64(e.Reported.Foreign) * service / (service + max(0, age))
 }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -67,8 +67,8 @@
 		now += 20 * time.Microsecond
 		out.Reset()
 		c.Arrive(now, Arrival{ID: id, Service: services[i%benchServices], Caller: uint64(i % 97), Replayable: true}, out)
-		if len(out.Requests) != 1 || out.Requests[0].Step != StepDispatch {
-			b.Fatalf("%+v", out.Requests)
+		if len(out.Directives) != 1 || out.Directives[0].Step != StepDispatch {
+			b.Fatalf("%+v", out.Directives)
 		}
 		c.Head(now, Head{ID: id, Attempt: 1, Status: 200, Load: Load{Known: true, Slots: 2}}, out)
 		c.End(now, End{ID: id, Attempt: 1, Kind: EndComplete, Replayable: true}, out)
--- a/internal/core/clusterharness_test.go
+++ b/internal/core/clusterharness_test.go
@@ -192,7 +192,7 @@
 func (h *clusterHarness) do(n *node, event func(now time.Duration, out *Actions)) Actions {
 	var out Actions
 	event(h.now-n.started, &out)
-	for _, d := range out.Requests {
+	for _, d := range out.Directives {
 		h.carryOut(n, d)
 	}
 	for _, u := range out.Updates {
@@ -337,7 +337,7 @@
 	})
 }
 
-func (h *clusterHarness) fetch(n *node, f FetchFrom) {
+func (h *clusterHarness) fetch(n *node, f Fetch) {
 	peer := h.nodeAt(f.Address)
 	answered := f.Source == assign.Platform && !h.platformDown(n)
 	v := h.values[f.Name]
--- a/internal/core/cold.go
+++ b/internal/core/cold.go
@@ -30,7 +30,7 @@
 func (p *pool) markCold(now time.Duration, index int) {
 	e := &p.Endpoints[index]
 	quota.BecameCold(now, &p.Pool, e)
-	e.Cold.Own = false
+	e.Cold.Owned = false
 	p.cold.until, p.cold.at = max(p.cold.until, e.Cold.Until), 0
 }
 
@@ -39,7 +39,7 @@
 	wasCold := quota.IsCold(now, &p.Pool, e)
 	quota.SetCold(now, e, left)
 	if p.cold.until = max(p.cold.until, e.Cold.Until); !wasCold && left > 0 {
-		e.Cold.Own, p.cold.at = false, 0
+		e.Cold.Owned, p.cold.at = false, 0
 	}
 }
 
@@ -65,7 +65,7 @@
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
 		if now < e.Cold.Until {
-			e.Cold.Own = o.settled && candidates.Owns(c.fleet.selfAssignID, e.Name, e.Domain, p.ColdQuota.Owners)
+			e.Cold.Owned = o.settled && candidates.Owns(c.fleet.selfAssignID, e.Name, e.Domain, p.ColdQuota.Owners)
 		}
 		if quota.IsLimited(e) {
 			period, ends := quota.OwnerPeriod(now, e)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -170,7 +170,7 @@
 	if r.dispatches == 1 {
 		c.scheduleHedge(now, r)
 	}
-	out.request(Directive{
+	out.addDirective(Directive{
 		ID:       r.arrival.ID,
 		Step:     StepDispatch,
 		Attempt:  r.dispatches,
--- a/internal/core/entryharness_test.go
+++ b/internal/core/entryharness_test.go
@@ -186,7 +186,7 @@
 	h.traces = append(h.traces, out.Traces...)
 	h.notes = append(h.notes, out.Notes...)
 	h.updates = append(h.updates, out.Updates...)
-	for _, d := range out.Requests {
+	for _, d := range out.Directives {
 		switch d.Step {
 		case StepDispatch:
 			h.sent, h.sentAt = append(h.sent, d.Endpoint), append(h.sentAt, h.now)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -32,8 +32,8 @@
 	Key    idem.Key
 	HasKey bool
 	Digest idem.Digest
-	// Safe is set if the method is idempotent by its definition (GET, PUT ...).
-	Safe bool
+	// Idempotent is set if the method is idempotent by its definition (GET, PUT ...).
+	Idempotent bool
 	// Replayable is set if the driver can send the body more than once.
 	Replayable bool
 	// Timeout is the time that the caller still allows; 0 if it named no deadline.
@@ -270,8 +270,8 @@
 	Update  message.Update
 }
 
-// FetchFrom asks the driver to get a published value.
-type FetchFrom struct {
+// Fetch asks the driver to get a published value.
+type Fetch struct {
 	Name string
 	// Source is assign.Platform or the incarnation of the peer at Address.
 	Source  uint64
@@ -297,11 +297,11 @@
 // Actions collects what the driver must do after an event. The driver owns it, passes it to every
 // call and empties it with Reset; the core only appends.
 type Actions struct {
-	Requests []Directive
-	Probes   []Probe
-	Updates  []Outgoing
-	Fetches  []FetchFrom
-	Notes    []Note
+	Directives []Directive
+	Probes     []Probe
+	Updates    []Outgoing
+	Fetches    []Fetch
+	Notes      []Note
 	// Traces are the traces of ended requests, for the log.
 	Traces []RequestTrace
 	// DropAddresses are addresses whose connections are no longer needed.
@@ -312,8 +312,8 @@
 
 // Reset empties a and keeps its memory.
 func (a *Actions) Reset() {
-	clear(a.Requests)
-	a.Requests = a.Requests[:0]
+	clear(a.Directives)
+	a.Directives = a.Directives[:0]
 	a.Probes = a.Probes[:0]
 	a.Updates = a.Updates[:0]
 	a.Fetches = a.Fetches[:0]
@@ -324,8 +324,8 @@
 	a.SuspectAddresses = a.SuspectAddresses[:0]
 }
 
-func (a *Actions) request(d Directive) {
-	a.Requests = append(a.Requests, d)
+func (a *Actions) addDirective(d Directive) {
+	a.Directives = append(a.Directives, d)
 }
 
 func (a *Actions) note(n Note) {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -190,7 +190,7 @@
 		e := &f.entries[i]
 		id := assignID(e.VM.Name)
 		f.byAssignID[id] = i
-		m := assign.Member{Incarnation: id, Region: e.VM.Region, Domain: e.VM.Domain}
+		m := assign.Member{ID: id, Region: e.VM.Region, Domain: e.VM.Domain}
 		self := e.VM.Incarnation == c.cfg.Self.Incarnation
 		if self || e.Usable() {
 			f.assignMembers = append(f.assignMembers, m)
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -69,7 +69,7 @@
 	c.counters.Refused[answer.reason]++
 	c.countOutcome(answer.outcome)
 	after := c.retryAfter(now, r, answer.reason)
-	out.request(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: answer.outcome, Reason: answer.reason, RetryAfter: after})
+	out.addDirective(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: answer.outcome, Reason: answer.reason, RetryAfter: after})
 	c.finish(r, out)
 }
 
@@ -88,7 +88,7 @@
 func (c *Core) replay(r *request, answer *idem.Answer, out *Actions) {
 	c.counters.Replayed++
 	c.counters.Done++
-	out.request(Directive{ID: r.arrival.ID, Step: StepReplay, Outcome: OutcomeDone, Answer: answer})
+	out.addDirective(Directive{ID: r.arrival.ID, Step: StepReplay, Outcome: OutcomeDone, Answer: answer})
 	c.finish(r, out)
 }
 
@@ -120,7 +120,7 @@
 	r.phase = phaseForwarded
 	r.dispatches++
 	r.attempts[r.dispatches] = attempt{live: true, forward: true, index: -1, sentAt: now}
-	out.request(Directive{
+	out.addDirective(Directive{
 		ID:       r.arrival.ID,
 		Step:     StepForward,
 		Attempt:  r.dispatches,
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -60,7 +60,7 @@
 	key, before := assign.Key("finds", address), 0
 	own := assign.Score(key, c.fleet.selfAssignID)
 	for i := range c.fleet.readerCandidates {
-		if assign.Score(key, c.fleet.readerCandidates[i].Incarnation) > own {
+		if assign.Score(key, c.fleet.readerCandidates[i].ID) > own {
 			before++
 		}
 	}
--- a/internal/core/member/list.go
+++ b/internal/core/member/list.go
@@ -218,8 +218,8 @@
 
 // applyAbsences handles the VMs that the latest list does not name.
 func (t *Table) applyAbsences(now time.Duration, isNew bool) []Change {
-	lost, live, base := t.lost()
-	if t.cfg.ListIsFinal || live < minHeldLosses || float64(live) <= t.cfg.HoldShare*float64(base) {
+	lost, lostLive, listedLive := t.lost()
+	if t.cfg.ListIsFinal || lostLive < minHeldLosses || float64(lostLive) <= t.cfg.HoldShare*float64(listedLive) {
 		t.list.held = false
 		return t.markMissing(now, lost)
 	}
@@ -233,14 +233,14 @@
 	if !isNew {
 		return nil
 	}
-	why := fmt.Sprintf("list revision %s loses %d of %d live VMs; held for %v", published.RevisionText(t.list.revision), live, base, t.cfg.HoldFor)
+	why := fmt.Sprintf("list revision %s loses %d of %d live VMs; held for %v", published.RevisionText(t.list.revision), lostLive, listedLive, t.cfg.HoldFor)
 	return []Change{{Kind: ListHeld, Why: why}}
 }
 
 // lost returns the rows that were listed before and are not in the latest list, how many of them
 // were live, and how many live VMs were listed before. VMs that are leaving are expected to
 // disappear.
-func (t *Table) lost() (lost []*row, live, base int) {
+func (t *Table) lost() (lost []*row, lostLive, listedLive int) {
 	for _, r := range t.order {
 		if !r.listed || r.missing {
 			continue
@@ -253,12 +253,12 @@
 		if r.leaving {
 			continue
 		}
-		base++
+		listedLive++
 		if gone {
-			live++
+			lostLive++
 		}
 	}
-	return lost, live, base
+	return lost, lostLive, listedLive
 }
 
 // incarnationInList returns the incarnation under which the list names the VM.
@@ -288,8 +288,8 @@
 
 // confirmHeld applies the losses of a held list.
 func (t *Table) confirmHeld(now time.Duration) []Change {
-	lost, live, base := t.lost()
+	lost, lostLive, listedLive := t.lost()
 	t.list.held = false
-	why := fmt.Sprintf("list revision %s has lost %d of %d live VMs for %v", published.RevisionText(t.list.revision), live, base, t.cfg.HoldFor)
+	why := fmt.Sprintf("list revision %s has lost %d of %d live VMs for %v", published.RevisionText(t.list.revision), lostLive, listedLive, t.cfg.HoldFor)
 	return append([]Change{{Kind: ListConfirmed, Why: why}}, t.markMissing(now, lost)...)
 }
--- a/internal/core/outcome_test.go
+++ b/internal/core/outcome_test.go
@@ -68,7 +68,7 @@
 // provably did not run, and only requests that may run twice, or provably did not run, are sent
 // again.
 func TestOutcomeIsWeakestOfAllAttempts(t *testing.T) {
-	once, bulk, idempotentBulk := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Safe: true}
+	once, bulk, idempotentBulk := Arrival{Service: "waste"}, Arrival{Service: "photos"}, Arrival{Service: "photos", Idempotent: true}
 	read, urgent, hedged := Arrival{Service: "counts"}, Arrival{Service: "checks"}, Arrival{Service: "hedged"}
 	nested, belowRetry := Arrival{Service: "counts", Depth: 1}, Arrival{Service: "counts", CallerAttempt: 2}
 	unreplayableRead := Arrival{Service: "counts", Digest: [32]byte{unreplayable}}
--- a/internal/core/published.go
+++ b/internal/core/published.go
@@ -136,7 +136,7 @@
 func (c *Core) InForce(name string) message.Mark { return c.tracker(name).InForce() }
 
 // FetchDone records that a fetch ended. The driver has passed a fetched value to Offer before.
-func (c *Core) FetchDone(now time.Duration, f FetchFrom, answered bool) {
+func (c *Core) FetchDone(now time.Duration, f Fetch, answered bool) {
 	c.tracker(f.Name).Done(now, assign.Fetch{From: f.Source, After: f.After}, answered, c.rng)
 }
 
@@ -174,7 +174,7 @@
 		c.tracker(name).Done(now, f, false, c.rng)
 		return
 	}
-	out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
+	out.Fetches = append(out.Fetches, Fetch{Name: name, Source: f.From, Address: address, After: f.After, Planned: true})
 }
 
 // periodicCheck reads the configuration service at a low rate even if other entries are the
@@ -195,7 +195,7 @@
 		return
 	}
 	for _, name := range []string{published.ProfilesValue, published.VMsValue} {
-		out.Fetches = append(out.Fetches, FetchFrom{Name: name, Source: assign.Platform, After: c.InForce(name).Revision})
+		out.Fetches = append(out.Fetches, Fetch{Name: name, Source: assign.Platform, After: c.InForce(name).Revision})
 	}
 }
 
--- a/internal/core/quota/limit.go
+++ b/internal/core/quota/limit.go
@@ -56,10 +56,10 @@
 // SetOwner records whether this entry owns an endpoint that reports a limit. A new owner earns its
 // first request from now on, since the previous owner may have sent the requests saved up before.
 func SetOwner(now time.Duration, e *table.Endpoint, own bool) {
-	if own && !e.Limit.Own {
+	if own && !e.Limit.Owned {
 		e.Limit.Tokens, e.Limit.At = 0, now
 	}
-	e.Limit.Own = own
+	e.Limit.Owned = own
 }
 
 // SetLimit sets the limit of an endpoint, 0 for none.
@@ -69,7 +69,7 @@
 		l.Since = now
 	}
 	if l.Rate == 0 {
-		l.Own = false
+		l.Owned = false
 	}
 	l.Rate = rate
 	l.Owners, l.OwnerRate = limitQuota(rate)
@@ -94,5 +94,5 @@
 
 // RenewalDue reports whether this entry is an owner that should spread again that the limit holds.
 func RenewalDue(now time.Duration, e *table.Endpoint) bool {
-	return e.Limit.Own && now-e.Limit.SpreadAt >= renewAfter
+	return e.Limit.Owned && now-e.Limit.SpreadAt >= renewAfter
 }
--- a/internal/core/quota/limit_test.go
+++ b/internal/core/quota/limit_test.go
@@ -150,7 +150,7 @@
 	if len(owners) < 4 {
 		t.Errorf("only %d entries became owners", len(owners))
 	}
-	e.Limit.Own = true
+	e.Limit.Owned = true
 	if RenewalDue(renewAfter-ms, &e) || !RenewalDue(renewAfter, &e) {
 		t.Error("the renewal of a limit is due too early or too late")
 	}
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -55,13 +55,13 @@
 		return Gone
 	case e.Evacuated:
 		return Evacuated
-	case IsCold(now, p, e) && !e.Cold.Own:
+	case IsCold(now, p, e) && !e.Cold.Owned:
 		return ColdElsewhere
 	case IsCold(now, p, e) && tokens(now, &e.Cold.OwnerQuota, p.ColdQuota.Rate) < 1:
 		return ColdSpent
 	case !IsLimited(e):
 		return Granted
-	case !e.Limit.Own:
+	case !e.Limit.Owned:
 		return LimitElsewhere
 	case tokens(now, &e.Limit.OwnerQuota, e.Limit.OwnerRate) < 1:
 		return LimitSpent
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -16,8 +16,8 @@
 	coldQuota := NewColdQuota(Warmup{For: 3 * time.Second, PerSecond: 5.8, Over: 1.5, Slack: 8})
 	now := 10 * time.Second
 	cold := table.Cold{Until: now + ms}
-	own := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Own: true}}
-	spent := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Own: true, At: now}}
+	own := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Owned: true}}
+	spent := table.Cold{Until: now + ms, OwnerQuota: table.OwnerQuota{Owned: true, At: now}}
 	for _, c := range []struct {
 		name      string
 		coldQuota table.ColdQuota
@@ -103,12 +103,12 @@
 				side = 1
 			}
 			s := &sender{id: uint64(i), view: NewCandidates(slices.Clone(views[side])), pool: table.Pool{ColdQuota: coldQuota, Endpoints: []table.Endpoint{{Name: "e", Domain: "0"}}}}
-			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Own: s.view.Owns(s.id, "e", "0", coldQuota.Owners)}}
+			s.pool.Endpoints[0].Cold = table.Cold{Until: time.Hour, OwnerQuota: table.OwnerQuota{Owned: s.view.Owns(s.id, "e", "0", coldQuota.Owners)}}
 			return s
 		}
 		var owners []*sender
 		for i := range n {
-			if s := newSender(i); s.pool.Endpoints[0].Cold.Own {
+			if s := newSender(i); s.pool.Endpoints[0].Cold.Owned {
 				owners = append(owners, s)
 			}
 		}
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -31,7 +31,7 @@
 	if reason == ReasonQuarantined {
 		after = c.quarantineLeft(now, a.identity())
 	}
-	out.request(Directive{ID: a.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
+	out.addDirective(Directive{ID: a.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
 }
 
 // fail ends a request with tealhall's own answer. The outcome is "not run" only if no
@@ -54,7 +54,7 @@
 		c.counters.Unknown++
 	}
 	r.outcome, r.reason, r.retryAfter = outcome, reason, after
-	out.request(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
+	out.addDirective(Directive{ID: r.arrival.ID, Step: StepReply, Outcome: outcome, Reason: reason, RetryAfter: after})
 }
 
 // The bounds of Retry-After.
@@ -110,7 +110,7 @@
 func (c *Core) cancelOthers(r *request, keep Attempt, out *Actions) {
 	for i := Attempt(1); i <= r.dispatches; i++ {
 		if i != keep && r.attempts[i].live {
-			out.request(Directive{ID: r.arrival.ID, Step: StepCancel, Attempt: i})
+			out.addDirective(Directive{ID: r.arrival.ID, Step: StepCancel, Attempt: i})
 		}
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -207,7 +207,7 @@
 		phase:           phaseActive,
 		arrived:         now,
 		deadline:        now + limit,
-		mayRunTwice:     safeToRunTwice(policy.Kind, a.Safe && !c.Routed()),
+		mayRunTwice:     safeToRunTwice(policy.Kind, a.Idempotent && !c.Routed()),
 		replayable:      a.Replayable,
 		attemptsOutcome: OutcomeNotRun,
 	}
--- a/internal/core/start_test.go
+++ b/internal/core/start_test.go
@@ -45,7 +45,7 @@
 // rolling restart of all entries 1,400. An entry waits a quarter of a second for a peer and asks
 // that peer at once.
 func TestStartingEntryAsksPeersFirst(t *testing.T) {
-	start := func(meets bool) (fetches []FetchFrom) {
+	start := func(meets bool) (fetches []Fetch) {
 		h := newServingCluster(t, 2, "counts/c1")
 		h.config = func(cfg *Config) { cfg.StartFetchDelay = 250 * ms }
 		peer := h.nodes[0].currentHello()
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -83,8 +83,8 @@
 // OwnerQuota is this entry's part of the requests that an endpoint may get, where their rate is
 // limited. It is owned by package quota.
 type OwnerQuota struct {
-	// Own says that this entry is one of the few that may send to the endpoint.
-	Own bool
+	// Owned says that this entry is one of the few that may send to the endpoint.
+	Owned bool
 	// Tokens is the number of requests that this entry could send at the time At.
 	Tokens float64
 	At     time.Duration
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -96,7 +96,7 @@
 		re.head.Status = http.StatusOK
 	}
 	out := h.do(n, func(now time.Duration, out *Actions) { n.Head(now, re.head, out) })
-	for _, d := range out.Requests {
+	for _, d := range out.Directives {
 		if d.Step == StepCommit && d.ID == t.id {
 			if end.Kind == 0 {
 				end.Kind = EndComplete
@@ -155,7 +155,7 @@
 	head := Head{ID: t.id, Attempt: t.n, Status: http.StatusOK, HomeLost: answer.Reason == ReasonHomeLost}
 	end := End{Kind: EndDiscarded}
 	out := h.do(n, func(now time.Duration, out *Actions) { n.Head(now, head, out) })
-	for _, d := range out.Requests {
+	for _, d := range out.Directives {
 		if d.Step == StepCommit && d.ID == t.id {
 			h.recordReply(n, t.id, answer)
 			end.Kind = EndComplete
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -277,7 +277,7 @@
 		if cold {
 			v.Cold++
 		}
-		if cold && e.Cold.Own {
+		if cold && e.Cold.Owned {
 			v.Owned++
 		}
 		if e.Evacuated {
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -114,7 +114,7 @@
 }
 
 // fetch gets a published value from a peer or the configuration service.
-func (e *Entry) fetch(f core.FetchFrom) {
+func (e *Entry) fetch(f core.Fetch) {
 	ctx, cancel := context.WithTimeout(e.life, fetchTimeout)
 	defer cancel()
 	answered := e.fetchFrom(ctx, f)
@@ -123,7 +123,7 @@
 	}
 }
 
-func (e *Entry) fetchFrom(ctx context.Context, f core.FetchFrom) bool {
+func (e *Entry) fetchFrom(ctx context.Context, f core.Fetch) bool {
 	if f.Source == assign.Platform {
 		value, err := e.platform.Read(ctx, f.Name)
 		if err != nil {
--- a/internal/entry/engine.go
+++ b/internal/entry/engine.go
@@ -59,8 +59,8 @@
 	if len(e.actions.Notes) > 0 {
 		e.wakeLocked() // peers may need to learn of the change
 	}
-	for i := range e.actions.Requests {
-		d := &e.actions.Requests[i]
+	for i := range e.actions.Directives {
+		d := &e.actions.Directives[i]
 		if x, ok := e.exchanges[d.ID]; ok {
 			x.push(*d)
 		}
@@ -119,8 +119,8 @@
 func (e *engine) head(h core.Head) (commit bool, outcome core.Outcome) {
 	e.mu.Lock()
 	e.core.Head(e.clock(), h, &e.actions)
-	for i := range e.actions.Requests {
-		d := &e.actions.Requests[i]
+	for i := range e.actions.Directives {
+		d := &e.actions.Directives[i]
 		if d.ID == h.ID && d.Attempt == h.Attempt && d.Step == core.StepCommit {
 			commit, outcome = true, d.Outcome
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -273,7 +273,7 @@
 }
 
 // fetchFromPeer fetches a published value from a peer. It reports whether the peer answered.
-func (e *Entry) fetchFromPeer(ctx context.Context, f core.FetchFrom) bool {
+func (e *Entry) fetchFromPeer(ctx context.Context, f core.Fetch) bool {
 	request := message.Fetch{Name: f.Name, After: f.After, Difference: e.documents.get(f.Name).Revision == f.After && f.After > 0}
 	d, err := e.links.Fetch(ctx, f.Address, request)
 	if err == nil && d.Difference {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -155,7 +155,7 @@
 		Admission:     admission,
 		Content:       front.ContentHash(x.request, x.body),
 		Caller:        xxhash.Sum64String(x.caller),
-		Safe:          idempotentMethod(x.request.Method),
+		Idempotent:    idempotentMethod(x.request.Method),
 		Replayable:    x.body.Whole(),
 		CallerAttempt: 1,
 		Forwarded:     h.Get(contract.HeaderForwarded) == contract.ForwardedValue,
