--- a/internal/core/assign/assign.go
+++ b/internal/core/assign/assign.go
@@ -11,7 +11,7 @@
 	scopeService = "service"
 )
 
-// Readers returns the incarnations of up to perDomain entries of a failure domain that watch the
+// Readers returns the IDs of up to perDomain entries of a failure domain that watch the
 // configuration service for all others, the highest score first.
 func Readers(entries []Member, domain string, perDomain int) []uint64 {
 	return topScored(entries, domainOf, domain, Key(scopeReader, domain), perDomain)
@@ -44,8 +44,8 @@
 	return ReaderRank(self, entries) < perDomain
 }
 
-// ProbeOwner returns the incarnation of the entry that probes an endpoint, or 0 without entries. It
-// does not allocate.
+// ProbeOwner returns the ID of the entry that probes an endpoint, or 0 without entries. It does not
+// allocate.
 func ProbeOwner(entries []Member, endpoint string) uint64 {
 	key := Key(scopeProbe, endpoint)
 	var owner, best uint64
@@ -58,10 +58,9 @@
 	return owner
 }
 
-// ServiceEntries returns the incarnations of the entries to which callers of a service are
-// directed: perDomain of each failure domain, ordered by domain and then by score. An entry that
-// joins or leaves changes the result only in its own failure domain, and only by itself and one
-// other entry.
+// ServiceEntries returns the IDs of the entries to which callers of a service are directed:
+// perDomain of each failure domain, ordered by domain and then by score. An entry that joins or
+// leaves changes the result only in its own failure domain, and only by itself and one other entry.
 //
 // With perDomain 0, one entry of each region serves the service: a single place that sees all its
 // requests, at the price of a longer network path for callers in the other failure domains.
@@ -97,10 +96,9 @@
 
 func regionOf(m Member) string { return m.Region }
 
-// topScored returns the incarnations of the n entries at a place with the highest scores, the
-// highest first. It is called for each service and failure domain whenever an entry joins or
-// leaves, with a small n. Ranking all entries each time was a third of the work of a starting fleet
-// of 472 entries.
+// topScored returns the IDs of the n entries at a place with the highest scores, the highest first.
+// It is called for each service and failure domain whenever an entry joins or leaves, with a small
+// n. Ranking all entries each time was a third of the work of a starting fleet of 472 entries.
 func topScored(entries []Member, place func(Member) string, name string, key uint64, n int) []uint64 {
 	var scores, chosen []uint64
 	for i := range entries {
--- a/internal/core/balance/base.go
+++ b/internal/core/balance/base.go
@@ -18,8 +18,8 @@
 	noEndpointWait = 5 * time.Millisecond
 )
 
-// view is the part that all policies share: which endpoints are eligible, and the update of the
-// fields of table.Endpoint that this package owns (Reported, ServiceNanos).
+// basePolicy is the part that all policies share: which endpoints are eligible, and the update of
+// the fields of table.Endpoint that this package owns (Reported, ServiceNanos).
 type basePolicy struct {
 	cfg Config
 	rng *rand.Rand
@@ -72,7 +72,7 @@
 	e.ServiceNanos += serviceWeight * (sample - e.ServiceNanos)
 }
 
-// service returns the endpoint's service time in nanoseconds, or the assumed one.
+// serviceTime returns the endpoint's service time in nanoseconds, or the assumed one.
 func (b *basePolicy) serviceTime(e *table.Endpoint) float64 {
 	if e.ServiceNanos > 0 {
 		return e.ServiceNanos
--- a/internal/core/balance/claims.go
+++ b/internal/core/balance/claims.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// minSilence and silenceFactor (times the service time) bound how long a peer's counts are
-	// believed without an update from it. That is the time of several updates and of several
-	// service times, since a peer sends only changes. After it, a peer that is partitioned away or
-	// paused no longer uses slots in this entry's view.
+	// minSilence and silenceFactor (times the service time) bound how long a peer's counts stay
+	// valid without an update from the peer: several update intervals and several service times,
+	// since a peer sends only changes. After that, the slots that a partitioned or paused peer used
+	// look idle to this entry.
 	minSilence    = 100 * time.Millisecond
 	silenceFactor = 4
 	// minIdleShare is the least part of a slot that must look idle for the slot to be tried.
--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -8,8 +8,7 @@
 type peerLoads struct {
 	// mean is the smoothed foreign load of an endpoint as reported.
 	mean float64
-	// oldest is when the believed peer that has been silent for longest was last heard, as of the
-	// latest call of expire.
+	// oldest is the earliest heard time of the valid peers, as of the latest call of expire.
 	oldest    time.Duration
 	endpoints []endpointLoad
 	peers     []peerState
@@ -19,13 +18,14 @@
 
 // endpointLoad is the foreign load of one endpoint.
 type endpointLoad struct {
-	// sum is the total of the counts of the believed peers.
+	// sum is the total of the valid peers' counts.
 	sum int32
 	// extra is the reported load beyond sum, negative if the report shows less.
 	extra   int32
 	extraAt time.Duration
 }
 
+// peerState says when a peer's counts were last true, and whether they are still used.
 type peerState struct {
 	heard time.Duration
 	valid bool
--- a/internal/core/budget/repeats.go
+++ b/internal/core/budget/repeats.go
@@ -50,8 +50,8 @@
 }
 
 // usableRepeatShare is the share of the bound that entries use. The rest covers requests that an
-// entry counts in one window and an observer counts in the next one. The slack of entries that
-// could run but do not covers them as well.
+// entry counts in one window and an observer counts in the next one. If fewer entries run than the
+// largest fleet has, the slack of the missing entries covers such requests as well.
 const usableRepeatShare = 0.9
 
 // Repeats keeps the repeats of all entries together within a bound without messages between the
--- a/internal/core/budget/repeats_test.go
+++ b/internal/core/budget/repeats_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards against load probes that grow without limit with a service's traffic. The bound per
-// endpoint must hold over ten seconds for all entries together, also right after a restart of the
+// endpoint must hold over ten seconds for all entries together, even right after a restart of the
 // whole fleet, and each entry must get its share of it.
 func TestLoadProbesOfAFleetStayWithinTheBound(t *testing.T) {
 	const perEndpoint, endpoints, window = 60.0, 8, 10 * time.Second
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -49,8 +49,9 @@
 	// CallsPerSecond is the assumed capacity of one entry, in callers' requests. It determines the
 	// entry's weight in the answers to callers.
 	CallsPerSecond float64
-	// LargestFleet is the number of entries that the health probe budget is divided by. It is never
-	// derived from the peers seen.
+	// LargestFleet is the largest number of entries that ever run at the same time. The fleet's
+	// budget of health probes, its least rate of retries and the slack of Repeats are divided by
+	// it. It is never derived from the peers seen (see budget.HealthProbeConfig).
 	LargestFleet int
 	// Keys bounds the idempotency key table.
 	Keys idem.Config
@@ -108,7 +109,9 @@
 	cfg Config
 	rng *rand.Rand
 
+	// snapshot has the profiles in force, nil before the first ones.
 	snapshot *profile.Snapshot
+	// closing is set while a profile.Close is under way, so that the close policies apply.
 	closing  bool
 	services map[string]*service
 	// serviceRows lists the services by index; a removed service keeps its row.
@@ -157,8 +160,9 @@
 	nextHealth time.Duration
 	nextProbe  time.Duration
 	nextMember time.Duration
-	wall       time.Time
-	counters   Counters
+	// wall is the wall clock time of the latest tick.
+	wall     time.Time
+	counters Counters
 	// lastStale is the latest note about a stale or conflicting value, kept to avoid repeating it.
 	lastStale Note
 	// healthEvents is scratch memory of the health sweep.
@@ -181,7 +185,7 @@
 	// Crashes counts the known crashes of endpoints under a request.
 	Crashes                         uint64
 	StaleProfiles, RefusedDocuments uint64
-	// Refused counts the answers that this program gave in place of an endpoint, by reason.
+	// Refused counts the answers that this entry gave in place of an endpoint, by reason.
 	Refused [reasonCount]uint64
 }
 
@@ -212,8 +216,8 @@
 // but have attempts still running.
 func (c *Core) InFlight() int { return len(c.requests) }
 
-// Tick runs the periodic work that is due. The driver calls it every few milliseconds; wall is used
-// only for the calendar of closes.
+// Tick runs the periodic work that is due. The driver calls it every few milliseconds. wall is the
+// wall clock time; it is used only to find out whether a profile.Close is under way.
 func (c *Core) Tick(now time.Duration, wall time.Time, out *Actions) {
 	c.wall, c.now = wall, now
 	c.notePause(now, out)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -31,6 +31,8 @@
 	// Key is the caller's idempotency key; valid only if HasKey.
 	Key    idem.Key
 	HasKey bool
+	// Digest is the digest of a request with a key. Another request under the same key has another
+	// digest.
 	Digest idem.Digest
 	// Idempotent is set if the method is idempotent by its definition (GET, PUT ...).
 	Idempotent bool
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -137,7 +137,7 @@
 	c.announce(0)
 }
 
-// vmOf converts an entry's hello to a VM of the platform's list.
+// vmOf returns the VM of the entry that sent the hello, as the platform's list would name it.
 func vmOf(h message.Hello) published.VM {
 	return published.VM{
 		Name:        h.Name,
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -166,9 +166,9 @@
 }
 
 // Guards against ordinary limits during a close because the configuration service is down. The
-// calendar is part of the document, so the close begins and ends on time at all entries, also at
-// one that is replaced meanwhile and has only peers to ask. A replica that comes back with an older
-// document during the close changes nothing.
+// calendar is part of the document, so the close begins and ends on time at all entries, including
+// an entry that is replaced during the outage and can ask only its peers. A replica that comes back
+// with an older document during the close changes nothing.
 func TestCloseBeginsAndEndsWithoutPlatform(t *testing.T) {
 	h := newServingCluster(t, 4, "counts/c1")
 	h.republish(2, "queue_limit = 96", "queue_limit = 200")
--- a/internal/core/gossip/config.go
+++ b/internal/core/gossip/config.go
@@ -1,11 +1,11 @@
 // Package gossip decides when to send a message to which peer, within a budget of bytes and
 // messages per second that is never exceeded. Messages carry changes, not whole tables.
 //
-// Within a region each entry sends heartbeats to its fingers on a ring of the entries, or to all
-// other entries in a small fleet. Changes (evidence of VMs that leave or are silent, newer
-// revisions, the status of entries) go at once to the fingers, which pass them on; heartbeats bring
-// them to entries that missed them. Load reports use the rest of the budget. Between regions a few
-// links carry the same messages without load reports.
+// Within a region each entry sends heartbeats to its fingers, which are the entries at distances 1,
+// 2, 4, … on a ring of all entries, or to all other entries in a small fleet. Changes (evidence of
+// VMs that leave or are silent, newer revisions, the status of entries) go at once to the fingers,
+// which pass them on; heartbeats bring them to entries that missed them. Load reports use the rest
+// of the budget. Between regions a few links carry the same messages without load reports.
 //
 // The package is pure: time is passed in as the duration since the process started. A Scheduler is
 // not safe for concurrent use.
@@ -39,7 +39,7 @@
 }
 
 // Defaults of Config. 9,000 bytes a second sent and as many received are 18,000 of the 20,000 bytes
-// that a node may spend on control traffic.
+// that an entry may spend on control traffic.
 const (
 	defaultBytesPerSecond    = 9000
 	defaultMessagesPerSecond = 60
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -83,8 +83,8 @@
 // NoteHello stores the record of an entry that sent a hello on a link. That entry sends the record
 // to its own neighbours, so it is not pushed from here, and peers that missed it pull it.
 //
-// The entry may be one that was cut off for so long that its record was dropped. Its earlier record
-// is then stored as silent, because other entries refuse that version; once the entry sees that it
+// If the entry was cut off for so long that its record was dropped, other entries refuse that
+// version of the record. The earlier record is then stored as silent; once the entry sees that it
 // was reported silent, it announces a later version.
 func (s *Scheduler) NoteHello(now time.Duration, r message.Record) {
 	s.refreshTopology()
@@ -279,7 +279,7 @@
 
 // Timing of pulls. Pushed records take less than relayWait to spread through a healthy fleet; a
 // digest that differs for longer shows that a record was missed. A pull with 1,000 marks takes 5
-// KB; two per second fit into what a node may spend. A peer that returned nothing new is asked
+// KB; two per second fit into what an entry may send. A peer that returned nothing new is asked
 // again only when the records at either end have changed: until then it is the peer that lacks
 // records.
 const (
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -104,7 +104,7 @@
 }
 
 // forwardNext forwards r to the next entry that may know its key: the home, then its successors in
-// order. It is safe to ask any number of them, also after an answer was lost, because only the home
+// order. It is safe to ask any number of them, even after an answer was lost, because only the home
 // ever runs the key. Asking one of them is not enough: a stopping home refuses connections before
 // its peers know of the stop, and an entry that joined since may rank before the successors that
 // have the key table.
--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -19,9 +19,11 @@
 	// Region is this entry's region. Entries of other regions are reached only through a few links,
 	// so silence does not make them suspected either.
 	Region string
-	// HoldShare is the share of the VMs above which a list that loses them is held.
+	// HoldShare is the largest share of the live VMs that may be missing from a new list. If more
+	// are missing, the list is held: the missing VMs still count as listed.
 	HoldShare float64
-	// HoldFor is how long a held list must last before its losses count.
+	// HoldFor is how long a list is held. VMs that are still missing from the list after that count
+	// as missing.
 	HoldFor time.Duration
 	// MissingAfter is how long an endpoint that is missing from the list and does not answer still
 	// gets requests.
@@ -62,10 +64,10 @@
 // replacement is already a large share.
 const minHeldLosses = 3
 
-// suspectHeartbeats is how many heartbeats may be missed before an entry is suspected. Each
-// heartbeat is answered, and the entry sends its own as often, so that twice as many signs of life
-// are missing by then. minSuspectTime is the shortest time where heartbeats are frequent, since an
-// entry with a sixth of a core may be late by as much. suspectSlack is added for network delays.
+// suspectHeartbeats is how many heartbeats may be missed before an entry is suspected. The entry
+// answers each heartbeat and sends its own as often, so twice as many messages are missing by then.
+// minSuspectTime is the least silence for which an entry is suspected, however frequent heartbeats
+// are: an entry on a sixth of a core may be that late. suspectSlack is added for network delays.
 const (
 	suspectHeartbeats = 2
 	minSuspectTime    = 1500 * time.Millisecond
--- a/internal/core/member/evidence.go
+++ b/internal/core/member/evidence.go
@@ -9,7 +9,7 @@
 )
 
 // ApplyEvidence applies evidence from a peer or from an endpoint's own answer. The evidence is
-// final for its incarnation, also when the VM is not known yet.
+// final for its incarnation, even if the VM is not known yet.
 func (t *Table) ApplyEvidence(now time.Duration, e message.Evidence) []Change {
 	if e.VM == "" || e.Incarnation == 0 || !t.recordEvidence(now, e) {
 		return nil
--- a/internal/core/member/list.go
+++ b/internal/core/member/list.go
@@ -237,9 +237,9 @@
 	return []Change{{Kind: ListHeld, Why: why}}
 }
 
-// lost returns the rows that were listed before and are not in the latest list, how many of them
-// were live, and how many live VMs were listed before. VMs that are leaving are expected to
-// disappear.
+// lost returns the rows that were listed before and are not in the latest list. lostLive counts
+// those of them that are not leaving, and listedLive all rows that were listed before and are not
+// leaving: VMs that are leaving are expected to disappear.
 func (t *Table) lost() (lost []*row, lostLive, listedLive int) {
 	for _, r := range t.order {
 		if !r.listed || r.missing {
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -12,7 +12,7 @@
 const ageInterval = 50 * time.Millisecond
 
 // refuteTimeout is how long an entry that was reported silent has to refute the report: several
-// times the round trip of gossip to it, also in a fleet with many broken paths.
+// times the round trip of gossip to it, even in a fleet with many broken paths.
 const refuteTimeout = 800 * time.Millisecond
 
 // newPathFactor multiplies the timeout for an entry that has not been heard from since this entry
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -69,8 +69,8 @@
 	return out
 }
 
-// TakeSilences appends the entries whose silence was noticed here since the last call to out. They
-// are reported only where some entries are not watched by all others.
+// TakeSilences appends the entries whose silence was noticed here since the last call to out. It
+// appends none if all entries watch each other: each of them then notices the silence itself.
 func (t *Table) TakeSilences(out []Silence) []Silence {
 	if t.relays {
 		out = append(out, t.silent...)
--- a/internal/core/peerslots.go
+++ b/internal/core/peerslots.go
@@ -92,10 +92,11 @@
 	return inUse
 }
 
-// withinShare reports whether a service may occupy one more slot fleet-wide while another service
-// of the pool has a higher priority, and subtracts the slots that peers use from capacity.Free. The
-// service's share of the pool is divided among the entries that serve it. Beyond its own share an
-// entry may use free slots as long as all slots in use in the pool stay within the service's share.
+// withinShare reports whether a service may occupy one more slot. It restricts a service only while
+// another service of the pool has a higher priority; it then also subtracts the slots that peers
+// use from capacity.Free. The service's share of the pool is divided among the entries that serve
+// it. Beyond its part an entry may use free slots as long as all slots in use in the pool stay
+// within the service's share.
 //
 // Without the fleet-wide bound each entry would keep within a share of its own while all of them
 // together fill the pool, and urgent requests would wait for whole bulk requests.
--- a/internal/core/placement/busy.go
+++ b/internal/core/placement/busy.go
@@ -7,9 +7,9 @@
 )
 
 // Some workloads keep all endpoints of one failure domain busy while other domains have room.
-// Endpoints of the own domain are probed first; in a domain with far more endpoints than are probed
-// for one request, some endpoints are always left unprobed. Without the rules below, requests that
-// other domains could serve in time would be refused.
+// Endpoints of the entry's own domain are probed first; in a domain with far more endpoints than
+// are probed for one request, some endpoints are always left unprobed. Without the rules below,
+// requests that other domains could serve in time would be refused.
 
 const (
 	// busyProbes is how many consecutive load probes in a failure domain must find no headroom,
@@ -38,7 +38,7 @@
 }
 
 // leavesOwnDomain reports whether endpoints of other failure domains are probed like those of the
-// own domain. A request that can probe all endpoints of the own domain does that first.
+// entry's own domain. A request that can probe all endpoints of its entry's domain does that first.
 func (v *View) leavesOwnDomain() bool {
 	if !v.PoolState.isShort(v.Now) || !v.PoolState.isBusy(v.Now, v.Domain) {
 		return false
--- a/internal/core/placement/busy_test.go
+++ b/internal/core/placement/busy_test.go
@@ -8,8 +8,8 @@
 	"github.com/tealhall/tealhall/internal/core/table"
 )
 
-// manyDomains returns a view with endpoints of the own failure domain and twice as many of other
-// domains, none of which has reported a load.
+// manyDomains returns a view with endpoints of the entry's own failure domain and twice as many of
+// other domains, none of which has reported a load.
 func manyDomains(own int) *View {
 	var endpoints []table.Endpoint
 	for i := range 3 * own {
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -15,8 +15,8 @@
 	Expected, cost time.Duration
 	// Worthwhile says that the request should be sent there rather than wait.
 	Worthwhile bool
-	// nearInTime says that the endpoint is in the own failure domain and almost certainly answers
-	// in time.
+	// nearInTime says that the endpoint is in the entry's own failure domain and almost certainly
+	// answers in time.
 	nearInTime bool
 }
 
@@ -74,7 +74,7 @@
 }
 
 // transferCost returns the cost of sending the request and its answer to another failure domain, as
-// the additional delay that is accepted at an endpoint of the own domain.
+// the additional delay that is accepted at an endpoint of the entry's own domain.
 func (v *View) transferCost(e *table.Endpoint) time.Duration {
 	if v.isNear(e) {
 		return 0
--- a/internal/core/placement/lost.go
+++ b/internal/core/placement/lost.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// All endpoints of a failure domain may fail at once. Endpoints of the own domain are probed first,
-// and an entry avoids a failed endpoint only for a short time. Without the rules below, each entry
-// would discover the failure of each endpoint separately and repeatedly, and requests would be sent
-// to endpoints that are gone while others have room.
+// All endpoints of a failure domain may fail at once. An entry probes the endpoints of its own
+// domain first, and avoids a failed endpoint only for a short time. Without the rules below, each
+// entry would discover the failure of each endpoint separately and repeatedly, and requests would
+// be sent to endpoints that are gone while others have room.
 
 const (
 	// lostFailures is how many consecutive contacts with endpoints of a failure domain must fail,
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -58,7 +58,7 @@
 	Tried      balance.Set
 	Probed     []int
 	RoundStart time.Duration
-	// OwnDomainOnly says that only endpoints of the own failure domain may be used.
+	// OwnDomainOnly says that only endpoints of the entry's own failure domain may be used.
 	OwnDomainOnly bool
 	// MaxProbes is the largest number of endpoints that are probed for the request in one probe
 	// round.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -32,7 +32,7 @@
 
 // Guards against needless probes and requests across failure domains, where bytes are expensive.
 // Endpoints with six slots are never idle, so that a request made six probes, a fifth of them in
-// other domains, and one request in nine was sent there while the own domain had room. The own
+// other domains, and one request in nine was sent there while the entry's own domain had room. That
 // domain is probed first and used as long as it can answer in time; requests leave it at once when
 // its last reported loads show no room.
 func TestOwnDomainIsProbedFirst(t *testing.T) {
@@ -199,7 +199,7 @@
 // endpoints with six slots before any entry had learned that work takes 1.7 times as long at five
 // requests. Each of 57 entries filled them at the start of the burst, and they stayed full for as
 // long as the load lasted. One request per fillTrialEvery tries a nearly full endpoint until there
-// are enough measurements; then the measured slowdown decides, also where it is none.
+// are enough measurements; then the measured slowdown decides, even if there is none.
 func TestSlowdownIsMeasuredBeforeEndpointsAreFilled(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/core/placement/rank.go
+++ b/internal/core/placement/rank.go
@@ -8,9 +8,9 @@
 )
 
 // Probing an endpoint of another failure domain, and sending requests there, is expensive, and the
-// own domain almost always has an endpoint with room. So all endpoints of the own domain are
-// probed first, except those that are known to be of no use now; the other domains follow when no
-// other endpoint is left, and at once where the own domain has no endpoint.
+// entry's own domain almost always has an endpoint with room. So all endpoints of that domain are
+// probed first, except those that are known to be of no use now. The other domains follow when no
+// endpoint of it is left, and at once if it has no endpoint.
 //
 // The constants weigh the properties of an endpoint that are known before it is probed. Endpoints
 // whose ranks differ by less than 1 are ordered at random.
@@ -20,9 +20,9 @@
 	rankFull  = 20
 	rankPace  = 5
 	rankDoubt = 100
-	// rankRemote ranks endpoints of other failure domains after endpoints of the own domain that
-	// may have room. rankBusy ranks an endpoint of the own domain even later if it reported a
-	// moment ago that it has no room or is slow.
+	// rankRemote ranks endpoints of other failure domains after endpoints of the entry's own domain
+	// that may have room. rankBusy ranks an endpoint of the entry's domain even later if it
+	// reported a moment ago that it has no room or is slow.
 	rankRemote  = 60
 	rankBusy    = 70
 	rankLost    = 500
@@ -55,8 +55,8 @@
 // full endpoint is assumed to stay full.
 const busySlotTimes = 2
 
-// NextToProbe returns the index of the endpoint to probe next, or -1: endpoints of the own failure
-// domain first, and among these the ones that had most room by their last probed load.
+// NextToProbe returns the index of the endpoint to probe next, or -1: endpoints of the entry's own
+// failure domain first, and among these the endpoint with the most room by its last probed load.
 func (v *View) NextToProbe() int {
 	best, bestRank := -1, 0.0
 	preferConnected, leaveOwnDomain := v.prefersConnected(), v.leavesOwnDomain()
--- a/internal/core/placement/room.go
+++ b/internal/core/placement/room.go
@@ -75,9 +75,9 @@
 	p.headroomShare += headroomWeight * (found - p.headroomShare)
 }
 
-// Batch returns how many endpoints to probe at a time: as many as it usually takes to find one
-// with headroom. A further probe round costs a round trip, a fraction of a millisecond in the own
-// domain; an unnecessary probe costs the endpoint the work of answering it.
+// Batch returns how many endpoints to probe at a time: as many as it usually takes to find one with
+// headroom. A further probe round costs a round trip, a fraction of a millisecond in the entry's
+// own domain; an unnecessary probe costs the endpoint the work of answering it.
 func (p *PoolState) Batch() int {
 	return int(min(max(math.Round(1/max(p.headroomShare, 1.0/maxBatch)), 1), maxBatch))
 }
--- a/internal/core/placement/servicetime.go
+++ b/internal/core/placement/servicetime.go
@@ -22,8 +22,8 @@
 )
 
 // Expected estimates when an endpoint would answer, as a duration from now. It includes the time by
-// which the request would delay another request at the endpoint: a slot that slows both down is
-// worth using only where both can afford it.
+// which the request would delay another request at the endpoint: a slot in which both slow
+// each other down is worth using only if both have the time.
 func (v *View) Expected(e *table.Endpoint) time.Duration {
 	work := float64(v.Request.Work)
 	after := float64(v.ServiceTime(e))
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -158,7 +158,7 @@
 	return cleared
 }
 
-// Active reports whether any request has enough crashes for quarantine, also if its quarantine has
+// Active reports whether any request has enough crashes for quarantine, even if its quarantine has
 // ended since.
 func (t *Table) Active() bool { return t.quarantined > 0 }
 
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -94,9 +94,9 @@
 	})
 }
 
-// Each accepted item leaves the queue exactly once, also across a pause of the process. It is never
+// Each accepted item leaves the queue exactly once, even across a pause of the process. It is never
 // dispatched after its latest start, and never before an item of higher priority or an earlier item
-// of its own caller, unless its class was passed over for long.
+// of its own caller, unless its class was passed over PassLimit times.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
--- a/internal/core/queue/slots.go
+++ b/internal/core/queue/slots.go
@@ -25,7 +25,7 @@
 	// from Demand. Lower priorities leave that many free for it, and some more for variation. Zero
 	// reserves nothing.
 	Demand float64
-	// Overdue says that the service was passed over for long; see Queue.Overdue.
+	// Overdue says that the service was passed over PassLimit times; see Queue.Overdue.
 	Overdue bool
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -24,10 +24,10 @@
 	// silentShare and silentCap bound the attempts that follow one whose connection went silent:
 	// one for each request that succeeded before, saved up to the number of idle connections that
 	// an entry usually keeps for a service. They guard against a network that drops the state of
-	// all connections at once: each dead connection fails one read before it is detected, and the
-	// retry budget, which keeps retries from adding load to an overload, covers only five; the
-	// other reads would fail with "endpoint-lost". An attempt that no endpoint has acknowledged
-	// adds no such load.
+	// all connections at once: each dead connection fails one read request before it is detected,
+	// and the retry budget, which keeps retries from adding load to an overload, covers only five;
+	// the other read requests would fail with "endpoint-lost". An attempt that no endpoint has
+	// acknowledged adds no such load.
 	silentShare = 1.0
 	silentCap   = 64
 )
@@ -83,9 +83,9 @@
 type request struct {
 	arrival Arrival
 	service *service
-	// pool is the pool that the service used when the request arrived. Its queue and its endpoints
-	// refer to the request, so it stays although a new profile moves the service to another pool
-	// meanwhile.
+	// pool is the pool that the service used when the request arrived. The pool's queue and
+	// endpoints refer to the request, so the request keeps this pool even if a new profile moves
+	// the service to another one.
 	pool     *pool
 	policy   *profile.Policy
 	phase    phase
--- a/internal/core/supervision.go
+++ b/internal/core/supervision.go
@@ -15,8 +15,8 @@
 	// checks, both in multiples of the typical work.
 	firstCheckAfter = 1.3
 	checkInterval   = 0.5
-	// decisionLead is how long before the latest useful moment a second attempt is decided on: the
-	// time of a load probe and a tick.
+	// decisionLead is how long before the latest useful start of a second attempt the attempt is
+	// decided on: the time of a load probe and a tick.
 	decisionLead = 10 * time.Millisecond
 	// maxChecks bounds the checks of one request.
 	maxChecks = 5
@@ -126,7 +126,7 @@
 }
 
 // decideSecondAttempt sends a second attempt if the first looks lost or slow and an idle endpoint
-// would answer earlier. Endpoints that have work get no second attempt: where all have work, second
+// would answer earlier. Endpoints that have work get no second attempt: if all have work, second
 // attempts would take slots from first attempts.
 func (c *Core) decideSecondAttempt(now time.Duration, r *request, best placement.Choice, out *Actions) {
 	if best.Index < 0 || r.phase != phaseActive || r.committed != 0 || r.live() != 1 || r.dispatches != 1 {
--- a/internal/entry/endpoint_test.go
+++ b/internal/entry/endpoint_test.go
@@ -117,7 +117,7 @@
 
 // All endpoints break their answers off in the middle, both chunked answers and those with a
 // Content-Length. A caller must be able to detect that its answer is incomplete. The outcome of a
-// booking whose answer was lost is unknown, also when the booking is repeated.
+// booking whose answer was lost is unknown, even if the booking is repeated.
 func TestTruncatedAnswersAreNotTakenAsWhole(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, e := range f.Endpoints {
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -21,7 +21,7 @@
 
 // handoverResult is the result of a hand-over.
 type handoverResult struct {
-	// keys counts the keys of all tables, also of those that no successor accepted.
+	// keys counts the keys of all tables, including tables that no successor accepted.
 	keys int
 	// successors counts the entries that accepted at least one whole table.
 	successors int
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,8 +16,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// handoverBytes bounds a message of a hand-over, apart from its largest stored answer. For that,
-// twice its size is allowed, since its encoding adds to it.
+// handoverBytes bounds a hand-over message without the stored answers in it. buildPeers adds twice
+// the largest size of a stored answer, since the encoding enlarges the answer.
 const handoverBytes = 256 << 10
 
 // The backoff before a peer is dialled again. If the platform lists no entries, an entry that comes
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -41,9 +41,9 @@
 	wait.For(ctx, until(plan.refuseConnections))
 	var running int
 	e.engine.view(func(now time.Duration, c *core.Core) { running = c.SealKeys(now) })
-	// The keys are handed over at once, also in a quick stop: from now on this entry refuses
-	// connections, and uploads may delay its end for long. The successors see keys that still run
-	// as unknown until the second hand-over.
+	// The keys are handed over at once, even in a quick stop: from now on this entry refuses
+	// connections, and uploads may delay its end for a long time. The successors see keys that
+	// still run as unknown until the second hand-over.
 	handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), until(plan.announceStopped))
 	defer cancel()
 	firstHandover := make(chan handoverResult, 1)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -14,8 +14,8 @@
 
 // An operator sends a second signal while an upload is in flight. The stop must end at once and
 // report how many requests it cuts off, and the caller must see that its upload was not answered.
-// No goroutine of any entry may be left, also of entries that are stopped or killed while they
-// start.
+// No goroutine of any entry may be left, including those of entries that are stopped or killed
+// while they start.
 func TestQuickStopReportsCutRequestsAndLeaksNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	f := newFleet(t, 3)
