--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,9 +23,9 @@
 
 // Periods of the periodic work that runs less often than every tick, and bounds of the core.
 const (
-	healthPeriod = 100 * time.Millisecond
-	probePeriod  = 50 * time.Millisecond
-	memberPeriod = 100 * time.Millisecond
+	sweepPeriod       = 100 * time.Millisecond
+	healthProbePeriod = 50 * time.Millisecond
+	memberPeriod      = 100 * time.Millisecond
 	// pauseGap is the time between two ticks from which the process is assumed to have been
 	// suspended, so that its knowledge of other entries and endpoints is stale.
 	pauseGap = time.Second
@@ -155,11 +155,11 @@
 	servingSince time.Duration
 
 	// now is the time of the latest tick or request event.
-	now        time.Duration
-	lastTick   time.Duration
-	nextHealth time.Duration
-	nextProbe  time.Duration
-	nextMember time.Duration
+	now             time.Duration
+	lastTick        time.Duration
+	nextSweep       time.Duration
+	nextHealthProbe time.Duration
+	nextMember      time.Duration
 	// wall is the wall clock time of the latest tick.
 	wall     time.Time
 	counters Counters
@@ -175,7 +175,9 @@
 	Arrived, Done, NotRun, Unknown uint64
 	Dispatched, Retried, Hedged    uint64
 	Queued, Forwarded, Replayed    uint64
-	Probes, ProbesDenied, Pauses   uint64
+	// Probes and ProbesDenied count the health probes that were sent and those that the budget did
+	// not allow.
+	Probes, ProbesDenied, Pauses uint64
 	// TicksLate counts ticks that came long after the previous one because the process was short of
 	// processor time or suspended.
 	TicksLate                     uint64
@@ -239,16 +241,16 @@
 		c.quarantine.Expire(now)
 		c.forgetLimits(now)
 	}
-	if now >= c.nextHealth {
-		c.nextHealth = now + healthPeriod
+	if now >= c.nextSweep {
+		c.nextSweep = now + sweepPeriod
 		c.sweepHealth(now, out)
 		for _, p := range c.poolRows {
 			p.forgetOldServiceTimes(now)
 			placement.AdvanceSlowStart(now, p.Endpoints)
 		}
 	}
-	if now >= c.nextProbe {
-		c.nextProbe = now + probePeriod
+	if now >= c.nextHealthProbe {
+		c.nextHealthProbe = now + healthProbePeriod
 		c.startHealthProbes(now, out)
 	}
 	if c.fleet.assignedVersion != c.fleet.entriesVersion && now-c.fleet.assignedAt >= assignInterval {
