--- a/internal/core/balance/peerloads.go
+++ b/internal/core/balance/peerloads.go
@@ -8,8 +8,7 @@
 type peerLoads struct {
 	// mean is the smoothed foreign load of an endpoint as reported.
 	mean float64
-	// oldest is when the believed peer that has been silent for longest was last heard, as of the
-	// latest call of expire.
+	// oldest is the earliest heard time of the valid peers, as of the latest call of expire.
 	oldest    time.Duration
 	endpoints []endpointLoad
 	peers     []peerState
@@ -19,16 +18,17 @@
 
 // endpointLoad is the foreign load of one endpoint.
 type endpointLoad struct {
-	// sum is the total of the counts of the believed peers.
+	// sum is the total of the valid peers' counts.
 	sum int32
 	// extra is the reported load beyond sum, negative if the report shows less.
 	extra   int32
 	extraAt time.Duration
 }
 
+// peerState says when a peer's counts were last true, and whether they are still used.
 type peerState struct {
-	heard    time.Duration
-	believed bool
+	heard time.Duration
+	valid bool
 }
 
 func (l *peerLoads) reset(endpoints, peers int) {
@@ -64,7 +64,7 @@
 		return
 	}
 	peer := &l.peers[from]
-	peer.believed = true
+	peer.valid = true
 	peer.heard = max(peer.heard, at)
 }
 
@@ -81,7 +81,7 @@
 	l.oldest = now
 	for j := range l.peers {
 		peer := &l.peers[j]
-		if !peer.believed {
+		if !peer.valid {
 			continue
 		}
 		if now-peer.heard > silence {
@@ -93,7 +93,7 @@
 }
 
 func (l *peerLoads) forget(j int) {
-	l.peers[j].believed = false
+	l.peers[j].valid = false
 	for i := range l.endpoints {
 		at := i*len(l.peers) + j
 		l.endpoints[i].sum -= l.counts[at]
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,9 +23,9 @@
 
 // Periods of the periodic work that runs less often than every tick, and bounds of the core.
 const (
-	healthPeriod = 100 * time.Millisecond
-	probePeriod  = 50 * time.Millisecond
-	memberPeriod = 100 * time.Millisecond
+	sweepPeriod       = 100 * time.Millisecond
+	healthProbePeriod = 50 * time.Millisecond
+	memberPeriod      = 100 * time.Millisecond
 	// pauseGap is the time between two ticks from which the process is assumed to have been
 	// suspended, so that its knowledge of other entries and endpoints is stale.
 	pauseGap = time.Second
@@ -49,8 +49,9 @@
 	// CallsPerSecond is the assumed capacity of one entry, in callers' requests. It determines the
 	// entry's weight in the answers to callers.
 	CallsPerSecond float64
-	// LargestFleet is the number of entries that the health probe budget is divided by. It is never
-	// derived from the peers seen.
+	// LargestFleet is the largest number of entries that ever run at the same time. The fleet's
+	// budget of health probes, its least rate of retries and the slack of Repeats are divided by
+	// it. It is never derived from the peers seen (see budget.HealthProbeConfig).
 	LargestFleet int
 	// Keys bounds the idempotency key table.
 	Keys idem.Config
@@ -108,7 +109,9 @@
 	cfg Config
 	rng *rand.Rand
 
+	// snapshot has the profiles in force, nil before the first ones.
 	snapshot *profile.Snapshot
+	// closing is set while a profile.Close is under way, so that the close policies apply.
 	closing  bool
 	services map[string]*service
 	// serviceRows lists the services by index; a removed service keeps its row.
@@ -152,13 +155,14 @@
 	servingSince time.Duration
 
 	// now is the time of the latest tick or request event.
-	now        time.Duration
-	lastTick   time.Duration
-	nextHealth time.Duration
-	nextProbe  time.Duration
-	nextMember time.Duration
-	wall       time.Time
-	counters   Counters
+	now             time.Duration
+	lastTick        time.Duration
+	nextSweep       time.Duration
+	nextHealthProbe time.Duration
+	nextMember      time.Duration
+	// wall is the wall clock time of the latest tick.
+	wall     time.Time
+	counters Counters
 	// lastStale is the latest note about a stale or conflicting value, kept to avoid repeating it.
 	lastStale Note
 	// healthEvents is scratch memory of the health sweep.
@@ -171,7 +175,9 @@
 	Arrived, Done, NotRun, Unknown uint64
 	Dispatched, Retried, Hedged    uint64
 	Queued, Forwarded, Replayed    uint64
-	Probes, ProbesDenied, Pauses   uint64
+	// Probes and ProbesDenied count the health probes that were sent and those that the budget did
+	// not allow.
+	Probes, ProbesDenied, Pauses uint64
 	// TicksLate counts ticks that came long after the previous one because the process was short of
 	// processor time or suspended.
 	TicksLate                     uint64
@@ -181,7 +187,7 @@
 	// Crashes counts the known crashes of endpoints under a request.
 	Crashes                         uint64
 	StaleProfiles, RefusedDocuments uint64
-	// Refused counts the answers that this program gave in place of an endpoint, by reason.
+	// Refused counts the answers that this entry gave in place of an endpoint, by reason.
 	Refused [reasonCount]uint64
 }
 
@@ -212,8 +218,8 @@
 // but have attempts still running.
 func (c *Core) InFlight() int { return len(c.requests) }
 
-// Tick runs the periodic work that is due. The driver calls it every few milliseconds; wall is used
-// only for the calendar of closes.
+// Tick runs the periodic work that is due. The driver calls it every few milliseconds. wall is the
+// wall clock time; it is used only to find out whether a profile.Close is under way.
 func (c *Core) Tick(now time.Duration, wall time.Time, out *Actions) {
 	c.wall, c.now = wall, now
 	c.notePause(now, out)
@@ -235,16 +241,16 @@
 		c.quarantine.Expire(now)
 		c.forgetLimits(now)
 	}
-	if now >= c.nextHealth {
-		c.nextHealth = now + healthPeriod
+	if now >= c.nextSweep {
+		c.nextSweep = now + sweepPeriod
 		c.sweepHealth(now, out)
 		for _, p := range c.poolRows {
 			p.forgetOldServiceTimes(now)
 			placement.AdvanceSlowStart(now, p.Endpoints)
 		}
 	}
-	if now >= c.nextProbe {
-		c.nextProbe = now + probePeriod
+	if now >= c.nextHealthProbe {
+		c.nextHealthProbe = now + healthProbePeriod
 		c.startHealthProbes(now, out)
 	}
 	if c.fleet.assignedVersion != c.fleet.entriesVersion && now-c.fleet.assignedAt >= assignInterval {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -137,7 +137,7 @@
 	c.announce(0)
 }
 
-// vmOf converts an entry's hello to a VM of the platform's list.
+// vmOf returns the VM of the entry that sent the hello, as the platform's list would name it.
 func vmOf(h message.Hello) published.VM {
 	return published.VM{
 		Name:        h.Name,
@@ -190,7 +190,7 @@
 		e := &f.entries[i]
 		id := assignID(e.VM.Name)
 		f.byAssignID[id] = i
-		m := assign.Member{Incarnation: id, Region: e.VM.Region, Domain: e.VM.Domain}
+		m := assign.Member{ID: id, Region: e.VM.Region, Domain: e.VM.Domain}
 		self := e.VM.Incarnation == c.cfg.Self.Incarnation
 		if self || e.Usable() {
 			f.assignMembers = append(f.assignMembers, m)
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,8 +16,8 @@
 	"github.com/tealhall/tealhall/internal/published"
 )
 
-// handoverBytes bounds a message of a hand-over, apart from its largest stored answer. For that,
-// twice its size is allowed, since its encoding adds to it.
+// handoverBytes bounds a hand-over message without the stored answers in it. buildPeers adds twice
+// the largest size of a stored answer, since the encoding enlarges the answer.
 const handoverBytes = 256 << 10
 
 // The backoff before a peer is dialled again. If the platform lists no entries, an entry that comes
@@ -273,7 +273,7 @@
 }
 
 // fetchFromPeer fetches a published value from a peer. It reports whether the peer answered.
-func (e *Entry) fetchFromPeer(ctx context.Context, f core.FetchFrom) bool {
+func (e *Entry) fetchFromPeer(ctx context.Context, f core.Fetch) bool {
 	request := message.Fetch{Name: f.Name, After: f.After, Difference: e.documents.get(f.Name).Revision == f.After && f.After > 0}
 	d, err := e.links.Fetch(ctx, f.Address, request)
 	if err == nil && d.Difference {
