--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -17,10 +17,10 @@
 	x.ending = c.ending()
 	x.entry.instruments.recordHead(x.entry.engine.clock()-x.began, c.waited)
 	if !c.forwarded {
-		for _, name := range x.entry.dialect.OwnHeaders() {
+		for _, name := range x.entry.dialect.EntryHeaders() {
 			delete(c.response.Header, name)
 		}
-		x.entry.dialect.Mark(w.Header(), x.entry.mark(c.outcome, core.ReasonNone))
+		x.entry.dialect.SetAnswerHeaders(w.Header(), x.entry.mark(c.outcome, core.ReasonNone))
 	}
 	if x.keyed && !c.forwarded {
 		x.passKeyedAnswer(w, c)
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -14,8 +14,8 @@
 type Dialect interface {
 	// TimeLeft returns how long the caller still waits, if it says so.
 	TimeLeft(h http.Header) (time.Duration, bool)
-	// Name returns the caller's name for its request, "" if it gave none.
-	Name(h http.Header) string
+	// RequestName returns the caller's name for its request, "" if it gave none.
+	RequestName(h http.Header) string
 	// AttemptHeader returns the headers that an attempt adds for its endpoint.
 	AttemptHeader(a *AttemptInfo) http.Header
 	// ReadHead reads what the head of an endpoint's answer says about the request, the endpoint's
@@ -25,10 +25,12 @@
 	// IsStray reports whether an answer belongs to another request than the one with the given
 	// headers.
 	IsStray(request, answer http.Header) bool
-	// OwnHeaders lists the headers of endpoints that are meant only for the entry.
-	OwnHeaders() []string
-	// Mark adds the headers that every answer of an entry carries.
-	Mark(h http.Header, m Mark)
+	// EntryHeaders lists the headers that the entry removes from an endpoint's answer, since they are
+	// meant only for the entry or only the entry may send them to a caller.
+	EntryHeaders() []string
+	// SetAnswerHeaders sets the headers that name the entry and the outcome, which every answer of
+	// an entry carries, those of an endpoint included.
+	SetAnswerHeaders(h http.Header, m Mark)
 	// Refuse sends a caller an answer of the entry itself.
 	Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal)
 }
@@ -77,8 +79,8 @@
 	return contract.ParseDeadline(h.Get(contract.HeaderDeadline))
 }
 
-// Name implements Dialect.
-func (nativeDialect) Name(h http.Header) string { return h.Get(contract.HeaderRequest) }
+// RequestName implements Dialect.
+func (nativeDialect) RequestName(h http.Header) string { return h.Get(contract.HeaderRequest) }
 
 // AttemptHeader implements Dialect. The values share one array to save allocations, since it is
 // called for every attempt.
@@ -125,10 +127,10 @@
 // to be stray.
 func (nativeDialect) IsStray(_, _ http.Header) bool { return false }
 
-// ownHeaders are the headers that entries set for callers and endpoints set for entries. An
+// entryHeaders are the headers that entries set for callers and endpoints set for entries. An
 // endpoint's answer must not carry them to a caller: a stray "not-run" in it would be a false
 // statement in tealhall's name.
-var ownHeaders = []string{
+var entryHeaders = []string{
 	contract.HeaderOutcome,
 	contract.HeaderReason,
 	contract.HeaderEntry,
@@ -141,11 +143,11 @@
 	contract.HeaderNotRun,
 }
 
-// OwnHeaders implements Dialect.
-func (nativeDialect) OwnHeaders() []string { return ownHeaders }
+// EntryHeaders implements Dialect.
+func (nativeDialect) EntryHeaders() []string { return entryHeaders }
 
-// Mark implements Dialect.
-func (nativeDialect) Mark(h http.Header, m Mark) {
+// SetAnswerHeaders implements Dialect.
+func (nativeDialect) SetAnswerHeaders(h http.Header, m Mark) {
 	h.Set(contract.HeaderOutcome, m.Outcome.String())
 	h.Set(contract.HeaderEntry, m.Entry)
 	h.Set(contract.HeaderRevision, strconv.FormatUint(m.Revision, 10))
@@ -156,7 +158,7 @@
 
 // Refuse implements Dialect.
 func (d nativeDialect) Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal) {
-	d.Mark(w.Header(), refusal.Mark)
+	d.SetAnswerHeaders(w.Header(), refusal.Mark)
 	if refusal.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(wholeSeconds(refusal.RetryAfter), 10))
 	}
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -78,7 +78,7 @@
 	for _, pair := range d.Answer.Header {
 		h.Add(pair[0], pair[1])
 	}
-	e.dialect.Mark(h, e.mark(d.Outcome, core.ReasonNone))
+	e.dialect.SetAnswerHeaders(h, e.mark(d.Outcome, core.ReasonNone))
 	h.Set(contract.HeaderReplayed, contract.ReplayedValue)
 	h.Set("Content-Length", strconv.Itoa(len(d.Answer.Body)))
 	w.WriteHeader(d.Answer.Status)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -176,7 +176,7 @@
 	}
 	a.Revision, _ = strconv.ParseUint(h.Get(contract.HeaderRevision), 10, 64)
 	x.depth, x.callerAttempt = a.Depth, a.CallerAttempt
-	x.requestName = x.entry.dialect.Name(h)
+	x.requestName = x.entry.dialect.RequestName(h)
 	if x.requestName == "" {
 		x.requestName = x.entry.requestPrefix + strconv.FormatUint(uint64(x.id), 10)
 	}
