--- a/internal/entry/views_routes.go
+++ b/internal/entry/views_routes.go
@@ -27,7 +27,7 @@
 
 func routeView(s *profile.Snapshot, r *route.Route) admin.RouteView {
 	v := admin.RouteView{
-		Route: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind), Priority: r.Priority,
+		Route: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind), Priority: r.Rank,
 		Objective: r.Objective.Duration().Seconds(), Timeout: r.Timeout.Duration().Seconds(), MaxAttempts: r.MaxAttempts,
 	}
 	totalWeight := 0.0
--- a/internal/profile/traffic.go
+++ b/internal/profile/traffic.go
@@ -12,11 +12,11 @@
 type TrafficRule struct {
 	Name string
 	Kind route.Kind
-	// Priority restricts the rule to routes of that rank if HasPriority is set. A rule with a
-	// priority takes precedence over one without.
-	Priority    int
-	HasPriority bool
-	Profile     string
+	// Rank restricts the rule to routes of that rank if HasRank is set. A rule with a rank takes
+	// precedence over one without.
+	Rank    int
+	HasRank bool
+	Profile string
 }
 
 // The bounds of a policy's priority. Routes are ranked in the opposite order: rank 0, the highest,
@@ -73,7 +73,7 @@
 			c.report(table.child("priority"), "the value is not a rank", "write a whole number from 0, the highest rank")
 			return rule, false
 		}
-		rule.Priority, rule.HasPriority = int(n), true
+		rule.Rank, rule.HasRank = int(n), true
 	}
 	if rule.Profile, ok = c.readString(table, "profile", "name one of the document's profiles"); !ok {
 		return rule, false
@@ -94,14 +94,14 @@
 }
 
 // trafficRuleFor returns the rule for routes of the given kind and rank, or nil if there is none.
-func (s *Snapshot) trafficRuleFor(kind route.Kind, priority int) *TrafficRule {
+func (s *Snapshot) trafficRuleFor(kind route.Kind, rank int) *TrafficRule {
 	var found *TrafficRule
 	for i := range s.traffic {
 		rule := &s.traffic[i]
-		if rule.Kind != kind || rule.HasPriority && rule.Priority != priority {
+		if rule.Kind != kind || rule.HasRank && rule.Rank != rank {
 			continue
 		}
-		if found == nil || rule.HasPriority && !found.HasPriority {
+		if found == nil || rule.HasRank && !found.HasRank {
 			found = rule
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	for i := range table.Routes() {
 		r := &table.Routes()[i]
-		rule := s.trafficRuleFor(r.Kind, r.Priority)
+		rule := s.trafficRuleFor(r.Kind, r.Rank)
 		if rule == nil {
 			return nil, fault.New(fault.BadProfile, "add a [traffic] rule for the kind to the profiles", "no traffic rule applies to %s routes such as %q", r.Kind, r.Name)
 		}
@@ -174,7 +174,7 @@
 		p.Deadline = r.Timeout.Duration()
 	}
 	p.Objective = r.Objective.Duration()
-	p.Priority = max(highestPriority-r.Priority, lowestPriority)
+	p.Priority = max(highestPriority-r.Rank, lowestPriority)
 	p.MaxAttempts = r.MaxAttempts
 	p.RequireKey = false
 	if limits.BodyBytes > 0 {
--- a/internal/profile/traffic_test.go
+++ b/internal/profile/traffic_test.go
@@ -60,10 +60,10 @@
 	}
 	singlePart := []route.Part{{Service: "s", Weight: 1}}
 	bound, err := base.Bind(trafficTable(t,
-		route.Route{Name: "r", Kind: route.Idempotent, Priority: 2, Parts: singlePart},
-		route.Route{Name: "u", Kind: route.Idempotent, Priority: 0, Parts: singlePart},
-		route.Route{Name: "b", Kind: route.NonIdempotent, Priority: 1, Parts: []route.Part{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
-		route.Route{Name: "l", Kind: route.Upload, Priority: 12, Parts: singlePart},
+		route.Route{Name: "r", Kind: route.Idempotent, Rank: 2, Parts: singlePart},
+		route.Route{Name: "u", Kind: route.Idempotent, Rank: 0, Parts: singlePart},
+		route.Route{Name: "b", Kind: route.NonIdempotent, Rank: 1, Parts: []route.Part{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
+		route.Route{Name: "l", Kind: route.Upload, Rank: 12, Parts: singlePart},
 	), 7, 8)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/route/repair.go
+++ b/internal/route/repair.go
@@ -80,16 +80,16 @@
 	return usable
 }
 
-// correctRoute corrects a route's kind, timeout, objective, priority and attempts. A route of an
+// correctRoute corrects a route's kind, timeout, objective, rank and attempts. A route of an
 // unknown kind is treated as NonIdempotent, the kind that permits the least.
 func (p *problems) correctRoute(r *Route) {
 	if !slices.Contains(Kinds(), r.Kind) {
 		p.add("route %q: requests of the unknown kind %q run once at most", r.Name, r.Kind)
 		r.Kind = NonIdempotent
 	}
-	if r.Timeout < 0 || r.Objective < 0 || r.Priority < 0 {
+	if r.Timeout < 0 || r.Objective < 0 || r.Rank < 0 {
 		p.add("route %q: a negative timeout, objective or priority counts as 0", r.Name)
-		r.Timeout, r.Objective, r.Priority = max(r.Timeout, 0), max(r.Objective, 0), max(r.Priority, 0)
+		r.Timeout, r.Objective, r.Rank = max(r.Timeout, 0), max(r.Objective, 0), max(r.Rank, 0)
 	}
 	if r.MaxAttempts < 1 {
 		p.add("route %q: max_attempts %d counts as 1", r.Name, r.MaxAttempts)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -41,8 +41,8 @@
 	// Prefix begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	Kind   Kind   `json:"kind"`
-	// Priority is the rank among routes; 0 is the highest.
-	Priority int `json:"priority"`
+	// Rank orders routes by importance; 0 is the highest.
+	Rank int `json:"priority"`
 	// Timeout is how long a request may take until its final answer, 0 if the route sets no limit.
 	Timeout Millis `json:"timeout_ms"`
 	// Objective is the latency within which an answer has its full value, 0 for none.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -80,7 +80,7 @@
 		{"no attempt", func(d *Document) { long(d).MaxAttempts = 0 }, "s90 t10 non_idempotent 1500 1 0", "max_attempts 0 counts as 1"},
 		{"no timeout", func(d *Document) { long(d).Timeout = 0 }, "s90 t10 non_idempotent 0 2 0", ""},
 		{"negative timeout", func(d *Document) { long(d).Timeout = -5 }, "s90 t10 non_idempotent 0 2 0", "negative timeout"},
-		{"negative priority", func(d *Document) { long(d).Priority = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative timeout, objective or priority"},
+		{"negative priority", func(d *Document) { long(d).Rank = -1 }, "s90 t10 non_idempotent 1500 2 0", "negative timeout, objective or priority"},
 		{"same host and prefix", func(d *Document) { d.Routes[0].Prefix = "/x/y/" }, "s90 t10 non_idempotent 1500 2 0", `"long" and "short" have the same host and prefix`},
 		{"same name", func(d *Document) { d.Routes[0].Name = "long" }, "s1 idempotent 1500 2 0", `route "long" is listed twice`},
 		{"service listed twice", func(d *Document) { d.Services[1].Name = "s" }, "s90 t10 non_idempotent 1500 2 0", `service "s" is listed twice`},
@@ -103,7 +103,7 @@
 				for _, part := range r.Parts {
 					got += fmt.Sprint(part.Service, part.Weight, " ")
 				}
-				got += fmt.Sprint(r.Kind, " ", r.Timeout, " ", r.MaxAttempts, " ", r.Priority)
+				got += fmt.Sprint(r.Kind, " ", r.Timeout, " ", r.MaxAttempts, " ", r.Rank)
 			}
 			if got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
