--- a/internal/profile/field.go
+++ b/internal/profile/field.go
@@ -175,7 +175,7 @@
 }
 
 // setInRange stores value and returns true if value is within the field's bounds. NaN fails both
-// comparisons and is therefore rejected.
+// comparisons and is therefore refused.
 func setInRange[T int | int64 | float64 | time.Duration](f *field, ref *T, value T) bool {
 	n := float64(value)
 	inside := n >= f.min && n <= f.max
--- a/internal/profile/parse.go
+++ b/internal/profile/parse.go
@@ -27,7 +27,7 @@
 	maxKeys = 20000
 )
 
-// Parse validates a document and compiles it. If the document has any problem, Parse rejects all of
+// Parse validates a document and compiles it. If the document has any problem, Parse refuses all of
 // it with an error of kind fault.BadProfile that wraps a *DocumentError. Parse keeps no reference
 // to data.
 func Parse(data []byte, revision uint64) (*Snapshot, error) {
@@ -78,7 +78,7 @@
 		return section{}, nil, problem
 	}
 	// Recover from panics in the TOML library. Otherwise a document that triggers one would crash
-	// every entry at once, and again at each restart, for as long as it stays published. Rejecting
+	// every entry at once, and again at each restart, for as long as it stays published. Refusing
 	// the document leaves the previous one in force.
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/profile/policy.go
+++ b/internal/profile/policy.go
@@ -75,7 +75,7 @@
 	EjectBase, EjectMax time.Duration
 	// MaxBodyBytes is the size limit of a request body.
 	MaxBodyBytes int64
-	// RequireKey rejects requests without an idempotency key.
+	// RequireKey refuses requests without an idempotency key.
 	RequireKey bool
 	// EntriesPerDomain is the number of entries in each failure domain to which the service's
 	// callers are sent; 0 means one entry in each region.
--- a/internal/profile/problem.go
+++ b/internal/profile/problem.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("line %d: %s: %s; %s", p.Line, p.Path, p.Problem, p.Remedy)
 }
 
-// DocumentError lists all problems for which a document was rejected. Parse returns it wrapped in
+// DocumentError lists all problems for which a document was refused. Parse returns it wrapped in
 // an error of kind fault.BadProfile; use errors.As to retrieve it.
 type DocumentError struct {
 	// Problems are sorted by line.
--- a/internal/profile/profiles.go
+++ b/internal/profile/profiles.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// maxPrintedValue bounds the length of a rejected value in a message.
+// maxPrintedValue bounds the length of a refused value in a message.
 const maxPrintedValue = 40
 
-// formatRefusedValue formats a rejected value for a message. Tables and lists are not printed: they
+// formatRefusedValue formats a refused value for a message. Tables and lists are not printed: they
 // may be nested so deeply that formatting them would overflow the stack.
 func formatRefusedValue(value any) string {
 	switch v := value.(type) {
--- a/internal/profile/reference.go
+++ b/internal/profile/reference.go
@@ -6,7 +6,7 @@
 )
 
 // Reference returns the Markdown reference of profile settings for docs/PROFILES.md: a table of
-// values, the descriptions, and the combinations that are rejected.
+// values, the descriptions, and the combinations that are refused.
 func Reference() string {
 	var b strings.Builder
 	writeValues(&b)
--- a/internal/profile/rules.go
+++ b/internal/profile/rules.go
@@ -70,7 +70,7 @@
 )
 
 // checkRules reports the rules that the policy of one mode violates. blocks are the tables that may
-// set the mode's settings, the one with precedence first. Rules that involve a rejected setting are
+// set the mode's settings, the one with precedence first. Rules that involve a refused setting are
 // skipped, because p holds the default, or during a close the ordinary setting, in its place.
 func (c *checker) checkRules(p *Policy, blocks []section, refused map[string]bool) {
 	for _, r := range rules {
--- a/internal/profile/snapshot.go
+++ b/internal/profile/snapshot.go
@@ -62,7 +62,7 @@
 // Profiles returns the names of all profiles, sorted.
 func (s *Snapshot) Profiles() []string { return slices.Clone(s.profiles) }
 
-// Warnings returns the likely mistakes for which the document was not rejected, sorted by line.
+// Warnings returns the likely mistakes for which the document was not refused, sorted by line.
 func (s *Snapshot) Warnings() []Problem { return slices.Clone(s.warnings) }
 
 // TimeZone returns the name of the calendar's time zone, or "" if there is no calendar.
