--- a/internal/core/gossip/compose.go
+++ b/internal/core/gossip/compose.go
@@ -152,8 +152,8 @@
 		}
 	}
 	p.evidenceInFlight = p.evidenceInFlight[:0]
-	for _, h := range p.recordsInFlight {
-		h.known.add(p.slot)
+	for _, stored := range p.recordsInFlight {
+		stored.known.add(p.slot)
 	}
 	p.recordsInFlight = p.recordsInFlight[:0]
 	if p.kind == linkRegion {
@@ -170,7 +170,7 @@
 // that have it as a finger should send it first.
 func (s *Scheduler) compareEvidence(now time.Duration, p *peer, known uint64) {
 	if known == s.log.digest {
-		p.mayLack = false
+		p.mayLackEvidence = false
 		s.markAllKnown(p)
 		return
 	}
@@ -179,10 +179,10 @@
 		return
 	}
 	quiet := now-s.log.changedAt >= relayWait
-	if quiet && (p.finger || p.mayLack) {
-		p.lacks = true
+	if quiet && (p.finger || p.mayLackEvidence) {
+		p.lacksEvidence = true
 	}
-	p.mayLack = quiet
+	p.mayLackEvidence = quiet
 }
 
 // Received records what a peer's message shows about the peer's state, and stores its evidence for
@@ -245,21 +245,21 @@
 // While evidence is arriving, sets differ for that reason alone.
 func (s *Scheduler) noteDifference(now time.Duration, p *peer) {
 	if p.kind == linkInbound || p.pending > 0 || p.inFlight || now-s.log.changedAt < relayWait {
-		p.differs = false
+		p.evidenceDiffers = false
 		return
 	}
-	if !p.differs {
-		p.differs, p.differsSince = true, now
+	if !p.evidenceDiffers {
+		p.evidenceDiffers, p.evidenceDiffersSince = true, now
 		return
 	}
-	if now-p.differsSince < repairMin<<min(p.repairs, repairDoublings) {
+	if now-p.evidenceDiffersSince < repairMin<<min(p.repairs, repairDoublings) {
 		return
 	}
-	p.differs = false
+	p.evidenceDiffers = false
 	p.repairs++
 	for _, c := range s.log.stored {
 		c.known.remove(p.slot)
 	}
-	p.pending, p.pendingSince, p.lacks = len(s.log.stored), now, len(s.log.stored) > 0
+	p.pending, p.pendingSince, p.lacksEvidence = len(s.log.stored), now, len(s.log.stored) > 0
 	s.recountUrgent()
 }
--- a/internal/core/gossip/evidence.go
+++ b/internal/core/gossip/evidence.go
@@ -236,13 +236,13 @@
 		p.urgent--
 	}
 	if p.pending == 0 {
-		p.lacks = false
+		p.lacksEvidence = false
 	}
 }
 
 // markAllKnown records that a peer has the same evidence as this entry.
 func (s *Scheduler) markAllKnown(p *peer) {
-	p.differs, p.repairs, p.lacks = false, 0, false
+	p.evidenceDiffers, p.repairs, p.lacksEvidence = false, 0, false
 	if p.pending == 0 {
 		return
 	}
@@ -283,7 +283,7 @@
 // pending for maxEvidenceWait while so much arrives that digests cannot be compared.
 func (s *Scheduler) shouldSend(now time.Duration, p *peer, c *storedEvidence) bool {
 	switch {
-	case p.lacks || c.urgentFor(p):
+	case p.lacksEvidence || c.urgentFor(p):
 		return true
 	case !p.finger:
 		return false
--- a/internal/core/gossip/gossip_test.go
+++ b/internal/core/gossip/gossip_test.go
@@ -199,8 +199,8 @@
 	announce(1, message.EntryStarting)
 	f.run(10 * time.Second)
 	serves := func(id uint64) bool {
-		h := f.nodes[id].records.byName["entry-3"]
-		return h != nil && h.record.State == message.EntryServing
+		stored := f.nodes[id].records.byName["entry-3"]
+		return stored != nil && stored.record.State == message.EntryServing
 	}
 	missing := func() (n int) {
 		for _, id := range f.ids {
--- a/internal/core/gossip/records.go
+++ b/internal/core/gossip/records.go
@@ -71,11 +71,11 @@
 // its record.
 func (s *Scheduler) ReportSilent(now time.Duration, name string, incarnation uint64, version uint32) {
 	s.refreshTopology()
-	h := s.records.byName[name]
-	if h == nil || h.record.Incarnation != incarnation || h.record.Version > version {
+	stored := s.records.byName[name]
+	if stored == nil || stored.record.Incarnation != incarnation || stored.record.Version > version {
 		return
 	}
-	r := h.record
+	r := stored.record
 	r.Silent = true
 	s.storeRecord(now, &r, everywhere, nil)
 }
@@ -112,16 +112,16 @@
 
 // storeRecord stores a record unless a newer one is stored. from is the peer that sent it, or nil.
 func (s *Scheduler) storeRecord(now time.Duration, r *message.Record, reach int, from *peer) {
-	x := &s.records
-	known := x.byName[r.Name]
-	if known == nil || r.Newer(&known.record) {
-		if s.hasEnded(r) || known == nil && len(x.byName) >= maxRecords {
+	rs := &s.records
+	stored := rs.byName[r.Name]
+	if stored == nil || r.Newer(&stored.record) {
+		if s.hasEnded(r) || stored == nil && len(rs.byName) >= maxRecords {
 			return
 		}
-		known = x.replace(now, r, reach)
+		stored = rs.replace(now, r, reach)
 	}
-	if from != nil && !known.record.Newer(r) {
-		known.known.add(from.slot)
+	if from != nil && !stored.record.Newer(r) {
+		stored.known.add(from.slot)
 	}
 }
 
@@ -134,97 +134,97 @@
 }
 
 // replace stores a record in place of the previous one of the same entry.
-func (x *records) replace(now time.Duration, r *message.Record, reach int) *storedRecord {
-	x.drop(r.Name)
-	h := &storedRecord{record: *r, hash: recordHash(r), reach: reach, learnedAt: now}
-	x.byName[r.Name] = h
-	x.digest ^= h.hash
-	x.changedAt = now
+func (rs *records) replace(now time.Duration, r *message.Record, reach int) *storedRecord {
+	rs.drop(r.Name)
+	stored := &storedRecord{record: *r, hash: recordHash(r), reach: reach, learnedAt: now}
+	rs.byName[r.Name] = stored
+	rs.digest ^= stored.hash
+	rs.changedAt = now
 	if reach > 0 {
-		x.fresh = append(x.fresh, h)
-		if len(x.fresh) > maxFresh {
-			x.fresh = slices.Delete(x.fresh, 0, 1)
+		rs.fresh = append(rs.fresh, stored)
+		if len(rs.fresh) > maxFresh {
+			rs.fresh = slices.Delete(rs.fresh, 0, 1)
 		}
 	}
-	return h
+	return stored
 }
 
 // drop removes the record of a VM.
-func (x *records) drop(name string) {
-	h := x.byName[name]
-	if h == nil {
+func (rs *records) drop(name string) {
+	stored := rs.byName[name]
+	if stored == nil {
 		return
 	}
-	delete(x.byName, name)
-	x.digest ^= h.hash
-	if at := slices.Index(x.fresh, h); at >= 0 {
-		x.fresh = slices.Delete(x.fresh, at, at+1)
+	delete(rs.byName, name)
+	rs.digest ^= stored.hash
+	if at := slices.Index(rs.fresh, stored); at >= 0 {
+		rs.fresh = slices.Delete(rs.fresh, at, at+1)
 	}
 }
 
 // Forget drops the record of an entry that is gone.
 func (s *Scheduler) Forget(now time.Duration, name string, incarnation uint64) {
-	x := &s.records
-	h := x.byName[name]
-	if h == nil || h.record.Incarnation != incarnation {
+	rs := &s.records
+	stored := rs.byName[name]
+	if stored == nil || stored.record.Incarnation != incarnation {
 		return
 	}
-	x.drop(name)
-	x.changedAt = now
-	if s.relays && !h.record.Silent {
+	rs.drop(name)
+	rs.changedAt = now
+	if s.relays && !stored.record.Silent {
 		return // no entry reported it as silent, so peers may send its record again
 	}
-	if len(x.ended) >= maxRecords {
-		clear(x.ended)
+	if len(rs.ended) >= maxRecords {
+		clear(rs.ended)
 	}
-	x.ended[name] = h.record
+	rs.ended[name] = stored.record
 }
 
 // forgetSlot clears a slot that no longer belongs to a peer.
-func (x *records) forgetSlot(slot int) {
-	for _, h := range x.fresh {
-		h.known.remove(slot)
+func (rs *records) forgetSlot(slot int) {
+	for _, stored := range rs.fresh {
+		stored.known.remove(slot)
 	}
 }
 
 // expireFresh stops pushing records that were learned at least freshTime ago.
-func (x *records) expireFresh(now time.Duration) {
+func (rs *records) expireFresh(now time.Duration) {
 	keep := 0
-	for keep < len(x.fresh) && now-x.fresh[keep].learnedAt >= freshTime {
+	for keep < len(rs.fresh) && now-rs.fresh[keep].learnedAt >= freshTime {
 		keep++
 	}
-	x.fresh = slices.Delete(x.fresh, 0, keep)
+	rs.fresh = slices.Delete(rs.fresh, 0, keep)
 }
 
 // lackedBy reports whether a finger should get a fresh record first from this entry and has not
 // received it. An entry knows its own record, but not that it was reported silent.
-func (h *storedRecord) lackedBy(p *peer) bool {
-	return !h.known.has(p.slot) && (h.record.Silent || p.incarnation != h.record.Incarnation) && (p.kind == linkRegion || p.distance < h.reach)
+func (stored *storedRecord) lackedBy(p *peer) bool {
+	return !stored.known.has(p.slot) && (stored.record.Silent || p.incarnation != stored.record.Incarnation) && (p.kind == linkRegion || p.distance < stored.reach)
 }
 
 // due reports whether any fresh record is to be sent to a finger.
-func (x *records) due(p *peer) bool {
-	return slices.ContainsFunc(x.fresh, func(h *storedRecord) bool { return h.lackedBy(p) })
+func (rs *records) due(p *peer) bool {
+	return slices.ContainsFunc(rs.fresh, func(stored *storedRecord) bool { return stored.lackedBy(p) })
 }
 
 // dueTo returns the records to send to a finger, as many as fit into budget bytes, and records them
 // as in flight.
-func (x *records) dueTo(p *peer, budget int) []message.Record {
+func (rs *records) dueTo(p *peer, budget int) []message.Record {
 	p.recordsInFlight = p.recordsInFlight[:0]
 	if !p.finger {
 		return nil
 	}
 	var out []message.Record
-	for _, h := range x.fresh {
-		if !h.lackedBy(p) {
+	for _, stored := range rs.fresh {
+		if !stored.lackedBy(p) {
 			continue
 		}
-		budget -= recordSize(&h.record)
+		budget -= recordSize(&stored.record)
 		if budget < 0 || len(out) == recordsPerMessage {
 			break
 		}
-		out = append(out, h.record)
-		p.recordsInFlight = append(p.recordsInFlight, h)
+		out = append(out, stored.record)
+		p.recordsInFlight = append(p.recordsInFlight, stored)
 	}
 	return out
 }
@@ -242,8 +242,8 @@
 
 // Latest returns the stored record of the entry on a VM, or nil.
 func (s *Scheduler) Latest(name string) *message.Record {
-	if h := s.records.byName[name]; h != nil {
-		return &h.record
+	if stored := s.records.byName[name]; stored != nil {
+		return &stored.record
 	}
 	return nil
 }
@@ -256,8 +256,8 @@
 // Marks appends a mark of each stored record to out: the low 32 bits of the record's hash. A pull
 // sends these marks to a peer, which returns its records with other marks.
 func (s *Scheduler) Marks(out []uint32) []uint32 {
-	for _, h := range s.records.byName {
-		out = append(out, uint32(h.hash))
+	for _, stored := range s.records.byName {
+		out = append(out, uint32(stored.hash))
 	}
 	return out
 }
@@ -269,9 +269,9 @@
 		has[m] = true
 	}
 	var out []message.Record
-	for _, h := range s.records.byName {
-		if !has[uint32(h.hash)] {
-			out = append(out, h.record)
+	for _, stored := range s.records.byName {
+		if !has[uint32(stored.hash)] {
+			out = append(out, stored.record)
 		}
 	}
 	return out
@@ -295,20 +295,20 @@
 }
 
 // compare processes the record digest of a peer.
-func (l *pulls) compare(now time.Duration, p *peer, digest uint64, x *records) {
+func (pl *pulls) compare(now time.Duration, p *peer, digest uint64, rs *records) {
 	p.recordDigest = digest
-	if digest == x.digest {
+	if digest == rs.digest {
 		p.recordDigestSince = 0
 		return
 	}
 	if p.recordDigestSince == 0 {
 		p.recordDigestSince = now
 	}
-	if now-p.recordDigestSince < pullAfter || l.underWay || p.emptyPull == [2]uint64{digest, x.digest} {
+	if now-p.recordDigestSince < pullAfter || pl.underWay || p.emptyPull == [2]uint64{digest, rs.digest} {
 		return
 	}
-	if l.target == 0 || p.sameDomain {
-		l.target = p.incarnation
+	if pl.target == 0 || p.sameDomain {
+		pl.target = p.incarnation
 	}
 }
 
@@ -323,11 +323,11 @@
 // PullFrom returns the peer from which to pull now the records that this entry lacks. The caller
 // ends each pull with PullDone.
 func (s *Scheduler) PullFrom(now time.Duration) (uint64, bool) {
-	l := &s.pulls
-	if l.target == 0 || l.underWay || now < l.notBefore {
+	pl := &s.pulls
+	if pl.target == 0 || pl.underWay || now < pl.notBefore {
 		return 0, false
 	}
-	id := l.target
-	l.target, l.underWay = 0, true
+	id := pl.target
+	pl.target, pl.underWay = 0, true
 	return id, true
 }
--- a/internal/core/gossip/scheduler.go
+++ b/internal/core/gossip/scheduler.go
@@ -62,9 +62,10 @@
 	// to be sent at once. pendingSince is when pending last became nonzero.
 	pending, urgent int
 	pendingSince    time.Duration
-	// lacks reports that the peer is known to lack pending evidence; mayLack that its latest ack
+	// lacksEvidence reports that the peer is known to lack pending evidence; mayLackEvidence that
+	// its latest ack, received while evidence was pending and no more had arrived for relayWait,
 	// showed a different digest.
-	lacks, mayLack bool
+	lacksEvidence, mayLackEvidence bool
 	// lagging reports that the peer has not had the revisions in force since behindSince, as far as
 	// known.
 	lagging     bool
@@ -90,11 +91,12 @@
 	failures int
 	retryAt  time.Duration
 
-	// differs reports that the peer's evidence has differed since differsSince although nothing is
-	// pending. repairs counts how often all evidence was sent again for that reason.
-	differs      bool
-	differsSince time.Duration
-	repairs      int
+	// evidenceDiffers reports that the peer's evidence has differed since evidenceDiffersSince
+	// although nothing is pending. repairs counts how often all evidence was sent again for that
+	// reason.
+	evidenceDiffers      bool
+	evidenceDiffersSince time.Duration
+	repairs              int
 }
 
 // Scheduler decides when to send a message to which peer.
@@ -302,7 +304,7 @@
 	switch {
 	case now-p.heartbeatAt >= s.period(p)/2:
 		return dueOverdue
-	case now >= p.urgentAt && (p.lacks || p.urgent > 0):
+	case now >= p.urgentAt && (p.lacksEvidence || p.urgent > 0):
 		return dueEvidence
 	case now >= p.urgentAt && p.finger && s.revisionsDue(p):
 		return dueRevisions
@@ -363,7 +365,7 @@
 	size := heartbeatBytes
 	if u == dueEvidence {
 		pieces := p.urgent
-		if p.lacks {
+		if p.lacksEvidence {
 			pieces = p.pending
 		}
 		size += min(pieces, minPieces) * typicalEvidenceBytes
