--- a/cmd/tealhallbench/fleet.go
+++ b/cmd/tealhallbench/fleet.go
@@ -55,7 +55,7 @@
 	f.IntVar(&config.FaultPublications, "fault-publications", config.FaultPublications, "documents published while the configuration service is slow, and again while only one reader reaches it")
 	f.DurationVar(&config.CallWindow, "call-window", config.CallWindow, "duration of the calls at each rate")
 	f.IntVar(&config.NonReaderPublications, "other-publications", config.NonReaderPublications, "documents published while only an entry that does not watch the configuration service reaches it")
-	f.IntVar(&config.Departures, "leavings", config.Departures, "endpoints that leave, one after the other")
+	f.IntVar(&config.LeavingEndpoints, "leavings", config.LeavingEndpoints, "endpoints that leave, one after the other")
 	f.IntSliceVar(&config.Rates, "rates", config.Rates, "rates at which calls are measured, in calls a second")
 	f.IntVar(&config.CallRounds, "call-rounds", config.CallRounds, "rounds over all rates; 0 leaves calls out")
 	f.IntVar(&flags.procs, "procs", flags.procs, "cores to use at most")
--- a/internal/fleetload/calls.go
+++ b/internal/fleetload/calls.go
@@ -16,17 +16,19 @@
 	P99 float64 `json:"p99_us"`
 }
 
-// CallCosts are the costs of calls through a fleet and of the same calls sent directly to the
-// endpoints. The difference is the cost of the entry.
+// CallCosts are the costs of calls that the entries of a fleet forward to endpoints, and of the same
+// calls sent directly to the endpoints. The difference is the cost of the entry.
 type CallCosts struct {
 	Size Size `json:"size"`
 	// Keyed says whether each call carried an idempotency key of its own.
-	Keyed   bool        `json:"keyed"`
-	Through []CallRound `json:"through"`
-	Direct  []CallRound `json:"direct"`
-	// ThroughLine and DirectLine are fits of the cores used over the calls a second.
-	ThroughLine Line `json:"through_line"`
-	DirectLine  Line `json:"direct_line"`
+	Keyed bool `json:"keyed"`
+	// ViaEntries are the rounds of calls sent to entries, Direct those of calls sent to endpoints.
+	ViaEntries []CallRound `json:"through"`
+	Direct     []CallRound `json:"direct"`
+	// ViaEntriesLine and DirectLine are straight lines fitted to the cores used as a function of the
+	// calls a second.
+	ViaEntriesLine Line `json:"through_line"`
+	DirectLine     Line `json:"direct_line"`
 	// PerCall is the entry's processor time for one call, in microseconds.
 	PerCall float64 `json:"entry_us_per_call"`
 	// AddedP50 and AddedP99 are the latency that the entry adds at the highest rate: the
@@ -49,15 +51,15 @@
 // measureCalls measures each rate first through the fleet and then directly to the endpoints.
 func (f *fleet) measureCalls(ctx context.Context, c Config, keyed bool) (CallCosts, error) {
 	result := CallCosts{Size: f.size, Keyed: keyed}
-	through, direct, err := f.connectCallers(ctx, keyed)
-	defer through.close()
+	viaEntries, direct, err := f.connectCallers(ctx, keyed)
+	defer viaEntries.close()
 	defer direct.close()
 	if err != nil {
 		return result, err
 	}
 	for range c.CallRounds {
 		for _, rate := range c.Rates {
-			t, err := through.run(ctx, rate, c.CallWindow)
+			t, err := viaEntries.run(ctx, rate, c.CallWindow)
 			if err != nil {
 				return result, fmt.Errorf("calls through the fleet: %w", err)
 			}
@@ -65,7 +67,7 @@
 			if err != nil {
 				return result, fmt.Errorf("calls to endpoints: %w", err)
 			}
-			result.Through, result.Direct = append(result.Through, t), append(result.Direct, d)
+			result.ViaEntries, result.Direct = append(result.ViaEntries, t), append(result.Direct, d)
 		}
 	}
 	result.summarize()
@@ -74,9 +76,9 @@
 
 // summarize computes the fitted lines and the costs that the entry adds.
 func (c *CallCosts) summarize() {
-	c.ThroughLine, c.DirectLine = fitCores(c.Through), fitCores(c.Direct)
-	c.PerCall = (c.ThroughLine.Slope - c.DirectLine.Slope) * 1e6
-	t, d := c.Through[len(c.Through)-1], c.Direct[len(c.Direct)-1]
+	c.ViaEntriesLine, c.DirectLine = fitCores(c.ViaEntries), fitCores(c.Direct)
+	c.PerCall = (c.ViaEntriesLine.Slope - c.DirectLine.Slope) * 1e6
+	t, d := c.ViaEntries[len(c.ViaEntries)-1], c.Direct[len(c.Direct)-1]
 	c.AddedP50, c.AddedP99 = t.P50-d.P50, t.P99-d.P99
 }
 
@@ -92,7 +94,7 @@
 // returns the callers that are connected to the entries that the fleet names for them, and the same
 // number of callers that are connected directly to the endpoints. Close both groups also after an
 // error.
-func (f *fleet) connectCallers(ctx context.Context, keyed bool) (through, direct callers, err error) {
+func (f *fleet) connectCallers(ctx context.Context, keyed bool) (viaEntries, direct callers, err error) {
 	first := firstReadService
 	if keyed {
 		first = firstOnceService
@@ -103,7 +105,7 @@
 			address := f.entries[service%len(f.entries)].CallerAddress()
 			entries, err := entriesFor(ctx, address, serviceName(service), domain)
 			if err != nil {
-				return through, direct, err
+				return viaEntries, direct, err
 			}
 			prefix := ""
 			if keyed {
@@ -111,16 +113,16 @@
 			}
 			t, err := newCaller(entries[0].Address, serviceName(service), prefix)
 			if err != nil {
-				return through, direct, err
+				return viaEntries, direct, err
 			}
-			through = append(through, t)
+			viaEntries = append(viaEntries, t)
 			endpoints := f.endpointsOf(service)
 			d, err := newCaller(endpoints[i%len(endpoints)].vm.Address, serviceName(service), prefix)
 			if err != nil {
-				return through, direct, err
+				return viaEntries, direct, err
 			}
 			direct = append(direct, d)
 		}
 	}
-	return through, direct, nil
+	return viaEntries, direct, nil
 }
--- a/internal/fleetload/changes.go
+++ b/internal/fleetload/changes.go
@@ -16,7 +16,9 @@
 	updated chan struct{}
 }
 
-// change is either a revision that came into force or an endpoint that is leaving.
+// change is either a revision of the profiles that came into force at an entry or an endpoint that
+// the entry learned is leaving. leaving is the subject of the audit record: the prefix and the
+// endpoint's name.
 type change struct {
 	revision uint64
 	leaving  string
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -25,11 +25,11 @@
 	PlatformWindow time.Duration
 	// Settle is the pause between the start of a fleet and the first round.
 	Settle time.Duration
-	// Publications is the number of documents that are published, Departures the number of
+	// Publications is the number of documents that are published, LeavingEndpoints the number of
 	// endpoints that leave. The run measures the time until every entry has learned of each of
 	// these changes.
-	Publications int
-	Departures   int
+	Publications     int
+	LeavingEndpoints int
 	// FaultPublications is the number of documents published while the service is slow, and again
 	// while only one reader reaches it.
 	FaultPublications int
@@ -62,7 +62,7 @@
 		IdleWindow:       time.Second,
 		Settle:           time.Second,
 		Publications:     5,
-		Departures:       3,
+		LeavingEndpoints: 3,
 
 		FaultPublications:     3,
 		NonReaderPublications: 1,
--- a/internal/fleetload/propagation.go
+++ b/internal/fleetload/propagation.go
@@ -84,7 +84,7 @@
 	if nonReader := firstNotIn(readers, len(f.entries)); nonReader >= 0 {
 		p.OneNonReader = f.measurePublicationsVia(ctx, nonReader, c.NonReaderPublications)
 	}
-	leaving, err := f.measureDepartures(ctx, c.Departures)
+	leaving, err := f.measureLeaving(ctx, c.LeavingEndpoints)
 	p.Leaving = leaving
 	return p, err
 }
@@ -129,48 +129,48 @@
 	return -1
 }
 
-// measureDepartures lets endpoints of different services leave one after the other. It measures
+// measureLeaving lets endpoints of different services leave one after the other. It measures
 // from the first answer in which the endpoint reports that it is draining.
-func (f *fleet) measureDepartures(ctx context.Context, tries int) (Propagation, error) {
+func (f *fleet) measureLeaving(ctx context.Context, tries int) (Propagation, error) {
 	var s propagationSamples
 	for i := range min(tries, f.services) {
 		sleep(ctx, rand.N(300*time.Millisecond))
-		departing := f.endpointsOf(i)[0]
-		departing.draining.Store(true)
-		since, err := f.awaitDrainingAnswer(ctx, i, departing)
+		leaving := f.endpointsOf(i)[0]
+		leaving.draining.Store(true)
+		since, err := f.awaitDrainingAnswer(ctx, i, leaving)
 		if err != nil {
 			return s.result(), err
 		}
 		limited, cancel := context.WithTimeout(ctx, propagationTimeout)
-		s.add(f.changes.await(limited, change{leaving: endpointPrefix + departing.vm.Name}, len(f.entries), since))
+		s.add(f.changes.await(limited, change{leaving: endpointPrefix + leaving.vm.Name}, len(f.entries), since))
 		cancel()
 	}
 	return s.result(), nil
 }
 
 // awaitDrainingAnswer sends requests for the i-th service through all entries in turn until the
-// departing endpoint has reported that it is draining, in an answer to a request or to a probe. It
+// leaving endpoint has reported that it is draining, in an answer to a request or to a probe. It
 // returns the time of that answer.
-func (f *fleet) awaitDrainingAnswer(ctx context.Context, i int, departing *endpoint) (time.Time, error) {
+func (f *fleet) awaitDrainingAnswer(ctx context.Context, i int, leaving *endpoint) (time.Time, error) {
 	limited, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	for n := 0; sleep(limited, drainingCallPause); n++ {
-		if sentAt := departing.drainingSentAt.Load(); sentAt != 0 {
+		if sentAt := leaving.drainingSentAt.Load(); sentAt != 0 {
 			return time.Unix(0, sentAt), nil
 		}
 		if err := f.call(ctx, f.entries[n%len(f.entries)], i); err != nil {
 			return time.Time{}, err
 		}
 	}
-	return time.Time{}, fmt.Errorf("%s has not reported within %s that it is draining", departing.vm.Name, propagationTimeout)
+	return time.Time{}, fmt.Errorf("%s has not reported within %s that it is draining", leaving.vm.Name, propagationTimeout)
 }
 
 // drainingCallPause is the pause between the requests of awaitDrainingAnswer.
 const drainingCallPause = 2 * time.Millisecond
 
 // call sends one request for the i-th service through an entry.
-func (f *fleet) call(ctx context.Context, through *entry.Entry, i int) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+through.CallerAddress()+"/", nil)
+func (f *fleet) call(ctx context.Context, via *entry.Entry, i int) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+via.CallerAddress()+"/", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetload/report.go
+++ b/internal/fleetload/report.go
@@ -98,9 +98,9 @@
 			"calls/s", "direct p50/p99 us", "added p50/p99 us"},
 	}
 	for _, c := range r.Calls {
-		last, direct := c.Through[len(c.Through)-1], c.Direct[len(c.Direct)-1]
+		last, direct := c.ViaEntries[len(c.ViaEntries)-1], c.Direct[len(c.Direct)-1]
 		t.add(fmt.Sprint(c.Size.Entries), fmt.Sprint(c.Size.Endpoints), yesNo(c.Keyed),
-			formatNumber(1e6*c.ThroughLine.Slope, 0), formatNumber(1e6*c.DirectLine.Slope, 0), formatNumber(c.PerCall, 0), formatNumber(c.ThroughLine.R2, 3),
+			formatNumber(1e6*c.ViaEntriesLine.Slope, 0), formatNumber(1e6*c.DirectLine.Slope, 0), formatNumber(c.PerCall, 0), formatNumber(c.ViaEntriesLine.R2, 3),
 			formatNumber(last.Rate, 0), fmt.Sprintf("%.0f / %.0f", direct.P50, direct.P99), fmt.Sprintf("%.0f / %.0f", c.AddedP50, c.AddedP99))
 	}
 	return t
--- a/internal/fleetload/run.go
+++ b/internal/fleetload/run.go
@@ -8,8 +8,9 @@
 
 // FleetResult holds the measurements of one fleet.
 type FleetResult struct {
-	Size         Size         `json:"size"`
-	Services     int          `json:"services"`
+	Size     Size `json:"size"`
+	Services int  `json:"services"`
+	// Ready is the number of seconds until the fleet was ready.
 	Ready        float64      `json:"ready_s"`
 	Idle         IdleCosts    `json:"idle"`
 	Propagations Propagations `json:"spreads"`
--- a/internal/fleetload/slope_test.go
+++ b/internal/fleetload/slope_test.go
@@ -43,7 +43,7 @@
 func TestPerCallExcludesDirectAndIdleCost(t *testing.T) {
 	c := CallCosts{}
 	for _, rate := range []float64{100, 200, 300} {
-		c.Through = append(c.Through, CallRound{Rate: rate, Cores: 0.5 + rate*250e-6, P50: 300, P99: 900})
+		c.ViaEntries = append(c.ViaEntries, CallRound{Rate: rate, Cores: 0.5 + rate*250e-6, P50: 300, P99: 900})
 		c.Direct = append(c.Direct, CallRound{Rate: rate, Cores: 0.1 + rate*100e-6, P50: 100, P99: 400})
 	}
 	c.summarize()
