--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -25,11 +25,11 @@
 	// IsStray reports whether an answer belongs to another request than the one with the given
 	// headers.
 	IsStray(request, answer http.Header) bool
-	// EntryHeaders lists the headers that the entry removes from an endpoint's answer, since they are
-	// meant only for the entry or only the entry may send them to a caller.
+	// EntryHeaders lists the headers that the entry removes from an endpoint's answer, since they
+	// are meant only for the entry or only the entry may send them to a caller.
 	EntryHeaders() []string
-	// SetAnswerHeaders sets the headers that name the entry and the outcome, which every answer of
-	// an entry carries, those of an endpoint included.
+	// SetAnswerHeaders sets the headers that describe the entry and the outcome on an answer to a
+	// caller, whether the answer comes from an endpoint or from the entry itself.
 	SetAnswerHeaders(h http.Header, m Mark)
 	// Refuse sends a caller an answer of the entry itself.
 	Refuse(w http.ResponseWriter, r *http.Request, refusal Refusal)
--- a/internal/fleetload/calls.go
+++ b/internal/fleetload/calls.go
@@ -16,8 +16,8 @@
 	P99 float64 `json:"p99_us"`
 }
 
-// CallCosts are the costs of calls that the entries of a fleet forward to endpoints, and of the same
-// calls sent directly to the endpoints. The difference is the cost of the entry.
+// CallCosts are the costs of calls that the entries of a fleet forward to endpoints, and of the
+// same calls sent directly to the endpoints. The difference is the cost of the entry.
 type CallCosts struct {
 	Size Size `json:"size"`
 	// Keyed says whether each call carried an idempotency key of its own.
@@ -25,8 +25,8 @@
 	// ViaEntries are the rounds of calls sent to entries, Direct those of calls sent to endpoints.
 	ViaEntries []CallRound `json:"through"`
 	Direct     []CallRound `json:"direct"`
-	// ViaEntriesLine and DirectLine are straight lines fitted to the cores used as a function of the
-	// calls a second.
+	// ViaEntriesLine and DirectLine are straight lines fitted to the cores used as a function of
+	// the calls a second.
 	ViaEntriesLine Line `json:"through_line"`
 	DirectLine     Line `json:"direct_line"`
 	// PerCall is the entry's processor time for one call, in microseconds.
--- a/internal/fleetload/core_test.go
+++ b/internal/fleetload/core_test.go
@@ -135,8 +135,8 @@
 	})
 }
 
-// BenchmarkApply measures how long an entry takes to apply a list in which one VM was replaced, or a
-// profile document. The entry makes no other decisions during this time.
+// BenchmarkApply measures how long an entry takes to apply a list in which one VM was replaced, or
+// a profile document. The entry makes no other decisions during this time.
 func BenchmarkApply(b *testing.B) {
 	size := benchSizes[1]
 	vms := benchVMs(size)
